--- a/Makefile
+++ b/Makefile
@@ -102,7 +102,7 @@
 
 GATE_BENCH_OBJ := $(patsubst %.c,$(BUILD)/obj/%.o,$(wildcard bench/gate/*.c))
 $(BUILD)/bench/gate: $(GATE_BENCH_OBJ)
-$(BUILD)/tests/gate-emulated $(BUILD)/tests/gate-drawn: $(GATE_BENCH_OBJ)
+$(BUILD)/tests/gate-emulated $(BUILD)/tests/gate-generated: $(GATE_BENCH_OBJ)
 
 $(BUILD)/standin/%: $(BUILD)/obj/tests/standin/%.o $(SUPPORT_OBJ) $(LIB)
 	@mkdir -p $(@D)
--- a/bench/gate/emulated-caller.c
+++ b/bench/gate/emulated-caller.c
@@ -59,7 +59,7 @@
 	struct world *world = request->world;
 	struct instance *instance = instance_at(world, request->instance);
 	char path[MOST_NAME + 4];
-	struct rr_gate_ask ask = {
+	struct rr_gate_request_info ask = {
 		.host = "h",
 		.path = path,
 		.request_id = "id",
@@ -67,15 +67,15 @@
 		.deadline_ms =
 			MAX((request->last_us - world->now_us) / 1000, 0),
 		.caller_rtt_us = 2 * ms_to_us(world->scenario->caller_ms),
-		.caller_is_new = request->is_new,
-		.handed_left_us = -1,
+		.new_connection = request->is_new,
+		.forward_deadline_us = -1,
 	};
 	uint64_t id;
 
 	ask.path_length = (size_t)g_snprintf(path, sizeof(path), "/%s/1",
 					     request->route->name);
 	instance->taking = request;
-	id = rr_gate_take(instance->ctx, instance->gate, world->now_us, &ask);
+	id = rr_gate_submit(instance->ctx, instance->gate, world->now_us, &ask);
 	if (instance->taking) {
 		uint64_t *key = g_new(uint64_t, 1);
 
@@ -164,7 +164,7 @@
 	arrival->share = 1;
 	arrival->status = answer->status;
 	arrival->retry_after_ms = answer->retry_after_ms;
-	if (answer->kind == RR_GATE_GATHERED)
+	if (answer->kind == RR_GATE_MERGED_ANSWER)
 		arrival->share = 1 - (double)answer->missing / shards;
 	push_event(world->events,
 		   world->now_us + ms_to_us(world->scenario->caller_ms),
--- a/bench/gate/emulated-crash.c
+++ b/bench/gate/emulated-crash.c
@@ -131,9 +131,9 @@
 		struct instance *instance =
 			g_ptr_array_index(world->instances, i);
 
-		rr_gate_note_quarantine(instance->ctx, instance->gate,
-					world->now_us, &news->fingerprint,
-					news->entry);
+		rr_gate_apply_quarantine(instance->ctx, instance->gate,
+					 world->now_us, &news->fingerprint,
+					 news->entry);
 		set_tick(instance);
 	}
 	rr_free_quarantine_entry(news->entry);
--- a/bench/gate/emulated-replica.c
+++ b/bench/gate/emulated-replica.c
@@ -68,9 +68,9 @@
 	char service[16];
 	char address[32];
 	char zone[16];
-	struct rr_listing listing = {
+	struct rr_endpoint_info listing = {
 		.id = replica->id,
-		.born_ms = replica->born_ms,
+		.started_ms = replica->born_ms,
 		.service = service,
 		.address = address,
 		.zone = zone,
@@ -86,8 +86,8 @@
 	g_snprintf(address, sizeof(address), "10.0.0.1:%u",
 		   1000 + replica->number);
 	g_snprintf(zone, sizeof(zone), "z%u", replica->zone);
-	rr_gate_list(instance->ctx, instance->gate, instance->world->now_us,
-		     &listing);
+	rr_gate_update_endpoint(instance->ctx, instance->gate,
+				instance->world->now_us, &listing);
 	set_tick(instance);
 }
 
@@ -224,7 +224,7 @@
 		if (draw_unit(replica->world) < replica->shed ||
 		    replica->waiting.length >=
 			    (guint)replica->world->scenario->queue) {
-			send_reply(work, RR_GATE_REFUSED, 503, false);
+			send_reply(work, RR_GATE_REJECTED, 503, false);
 		} else {
 			if (work->deadly)
 				note_deadly_arrival(work);
--- a/bench/gate/emulator.c
+++ b/bench/gate/emulator.c
@@ -53,7 +53,7 @@
 	if (instance->tick_us != now_us)
 		return;
 	instance->tick_us = INT64_MAX;
-	if (rr_gate_wake_us(instance->gate) <= now_us)
+	if (rr_gate_next_tick_us(instance->gate) <= now_us)
 		rr_gate_tick(instance->ctx, instance->gate, now_us);
 	set_tick(instance);
 }
@@ -61,10 +61,10 @@
 void set_tick(struct instance *instance)
 {
 	struct world *world = instance->world;
-	int64_t wake_us = rr_gate_wake_us(instance->gate);
+	int64_t wake_us = rr_gate_next_tick_us(instance->gate);
 	const char *reason;
 
-	if (rr_gate_serves(instance->gate, &reason))
+	if (rr_gate_is_ready(instance->gate, &reason))
 		instance->unready_us = 0;
 	else if (!instance->unready_us)
 		instance->unready_us = world->now_us;
@@ -125,7 +125,7 @@
 	return request ? request : instance->taking;
 }
 
-static void send_attempt(void *data, const struct rr_gate_send *send)
+static void send_attempt(void *data, const struct rr_gate_attempt_info *send)
 {
 	struct instance *instance = data;
 	struct world *world = instance->world;
@@ -136,7 +136,7 @@
 	work->world = world;
 	work->attempt = send->attempt;
 	work->instance = instance->number;
-	work->replica = replica_of(world, send->lifetime);
+	work->replica = replica_of(world, send->incarnation);
 	work->request = request->number;
 	work->deadly = request->deadly;
 	work->work_us = draw_work_us(world, request->route);
@@ -253,16 +253,16 @@
 		.attempt = work->attempt,
 		.outcome = outcome,
 		.status = status,
-		.seal = "seal",
+		.signature = "seal",
 		.body = record,
 		.length = sizeof(record),
 		.unreachable = unreachable,
-		.closed = outcome == RR_GATE_BROKEN,
+		.connection_closed = outcome == RR_GATE_BROKEN,
 	};
 
 	if (work->withdrawn)
 		return;
-	if (outcome == RR_GATE_ANSWERED || outcome == RR_GATE_REFUSED)
+	if (outcome == RR_GATE_ANSWERED || outcome == RR_GATE_REJECTED)
 		instance->idle[work->replica->number]++;
 	g_hash_table_remove(instance->works, &work->attempt);
 	rr_gate_reply(instance->ctx, instance->gate, world->now_us, &reply);
@@ -281,13 +281,12 @@
 	route->name = g_strdup(from->name);
 	route->host = g_strdup("h");
 	route->prefix = g_strdup_printf("/%s/", from->name);
-	route->mode =
-		from->least_share > 0 ? RR_ROUTE_GATHER : RR_ROUTE_FORWARD;
+	route->mode = from->least_share > 0 ? RR_ROUTE_GATHER : RR_ROUTE_PROXY;
 	route->idempotent = true;
 	route->timeout_ms = (uint32_t)from->deadline_ms;
 	route->objective_ms = (uint32_t)from->objective_ms;
 	route->max_attempts = (uint32_t)from->max_attempts;
-	route->least_share = from->least_share;
+	route->min_share = from->least_share;
 	route->top_k = 1;
 	route->parts = g_new0(struct rr_route_part, n);
 	route->n_parts = n;
@@ -333,12 +332,12 @@
 		.zone = zone,
 		.actions = {
 			.send = send_attempt,
-			.withdraw = withdraw,
-			.recall = recall,
+			.cancel = withdraw,
+			.cancel_unsent = recall,
 			.answer = give_answer,
-			.open = open_connection,
+			.preconnect = open_connection,
 			.probe = send_probe,
-			.forget = forget,
+			.close_idle = forget,
 			.report = report_to_store,
 			.data = instance,
 		},
@@ -348,7 +347,7 @@
 		.cold_overage = COLD_OVERAGE,
 		.cold_slack = COLD_SLACK,
 		/* Long enough ago that its window is full. */
-		.began_us = 1,
+		.process_started_us = 1,
 		.strength = 1,
 		.policy = world->policy,
 	};
@@ -382,8 +381,8 @@
 
 	for (guint i = 0; i < world->instances->len; i++) {
 		g_snprintf(name, sizeof(name), "g%u", i);
-		rr_gate_note_instance(instance->ctx, instance->gate,
-				      world->now_us, &peer);
+		rr_gate_update_instance(instance->ctx, instance->gate,
+					world->now_us, &peer);
 	}
 }
 
@@ -395,8 +394,8 @@
 	for (guint i = 0; i < world->replicas->len; i++)
 		list_replica(instance, g_ptr_array_index(world->replicas, i),
 			     false);
-	rr_gate_set_instances(instance->ctx, instance->gate,
-			      world->instances->len);
+	rr_gate_set_instance_count(instance->ctx, instance->gate,
+				   world->instances->len);
 	if (world->scenario->cold_per_s > 0)
 		note_instances(instance);
 	set_tick(instance);
--- a/bench/start.c
+++ b/bench/start.c
@@ -105,11 +105,11 @@
 {
 }
 
-static void take_listed(void *data, const struct rr_listing *listing)
+static void take_listed(void *data, const struct rr_endpoint_info *listing)
 {
 	struct start *start = data;
 
-	rr_gate_list(start->ctx, start->gate, 1, listing);
+	rr_gate_update_endpoint(start->ctx, start->gate, 1, listing);
 }
 
 static void ignore_id(void *data, const char *id)
@@ -120,7 +120,7 @@
 {
 	struct start *start = data;
 
-	rr_gate_set_instances(start->ctx, start->gate, instances);
+	rr_gate_set_instance_count(start->ctx, start->gate, instances);
 }
 
 static void take_instance(void *data, const char *id,
@@ -134,7 +134,7 @@
 		.strength = instance ? instance->strength : 0,
 	};
 
-	rr_gate_note_instance(start->ctx, start->gate, 1, &told);
+	rr_gate_update_instance(start->ctx, start->gate, 1, &told);
 }
 
 static void ignore_lifetime(void *data, const char *lifetime)
@@ -173,8 +173,8 @@
 	struct rr_gate_options gate = {
 		.instance = "i-0",
 		.zone = "z0",
-		.actions = { .open = ignore_open,
-			     .forget = ignore_lifetime,
+		.actions = { .preconnect = ignore_open,
+			     .close_idle = ignore_lifetime,
 			     .data = start },
 		.extra_ratio = 0.2,
 		.extra_slack = 58,
--- a/fuzz/entries.c
+++ b/fuzz/entries.c
@@ -24,7 +24,7 @@
 		abort();
 	if (item->replica &&
 	    (!*item->replica->service || !*item->replica->zone ||
-	     !item->replica->slots || item->replica->born_ms < 0 ||
+	     !item->replica->slots || item->replica->started_ms < 0 ||
 	     strpbrk(item->replica->id, "\r\n ")))
 		abort();
 	rr_free_feed_item(item);
@@ -75,7 +75,8 @@
 	struct rr_gate_load load;
 	bool good = rr_decode_load(copy, &load);
 
-	if (good != load.told || (good && (!load.slots || !load.pace_percent)))
+	if (good != load.reported ||
+	    (good && (!load.slots || !load.pace_percent)))
 		abort();
 	g_free(copy);
 }
--- a/include/ragwort/feed.h
+++ b/include/ragwort/feed.h
@@ -80,7 +80,7 @@
 	const char *fault; /* why its value could not be read; NULL: it could */
 	/* Unless removed; NULL where its value could not be read. */
 	struct rr_route_table *routes;
-	struct rr_listing *replica; /* its strings are the item's */
+	struct rr_endpoint_info *replica; /* its strings are the item's */
 	struct rr_instance *instance;
 	struct rr_quarantine_entry *quarantine;
 };
@@ -112,7 +112,7 @@
 	void (*call)(void *data, const struct rr_feed_call *call);
 	void (*cancel)(void *data, uint64_t call);
 	void (*routes)(void *data, struct rr_route_table *table);
-	void (*listed)(void *data, const struct rr_listing *listing);
+	void (*listed)(void *data, const struct rr_endpoint_info *listing);
 	void (*unlisted)(void *data, const char *id);
 	void (*instances)(void *data, uint32_t instances);
 	/* An instance's entry, this one's too; NULL: it has gone. */
--- a/include/ragwort/gate-policy.h
+++ b/include/ragwort/gate-policy.h
@@ -15,16 +15,16 @@
 /* By type, the widest first: in the table they stand by what they are for. */
 struct rr_gate_policy {
 #define RR_POLICY_TIME(name, value, help) int64_t name;
-#define RR_POLICY_FIGURE(name, value, unit, help) double name;
+#define RR_POLICY_NUMBER(name, value, unit, help) double name;
 #define RR_POLICY_COUNT(name, value, unit, help)
 #define RR_POLICY_SWITCH(name, value, help)
 #include "ragwort/gate-policy-list.h"
 #undef RR_POLICY_TIME
-#undef RR_POLICY_FIGURE
+#undef RR_POLICY_NUMBER
 #undef RR_POLICY_COUNT
 #undef RR_POLICY_SWITCH
 #define RR_POLICY_TIME(name, value, help)
-#define RR_POLICY_FIGURE(name, value, unit, help)
+#define RR_POLICY_NUMBER(name, value, unit, help)
 #define RR_POLICY_COUNT(name, value, unit, help) uint32_t name;
 #define RR_POLICY_SWITCH(name, value, help)
 #include "ragwort/gate-policy-list.h"
@@ -34,7 +34,7 @@
 #define RR_POLICY_SWITCH(name, value, help) bool name;
 #include "ragwort/gate-policy-list.h"
 #undef RR_POLICY_TIME
-#undef RR_POLICY_FIGURE
+#undef RR_POLICY_NUMBER
 #undef RR_POLICY_COUNT
 #undef RR_POLICY_SWITCH
 };
--- a/include/ragwort/route.h
+++ b/include/ragwort/route.h
@@ -19,8 +19,8 @@
 };
 
 enum rr_route_mode {
-	RR_ROUTE_FORWARD, /* to a replica of one of the parts, by weight */
-	RR_ROUTE_GATHER,  /* to a replica of each part, merged */
+	RR_ROUTE_PROXY,	 /* to a replica of one of the parts, by weight */
+	RR_ROUTE_GATHER, /* to a replica of each part, merged */
 };
 
 struct rr_route {
@@ -35,8 +35,8 @@
 	uint32_t max_attempts; /* replicas a part may be sent to; at least 1 */
 	struct rr_route_part *parts;
 	size_t n_parts;
-	uint32_t top_k;	    /* records of a gathered answer */
-	double least_share; /* of the parts that an answer must have */
+	uint32_t top_k;	  /* records of a gathered answer */
+	double min_share; /* of the parts that an answer must have */
 	/* Only replicas and instances of these; NULL: of any region. */
 	char **regions;
 };
--- a/source/core/gate-admit.c
+++ b/source/core/gate-admit.c
@@ -14,23 +14,23 @@
  * waited too long, or one more would.
  */
 static bool is_overrun(const struct rr_gate *gate,
-		       const struct rr_gate_run *run,
+		       const struct rr_gate_request *run,
 		       const struct rr_gate_service *service)
 {
 	struct rr_wait_outlook outlook = {
 		.now_us = gate->now_us,
-		.cut_us = run->cut_us,
+		.cut_us = run->answer_by_us,
 		.typical_us = service->typical_us,
 	};
 
-	if (rr_service_has_room(gate, service))
+	if (rr_service_has_capacity(gate, service))
 		return false;
 	outlook.capacity = rr_service_capacity(gate, service);
-	return rr_would_overrun(&service->waiting, &outlook);
+	return rr_would_overrun(&service->wait_queue, &outlook);
 }
 
-enum rr_admission rr_admit_run(const struct rr_gate *gate,
-			       const struct rr_gate_run *run)
+enum rr_admission rr_admit_request(const struct rr_gate *gate,
+				   const struct rr_gate_request *run)
 {
 	size_t reachable = 0;
 	size_t evacuated = 0;
@@ -39,7 +39,7 @@
 	for (size_t i = 0; i < run->n_parts; i++) {
 		const struct rr_gate_service *service = run->parts[i].service;
 
-		if (!rr_service_reachable(gate, service)) {
+		if (!rr_is_service_reachable(gate, service)) {
 			evacuated += rr_is_service_evacuated(service);
 			continue;
 		}
@@ -48,14 +48,17 @@
 		    is_overrun(gate, run, service))
 			overrun++;
 	}
-	if (reachable < run->least)
-		return reachable + evacuated < run->least ? RR_NO_REPLICA :
-							    RR_EVACUATED;
-	return reachable - overrun < run->least ? RR_NO_ROOM : RR_ADMITTED;
+	if (reachable < run->n_required)
+		return reachable + evacuated < run->n_required ?
+			       RR_ADMIT_NO_REPLICA :
+			       RR_ADMIT_EVACUATED;
+	return reachable - overrun < run->n_required ? RR_ADMIT_OVERLOADED :
+						       RR_ADMITTED;
 }
 
-void rr_earn_extras(struct rr_gate *gate, struct rr_gate_run *run)
+void rr_earn_retry_budget(struct rr_gate *gate, struct rr_gate_request *run)
 {
 	for (size_t i = 0; i < run->n_parts; i++)
-		rr_earn_extra(&run->parts[i].service->extras, gate->now_us);
+		rr_earn_extra(&run->parts[i].service->retry_budget,
+			      gate->now_us);
 }
--- a/source/core/gate-choose.c
+++ b/source/core/gate-choose.c
@@ -17,11 +17,11 @@
 	N_TIERS,
 };
 
-int64_t rr_typical_us(const struct rr_gate *gate,
-		      const struct rr_route_record *record,
-		      const struct rr_route *route)
+int64_t rr_typical_attempt_us(const struct rr_gate *gate,
+			      const struct rr_route_stats *record,
+			      const struct rr_route *route)
 {
-	int64_t typical_us = rr_sketch_quantile(&record->times, 0.5);
+	int64_t typical_us = rr_sketch_quantile(&record->attempt_times, 0.5);
 
 	if (typical_us)
 		return typical_us;
@@ -50,7 +50,7 @@
 {
 	const GPtrArray *endpoints = endpoint->service->endpoints;
 
-	if (endpoint->service == gate->strong ||
+	if (endpoint->service == gate->coordinators ||
 	    endpoint->track.silences_in_row > 1)
 		return false;
 	for (guint i = 0; i < endpoints->len; i++) {
@@ -64,13 +64,13 @@
 	return true;
 }
 
-bool rr_takes_work(const struct rr_gate *gate,
-		   const struct rr_endpoint *endpoint)
+bool rr_is_endpoint_eligible(const struct rr_gate *gate,
+			     const struct rr_endpoint *endpoint)
 {
 #ifdef RR_MUTANT_GATE_DRAIN_IGNORED
 	return true;
 #endif
-	if (endpoint->draining || endpoint->zone->silent)
+	if (endpoint->draining || endpoint->zone->unreachable)
 		return false;
 #ifndef RR_MUTANT_GATE_IGNORES_EVACUATION
 	if (endpoint->zone->evacuation->in_force)
@@ -89,12 +89,12 @@
 	return is_last_hope(gate, endpoint);
 }
 
-bool rr_service_reachable(const struct rr_gate *gate,
-			  const struct rr_gate_service *service)
+bool rr_is_service_reachable(const struct rr_gate *gate,
+			     const struct rr_gate_service *service)
 {
 	for (guint i = 0; i < service->endpoints->len; i++) {
-		if (rr_takes_work(gate,
-				  g_ptr_array_index(service->endpoints, i)))
+		if (rr_is_endpoint_eligible(
+			    gate, g_ptr_array_index(service->endpoints, i)))
 			return true;
 	}
 	return false;
@@ -105,9 +105,9 @@
 {
 	if (!endpoint->listed)
 		return TIER_UNLISTED;
-	if (rr_is_held_back(ctx, gate, endpoint))
+	if (rr_skip_in_slow_start(ctx, gate, endpoint))
 		return TIER_HELD_BACK;
-	return endpoint->away ? TIER_AWAY : TIER_GOOD;
+	return endpoint->remote_coordinator ? TIER_AWAY : TIER_GOOD;
 }
 
 /* What waits are reckoned from, for one attempt. */
@@ -129,12 +129,12 @@
 		losses = rr_track_losses(&endpoint->track, gate->now_us);
 	if (policy->choose_by_slowness)
 		wait_us *= rr_track_slowness(&endpoint->track, gate->now_us);
-	wait_us *= 1 + policy->choose_busy_weight * endpoint->live.length;
+	wait_us *= 1 + policy->choose_busy_weight * endpoint->in_flight.length;
 	if (rr_is_cold(gate, endpoint))
 		wait_us *= policy->choose_cold_factor;
 	wait_us += losses * (policy->choose_loss_price * wait_us +
 			     policy->choose_loss_part * reckoning->left_us);
-	if (endpoint->zone->near)
+	if (endpoint->zone->is_local)
 		return wait_us;
 	far_us = policy->choose_far_part * reckoning->left_us;
 	return wait_us + MAX((double)policy->choose_far_us, far_us);
@@ -181,14 +181,14 @@
 {
 	uint32_t connections =
 		rr_gate_connection_share(gate, endpoint->service->name);
-	uint32_t holders = rr_count_holders(gate);
+	uint32_t holders = rr_count_coordinators(gate);
 	struct rr_limit_bounds bounds = {
 		.share =
 			holders ? (endpoint->slots + holders - 1) / holders : 1,
 		.highest = MIN(connections, endpoint->slots),
 	};
 
-	if (endpoint->service == gate->strong)
+	if (endpoint->service == gate->coordinators)
 		bounds.share = bounds.highest = endpoint->slots;
 	return bounds;
 }
@@ -206,7 +206,7 @@
 static bool has_room(const struct rr_gate *gate,
 		     const struct rr_endpoint *endpoint)
 {
-	return endpoint->live.length < capacity_of(gate, endpoint);
+	return endpoint->in_flight.length < capacity_of(gate, endpoint);
 }
 
 uint32_t rr_service_capacity(const struct rr_gate *gate,
@@ -218,35 +218,37 @@
 		const struct rr_endpoint *endpoint =
 			g_ptr_array_index(service->endpoints, i);
 
-		if (rr_takes_work(gate, endpoint))
+		if (rr_is_endpoint_eligible(gate, endpoint))
 			capacity += capacity_of(gate, endpoint);
 	}
 	return capacity;
 }
 
-bool rr_service_has_room(const struct rr_gate *gate,
-			 const struct rr_gate_service *service)
+bool rr_service_has_capacity(const struct rr_gate *gate,
+			     const struct rr_gate_service *service)
 {
 	for (guint i = 0; i < service->endpoints->len; i++) {
 		const struct rr_endpoint *endpoint =
 			g_ptr_array_index(service->endpoints, i);
 
-		if (rr_takes_work(gate, endpoint) && has_room(gate, endpoint))
+		if (rr_is_endpoint_eligible(gate, endpoint) &&
+		    has_room(gate, endpoint))
 			return true;
 	}
 	return false;
 }
 
 enum rr_choice rr_choose_endpoint(struct rr_context *ctx, struct rr_gate *gate,
-				  const struct rr_gate_run *run,
+				  const struct rr_gate_request *run,
 				  const struct rr_gate_part *part,
 				  struct rr_endpoint **chosen)
 {
 	const struct rr_gate_service *service = part->service;
-	int64_t typical_us = rr_typical_us(gate, run->record, run->route);
+	int64_t typical_us =
+		rr_typical_attempt_us(gate, run->stats, run->route);
 	struct reckoning reckoning = {
 		.typical_us = typical_us,
-		.left_us = MAX(run->cut_us - gate->now_us, 0),
+		.left_us = MAX(run->answer_by_us - gate->now_us, 0),
 	};
 	GPtrArray *candidates = g_ptr_array_new();
 	enum tier best = N_TIERS;
@@ -258,7 +260,8 @@
 			g_ptr_array_index(service->endpoints, i);
 		enum tier tier;
 
-		if (!rr_takes_work(gate, endpoint) || was_tried(part, endpoint))
+		if (!rr_is_endpoint_eligible(gate, endpoint) ||
+		    was_tried(part, endpoint))
 			continue;
 		if (!rr_route_allows_region(run->route, endpoint->region))
 			continue;
@@ -266,7 +269,7 @@
 			full = true;
 			continue;
 		}
-		if (!rr_cold_takes_more(gate, endpoint)) {
+		if (!rr_has_cold_quota_left(gate, endpoint)) {
 			cold = true;
 			continue;
 		}
--- a/source/core/gate-cold.c
+++ b/source/core/gate-cold.c
@@ -8,11 +8,11 @@
 
 #include "ragwort/owner.h"
 
-int64_t rr_cold_us(const struct rr_gate *gate,
-		   const struct rr_gate_service *service)
+int64_t rr_cold_period_us(const struct rr_gate *gate,
+			  const struct rr_gate_service *service)
 {
 	const struct rr_route_service *told =
-		rr_service_in_force(gate, service->name);
+		rr_find_service_config(gate, service->name);
 
 	return told && told->cold_ms ? (int64_t)told->cold_ms * 1000 :
 				       gate->policy.return_cold_us;
@@ -23,8 +23,9 @@
 	if (endpoint->cold_until_us > gate->now_us)
 		return true;
 	return endpoint->zone->evacuation->returning &&
-	       rr_evacuation_left_cold(endpoint->zone->evacuation, gate->now_us,
-				       rr_cold_us(gate, endpoint->service));
+	       rr_evacuation_left_cold(
+		       endpoint->zone->evacuation, gate->now_us,
+		       rr_cold_period_us(gate, endpoint->service));
 }
 
 /* What all instances together may send it in a second; 0: no bound is told. */
@@ -32,7 +33,7 @@
 		       const struct rr_endpoint *endpoint)
 {
 	const struct rr_route_service *told =
-		rr_service_in_force(gate, endpoint->service->name);
+		rr_find_service_config(gate, endpoint->service->name);
 
 	if (!told || told->cold_per_s <= 0)
 		return 0;
@@ -44,7 +45,7 @@
 static bool takes_part(const struct rr_gate_peer *peer,
 		       const struct rr_gate_service *service)
 {
-	return !service->searched || peer->holds;
+	return !service->is_shard || peer->is_coordinator;
 }
 
 /* This instance's share, by the instances that are known now. */
@@ -64,7 +65,7 @@
 	/* The others do not count an instance that is not in the list. */
 	if (!self || !takes_part(self, endpoint->service))
 		return 0;
-	own = rr_rendezvous_weight(endpoint->lifetime, self->id);
+	own = rr_rendezvous_weight(endpoint->incarnation, self->id);
 	g_hash_table_iter_init(&iter, gate->peers);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct rr_gate_peer *peer = value;
@@ -73,8 +74,8 @@
 			continue;
 		instances++;
 		before += peer != self &&
-			  rr_rendezvous_weight(endpoint->lifetime, peer->id) >=
-				  own;
+			  rr_rendezvous_weight(endpoint->incarnation,
+					       peer->id) >= own;
 	}
 	return rr_cold_share(bound, instances, before);
 }
@@ -83,10 +84,10 @@
 static uint32_t share_of(const struct rr_gate *gate,
 			 struct rr_endpoint *endpoint, double bound)
 {
-	struct rr_cold_sending *cold = endpoint->cold;
+	struct rr_cold_quota *cold = endpoint->cold_quota;
 
 	if (!cold)
-		cold = endpoint->cold = g_new0(struct rr_cold_sending, 1);
+		cold = endpoint->cold_quota = g_new0(struct rr_cold_quota, 1);
 	if (cold->peers_version != gate->peers_version ||
 	    cold->bound != bound) {
 		cold->peers_version = gate->peers_version;
@@ -102,11 +103,11 @@
  */
 static bool has_just_begun(const struct rr_gate *gate)
 {
-	return gate->now_us - gate->began_us < G_USEC_PER_SEC;
+	return gate->now_us - gate->process_started_us < G_USEC_PER_SEC;
 }
 
-bool rr_cold_takes_more(const struct rr_gate *gate,
-			struct rr_endpoint *endpoint)
+bool rr_has_cold_quota_left(const struct rr_gate *gate,
+			    struct rr_endpoint *endpoint)
 {
 	double bound =
 		rr_is_cold(gate, endpoint) ? bound_of(gate, endpoint) : 0;
@@ -117,11 +118,13 @@
 	if (has_just_begun(gate))
 		return false;
 	share = share_of(gate, endpoint, bound);
-	return rr_cold_may_send(&endpoint->cold->window, gate->now_us, share);
+	return rr_cold_may_send(&endpoint->cold_quota->window, gate->now_us,
+				share);
 }
 
-void rr_note_cold_sent(const struct rr_gate *gate, struct rr_endpoint *endpoint)
+void rr_charge_cold_quota(const struct rr_gate *gate,
+			  struct rr_endpoint *endpoint)
 {
-	if (endpoint->cold && rr_is_cold(gate, endpoint))
-		rr_cold_note_sent(&endpoint->cold->window, gate->now_us);
+	if (endpoint->cold_quota && rr_is_cold(gate, endpoint))
+		rr_cold_note_sent(&endpoint->cold_quota->window, gate->now_us);
 }
--- a/source/core/gate-delay.c
+++ b/source/core/gate-delay.c
@@ -30,8 +30,8 @@
 		excuse_track(&zone->track, delay_us, gate->now_us);
 		zone->suspected_us =
 			later_by(zone->suspected_us, delay_us, gate->now_us);
-		zone->heard_us =
-			later_by(zone->heard_us, delay_us, gate->now_us);
+		zone->last_contact_us =
+			later_by(zone->last_contact_us, delay_us, gate->now_us);
 	}
 }
 
@@ -65,9 +65,9 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, gate->runs);
+	g_hash_table_iter_init(&iter, gate->requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct rr_gate_run *run = value;
+		const struct rr_gate_request *run = value;
 
 		for (size_t i = 0; i < run->n_parts; i++)
 			run->parts[i].last_sent_us =
@@ -76,8 +76,8 @@
 	}
 }
 
-void rr_gate_held_up(struct rr_context *ctx, struct rr_gate *gate,
-		     int64_t now_us, int64_t delay_us)
+void rr_gate_report_stall(struct rr_context *ctx, struct rr_gate *gate,
+			  int64_t now_us, int64_t delay_us)
 {
 	gate->now_us = now_us;
 	rr_count(ctx, RR_N_HELD_UP, 1);
--- a/source/core/gate-list.c
+++ b/source/core/gate-endpoint.c
@@ -1,5 +1,5 @@
 /*
- * gate-list.c - the replicas that are there, by lifetime.
+ * gate-endpoint.c - the replicas that are there, by lifetime.
  *
  * The list is one source, what attempts see another: a lifetime that answers
  * 421 for another replica, or that the list calls draining, takes nothing new
@@ -20,38 +20,38 @@
 	if (!endpoint || --endpoint->refs)
 		return;
 	g_free(endpoint->id);
-	g_free(endpoint->lifetime);
+	g_free(endpoint->incarnation);
 	g_free(endpoint->address);
-	g_free(endpoint->cold);
-	if (endpoint->closed)
-		g_array_unref(endpoint->closed);
+	g_free(endpoint->cold_quota);
+	if (endpoint->closed_attempts)
+		g_array_unref(endpoint->closed_attempts);
 	g_free(endpoint);
 }
 
 /* Whether a replica gets a line of its own now; else it is counted. */
 static bool is_told(struct rr_gate *gate)
 {
-	if (rr_take_trail_lines(&gate->list_budget, gate->now_us, 1, false))
+	if (rr_take_trail_lines(&gate->list_log_budget, gate->now_us, 1, false))
 		return true;
-	gate->list_untold++;
+	gate->suppressed_changes++;
 	return false;
 }
 
-void rr_tell_untold(struct rr_context *ctx, struct rr_gate *gate)
+void rr_log_suppressed_changes(struct rr_context *ctx, struct rr_gate *gate)
 {
-	if (!gate->list_untold)
+	if (!gate->suppressed_changes)
 		return;
 	rr_log(ctx, RR_LOG_INFO, "endpoints-changed",
-	       RR_FIELD_U64("not_told_singly", gate->list_untold),
+	       RR_FIELD_U64("not_told_singly", gate->suppressed_changes),
 	       RR_FIELD_U64("endpoints", g_hash_table_size(gate->endpoints)));
-	gate->list_untold = 0;
+	gate->suppressed_changes = 0;
 }
 
 void rr_free_gate_service(gpointer data)
 {
 	struct rr_gate_service *service = data;
 
-	rr_clear_wait_queue(&service->waiting);
+	rr_clear_wait_queue(&service->wait_queue);
 	g_ptr_array_unref(service->endpoints);
 	g_free(service->name);
 	g_free(service);
@@ -61,20 +61,21 @@
 		       struct rr_gate_service *service)
 {
 	double slack = gate->extra_slack * gate->policy.share_slack_part;
-	uint32_t holders = rr_count_holders(gate);
-	double part = gate->instances ? 1.0 / gate->instances : 0;
+	uint32_t holders = rr_count_coordinators(gate);
+	double part = gate->n_instances ? 1.0 / gate->n_instances : 0;
 
 	/* Where some hand searches over, the others have the extra attempts. */
-	if (service->searched && holders < gate->instances)
-		part = gate->weak ?
+	if (service->is_shard && holders < gate->n_instances)
+		part = gate->forwards_searches ?
 			       gate->policy.share_weak_part /
-				       (gate->instances - holders) :
+				       (gate->n_instances - holders) :
 			       (1 - gate->policy.share_weak_part) / holders;
-	rr_set_allowance(&service->extras, gate->extra_ratio, slack * part);
+	rr_set_allowance(&service->retry_budget, gate->extra_ratio,
+			 slack * part);
 }
 
-struct rr_gate_service *rr_gate_service_of(struct rr_gate *gate,
-					   const char *name)
+struct rr_gate_service *rr_get_gate_service(struct rr_gate *gate,
+					    const char *name)
 {
 	struct rr_gate_service *service =
 		g_hash_table_lookup(gate->services, name);
@@ -84,27 +85,27 @@
 	service = g_new0(struct rr_gate_service, 1);
 	service->name = g_strdup(name);
 	service->endpoints = g_ptr_array_new();
-	rr_init_wait_queue(&service->waiting);
-	rr_init_allowance(&service->extras, gate->extra_window_us,
-			  gate->began_us);
+	rr_init_wait_queue(&service->wait_queue);
+	rr_init_allowance(&service->retry_budget, gate->extra_window_us,
+			  gate->process_started_us);
 	set_extras(gate, service);
 	g_hash_table_insert(gate->services, service->name, service);
 	return service;
 }
 
-void rr_gate_set_instances(struct rr_context *ctx, struct rr_gate *gate,
-			   uint32_t instances)
+void rr_gate_set_instance_count(struct rr_context *ctx, struct rr_gate *gate,
+				uint32_t instances)
 {
 	instances = MAX(instances, 1);
-	if (instances == gate->instances)
+	if (instances == gate->n_instances)
 		return;
 	rr_log(ctx, RR_LOG_INFO, "instances", RR_FIELD_U64("now", instances),
-	       RR_FIELD_U64("before", gate->instances));
-	gate->instances = instances;
-	rr_refresh_extras(gate);
+	       RR_FIELD_U64("before", gate->n_instances));
+	gate->n_instances = instances;
+	rr_update_retry_budgets(gate);
 }
 
-void rr_refresh_extras(struct rr_gate *gate)
+void rr_update_retry_budgets(struct rr_gate *gate)
 {
 	GHashTableIter iter;
 	gpointer service;
@@ -114,30 +115,33 @@
 		set_extras(gate, service);
 }
 
-void rr_mark_searched(struct rr_gate *gate)
+void rr_mark_shards(struct rr_gate *gate)
 {
 	GHashTableIter iter;
 	gpointer service;
 
 	g_hash_table_iter_init(&iter, gate->services);
 	while (g_hash_table_iter_next(&iter, NULL, &service))
-		((struct rr_gate_service *)service)->searched = false;
-	for (size_t i = 0; i < rr_count_routes(gate->table); i++) {
-		const struct rr_route *route = rr_route_at(gate->table, i);
+		((struct rr_gate_service *)service)->is_shard = false;
+	for (size_t i = 0; i < rr_count_routes(gate->route_table); i++) {
+		const struct rr_route *route =
+			rr_route_at(gate->route_table, i);
 
 		if (route->mode != RR_ROUTE_GATHER)
 			continue;
 		for (size_t j = 0; j < route->n_parts; j++)
-			rr_gate_service_of(gate, route->parts[j].service)
-				->searched = true;
+			rr_get_gate_service(gate, route->parts[j].service)
+				->is_shard = true;
 	}
-	rr_refresh_extras(gate);
+	rr_update_retry_budgets(gate);
 }
 
-const struct rr_route_service *rr_service_in_force(const struct rr_gate *gate,
-						   const char *name)
+const struct rr_route_service *
+rr_find_service_config(const struct rr_gate *gate, const char *name)
 {
-	return gate->table ? rr_find_route_service(gate->table, name) : NULL;
+	return gate->route_table ?
+		       rr_find_route_service(gate->route_table, name) :
+		       NULL;
 }
 
 /* This instance's part of a replica's connections, times `part`. */
@@ -145,18 +149,18 @@
 				     const char *name, double part)
 {
 	const struct rr_route_service *service =
-		rr_service_in_force(gate, name);
+		rr_find_service_config(gate, name);
 	double share;
 
 	if (!service || !service->max_connections)
 		return 1;
-	if (!rr_count_holders(gate))
+	if (!rr_count_coordinators(gate))
 		return 1;
-	share = service->max_connections * part / rr_count_holders(gate);
+	share = service->max_connections * part / rr_count_coordinators(gate);
 	return MAX(1, (uint32_t)share);
 }
 
-uint32_t rr_kept_connections(const struct rr_gate *gate, const char *name)
+uint32_t rr_max_idle_connections(const struct rr_gate *gate, const char *name)
 {
 	return share_of_connections(gate, name, gate->policy.share_kept_part);
 }
@@ -168,7 +172,7 @@
 }
 
 static struct rr_endpoint *add_endpoint(struct rr_gate *gate,
-					const struct rr_listing *listing,
+					const struct rr_endpoint_info *listing,
 					const char *before)
 {
 	struct rr_endpoint *endpoint = g_new0(struct rr_endpoint, 1);
@@ -176,19 +180,20 @@
 	endpoint->refs = 1;
 	endpoint->number = ++gate->next_id;
 	endpoint->id = g_strdup(listing->id);
-	endpoint->born_ms = listing->born_ms;
-	endpoint->lifetime =
-		rr_name_lifetime(listing, endpoint->number, before);
+	endpoint->started_ms = listing->started_ms;
+	endpoint->incarnation =
+		rr_format_incarnation(listing, endpoint->number, before);
 	endpoint->address = g_strdup(listing->address);
-	endpoint->zone = rr_gate_zone_of(gate, listing->zone);
+	endpoint->zone = rr_get_gate_zone(gate, listing->zone);
 	endpoint->region = g_hash_table_lookup(gate->regions, listing->zone);
-	endpoint->service = rr_gate_service_of(gate, listing->service);
+	endpoint->service = rr_get_gate_service(gate, listing->service);
 	rr_init_track(&endpoint->track);
-	g_queue_init(&endpoint->live);
+	g_queue_init(&endpoint->in_flight);
 	g_ptr_array_add(endpoint->service->endpoints, endpoint);
 	g_hash_table_insert(gate->endpoints, endpoint->id, endpoint);
-	g_hash_table_insert(gate->lifetimes, endpoint->lifetime, endpoint);
-	rr_note_born(gate, listing);
+	g_hash_table_insert(gate->incarnations, endpoint->incarnation,
+			    endpoint);
+	rr_note_start(gate, listing);
 	return endpoint;
 }
 
@@ -201,17 +206,17 @@
 	if (is_told(gate))
 		rr_log(ctx, RR_LOG_INFO, "endpoint-retired",
 		       RR_FIELD_STRING("endpoint", endpoint->id),
-		       RR_FIELD_I64("born_ms", endpoint->born_ms),
+		       RR_FIELD_I64("born_ms", endpoint->started_ms),
 		       RR_FIELD_STRING("service", endpoint->service->name),
 		       RR_FIELD_STRING("reason", reason),
-		       RR_FIELD_U64("in_flight", endpoint->live.length));
-	gate->actions.forget(gate->actions.data, endpoint->lifetime);
+		       RR_FIELD_U64("in_flight", endpoint->in_flight.length));
+	gate->actions.close_idle(gate->actions.data, endpoint->incarnation);
 }
 
 static void remove_endpoint(struct rr_gate *gate, struct rr_endpoint *endpoint)
 {
 	g_ptr_array_remove(endpoint->service->endpoints, endpoint);
-	g_hash_table_remove(gate->lifetimes, endpoint->lifetime);
+	g_hash_table_remove(gate->incarnations, endpoint->incarnation);
 	g_hash_table_steal(gate->endpoints, endpoint->id);
 	rr_drop_endpoint(endpoint);
 }
@@ -221,7 +226,7 @@
 			 struct rr_endpoint *endpoint, const char *reason)
 {
 	rr_retire_endpoint(ctx, gate, endpoint, reason);
-	rr_resolve_closed(ctx, gate, endpoint, false);
+	rr_resolve_closed_attempts(ctx, gate, endpoint, false);
 	remove_endpoint(gate, endpoint);
 }
 
@@ -234,13 +239,15 @@
 		     const struct rr_endpoint *endpoint)
 {
 	const struct rr_route_service *service =
-		rr_service_in_force(gate, endpoint->service->name);
+		rr_find_service_config(gate, endpoint->service->name);
 
-	if (endpoint->service == gate->strong)
+	if (endpoint->service == gate->coordinators)
 		return true;
-	if (gate->weak || !gate->instances || !gate->policy.share_opens_early)
+	if (gate->forwards_searches || !gate->n_instances ||
+	    !gate->policy.share_opens_early)
 		return false;
-	return !service || service->max_connections >= rr_count_holders(gate);
+	return !service ||
+	       service->max_connections >= rr_count_coordinators(gate);
 }
 
 /*
@@ -248,10 +255,10 @@
  * it.  Attempts in flight keep the earlier one until they end: what comes back
  * tells of that one only.
  */
-static struct rr_endpoint *replace_endpoint(struct rr_context *ctx,
-					    struct rr_gate *gate,
-					    struct rr_endpoint *before,
-					    const struct rr_listing *listing)
+static struct rr_endpoint *
+replace_endpoint(struct rr_context *ctx, struct rr_gate *gate,
+		 struct rr_endpoint *before,
+		 const struct rr_endpoint_info *listing)
 {
 	struct rr_endpoint *endpoint;
 	char *name;
@@ -260,8 +267,8 @@
 	if (!before)
 		return add_endpoint(gate, listing, NULL);
 	/* Within a lifetime a drain is for good, wherever it is listed. */
-	drained = before->draining && before->born_ms == listing->born_ms;
-	name = g_strdup(before->lifetime);
+	drained = before->draining && before->started_ms == listing->started_ms;
+	name = g_strdup(before->incarnation);
 	end_endpoint(ctx, gate, before, "replaced");
 	endpoint = add_endpoint(gate, listing, name);
 	endpoint->draining = drained;
@@ -270,14 +277,14 @@
 }
 
 static void log_listed(struct rr_context *ctx, struct rr_gate *gate,
-		       const struct rr_listing *listing, const char *event,
-		       const char *reason)
+		       const struct rr_endpoint_info *listing,
+		       const char *event, const char *reason)
 {
 	if (!is_told(gate))
 		return;
 	rr_log(ctx, RR_LOG_INFO, event,
 	       RR_FIELD_STRING("endpoint", listing->id),
-	       RR_FIELD_I64("born_ms", listing->born_ms),
+	       RR_FIELD_I64("born_ms", listing->started_ms),
 	       RR_FIELD_STRING("service", listing->service),
 	       RR_FIELD_STRING("address", listing->address),
 	       RR_FIELD_STRING("zone", listing->zone),
@@ -289,7 +296,7 @@
 /* What is told of the lifetime that is known by now. */
 static void update_endpoint(struct rr_context *ctx, struct rr_gate *gate,
 			    struct rr_endpoint *endpoint,
-			    const struct rr_listing *listing)
+			    const struct rr_endpoint_info *listing)
 {
 	bool is_new = !endpoint->listed;
 
@@ -307,10 +314,11 @@
 		return;
 	}
 	/* Seen by its own sign of life: it is worth a try. */
-	rr_note_alive(ctx, gate, endpoint);
+	rr_note_contact(ctx, gate, endpoint);
 	if (is_new)
-		g_queue_push_tail(&gate->to_open, rr_keep_endpoint(endpoint));
-	rr_pump_service(ctx, gate, endpoint->service);
+		g_queue_push_tail(&gate->to_preconnect,
+				  rr_keep_endpoint(endpoint));
+	rr_send_queued_parts(ctx, gate, endpoint->service);
 }
 
 /*
@@ -319,50 +327,51 @@
  * replicas that another instance is to ask.  They reset those over their cap,
  * which are the others' as well.
  */
-void rr_open_listed(struct rr_gate *gate)
+void rr_preconnect_listed(struct rr_gate *gate)
 {
 	struct rr_endpoint *endpoint;
 
-	if (!gate->instances)
+	if (!gate->n_instances)
 		return;
-	while ((endpoint = g_queue_pop_head(&gate->to_open))) {
+	while ((endpoint = g_queue_pop_head(&gate->to_preconnect))) {
 		if (endpoint->listed && !endpoint->draining &&
 		    may_open(gate, endpoint))
-			gate->actions.open(gate->actions.data,
-					   endpoint->lifetime,
-					   endpoint->address);
+			gate->actions.preconnect(gate->actions.data,
+						 endpoint->incarnation,
+						 endpoint->address);
 		rr_drop_endpoint(endpoint);
 	}
 }
 
-void rr_gate_list(struct rr_context *ctx, struct rr_gate *gate, int64_t now_us,
-		  const struct rr_listing *listing)
+void rr_gate_update_endpoint(struct rr_context *ctx, struct rr_gate *gate,
+			     int64_t now_us,
+			     const struct rr_endpoint_info *listing)
 {
 	struct rr_endpoint *endpoint =
 		g_hash_table_lookup(gate->endpoints, listing->id);
 
 	gate->now_us = now_us;
-	switch (rr_judge_lifetime(gate, endpoint, listing)) {
-	case RR_LIFETIME_EARLIER:
+	switch (rr_match_incarnation(gate, endpoint, listing)) {
+	case RR_INCARNATION_EARLIER:
 		log_listed(ctx, gate, listing, "endpoint-left-out",
 			   "earlier-lifetime");
 		return;
-	case RR_LIFETIME_UNTOLD:
+	case RR_INCARNATION_UNKNOWN:
 		log_listed(ctx, gate, listing, "endpoint-left-out",
 			   "start-not-told");
-		rr_gate_unlist(ctx, gate, now_us, listing->id);
+		rr_gate_unlist_endpoint(ctx, gate, now_us, listing->id);
 		return;
-	case RR_LIFETIME_OTHER:
+	case RR_INCARNATION_REPLACED:
 		endpoint = replace_endpoint(ctx, gate, endpoint, listing);
 		break;
-	case RR_LIFETIME_SAME:
+	case RR_INCARNATION_SAME:
 		break;
 	}
 	update_endpoint(ctx, gate, endpoint, listing);
 }
 
-void rr_gate_unlist(struct rr_context *ctx, struct rr_gate *gate,
-		    int64_t now_us, const char *id)
+void rr_gate_unlist_endpoint(struct rr_context *ctx, struct rr_gate *gate,
+			     int64_t now_us, const char *id)
 {
 	struct rr_endpoint *endpoint = g_hash_table_lookup(gate->endpoints, id);
 
@@ -374,7 +383,7 @@
 	if (is_told(gate))
 		rr_log(ctx, RR_LOG_INFO, "endpoint-unlisted",
 		       RR_FIELD_STRING("endpoint", endpoint->id),
-		       RR_FIELD_I64("born_ms", endpoint->born_ms),
+		       RR_FIELD_I64("born_ms", endpoint->started_ms),
 		       RR_FIELD_STRING("service", endpoint->service->name),
 		       RR_FIELD_BOOL("draining", endpoint->draining));
 #ifdef RR_MUTANT_GATE_LAPSED_STAYS
@@ -403,8 +412,8 @@
 	}
 }
 
-void rr_end_endpoint(struct rr_context *ctx, struct rr_gate *gate,
-		     const char *id, const char *reason)
+void rr_remove_endpoint(struct rr_context *ctx, struct rr_gate *gate,
+			const char *id, const char *reason)
 {
 	struct rr_endpoint *endpoint = g_hash_table_lookup(gate->endpoints, id);
 
@@ -420,9 +429,9 @@
 	return service && service->endpoints->len;
 }
 
-bool rr_gate_serves(const struct rr_gate *gate, const char **reason)
+bool rr_gate_is_ready(const struct rr_gate *gate, const char **reason)
 {
-	if (!gate->table) {
+	if (!gate->route_table) {
 		*reason = "no-routes";
 		return false;
 	}
@@ -434,8 +443,9 @@
 		*reason = "cut-off";
 		return false;
 	}
-	for (size_t i = 0; i < rr_count_routes(gate->table); i++) {
-		const struct rr_route *route = rr_route_at(gate->table, i);
+	for (size_t i = 0; i < rr_count_routes(gate->route_table); i++) {
+		const struct rr_route *route =
+			rr_route_at(gate->route_table, i);
 
 		for (size_t j = 0; j < route->n_parts; j++) {
 			if (has_endpoint(gate, route->parts[j].service))
--- a/source/core/gate-evacuate.c
+++ b/source/core/gate-evacuate.c
@@ -7,7 +7,7 @@
  */
 #include "core/gate-private.h"
 
-struct rr_evacuation *rr_evacuation_of(struct rr_gate *gate, const char *zone)
+struct rr_evacuation *rr_get_evacuation(struct rr_gate *gate, const char *zone)
 {
 	struct rr_evacuation *evacuation =
 		g_hash_table_lookup(gate->evacuations, zone);
@@ -36,8 +36,8 @@
 	return any;
 }
 
-bool rr_is_held_back(struct rr_context *ctx, const struct rr_gate *gate,
-		     const struct rr_endpoint *endpoint)
+bool rr_skip_in_slow_start(struct rr_context *ctx, const struct rr_gate *gate,
+			   const struct rr_endpoint *endpoint)
 {
 	const struct rr_evacuation *evacuation = endpoint->zone->evacuation;
 	double share;
@@ -45,7 +45,7 @@
 	if (!evacuation->returning)
 		return false;
 	share = rr_evacuation_share(evacuation, gate->now_us,
-				    rr_cold_us(gate, endpoint->service));
+				    rr_cold_period_us(gate, endpoint->service));
 	return share < 1 && rr_random_unit(ctx) >= share;
 }
 
@@ -83,8 +83,8 @@
 		struct rr_gate_attempt *attempt = g_hash_table_lookup(
 			gate->attempts, &g_array_index(ids, uint64_t, i));
 
-		if (attempt &&
-		    !rr_redirect_unsent(ctx, gate, attempt, RR_ALL_EVACUATED))
+		if (attempt && !rr_redirect_unsent(ctx, gate, attempt,
+						   RR_REASON_EVACUATED))
 			left++;
 	}
 	g_array_unref(ids);
@@ -113,7 +113,7 @@
 	GList *services = g_hash_table_get_values(gate->services);
 
 	for (GList *l = services; l; l = l->next)
-		rr_flush_service(ctx, gate, l->data);
+		rr_flush_queued_parts(ctx, gate, l->data);
 	g_list_free(services);
 }
 
@@ -136,7 +136,7 @@
 	guint left = 0;
 
 	gate->now_us = now_us;
-	if (!rr_take_evacuation(rr_evacuation_of(gate, zone), now_us, revision,
+	if (!rr_take_evacuation(rr_get_evacuation(gate, zone), now_us, revision,
 				in_force))
 		return;
 #ifdef RR_MUTANT_GATE_SENDS_AFTER_EVACUATION
@@ -145,7 +145,7 @@
 	if (in_force)
 		left = redirect_unsent(ctx, gate, zone);
 	flush_services(ctx, gate);
-	rr_judge_isolation(ctx, gate);
+	rr_update_isolation(ctx, gate);
 	rr_set_gauge(ctx, RR_G_ZONES_EVACUATED, count_evacuated(gate));
 	rr_log(ctx, RR_LOG_WARNING,
 	       in_force ? "zone-evacuated" : "zone-taken-back",
--- a/source/core/gate-peer.c
+++ b/source/core/gate-forward.c
@@ -1,5 +1,5 @@
 /*
- * gate-peer.c - weak instances hand searches over to a strong one of their
+ * gate-forward.c - weak instances hand searches over to a strong one of their
  * zone, or of another while none there is well.
  *
  * A search goes to a replica of every shard.  Replicas take few connections,
@@ -70,49 +70,50 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct rr_gate_peer *peer = value;
 
-		peer->holds =
+		peer->is_coordinator =
 			!is_weak(gate, strongest, peer->zone, peer->strength);
-		n += peer->holds;
+		n += peer->is_coordinator;
 	}
-	gate->n_holders = n;
+	gate->n_coordinators = n;
 }
 
-uint32_t rr_count_holders(const struct rr_gate *gate)
+uint32_t rr_count_coordinators(const struct rr_gate *gate)
 {
-	bool some_are_weak = gate->n_holders &&
-			     gate->n_holders < g_hash_table_size(gate->peers);
+	bool some_are_weak =
+		gate->n_coordinators &&
+		gate->n_coordinators < g_hash_table_size(gate->peers);
 
-	return some_are_weak ? gate->n_holders : gate->instances;
+	return some_are_weak ? gate->n_coordinators : gate->n_instances;
 }
 
 /* List or unlist a peer as one that searches are handed to. */
 static void judge_peer(struct rr_context *ctx, struct rr_gate *gate,
 		       struct rr_gate_peer *peer)
 {
-	bool wanted = gate->weak &&
+	bool wanted = gate->forwards_searches &&
 		      peer->strength >= gate->policy.peer_much_stronger *
 						gate->strength &&
 		      *peer->address;
 	struct rr_endpoint *endpoint;
-	struct rr_listing listing = {
+	struct rr_endpoint_info listing = {
 		.id = peer->id,
-		.service = RR_STRONG_SERVICE,
+		.service = RR_COORDINATOR_SERVICE,
 		.address = peer->address,
 		/* Not the zone of replicas: its silence tells nothing of them. */
-		.zone = RR_STRONG_SERVICE,
+		.zone = RR_COORDINATOR_SERVICE,
 		.slots = gate->policy.peer_slots,
 	};
 
-	if (wanted == peer->listed)
+	if (wanted == peer->is_forward_target)
 		return;
-	peer->listed = wanted;
+	peer->is_forward_target = wanted;
 	if (!wanted) {
-		rr_gate_unlist(ctx, gate, gate->now_us, peer->id);
+		rr_gate_unlist_endpoint(ctx, gate, gate->now_us, peer->id);
 		return;
 	}
-	rr_gate_list(ctx, gate, gate->now_us, &listing);
+	rr_gate_update_endpoint(ctx, gate, gate->now_us, &listing);
 	endpoint = g_hash_table_lookup(gate->endpoints, peer->id);
-	endpoint->away = strcmp(peer->zone, gate->zone) != 0;
+	endpoint->remote_coordinator = strcmp(peer->zone, gate->zone) != 0;
 	endpoint->region = g_hash_table_lookup(gate->regions, peer->zone);
 }
 
@@ -121,13 +122,13 @@
 {
 	bool weak = is_weak(gate, strongest, gate->zone, gate->strength);
 
-	if (weak != gate->weak)
+	if (weak != gate->forwards_searches)
 		rr_log(ctx, RR_LOG_INFO, weak ? "hands-over" : "serves-itself",
 		       RR_FIELD_DOUBLE("strength", gate->strength),
 		       RR_FIELD_DOUBLE("strongest",
 				       strongest_of(strongest, gate->zone)),
-		       RR_FIELD_U64("holders", gate->n_holders));
-	gate->weak = weak;
+		       RR_FIELD_U64("holders", gate->n_coordinators));
+	gate->forwards_searches = weak;
 }
 
 /*
@@ -136,7 +137,7 @@
  * of the list takes as many looks as the cube of their number, and callers
  * wait for seconds.
  */
-void rr_settle_peers(struct rr_context *ctx, struct rr_gate *gate)
+void rr_update_peers(struct rr_context *ctx, struct rr_gate *gate)
 {
 	GHashTable *strongest;
 	GHashTableIter iter;
@@ -153,7 +154,7 @@
 	g_hash_table_iter_init(&iter, gate->peers);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		judge_peer(ctx, gate, value);
-	rr_refresh_extras(gate);
+	rr_update_retry_budgets(gate);
 }
 
 static void set_text(char **place, const char *text)
@@ -170,7 +171,7 @@
 static bool has_started_anew(const struct rr_gate_peer *peer,
 			     const struct rr_gate_instance *told)
 {
-	return peer->born_ms != told->born_ms ||
+	return peer->started_ms != told->started_ms ||
 	       strcmp(peer->address, told->address ? told->address : "");
 }
 
@@ -185,9 +186,9 @@
 static void forget_peer(struct rr_context *ctx, struct rr_gate *gate,
 			struct rr_gate_peer *peer)
 {
-	if (peer->listed)
-		rr_end_endpoint(ctx, gate, peer->id, "instance-ended");
-	peer->listed = false;
+	if (peer->is_forward_target)
+		rr_remove_endpoint(ctx, gate, peer->id, "instance-ended");
+	peer->is_forward_target = false;
 }
 
 static void update_peer(struct rr_context *ctx, struct rr_gate *gate,
@@ -199,13 +200,13 @@
 	if (has_started_anew(peer, told))
 		forget_peer(ctx, gate, peer);
 	/* It may be listed in another way. */
-	if (peer->listed)
-		rr_gate_unlist(ctx, gate, gate->now_us, peer->id);
-	peer->listed = false;
+	if (peer->is_forward_target)
+		rr_gate_unlist_endpoint(ctx, gate, gate->now_us, peer->id);
+	peer->is_forward_target = false;
 	set_text(&peer->zone, told->zone);
 	set_text(&peer->address, told->address);
 	peer->strength = told->strength;
-	peer->born_ms = told->born_ms;
+	peer->started_ms = told->started_ms;
 }
 
 static struct rr_gate_peer *peer_of(struct rr_gate *gate, const char *id)
@@ -221,8 +222,9 @@
 	return peer;
 }
 
-void rr_gate_note_instance(struct rr_context *ctx, struct rr_gate *gate,
-			   int64_t now_us, const struct rr_gate_instance *told)
+void rr_gate_update_instance(struct rr_context *ctx, struct rr_gate *gate,
+			     int64_t now_us,
+			     const struct rr_gate_instance *told)
 {
 	struct rr_gate_peer *peer = g_hash_table_lookup(gate->peers, told->id);
 
@@ -230,23 +232,23 @@
 	if (told->zone) {
 		update_peer(ctx, gate, peer_of(gate, told->id), told);
 	} else if (peer) {
-		if (peer->listed)
-			rr_gate_unlist(ctx, gate, now_us, told->id);
+		if (peer->is_forward_target)
+			rr_gate_unlist_endpoint(ctx, gate, now_us, told->id);
 		g_hash_table_remove(gate->peers, told->id);
 	}
 	gate->peers_changed = true;
 }
 
-bool rr_hand_over(struct rr_gate *gate, struct rr_gate_run *run)
+bool rr_prepare_forward(struct rr_gate *gate, struct rr_gate_request *run)
 {
-	if (!gate->weak || run->route->mode != RR_ROUTE_GATHER)
+	if (!gate->forwards_searches || run->route->mode != RR_ROUTE_GATHER)
 		return false;
-	if (!rr_service_reachable(gate, gate->strong))
+	if (!rr_is_service_reachable(gate, gate->coordinators))
 		return false;
-	run->handed = true;
+	run->forwarded = true;
 	run->parts = g_new0(struct rr_gate_part, 1);
-	run->parts[0].service = gate->strong;
+	run->parts[0].service = gate->coordinators;
 	run->n_parts = 1;
-	run->least = 1;
+	run->n_required = 1;
 	return true;
 }
--- a/source/core/gate-lifetime.c
+++ b/source/core/gate-lifetime.c
@@ -19,22 +19,23 @@
 
 static int64_t latest_born(const struct rr_gate *gate, const char *id)
 {
-	const int64_t *born_ms = g_hash_table_lookup(gate->born, id);
+	const int64_t *born_ms = g_hash_table_lookup(gate->latest_starts, id);
 
 	return born_ms ? *born_ms : 0;
 }
 
 static bool is_elsewhere(const struct rr_endpoint *endpoint,
-			 const struct rr_listing *listing)
+			 const struct rr_endpoint_info *listing)
 {
 	return strcmp(endpoint->address, listing->address) ||
 	       strcmp(endpoint->service->name, listing->service) ||
 	       strcmp(endpoint->zone->name, listing->zone);
 }
 
-enum rr_lifetime rr_judge_lifetime(const struct rr_gate *gate,
-				   const struct rr_endpoint *endpoint,
-				   const struct rr_listing *listing)
+enum rr_incarnation_match
+rr_match_incarnation(const struct rr_gate *gate,
+		     const struct rr_endpoint *endpoint,
+		     const struct rr_endpoint_info *listing)
 {
 	int64_t latest_ms = latest_born(gate, listing->id);
 
@@ -42,26 +43,26 @@
 	 * Guards against entries that others write under a replica's key: one
 	 * that lacks a field which the replica tells is not its own.
 	 */
-	if (!listing->born_ms && latest_ms)
-		return RR_LIFETIME_UNTOLD;
+	if (!listing->started_ms && latest_ms)
+		return RR_INCARNATION_UNKNOWN;
 		/*
 	 * Guards against news that come late, from an instance that has fallen
 	 * behind or as a write that is carried out after its time: work would
 	 * go to an address that is another's by now.
 	 */
 #ifndef RR_MUTANT_GATE_EARLIER_RETURNS
-	if (listing->born_ms < latest_ms)
-		return RR_LIFETIME_EARLIER;
+	if (listing->started_ms < latest_ms)
+		return RR_INCARNATION_EARLIER;
 #endif
 	if (!endpoint)
-		return RR_LIFETIME_OTHER;
+		return RR_INCARNATION_REPLACED;
 #ifdef RR_MUTANT_GATE_ONE_LIFETIME
-	return RR_LIFETIME_SAME;
+	return RR_INCARNATION_SAME;
 #endif
-	if (listing->born_ms != endpoint->born_ms ||
+	if (listing->started_ms != endpoint->started_ms ||
 	    is_elsewhere(endpoint, listing))
-		return RR_LIFETIME_OTHER;
-	return RR_LIFETIME_SAME;
+		return RR_INCARNATION_REPLACED;
+	return RR_INCARNATION_SAME;
 }
 
 static gboolean is_over(gpointer id, gpointer born_ms, gpointer endpoints)
@@ -69,26 +70,27 @@
 	return !g_hash_table_contains(endpoints, id);
 }
 
-void rr_note_born(struct rr_gate *gate, const struct rr_listing *listing)
+void rr_note_start(struct rr_gate *gate, const struct rr_endpoint_info *listing)
 {
 	int64_t *born_ms;
 
-	if (listing->born_ms <= latest_born(gate, listing->id))
+	if (listing->started_ms <= latest_born(gate, listing->id))
 		return;
-	if (g_hash_table_size(gate->born) >= MOST_BORN)
-		g_hash_table_foreach_remove(gate->born, is_over,
+	if (g_hash_table_size(gate->latest_starts) >= MOST_BORN)
+		g_hash_table_foreach_remove(gate->latest_starts, is_over,
 					    gate->endpoints);
 	born_ms = g_new(int64_t, 1);
-	*born_ms = listing->born_ms;
-	g_hash_table_insert(gate->born, g_strdup(listing->id), born_ms);
+	*born_ms = listing->started_ms;
+	g_hash_table_insert(gate->latest_starts, g_strdup(listing->id),
+			    born_ms);
 }
 
-char *rr_name_lifetime(const struct rr_listing *listing, uint64_t number,
-		       const char *before)
+char *rr_format_incarnation(const struct rr_endpoint_info *listing,
+			    uint64_t number, const char *before)
 {
-	char *name = listing->born_ms ?
+	char *name = listing->started_ms ?
 			     g_strdup_printf("%s@%" G_GINT64_FORMAT,
-					     listing->id, listing->born_ms) :
+					     listing->id, listing->started_ms) :
 			     g_strdup(listing->id);
 	char *longer;
 
--- a/source/core/gate-tell.c
+++ b/source/core/gate-log.c
@@ -1,5 +1,5 @@
 /*
- * gate-tell.c - what the log tells of a request.
+ * gate-log.c - what the log tells of a request.
  *
  * A search of hundreds of shards takes more steps than may be written.  What is
  * always told is why its parts lack, counted; then, as far as the bound on
@@ -19,53 +19,54 @@
 
 static void add_lack(struct lacks *lacks, const struct rr_gate_part *part)
 {
-	if (part->waiting)
+	if (part->queued)
 		lacks->waiting++;
 	else if (!part->n_tried &&
-		 !g_strcmp0(part->refused_for, RR_ALL_EVACUATED))
+		 !g_strcmp0(part->not_sent_reason, RR_REASON_EVACUATED))
 		lacks->evacuated++;
 	else if (!part->n_tried)
 		lacks->no_replica++;
 	else if (part->n_tried > 1)
 		lacks->more_asked++;
-	else if (!g_strcmp0(part->refused_for, RR_NO_EXTRA_LEFT))
+	else if (!g_strcmp0(part->not_sent_reason, RR_REASON_NO_RETRY_BUDGET))
 		lacks->no_extra++;
 	else
 		lacks->one_asked++;
 }
 
-static struct lacks count_lacks(const struct rr_gate_run *run)
+static struct lacks count_lacks(const struct rr_gate_request *run)
 {
 	struct lacks lacks = { 0 };
 
 	for (size_t i = 0; i < run->n_parts; i++) {
-		if (run->parts[i].status != RR_PART_IN)
+		if (run->parts[i].status != RR_PART_ANSWERED)
 			add_lack(&lacks, &run->parts[i]);
 	}
 	return lacks;
 }
 
-static bool is_late(const struct rr_gate *gate, const struct rr_gate_run *run)
+static bool is_late(const struct rr_gate *gate,
+		    const struct rr_gate_request *run)
 {
-	return run->route->objective_ms && gate->now_us > run->cut_us;
+	return run->route->objective_ms && gate->now_us > run->answer_by_us;
 }
 
 /* Whether nothing about a request went as it should not. */
 static bool is_ordinary(const struct rr_gate *gate,
-			const struct rr_gate_run *run,
+			const struct rr_gate_request *run,
 			const struct rr_gate_answer *answer)
 {
-	return answer->status < 400 && !answer->missing && !run->left &&
-	       !is_late(gate, run);
+	return answer->status < 400 && !answer->missing &&
+	       !run->caller_closed && !is_late(gate, run);
 }
 
-static int64_t since_start_us(const struct rr_gate_run *run, int64_t at_us)
+static int64_t since_start_us(const struct rr_gate_request *run, int64_t at_us)
 {
 	return at_us ? at_us - run->started_us : -1;
 }
 
 static void write_end(struct rr_context *ctx, const struct rr_gate *gate,
-		      const struct rr_gate_run *run,
+		      const struct rr_gate_request *run,
 		      const struct rr_gate_answer *answer,
 		      size_t steps_left_out)
 {
@@ -79,15 +80,17 @@
 	       RR_FIELD_STRING("instance", gate->instance),
 	       RR_FIELD_I64("after_us", gate->now_us - run->started_us),
 	       RR_FIELD_STRING("route", run->route->name),
-	       RR_FIELD_U64("version", rr_route_table_version(run->table)),
+	       RR_FIELD_U64("version",
+			    rr_route_table_version(run->route_table)),
 	       RR_FIELD_I64("version_age_us", run->routes_age_us),
 	       RR_FIELD_U64("status", answer->status),
 	       RR_FIELD_STRING("reason", answer->reason),
 	       RR_FIELD_U64("parts", run->n_parts),
 	       RR_FIELD_U64("missing", answer->missing),
-	       RR_FIELD_U64("may_have_run", run->n_run),
-	       RR_FIELD_BOOL("handed", run->handed),
-	       RR_FIELD_I64("last_part_us", since_start_us(run, run->part_us)),
+	       RR_FIELD_U64("may_have_run", run->n_may_have_run),
+	       RR_FIELD_BOOL("handed", run->forwarded),
+	       RR_FIELD_I64("last_part_us",
+			    since_start_us(run, run->last_part_us)),
 	       RR_FIELD_U64("lacks_waiting", lacks.waiting),
 	       RR_FIELD_U64("lacks_evacuated", lacks.evacuated),
 	       RR_FIELD_U64("lacks_no_replica", lacks.no_replica),
@@ -95,21 +98,22 @@
 	       RR_FIELD_U64("lacks_one_asked", lacks.one_asked),
 	       RR_FIELD_U64("lacks_more_asked", lacks.more_asked),
 	       RR_FIELD_BOOL("late", is_late(gate, run)),
-	       RR_FIELD_I64("objective_us", run->cut_us - run->started_us),
-	       RR_FIELD_I64("end_us", run->end_us - run->started_us),
+	       RR_FIELD_I64("objective_us",
+			    run->answer_by_us - run->started_us),
+	       RR_FIELD_I64("end_us", run->expires_us - run->started_us),
 	       RR_FIELD_U64("retry_after_ms", answer->retry_after_ms),
 	       RR_FIELD_U64("steps_left_out", steps_left_out));
 }
 
 /* Names of the services whose parts lack. */
-static GPtrArray *list_lacking(const struct rr_gate_run *run)
+static GPtrArray *list_lacking(const struct rr_gate_request *run)
 {
 	GPtrArray *names = g_ptr_array_new();
 
 	for (size_t i = 0; i < run->n_parts; i++) {
 		const struct rr_gate_part *part = &run->parts[i];
 
-		if (part->status != RR_PART_IN)
+		if (part->status != RR_PART_ANSWERED)
 			g_ptr_array_add(names, part->service->name);
 	}
 	return names;
@@ -123,13 +127,14 @@
 
 /* Write the steps of what lacks if there is room; how many were written. */
 static size_t tell_lacking(struct rr_context *ctx, struct rr_gate *gate,
-			   const struct rr_gate_run *run)
+			   const struct rr_gate_request *run)
 {
 	GPtrArray *lacking = list_lacking(run);
-	size_t n = rr_count_steps(&run->trail, is_of_lacking, lacking);
+	size_t n = rr_count_steps(&run->trace, is_of_lacking, lacking);
 
-	if (rr_take_trail_lines(&gate->log_budget, gate->now_us, n + 1, false))
-		rr_write_some_steps(ctx, &run->trail, run->request_id,
+	if (rr_take_trail_lines(&gate->request_log_budget, gate->now_us, n + 1,
+				false))
+		rr_write_some_steps(ctx, &run->trace, run->request_id,
 				    run->started_us, is_of_lacking, lacking);
 	else
 		n = 0;
@@ -137,10 +142,10 @@
 	return n;
 }
 
-void rr_log_broken(struct rr_context *ctx, const struct rr_gate *gate,
-		   const struct rr_gate_attempt *attempt)
+void rr_log_broken_attempt(struct rr_context *ctx, const struct rr_gate *gate,
+			   const struct rr_gate_attempt *attempt)
 {
-	const struct rr_gate_run *run = attempt->run;
+	const struct rr_gate_request *run = attempt->request;
 	const struct rr_endpoint *endpoint = attempt->endpoint;
 	char fingerprint[RR_FINGERPRINT_TEXT];
 
@@ -150,23 +155,23 @@
 	       RR_FIELD_STRING("fingerprint", fingerprint),
 	       RR_FIELD_U64("attempt", attempt->id),
 	       RR_FIELD_STRING("service", endpoint->service->name),
-	       RR_FIELD_STRING("endpoint", endpoint->lifetime),
+	       RR_FIELD_STRING("endpoint", endpoint->incarnation),
 	       RR_FIELD_I64("ran_us", gate->now_us - attempt->sent_us),
-	       RR_FIELD_U64("in_flight", endpoint->live.length));
+	       RR_FIELD_U64("in_flight", endpoint->in_flight.length));
 }
 
-void rr_tell_answer(struct rr_context *ctx, struct rr_gate *gate,
-		    struct rr_gate_run *run,
+void rr_log_request(struct rr_context *ctx, struct rr_gate *gate,
+		    struct rr_gate_request *run,
 		    const struct rr_gate_answer *answer)
 {
 	bool ordinary = is_ordinary(gate, run, answer);
-	size_t steps = run->trail.steps->len;
+	size_t steps = run->trace.steps->len;
 
 	if (ordinary && !rr_is_sampled(run->request_id))
 		return;
-	if (rr_take_trail_lines(&gate->log_budget, gate->now_us, steps + 1,
-				ordinary)) {
-		rr_write_steps(ctx, &run->trail, run->request_id,
+	if (rr_take_trail_lines(&gate->request_log_budget, gate->now_us,
+				steps + 1, ordinary)) {
+		rr_write_steps(ctx, &run->trace, run->request_id,
 			       run->started_us);
 		write_end(ctx, gate, run, answer, 0);
 		return;
--- a/source/core/gate-policy.c
+++ b/source/core/gate-policy.c
@@ -31,7 +31,7 @@
 static const struct policy_entry entries[] = {
 #define RR_POLICY_TIME(name, value, help) \
 	ENTRY(name, POLICY_TIME, value, "us", help)
-#define RR_POLICY_FIGURE(name, value, unit, help) \
+#define RR_POLICY_NUMBER(name, value, unit, help) \
 	ENTRY(name, POLICY_FIGURE, value, unit, help)
 #define RR_POLICY_COUNT(name, value, unit, help) \
 	ENTRY(name, POLICY_COUNT, value, unit, help)
--- a/source/core/gate-quarantine.c
+++ b/source/core/gate-quarantine.c
@@ -62,15 +62,16 @@
 	set_quarantine_gauge(ctx, gate);
 }
 
-static struct rr_gate_run *find_run_of(const struct rr_gate *gate,
-				       const struct rr_fingerprint *fingerprint)
+static struct rr_gate_request *
+find_run_of(const struct rr_gate *gate,
+	    const struct rr_fingerprint *fingerprint)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, gate->runs);
+	g_hash_table_iter_init(&iter, gate->requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct rr_gate_run *run = value;
+		struct rr_gate_request *run = value;
 
 		if (rr_same_fingerprint(&run->fingerprint, fingerprint))
 			return run;
@@ -117,11 +118,11 @@
 static void stop_runs_of(struct rr_context *ctx, struct rr_gate *gate,
 			 const struct rr_fingerprint *fingerprint)
 {
-	struct rr_gate_run *run;
+	struct rr_gate_request *run;
 
 	while ((run = find_run_of(gate, fingerprint))) {
-		run->refused_finally = true;
-		rr_fail_run(ctx, gate, run, IN_QUARANTINE);
+		run->final_rejection = true;
+		rr_fail_request(ctx, gate, run, IN_QUARANTINE);
 	}
 }
 
@@ -145,16 +146,16 @@
 /* Canaries. */
 
 void rr_send_canary(struct rr_context *ctx, struct rr_gate *gate,
-		    struct rr_gate_run *run)
+		    struct rr_gate_request *run)
 {
 	for (size_t i = 0; i < run->n_parts; i++) {
-		if (run->parts[i].status == RR_PART_OPEN &&
-		    (rr_try_part(ctx, gate, run, i, "canary") ||
-		     run->parts[i].waiting))
+		if (run->parts[i].status == RR_PART_PENDING &&
+		    (rr_try_send_part(ctx, gate, run, i, "canary") ||
+		     run->parts[i].queued))
 			return;
 	}
-	rr_fail_run(ctx, gate, run,
-		    run->n_closed ? CRASHES_REPLICAS : "no-replica");
+	rr_fail_request(ctx, gate, run,
+			run->n_closed ? CRASHES_REPLICAS : "no-replica");
 }
 
 /*
@@ -162,7 +163,7 @@
  * crash has to be confirmed.
  */
 static bool is_suspicious(const struct rr_gate *gate,
-			  const struct rr_gate_run *run)
+			  const struct rr_gate_request *run)
 {
 #ifdef RR_MUTANT_GATE_SENDS_ALL_AT_ONCE
 	return false;
@@ -173,19 +174,20 @@
 }
 
 /* The latest attempt, if it was sent after the first one was closed. */
-static struct rr_gate_attempt *find_canary(const struct rr_gate_run *run)
+static struct rr_gate_attempt *find_canary(const struct rr_gate_request *run)
 {
-	struct rr_gate_attempt *last = g_queue_peek_tail((GQueue *)&run->live);
+	struct rr_gate_attempt *last =
+		g_queue_peek_tail((GQueue *)&run->in_flight);
 
-	return last && last->sent_us >= run->closed_us ? last : NULL;
+	return last && last->sent_us >= run->first_close_us ? last : NULL;
 }
 
 static void become_canary(struct rr_context *ctx, struct rr_gate *gate,
-			  struct rr_gate_run *run)
+			  struct rr_gate_request *run)
 {
 	run->canary = true;
-	rr_withdraw_others(ctx, gate, run, find_canary(run), "suspected");
-	if (!run->live.length)
+	rr_cancel_other_attempts(ctx, gate, run, find_canary(run), "suspected");
+	if (!run->in_flight.length)
 		rr_send_canary(ctx, gate, run);
 }
 
@@ -193,7 +195,7 @@
 static void resolve_run(struct rr_context *ctx, struct rr_gate *gate,
 			const struct rr_closed_attempt *attempt, bool crashed)
 {
-	struct rr_gate_run *run = rr_find_run(gate, attempt->run);
+	struct rr_gate_request *run = rr_find_request(gate, attempt->request);
 
 	if (!run)
 		return;
@@ -205,28 +207,28 @@
 			become_canary(ctx, gate, run);
 		return;
 	}
-	if (run->live.length || run->n_unresolved)
+	if (run->in_flight.length || run->n_unresolved)
 		return;
 	if (crashed)
-		rr_fail_run(ctx, gate, run, CRASHES_REPLICAS);
+		rr_fail_request(ctx, gate, run, CRASHES_REPLICAS);
 	else
 		rr_send_canary(ctx, gate, run);
 }
 
 bool rr_continue_canary(struct rr_context *ctx, struct rr_gate *gate,
-			struct rr_gate_run *run)
+			struct rr_gate_request *run)
 {
 	if (!run->canary && !is_suspicious(gate, run))
 		return false;
 	if (!run->canary)
 		become_canary(ctx, gate, run);
-	else if (!run->live.length && !run->n_unresolved)
+	else if (!run->in_flight.length && !run->n_unresolved)
 		rr_send_canary(ctx, gate, run);
 	return true;
 }
 
 void rr_end_canary(struct rr_context *ctx, struct rr_gate *gate,
-		   struct rr_gate_run *run, size_t index)
+		   struct rr_gate_request *run, size_t index)
 {
 	run->completed = true;
 	if (!run->canary)
@@ -235,17 +237,17 @@
 	for (size_t i = 0; i < run->n_parts; i++) {
 		struct rr_gate_part *part = &run->parts[i];
 
-		if (i == index || part->status != RR_PART_OPEN ||
-		    part->n_live || part->waiting)
+		if (i == index || part->status != RR_PART_PENDING ||
+		    part->n_in_flight || part->queued)
 			continue;
-		if (!rr_try_part(ctx, gate, run, i, "canary-answered") &&
-		    !part->waiting)
-			rr_give_up_part(run, part);
+		if (!rr_try_send_part(ctx, gate, run, i, "canary-answered") &&
+		    !part->queued)
+			rr_fail_part(run, part);
 	}
 }
 
 bool rr_start_canary(struct rr_context *ctx, struct rr_gate *gate,
-		     struct rr_gate_run *run)
+		     struct rr_gate_request *run)
 {
 	if (!run->trial &&
 	    (rr_quarantine_is_empty(gate->quarantine) ||
@@ -256,38 +258,38 @@
 	return true;
 }
 
-void rr_note_closed(struct rr_context *ctx, struct rr_gate *gate,
-		    const struct rr_gate_attempt *attempt)
+void rr_note_attempt_closed(struct rr_context *ctx, struct rr_gate *gate,
+			    const struct rr_gate_attempt *attempt)
 {
 	struct rr_endpoint *endpoint = attempt->endpoint;
-	struct rr_gate_run *run = attempt->run;
+	struct rr_gate_request *run = attempt->request;
 	struct rr_closed_attempt closed = {
 		.crash = {
 			.fingerprint = attempt->fingerprint,
 			.sent_us = attempt->sent_us,
 			.closed_us = gate->now_us,
 		},
-		.run = run ? run->id : 0,
+		.request = run ? run->id : 0,
 		.part = attempt->part,
 	};
 
 	if (run && !run->n_closed++)
-		run->closed_us = gate->now_us;
+		run->first_close_us = gate->now_us;
 	/* Draining and unlisted replicas are expected to exit. */
 	if (!gate->policy.quarantine_known ||
-	    endpoint->service == gate->strong || !endpoint->listed ||
+	    endpoint->service == gate->coordinators || !endpoint->listed ||
 	    endpoint->draining || !rr_is_fingerprint(&attempt->fingerprint))
 		return;
-	if (!endpoint->closed)
-		endpoint->closed = g_array_new(
+	if (!endpoint->closed_attempts)
+		endpoint->closed_attempts = g_array_new(
 			FALSE, FALSE, sizeof(struct rr_closed_attempt));
-	if (endpoint->closed->len == MOST_CLOSED)
+	if (endpoint->closed_attempts->len == MOST_CLOSED)
 		return;
-	g_array_append_val(endpoint->closed, closed);
+	g_array_append_val(endpoint->closed_attempts, closed);
 	if (run)
 		run->n_unresolved++;
-	if (endpoint->closed->len == 1)
-		gate->actions.probe(gate->actions.data, endpoint->lifetime,
+	if (endpoint->closed_attempts->len == 1)
+		gate->actions.probe(gate->actions.data, endpoint->incarnation,
 				    endpoint->address);
 }
 
@@ -304,10 +306,10 @@
 	update_record(ctx, gate, record);
 }
 
-void rr_resolve_closed(struct rr_context *ctx, struct rr_gate *gate,
-		       struct rr_endpoint *endpoint, bool reached)
+void rr_resolve_closed_attempts(struct rr_context *ctx, struct rr_gate *gate,
+				struct rr_endpoint *endpoint, bool reached)
 {
-	GArray *closed = g_steal_pointer(&endpoint->closed);
+	GArray *closed = g_steal_pointer(&endpoint->closed_attempts);
 
 	if (!closed)
 		return;
@@ -317,7 +319,7 @@
 	if (!reached) {
 		rr_count(ctx, RR_N_CRASHES, 1);
 		rr_log(ctx, RR_LOG_WARNING, "replica-crashed",
-		       RR_FIELD_STRING("endpoint", endpoint->lifetime),
+		       RR_FIELD_STRING("endpoint", endpoint->incarnation),
 		       RR_FIELD_STRING("service", endpoint->service->name),
 		       RR_FIELD_U64("requests", closed->len));
 	}
@@ -327,18 +329,18 @@
 
 		if (!reached)
 			note_crash(ctx, gate, &attempt->crash,
-				   endpoint->lifetime);
+				   endpoint->incarnation);
 		resolve_run(ctx, gate, attempt, !reached);
 	}
 	g_array_unref(closed);
 }
 
-void rr_note_completed(struct rr_context *ctx, struct rr_gate *gate,
-		       const struct rr_gate_attempt *attempt)
+void rr_note_attempt_completed(struct rr_context *ctx, struct rr_gate *gate,
+			       const struct rr_gate_attempt *attempt)
 {
 	struct rr_quarantine_record *record;
 
-	if (attempt->endpoint->service == gate->strong ||
+	if (attempt->endpoint->service == gate->coordinators ||
 	    !rr_is_fingerprint(&attempt->fingerprint))
 		return;
 	rr_note_harmless(gate->quarantine, gate->now_us, &attempt->fingerprint);
@@ -357,7 +359,7 @@
 /* Quarantine. */
 
 static void refuse_quarantined(struct rr_context *ctx, struct rr_gate *gate,
-			       struct rr_gate_run *run)
+			       struct rr_gate_request *run)
 {
 	const struct rr_quarantine_record *record =
 		rr_find_quarantined(gate->quarantine, &run->fingerprint);
@@ -366,12 +368,12 @@
 	/* Without a remaining hold, Retry-After is drawn as usual. */
 	if (wait_us > 0)
 		run->retry_after_ms = (uint32_t)MIN(wait_us / 1000, G_MAXINT32);
-	run->refused_finally = true;
+	run->final_rejection = true;
 	rr_count(ctx, RR_N_REFUSED_QUARANTINED, 1);
-	rr_fail_run(ctx, gate, run, IN_QUARANTINE);
+	rr_fail_request(ctx, gate, run, IN_QUARANTINE);
 }
 
-static void claim_trial(struct rr_gate *gate, struct rr_gate_run *run,
+static void claim_trial(struct rr_gate *gate, struct rr_gate_request *run,
 			struct rr_quarantine_record *record)
 {
 	struct rr_quarantine_entry entry = rr_entry_of_record(record);
@@ -379,16 +381,16 @@
 
 	entry.trials++;
 	record->claiming = run->id;
-	run->claiming = true;
+	run->claim_pending = true;
 	rr_set_timer(gate->timers,
 		     gate->now_us + gate->policy.quarantine_claim_us,
 		     RR_TIMER_GATE_CLAIM, run->id, 0);
 	gate->actions.report(gate->actions.data, &told);
 }
 
-enum rr_quarantine_step rr_look_up_quarantine(struct rr_context *ctx,
-					      struct rr_gate *gate,
-					      struct rr_gate_run *run)
+enum rr_quarantine_step rr_check_quarantine(struct rr_context *ctx,
+					    struct rr_gate *gate,
+					    struct rr_gate_request *run)
 {
 	struct rr_quarantine_record *record;
 
@@ -409,21 +411,23 @@
 	if (record->trials >= gate->policy.quarantine_trials ||
 	    gate->now_us < record->retry_us || record->claiming) {
 		refuse_quarantined(ctx, gate, run);
-		return RR_QUARANTINE_REFUSED;
+		return RR_QUARANTINE_REJECTED;
 	}
 	claim_trial(gate, run, record);
-	return RR_QUARANTINE_WAITS;
+	return RR_QUARANTINE_CLAIMING;
 }
 
-void rr_fire_claim(struct rr_context *ctx, struct rr_gate *gate, uint64_t id)
+void rr_handle_claim_timeout(struct rr_context *ctx, struct rr_gate *gate,
+			     uint64_t id)
 {
-	struct rr_gate_run *run = rr_find_run(gate, id);
+	struct rr_gate_request *run = rr_find_request(gate, id);
 
-	if (run && run->claiming)
+	if (run && run->claim_pending)
 		refuse_quarantined(ctx, gate, run);
 }
 
-void rr_forget_trial(struct rr_gate *gate, const struct rr_gate_run *run)
+void rr_drop_pending_claim(struct rr_gate *gate,
+			   const struct rr_gate_request *run)
 {
 	struct rr_quarantine_record *record =
 		rr_find_quarantined(gate->quarantine, &run->fingerprint);
@@ -438,19 +442,19 @@
 {
 	struct rr_quarantine_record *record =
 		rr_find_quarantined(gate->quarantine, &entry->fingerprint);
-	struct rr_gate_run *run;
+	struct rr_gate_request *run;
 
 	gate->now_us = now_us;
 	if (!record)
 		return;
-	run = rr_find_run(gate, record->claiming);
+	run = rr_find_request(gate, record->claiming);
 	record->claiming = 0;
 	if (granted)
 		rr_count_trials(gate->quarantine, now_us, record,
 				entry->trials);
-	if (!run || !run->claiming)
+	if (!run || !run->claim_pending)
 		return;
-	run->claiming = false;
+	run->claim_pending = false;
 	if (!granted) {
 		refuse_quarantined(ctx, gate, run);
 		return;
@@ -458,13 +462,13 @@
 	log_record(ctx, gate, record, RR_LOG_WARNING, "request-tried",
 		   "hold-over");
 	run->trial = true;
-	rr_start_run(ctx, gate, run);
+	rr_start_request(ctx, gate, run);
 }
 
-void rr_gate_note_quarantine(struct rr_context *ctx, struct rr_gate *gate,
-			     int64_t now_us,
-			     const struct rr_fingerprint *fingerprint,
-			     const struct rr_quarantine_entry *entry)
+void rr_gate_apply_quarantine(struct rr_context *ctx, struct rr_gate *gate,
+			      int64_t now_us,
+			      const struct rr_fingerprint *fingerprint,
+			      const struct rr_quarantine_entry *entry)
 {
 	struct rr_quarantine_record *record =
 		rr_find_quarantined(gate->quarantine, fingerprint);
@@ -489,8 +493,8 @@
 		update_record(ctx, gate, record);
 }
 
-void rr_publish_ended(struct rr_context *ctx, struct rr_gate *gate,
-		      const struct rr_fingerprint *fingerprint)
+void rr_publish_suspicion(struct rr_context *ctx, struct rr_gate *gate,
+			  const struct rr_fingerprint *fingerprint)
 {
 	struct rr_quarantine_record *record;
 
--- a/source/core/gate-reply.c
+++ b/source/core/gate-reply.c
@@ -10,16 +10,17 @@
 {
 	struct rr_endpoint *endpoint = attempt->endpoint;
 	struct rr_limit_bounds bounds = rr_endpoint_bounds(gate, endpoint);
-	int64_t typical_us = rr_sketch_quantile(&attempt->record->times, 0.5);
+	int64_t typical_us =
+		rr_sketch_quantile(&attempt->stats->attempt_times, 0.5);
 
 	rr_track_answer(&endpoint->track, gate->now_us, took_us, typical_us);
-	rr_add_time(&attempt->record->times, took_us);
+	rr_add_time(&attempt->stats->attempt_times, took_us);
 	if (!typical_us)
 		return;
 	attempt->endpoint->service->typical_us = typical_us;
 	rr_adapt_limit(&endpoint->limit, &bounds,
 		       (double)took_us / (double)typical_us, 1,
-		       attempt->in_flight);
+		       attempt->in_flight_at_send);
 }
 
 static void take_shed(struct rr_gate *gate, struct rr_endpoint *endpoint)
@@ -38,17 +39,19 @@
 
 	switch (reply->outcome) {
 	case RR_GATE_ANSWERED:
-		if (reply->status >= 500 && endpoint->service != gate->strong) {
-			rr_note_alive(ctx, gate, endpoint);
-			rr_note_lost(ctx, gate, endpoint, RR_LOSS_BROKEN);
+		if (reply->status >= 500 &&
+		    endpoint->service != gate->coordinators) {
+			rr_note_contact(ctx, gate, endpoint);
+			rr_note_attempt_lost(ctx, gate, endpoint,
+					     RR_LOSS_BROKEN);
 			return;
 		}
-		rr_note_alive(ctx, gate, endpoint);
+		rr_note_contact(ctx, gate, endpoint);
 		take_time(gate, attempt, took_us);
 		return;
-	case RR_GATE_REFUSED:
-		rr_note_alive(ctx, gate, endpoint);
-		if (reply->other_instance)
+	case RR_GATE_REJECTED:
+		rr_note_contact(ctx, gate, endpoint);
+		if (reply->wrong_incarnation)
 			rr_retire_endpoint(ctx, gate, endpoint,
 					   "other-instance");
 		else
@@ -56,39 +59,40 @@
 		return;
 	case RR_GATE_UNSENT:
 	case RR_GATE_BROKEN:
-	case RR_GATE_SILENT:
-		rr_note_lost(ctx, gate, endpoint,
-			     reply->unreachable ||
-					     reply->outcome == RR_GATE_SILENT ?
-				     RR_LOSS_SILENT :
-				     RR_LOSS_BROKEN);
+	case RR_GATE_NO_REPLY:
+		rr_note_attempt_lost(ctx, gate, endpoint,
+				     reply->unreachable ||
+						     reply->outcome ==
+							     RR_GATE_NO_REPLY ?
+					     RR_LOSS_SILENT :
+					     RR_LOSS_BROKEN);
 		return;
 	}
 }
 
 /* Proof of "not run" takes an attempt off the counts it went into. */
-static void uncount(struct rr_gate_run *run, struct rr_gate_part *part,
+static void uncount(struct rr_gate_request *run, struct rr_gate_part *part,
 		    const struct rr_gate_attempt *attempt,
 		    const struct rr_gate_reply *reply, int64_t now_us)
 {
-	if (reply->outcome != RR_GATE_REFUSED &&
+	if (reply->outcome != RR_GATE_REJECTED &&
 	    reply->outcome != RR_GATE_UNSENT)
 		return;
-	part->n_run--;
-	run->n_run--;
+	part->n_may_have_run--;
+	run->n_may_have_run--;
 	if (reply->outcome != RR_GATE_UNSENT)
 		return;
-	part->n_arrived--;
-	if (attempt->extra)
-		rr_return_extra(&part->service->extras, now_us);
+	part->n_reached--;
+	if (attempt->uses_budget)
+		rr_return_extra(&part->service->retry_budget, now_us);
 }
 
 static const char *outcome_name(const struct rr_gate_reply *reply)
 {
 	static const char *const names[] = {
-		[RR_GATE_ANSWERED] = "answered", [RR_GATE_REFUSED] = "refused",
+		[RR_GATE_ANSWERED] = "answered", [RR_GATE_REJECTED] = "refused",
 		[RR_GATE_UNSENT] = "unsent",	 [RR_GATE_BROKEN] = "broken",
-		[RR_GATE_SILENT] = "silent",
+		[RR_GATE_NO_REPLY] = "silent",
 	};
 
 	return names[reply->outcome];
@@ -100,49 +104,49 @@
  * of no use.
  */
 static void take_handed_reply(struct rr_context *ctx, struct rr_gate *gate,
-			      struct rr_gate_run *run,
+			      struct rr_gate_request *run,
 			      const struct rr_gate_reply *reply)
 {
 	switch (reply->outcome) {
 	case RR_GATE_ANSWERED:
-		rr_forward_reply(ctx, gate, run, reply);
+		rr_proxy_reply(ctx, gate, run, reply);
 		return;
-	case RR_GATE_REFUSED:
+	case RR_GATE_REJECTED:
 #ifndef RR_MUTANT_GATE_HANDS_ON_OVERRUN
-		if (reply->status == RR_NO_BETTER_ELSEWHERE) {
-			rr_answer_own(ctx, gate, run, 503, "refused-there");
+		if (reply->status == RR_STATUS_FINAL_REJECTION) {
+			rr_answer_locally(ctx, gate, run, 503, "refused-there");
 			return;
 		}
 #endif
 		G_GNUC_FALLTHROUGH;
 	case RR_GATE_UNSENT:
-		if (!rr_try_part(ctx, gate, run, 0, "repeat"))
-			rr_take_back(ctx, gate, run);
+		if (!rr_try_send_part(ctx, gate, run, 0, "repeat"))
+			rr_serve_locally(ctx, gate, run);
 		return;
 	case RR_GATE_BROKEN:
-	case RR_GATE_SILENT:
+	case RR_GATE_NO_REPLY:
 #ifdef RR_MUTANT_GATE_SERVES_LOST_SEARCH
-		rr_take_back(ctx, gate, run);
+		rr_serve_locally(ctx, gate, run);
 		return;
 #endif
 		/* It may have used up what each shard may be asked. */
-		rr_give_up_part(run, &run->parts[0]);
-		rr_advance_run(ctx, gate, run);
+		rr_fail_part(run, &run->parts[0]);
+		rr_advance_request(ctx, gate, run);
 		return;
 	}
 }
 
 static void take_reply(struct rr_context *ctx, struct rr_gate *gate,
-		       struct rr_gate_run *run, size_t index,
+		       struct rr_gate_request *run, size_t index,
 		       const struct rr_gate_reply *reply)
 {
 	struct rr_gate_part *part = &run->parts[index];
 	bool good = reply->outcome == RR_GATE_ANSWERED &&
 		    reply->status >= 200 && reply->status < 300;
 
-	if (part->status != RR_PART_OPEN)
+	if (part->status != RR_PART_PENDING)
 		return;
-	if (run->handed) {
+	if (run->forwarded) {
 		take_handed_reply(ctx, gate, run, reply);
 		return;
 	}
@@ -151,28 +155,28 @@
 	else if (rr_continue_canary(ctx, gate, run))
 		return;
 	if (good && gate->policy.hedge_ends_losers)
-		rr_withdraw_losers(ctx, gate, run, index);
+		rr_cancel_losers(ctx, gate, run, index);
 	if (good && run->route->mode == RR_ROUTE_GATHER) {
-		rr_take_part(ctx, gate, run, part, reply);
+		rr_merge_part_reply(ctx, gate, run, part, reply);
 		return;
 	}
 	if (good) {
-		rr_forward_reply(ctx, gate, run, reply);
+		rr_proxy_reply(ctx, gate, run, reply);
 		return;
 	}
-	if (rr_try_part(ctx, gate, run, index, "repeat")) {
+	if (rr_try_send_part(ctx, gate, run, index, "repeat")) {
 		rr_count(ctx, RR_N_RETRIES, 1);
 		return;
 	}
-	if (part->n_live || part->waiting)
+	if (part->n_in_flight || part->queued)
 		return;
-	if (run->route->mode == RR_ROUTE_FORWARD &&
+	if (run->route->mode == RR_ROUTE_PROXY &&
 	    reply->outcome == RR_GATE_ANSWERED) {
-		rr_forward_reply(ctx, gate, run, reply);
+		rr_proxy_reply(ctx, gate, run, reply);
 		return;
 	}
-	rr_give_up_part(run, part);
-	rr_advance_run(ctx, gate, run);
+	rr_fail_part(run, part);
+	rr_advance_request(ctx, gate, run);
 }
 
 void rr_gate_reply(struct rr_context *ctx, struct rr_gate *gate, int64_t now_us,
@@ -181,35 +185,35 @@
 	struct rr_gate_attempt *attempt =
 		g_hash_table_lookup(gate->attempts, &reply->attempt);
 	struct rr_gate_service *service;
-	struct rr_gate_run *run;
+	struct rr_gate_request *run;
 
 	gate->now_us = now_us;
 	if (!attempt) {
 		rr_count(ctx, RR_N_LATE_REPLIES, 1);
 		return;
 	}
-	run = attempt->run;
+	run = attempt->request;
 	service = attempt->endpoint->service;
-	if (reply->load.told)
+	if (reply->load.reported)
 		attempt->endpoint->pace_percent = reply->load.pace_percent;
 	if (run)
-		rr_note_attempt(gate, run, attempt, RR_TRAIL_REPLY,
-				outcome_name(reply), reply->status);
+		rr_trace_attempt(gate, run, attempt, RR_TRAIL_REPLY,
+				 outcome_name(reply), reply->status);
 	if (reply->outcome == RR_GATE_BROKEN)
-		rr_log_broken(ctx, gate, attempt);
-	if (reply->closed)
-		rr_note_closed(ctx, gate, attempt);
+		rr_log_broken_attempt(ctx, gate, attempt);
+	if (reply->connection_closed)
+		rr_note_attempt_closed(ctx, gate, attempt);
 	if (reply->outcome == RR_GATE_ANSWERED)
-		rr_note_completed(ctx, gate, attempt);
+		rr_note_attempt_completed(ctx, gate, attempt);
 	track_reply(ctx, gate, attempt, reply);
-	rr_end_attempt(gate, attempt);
+	rr_remove_attempt(gate, attempt);
 	if (run) {
 		uncount(run, &run->parts[attempt->part], attempt, reply,
 			now_us);
 		take_reply(ctx, gate, run, attempt->part, reply);
 	}
 	rr_free_attempt(attempt);
-	rr_pump_service(ctx, gate, service);
+	rr_send_queued_parts(ctx, gate, service);
 }
 
 bool rr_redirect_unsent(struct rr_context *ctx, struct rr_gate *gate,
@@ -217,12 +221,13 @@
 {
 	const struct rr_gate_reply unsent = { .attempt = attempt->id,
 					      .outcome = RR_GATE_UNSENT };
-	struct rr_gate_run *run = attempt->run;
+	struct rr_gate_request *run = attempt->request;
 
-	if (!run || !gate->actions.recall(gate->actions.data, attempt->id))
+	if (!run ||
+	    !gate->actions.cancel_unsent(gate->actions.data, attempt->id))
 		return false;
-	rr_note_attempt(gate, run, attempt, RR_TRAIL_WITHDRAWN, reason, 0);
-	rr_end_attempt(gate, attempt);
+	rr_trace_attempt(gate, run, attempt, RR_TRAIL_WITHDRAWN, reason, 0);
+	rr_remove_attempt(gate, attempt);
 	uncount(run, &run->parts[attempt->part], attempt, &unsent,
 		gate->now_us);
 	take_reply(ctx, gate, run, attempt->part, &unsent);
--- a/source/core/gate-zone.c
+++ b/source/core/gate-zone.c
@@ -10,7 +10,7 @@
 
 #include <string.h>
 
-struct rr_gate_zone *rr_gate_zone_of(struct rr_gate *gate, const char *name)
+struct rr_gate_zone *rr_get_gate_zone(struct rr_gate *gate, const char *name)
 {
 	struct rr_gate_zone *zone;
 
@@ -22,9 +22,9 @@
 	zone = g_new0(struct rr_gate_zone, 1);
 	zone->number = ++gate->next_id;
 	zone->name = g_strdup(name);
-	zone->near = !g_strcmp0(name, gate->zone) ||
-		     !strcmp(name, RR_STRONG_SERVICE);
-	zone->evacuation = rr_evacuation_of(gate, name);
+	zone->is_local = !g_strcmp0(name, gate->zone) ||
+			 !strcmp(name, RR_COORDINATOR_SERVICE);
+	zone->evacuation = rr_get_evacuation(gate, name);
 	rr_init_track(&zone->track);
 	g_ptr_array_add(gate->zones, zone);
 	return zone;
@@ -38,19 +38,19 @@
 	g_free(zone);
 }
 
-void rr_note_begun(struct rr_gate *gate, struct rr_endpoint *endpoint)
+void rr_note_attempt_started(struct rr_gate *gate, struct rr_endpoint *endpoint)
 {
-	if (!endpoint->live.length)
+	if (!endpoint->in_flight.length)
 		rr_track_open(&endpoint->track, gate->now_us);
-	if (!endpoint->zone->n_live++)
+	if (!endpoint->zone->n_in_flight++)
 		rr_track_open(&endpoint->zone->track, gate->now_us);
 }
 
-void rr_note_ended(struct rr_gate *gate, struct rr_endpoint *endpoint)
+void rr_note_attempt_ended(struct rr_gate *gate, struct rr_endpoint *endpoint)
 {
-	if (!endpoint->live.length)
+	if (!endpoint->in_flight.length)
 		rr_track_closed(&endpoint->track, gate->now_us);
-	if (!--endpoint->zone->n_live)
+	if (!--endpoint->zone->n_in_flight)
 		rr_track_closed(&endpoint->zone->track, gate->now_us);
 }
 
@@ -93,7 +93,7 @@
 	if (!endpoint)
 		return;
 	zone->probed = true;
-	gate->actions.probe(gate->actions.data, endpoint->lifetime,
+	gate->actions.probe(gate->actions.data, endpoint->incarnation,
 			    endpoint->address);
 }
 
@@ -102,14 +102,14 @@
 		       int64_t after_us)
 {
 	rr_set_timer(gate->timers, gate->now_us + after_us, RR_TIMER_GATE_ZONE,
-		     zone->number, ++zone->watch);
+		     zone->number, ++zone->timer_seq);
 }
 
 /* Find out by probes whether a zone is silent. */
 static void suspect_zone(struct rr_context *ctx, struct rr_gate *gate,
 			 struct rr_gate_zone *zone)
 {
-	if (zone->silent || zone->suspected)
+	if (zone->unreachable || zone->suspected)
 		return;
 	zone->suspected = true;
 	zone->suspected_us = gate->now_us;
@@ -137,12 +137,12 @@
 	for (guint i = 0; i < gate->zones->len; i++) {
 		struct rr_gate_zone *zone = g_ptr_array_index(gate->zones, i);
 
-		if (!zone->near)
+		if (!zone->is_local)
 			suspect_zone(ctx, gate, zone);
 	}
 }
 
-bool rr_gate_is_cut_off(const struct rr_gate *gate)
+bool rr_gate_is_isolated(const struct rr_gate *gate)
 {
 	return gate->isolated;
 }
@@ -153,7 +153,7 @@
 		const struct rr_gate_zone *zone =
 			g_ptr_array_index(gate->zones, i);
 
-		if (zone->silent)
+		if (zone->unreachable)
 			return true;
 	}
 	return false;
@@ -183,11 +183,11 @@
 	for (guint i = 0; i < gate->zones->len; i++) {
 		struct rr_gate_zone *zone = g_ptr_array_index(gate->zones, i);
 
-		if (zone->near || zone->silent)
+		if (zone->is_local || zone->unreachable)
 			continue;
 		if (seems_cut(gate, zone))
 			silence_zone(ctx, gate, zone);
-		else if (gate->now_us - zone->heard_us >=
+		else if (gate->now_us - zone->last_contact_us >=
 			 gate->policy.suspect_zone_us)
 			suspect_zone(ctx, gate, zone);
 	}
@@ -196,9 +196,9 @@
 static void silence_zone(struct rr_context *ctx, struct rr_gate *gate,
 			 struct rr_gate_zone *zone)
 {
-	if (zone->silent || !gate->policy.silence_of_zones)
+	if (zone->unreachable || !gate->policy.silence_of_zones)
 		return;
-	zone->silent = true;
+	zone->unreachable = true;
 	rr_log(ctx, RR_LOG_WARNING, "zone-silent",
 	       RR_FIELD_STRING("zone", zone->name),
 	       RR_FIELD_U64("unanswered", zone->unanswered),
@@ -207,7 +207,7 @@
 	zone->suspected = false;
 	watch_zone(gate, zone, gate->policy.silence_probe_us);
 	suspect_other_zones(ctx, gate);
-	rr_judge_isolation(ctx, gate);
+	rr_update_isolation(ctx, gate);
 }
 
 /* Whether each replica of a zone is suspected by itself. */
@@ -232,7 +232,7 @@
 static void look_for_silence(struct rr_context *ctx, struct rr_gate *gate,
 			     struct rr_gate_zone *zone)
 {
-	if (zone->unanswered + zone->n_live >=
+	if (zone->unanswered + zone->n_in_flight >=
 		    gate->policy.suspect_zone_unanswered &&
 	    rr_track_silent_us(&zone->track, gate->now_us) >=
 		    gate->policy.suspect_zone_us)
@@ -277,8 +277,8 @@
 		suspect(ctx, gate, endpoint, "silent");
 }
 
-void rr_note_given_up(struct rr_context *ctx, struct rr_gate *gate,
-		      struct rr_endpoint *endpoint)
+void rr_note_attempt_cancelled(struct rr_context *ctx, struct rr_gate *gate,
+			       struct rr_endpoint *endpoint)
 {
 	judge_replica(ctx, gate, endpoint);
 	judge_zone(ctx, gate, endpoint->zone);
@@ -289,8 +289,8 @@
  * an attempt is not given up before its request's deadline, and requests
  * would go to a dead replica until then.
  */
-void rr_note_overdue(struct rr_context *ctx, struct rr_gate *gate,
-		     struct rr_endpoint *endpoint)
+void rr_note_attempt_overdue(struct rr_context *ctx, struct rr_gate *gate,
+			     struct rr_endpoint *endpoint)
 {
 #ifndef RR_MUTANT_GATE_OPEN_IS_FINE
 	if (gate->policy.silence_of_open_attempts &&
@@ -300,8 +300,8 @@
 	look_for_silence(ctx, gate, endpoint->zone);
 }
 
-void rr_note_lost(struct rr_context *ctx, struct rr_gate *gate,
-		  struct rr_endpoint *endpoint, enum rr_loss loss)
+void rr_note_attempt_lost(struct rr_context *ctx, struct rr_gate *gate,
+			  struct rr_endpoint *endpoint, enum rr_loss loss)
 {
 	if (loss == RR_LOSS_BROKEN) {
 		rr_track_loss(&endpoint->track, gate->now_us, loss);
@@ -316,19 +316,19 @@
 {
 	rr_track_seen(&zone->track, gate->now_us);
 	zone->unanswered = 0;
-	zone->heard_us = gate->now_us;
+	zone->last_contact_us = gate->now_us;
 	zone->failed_probes = 0;
 	zone->suspected = false;
-	if (!zone->silent)
+	if (!zone->unreachable)
 		return;
-	zone->silent = false;
+	zone->unreachable = false;
 	rr_log(ctx, RR_LOG_WARNING, "zone-heard",
 	       RR_FIELD_STRING("zone", zone->name));
-	rr_judge_isolation(ctx, gate);
+	rr_update_isolation(ctx, gate);
 }
 
-void rr_note_alive(struct rr_context *ctx, struct rr_gate *gate,
-		   struct rr_endpoint *endpoint)
+void rr_note_contact(struct rr_context *ctx, struct rr_gate *gate,
+		     struct rr_endpoint *endpoint)
 {
 	rr_track_seen(&endpoint->track, gate->now_us);
 	zone_alive(ctx, gate, endpoint->zone);
@@ -348,8 +348,8 @@
 	return NULL;
 }
 
-void rr_fire_probe(struct rr_context *ctx, struct rr_gate *gate,
-		   uint64_t number)
+void rr_handle_probe_timer(struct rr_context *ctx, struct rr_gate *gate,
+			   uint64_t number)
 {
 	struct rr_endpoint *endpoint = find_endpoint(gate, number);
 
@@ -359,12 +359,12 @@
 	if (endpoint->draining || !endpoint->track.silences_in_row)
 		return;
 	/* A silent zone is probed as one. */
-	if (endpoint->zone->silent) {
+	if (endpoint->zone->unreachable) {
 		set_probe(gate, endpoint);
 		return;
 	}
 	endpoint->probing = true;
-	gate->actions.probe(gate->actions.data, endpoint->lifetime,
+	gate->actions.probe(gate->actions.data, endpoint->incarnation,
 			    endpoint->address);
 }
 
@@ -397,18 +397,18 @@
 #endif
 }
 
-void rr_fire_zone_probe(struct rr_context *ctx, struct rr_gate *gate,
-			uint64_t number, uint32_t watch)
+void rr_handle_zone_timer(struct rr_context *ctx, struct rr_gate *gate,
+			  uint64_t number, uint32_t watch)
 {
 	struct rr_gate_zone *zone = find_zone(gate, number);
 
-	if (!zone || zone->watch != watch)
+	if (!zone || zone->timer_seq != watch)
 		return;
 	if (zone->suspected)
 		end_suspicion(ctx, gate, zone);
-	if (!zone->silent && !zone->suspected)
+	if (!zone->unreachable && !zone->suspected)
 		return;
-	if (zone->silent)
+	if (zone->unreachable)
 		suspect_other_zones(ctx, gate);
 	probe_zone(ctx, gate, zone);
 	watch_zone(gate, zone, gate->policy.silence_probe_us);
@@ -418,17 +418,17 @@
 		    int64_t now_us, const char *lifetime, bool reached)
 {
 	struct rr_endpoint *endpoint =
-		g_hash_table_lookup(gate->lifetimes, lifetime);
+		g_hash_table_lookup(gate->incarnations, lifetime);
 
 	gate->now_us = now_us;
 	if (!endpoint)
 		return;
 	endpoint->probing = false;
-	rr_resolve_closed(ctx, gate, endpoint, reached);
+	rr_resolve_closed_attempts(ctx, gate, endpoint, reached);
 	if (reached) {
 		rr_track_reached(&endpoint->track);
 		zone_alive(ctx, gate, endpoint->zone);
-		rr_pump_service(ctx, gate, endpoint->service);
+		rr_send_queued_parts(ctx, gate, endpoint->service);
 		return;
 	}
 	if (++endpoint->zone->failed_probes >=
@@ -446,7 +446,7 @@
 {
 	size_t least =
 		route->mode == RR_ROUTE_GATHER ?
-			rr_least_parts(route->n_parts, route->least_share) :
+			rr_least_parts(route->n_parts, route->min_share) :
 			1;
 	size_t reachable = 0;
 
@@ -454,7 +454,7 @@
 		const struct rr_gate_service *service = g_hash_table_lookup(
 			gate->services, route->parts[i].service);
 
-		if (service && rr_service_reachable(gate, service))
+		if (service && rr_is_service_reachable(gate, service))
 			reachable++;
 	}
 	return reachable >= least;
@@ -468,9 +468,9 @@
 		const struct rr_gate_zone *zone =
 			g_ptr_array_index(gate->zones, i);
 
-		if (zone->near)
+		if (zone->is_local)
 			continue;
-		if (!zone->silent)
+		if (!zone->unreachable)
 			return false;
 		any = true;
 	}
@@ -479,15 +479,15 @@
 
 static bool lacks_a_route(const struct rr_gate *gate)
 {
-	for (size_t i = 0; gate->table && i < rr_count_routes(gate->table);
-	     i++) {
-		if (!can_serve(gate, rr_route_at(gate->table, i)))
+	for (size_t i = 0;
+	     gate->route_table && i < rr_count_routes(gate->route_table); i++) {
+		if (!can_serve(gate, rr_route_at(gate->route_table, i)))
 			return true;
 	}
 	return false;
 }
 
-void rr_judge_isolation(struct rr_context *ctx, struct rr_gate *gate)
+void rr_update_isolation(struct rr_context *ctx, struct rr_gate *gate)
 {
 	bool isolated = gate->policy.silence_unready &&
 			hears_no_other_zone(gate) && lacks_a_route(gate);
--- a/source/core/gate.c
+++ b/source/core/gate.c
@@ -14,9 +14,9 @@
 
 static void free_record(gpointer data)
 {
-	struct rr_route_record *record = data;
+	struct rr_route_stats *record = data;
 
-	g_free(record->credits);
+	g_free(record->split_credits);
 	g_free(record);
 }
 
@@ -60,13 +60,13 @@
 	gate->extra_window_us = (int64_t)options->extra_window_ms * 1000;
 	gate->cold_overage = options->cold_overage;
 	gate->cold_slack = options->cold_slack;
-	gate->began_us = options->began_us;
+	gate->process_started_us = options->process_started_us;
 	gate->strength = options->strength;
 	gate->peers = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					    rr_free_gate_peer);
-	gate->log_budget.per_s = options->log_lines_per_s;
-	gate->list_budget.per_s = LIST_LINES_PER_S;
-	g_queue_init(&gate->to_open);
+	gate->request_log_budget.per_s = options->log_lines_per_s;
+	gate->list_log_budget.per_s = LIST_LINES_PER_S;
+	g_queue_init(&gate->to_preconnect);
 	gate->timers = rr_new_timers();
 	gate->zones = g_ptr_array_new_with_free_func(rr_free_gate_zone);
 	gate->evacuations =
@@ -75,17 +75,17 @@
 					       rr_free_gate_service);
 	gate->endpoints = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						free_endpoint);
-	gate->lifetimes = g_hash_table_new(g_str_hash, g_str_equal);
-	gate->born =
+	gate->incarnations = g_hash_table_new(g_str_hash, g_str_equal);
+	gate->latest_starts =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	gate->records = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					      free_record);
+	gate->route_stats = g_hash_table_new_full(g_str_hash, g_str_equal,
+						  g_free, free_record);
 	gate->quarantine = rr_new_gate_quarantine(&gate->policy);
-	gate->runs = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-					   rr_free_run);
+	gate->requests = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+					       NULL, rr_free_request);
 	gate->attempts = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 					       NULL, rr_free_attempt);
-	gate->strong = rr_gate_service_of(gate, RR_STRONG_SERVICE);
+	gate->coordinators = rr_get_gate_service(gate, RR_COORDINATOR_SERVICE);
 	return gate;
 }
 
@@ -93,20 +93,20 @@
 {
 	if (!gate)
 		return;
-	g_queue_clear_full(&gate->to_open, free_endpoint);
+	g_queue_clear_full(&gate->to_preconnect, free_endpoint);
 	g_hash_table_unref(gate->attempts);
-	g_hash_table_unref(gate->runs);
+	g_hash_table_unref(gate->requests);
 	rr_drop_quarantine(gate->quarantine);
-	g_hash_table_unref(gate->lifetimes);
+	g_hash_table_unref(gate->incarnations);
 	g_hash_table_unref(gate->endpoints);
-	g_hash_table_unref(gate->born);
+	g_hash_table_unref(gate->latest_starts);
 	g_hash_table_unref(gate->services);
 	g_ptr_array_unref(gate->zones);
 	g_hash_table_unref(gate->evacuations);
 	g_hash_table_unref(gate->regions);
-	g_hash_table_unref(gate->records);
+	g_hash_table_unref(gate->route_stats);
 	g_hash_table_unref(gate->peers);
-	rr_drop_route_table(gate->table);
+	rr_drop_route_table(gate->route_table);
 	rr_drop_timers(gate->timers);
 	g_free(gate->instance);
 	g_free(gate->zone);
@@ -116,24 +116,26 @@
 bool rr_gate_set_routes(struct rr_context *ctx, struct rr_gate *gate,
 			int64_t now_us, struct rr_route_table *table)
 {
-	uint64_t old = gate->table ? rr_route_table_version(gate->table) : 0;
+	uint64_t old = gate->route_table ?
+			       rr_route_table_version(gate->route_table) :
+			       0;
 	uint64_t new = rr_route_table_version(table);
 
 	gate->now_us = now_us;
 #ifdef RR_MUTANT_GATE_GOES_BACK
 	old = 0;
 #endif
-	if (gate->table && new <= old) {
+	if (gate->route_table && new <= old) {
 		rr_log(ctx, RR_LOG_INFO, "routes-left-out",
 		       RR_FIELD_U64("version", new),
 		       RR_FIELD_U64("in_force", old));
 		return false;
 	}
-	rr_drop_route_table(gate->table);
-	gate->table = rr_keep_route_table(table);
-	gate->table_since_us = now_us;
-	rr_mark_searched(gate);
-	rr_judge_isolation(ctx, gate);
+	rr_drop_route_table(gate->route_table);
+	gate->route_table = rr_keep_route_table(table);
+	gate->routes_applied_us = now_us;
+	rr_mark_shards(gate);
+	rr_update_isolation(ctx, gate);
 	rr_count(ctx, RR_N_CONFIG_CHANGES, 1);
 	rr_set_gauge(ctx, RR_G_CONFIG_REVISION, new);
 	rr_log(ctx, RR_LOG_INFO, "routes-in-force",
@@ -144,15 +146,15 @@
 
 const struct rr_route_table *rr_gate_routes(const struct rr_gate *gate)
 {
-	return gate->table;
+	return gate->route_table;
 }
 
 static void fire_look(struct rr_context *ctx, struct rr_gate *gate, uint64_t id)
 {
-	struct rr_gate_run *run = rr_find_run(gate, id);
+	struct rr_gate_request *run = rr_find_request(gate, id);
 
 	if (run)
-		rr_advance_run(ctx, gate, run);
+		rr_advance_request(ctx, gate, run);
 }
 
 void rr_gate_tick(struct rr_context *ctx, struct rr_gate *gate, int64_t now_us)
@@ -160,28 +162,28 @@
 	struct rr_timer timer;
 
 	gate->now_us = now_us;
-	rr_settle_peers(ctx, gate);
-	rr_open_listed(gate);
-	rr_tell_untold(ctx, gate);
+	rr_update_peers(ctx, gate);
+	rr_preconnect_listed(gate);
+	rr_log_suppressed_changes(ctx, gate);
 	while (rr_take_timer(gate->timers, now_us, &timer)) {
 		switch (timer.kind) {
 		case RR_TIMER_GATE_LOOK:
 			fire_look(ctx, gate, timer.id);
 			break;
 		case RR_TIMER_GATE_HEDGE:
-			rr_fire_hedge(ctx, gate, timer.id);
+			rr_handle_hedge_timer(ctx, gate, timer.id);
 			break;
 		case RR_TIMER_GATE_PROBE:
-			rr_fire_probe(ctx, gate, timer.id);
+			rr_handle_probe_timer(ctx, gate, timer.id);
 			break;
 		case RR_TIMER_GATE_ZONE:
-			rr_fire_zone_probe(ctx, gate, timer.id, timer.index);
+			rr_handle_zone_timer(ctx, gate, timer.id, timer.index);
 			break;
 		case RR_TIMER_GATE_UNLISTED:
 			rr_expire_unlisted(ctx, gate, timer.id);
 			break;
 		case RR_TIMER_GATE_CLAIM:
-			rr_fire_claim(ctx, gate, timer.id);
+			rr_handle_claim_timeout(ctx, gate, timer.id);
 			break;
 		default:
 			rr_invariant("gate-timer", false);
@@ -189,14 +191,15 @@
 	}
 }
 
-int64_t rr_gate_wake_us(const struct rr_gate *gate)
+int64_t rr_gate_next_tick_us(const struct rr_gate *gate)
 {
-	if (gate->peers_changed || (gate->instances && gate->to_open.length))
+	if (gate->peers_changed ||
+	    (gate->n_instances && gate->to_preconnect.length))
 		return 0;
 	return rr_next_timer_us(gate->timers);
 }
 
-size_t rr_gate_open_requests(const struct rr_gate *gate)
+size_t rr_gate_count_requests(const struct rr_gate *gate)
 {
-	return g_hash_table_size(gate->runs);
+	return g_hash_table_size(gate->requests);
 }
--- a/source/gateway/gateway-callers.c
+++ b/source/gateway/gateway-callers.c
@@ -28,7 +28,7 @@
 	return open ? open : gateway->taking;
 }
 
-static void send_attempt(void *data, const struct rr_gate_send *send)
+static void send_attempt(void *data, const struct rr_gate_attempt_info *send)
 {
 	struct rr_gateway *gateway = data;
 	struct open_request *open = find_open(gateway, send->request);
@@ -40,13 +40,13 @@
 	};
 	gsize shared = open->head->len;
 
-	if (send->handed)
+	if (send->forwarded)
 		g_string_append_printf(open->head,
 				       LEFT_HEADER ": %" G_GINT64_FORMAT "\r\n",
-				       send->handed_left_us);
+				       send->forward_deadline_us);
 	else
 		g_string_append_printf(open->head, "%s: %s\r\n",
-				       gateway->names->expect_endpoint,
+				       gateway->names->expect_incarnation,
 				       send->endpoint);
 	if (send->deadline_ms >= 0)
 		g_string_append_printf(
@@ -55,7 +55,8 @@
 	g_string_append(open->head, "\r\n");
 	request.head = open->head->str;
 	request.head_length = open->head->len;
-	rr_send_to_replica(send->handed ? gateway->strong : gateway->replicas,
+	rr_send_to_replica(send->forwarded ? gateway->strong :
+					     gateway->replicas,
 			   rr_gateway_now_us(), send, &request);
 	g_string_truncate(open->head, shared);
 }
@@ -88,7 +89,7 @@
 		.status = answer->status,
 		.headers = headers,
 		.n_headers = answer->retry_after_ms ? (handed ? 2 : 1) : 0,
-		.close = answer->go_elsewhere && !handed,
+		.close = answer->close_connection && !handed,
 	};
 
 	g_ascii_formatd(seconds, sizeof(seconds), "%.3f",
@@ -102,7 +103,7 @@
 {
 	char missing[32];
 	struct rr_http_header headers[] = {
-		{ gateway->names->part_seals, answer->seals },
+		{ gateway->names->part_signatures, answer->signatures },
 		{ gateway->names->missing_parts, missing },
 	};
 	struct rr_front_answer reply = {
@@ -144,13 +145,13 @@
 	struct open_request *open = find_open(gateway, answer->request);
 
 	switch (answer->kind) {
-	case RR_GATE_OWN:
+	case RR_GATE_LOCAL_ANSWER:
 		answer_own(open->caller, answer, open->handed);
 		break;
-	case RR_GATE_FORWARDED:
+	case RR_GATE_PROXIED_ANSWER:
 		answer_forwarded(open, answer);
 		break;
-	case RR_GATE_GATHERED:
+	case RR_GATE_MERGED_ANSWER:
 		answer_gathered(gateway, open->caller, answer);
 		break;
 	}
@@ -198,12 +199,12 @@
 {
 	return (struct rr_gate_actions){
 		.send = send_attempt,
-		.withdraw = withdraw_attempt,
-		.recall = recall_attempt,
+		.cancel = withdraw_attempt,
+		.cancel_unsent = recall_attempt,
 		.answer = give_answer,
-		.open = open_lifetime,
+		.preconnect = open_lifetime,
 		.probe = probe_lifetime,
-		.forget = forget_lifetime,
+		.close_idle = forget_lifetime,
 		.report = report_request,
 		.data = gateway,
 	};
@@ -254,7 +255,7 @@
 {
 	const char *host = rr_http_value(message, "Host");
 	struct rr_front_answer bad = { .status = 400, .close = true };
-	struct rr_gate_ask ask = {
+	struct rr_gate_request_info ask = {
 		.host = host,
 		.path = message->target,
 		.path_length = message->target_length,
@@ -263,8 +264,8 @@
 		.fingerprint = fingerprint_of(message),
 		.deadline_ms = read_number(message, gateway->names->deadline),
 		.caller_rtt_us = rr_caller_rtt_us(caller),
-		.caller_is_new = rr_caller_is_new(caller),
-		.handed_left_us =
+		.new_connection = rr_caller_is_new(caller),
+		.forward_deadline_us =
 			handed ? read_number(message, LEFT_HEADER) : -1,
 	};
 	struct open_request *open;
@@ -283,8 +284,8 @@
 	open->head = g_string_sized_new(512);
 	rr_append_request_head(open->head, message, gateway->names);
 	gateway->taking = open;
-	id = rr_gate_take(gateway->ctx, gateway->gate, rr_gateway_now_us(),
-			  &ask);
+	id = rr_gate_submit(gateway->ctx, gateway->gate, rr_gateway_now_us(),
+			    &ask);
 	if (gateway->taking) {
 		rr_set_caller_mark(caller, id);
 		g_hash_table_insert(gateway->requests, new_key(id), open);
@@ -317,8 +318,8 @@
 {
 	struct rr_gateway *gateway = data;
 
-	rr_gate_leave(gateway->ctx, gateway->gate, rr_gateway_now_us(),
-		      rr_caller_mark(caller));
+	rr_gate_half_close(gateway->ctx, gateway->gate, rr_gateway_now_us(),
+			   rr_caller_mark(caller));
 }
 
 void rr_take_gone(void *data, struct rr_caller *caller)
@@ -361,7 +362,7 @@
 
 	rr_measure_process(gateway->ctx);
 	rr_set_gauge(gateway->ctx, RR_G_OPEN_QUERIES,
-		     rr_gate_open_requests(gateway->gate));
+		     rr_gate_count_requests(gateway->gate));
 	rr_format_metrics(gateway->ctx, text);
 	answer.body = (const uint8_t *)text->str;
 	answer.length = text->len;
--- a/source/gateway/gateway-news.c
+++ b/source/gateway/gateway-news.c
@@ -16,7 +16,7 @@
 	struct rr_front_answer answer = {
 		.status = status,
 		.headers = &cut_off,
-		.n_headers = rr_gate_is_cut_off(gateway->gate) ? 1 : 0,
+		.n_headers = rr_gate_is_isolated(gateway->gate) ? 1 : 0,
 	};
 
 	rr_answer_caller(caller, &answer);
--- a/source/gateway/gateway-store.c
+++ b/source/gateway/gateway-store.c
@@ -28,13 +28,13 @@
 		.head_length = bytes->len,
 	};
 	/* Sent once: a repeat is the feed's to decide. */
-	struct rr_gate_send send = {
+	struct rr_gate_attempt_info send = {
 		.attempt = call->id,
-		.lifetime = call->peer ? call->peer : STORE,
+		.incarnation = call->peer ? call->peer : STORE,
 		.address = address,
 		.deadline_ms = call->timeout_ms,
 		.idempotent = false,
-		.kept_connections = STORE_CONNECTIONS,
+		.max_idle_connections = STORE_CONNECTIONS,
 	};
 	struct open_call *open = g_new0(struct open_call, 1);
 
@@ -87,18 +87,20 @@
 				    rr_table_caller_limits(table));
 }
 
-static void take_listing(void *data, const struct rr_listing *listing)
+static void take_listing(void *data, const struct rr_endpoint_info *listing)
 {
 	struct rr_gateway *gateway = data;
 
-	rr_gate_list(gateway->ctx, gateway->gate, rr_gateway_now_us(), listing);
+	rr_gate_update_endpoint(gateway->ctx, gateway->gate,
+				rr_gateway_now_us(), listing);
 }
 
 static void take_unlisted(void *data, const char *id)
 {
 	struct rr_gateway *gateway = data;
 
-	rr_gate_unlist(gateway->ctx, gateway->gate, rr_gateway_now_us(), id);
+	rr_gate_unlist_endpoint(gateway->ctx, gateway->gate,
+				rr_gateway_now_us(), id);
 }
 
 static void take_instance(void *data, const char *id,
@@ -112,17 +114,17 @@
 		told.zone = instance->zone;
 		told.address = instance->address;
 		told.strength = instance->strength;
-		told.born_ms = instance->born_ms;
+		told.started_ms = instance->born_ms;
 	}
-	rr_gate_note_instance(gateway->ctx, gateway->gate, rr_gateway_now_us(),
-			      &told);
+	rr_gate_update_instance(gateway->ctx, gateway->gate,
+				rr_gateway_now_us(), &told);
 }
 
 static void take_instances(void *data, uint32_t instances)
 {
 	struct rr_gateway *gateway = data;
 
-	rr_gate_set_instances(gateway->ctx, gateway->gate, instances);
+	rr_gate_set_instance_count(gateway->ctx, gateway->gate, instances);
 }
 
 static void take_evacuation(void *data, const char *zone, uint64_t revision,
@@ -140,8 +142,8 @@
 {
 	struct rr_gateway *gateway = data;
 
-	rr_gate_note_quarantine(gateway->ctx, gateway->gate,
-				rr_gateway_now_us(), fingerprint, entry);
+	rr_gate_apply_quarantine(gateway->ctx, gateway->gate,
+				 rr_gateway_now_us(), fingerprint, entry);
 }
 
 static void take_claimed(void *data, const struct rr_quarantine_entry *entry,
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -33,7 +33,7 @@
 bool rr_gateway_takes_callers(const struct rr_gateway *gateway,
 			      const char **reason)
 {
-	bool serves = rr_gate_serves(gateway->gate, reason);
+	bool serves = rr_gate_is_ready(gateway->gate, reason);
 
 	if (serves && !rr_feed_has_read(gateway->feed)) {
 		*reason = "store-not-read";
@@ -47,7 +47,7 @@
 /* The others of the zone may have too little work to notice a cut. */
 static void look_at_cut(struct rr_gateway *gateway)
 {
-	bool cut_off = rr_gate_is_cut_off(gateway->gate);
+	bool cut_off = rr_gate_is_isolated(gateway->gate);
 
 	if (cut_off && !gateway->was_cut_off)
 		rr_tell_askers_of_cut(gateway);
@@ -91,7 +91,8 @@
 		return;
 	gateway->stop_check_us = rr_gateway_now_us() + STOP_CHECK_US;
 	step = rr_next_stop_step(&gateway->lifecycle, rr_gateway_now_us(),
-				 rr_gate_open_requests(gateway->gate), callers);
+				 rr_gate_count_requests(gateway->gate),
+				 callers);
 	if (step == RR_STOP_REFUSE)
 		refuse_all(gateway);
 	if (step == RR_STOP_CLOSE_IDLE || step == RR_STOP_REFUSE)
@@ -125,10 +126,10 @@
 /* What is due next, after whatever happened in a turn of the loop. */
 static int64_t next_tick_us(struct rr_gateway *gateway)
 {
-	int64_t due_us = rr_gate_wake_us(gateway->gate);
+	int64_t due_us = rr_gate_next_tick_us(gateway->gate);
 
 	look_at_readiness(gateway);
-	if (rr_gate_is_cut_off(gateway->gate) != gateway->was_cut_off)
+	if (rr_gate_is_isolated(gateway->gate) != gateway->was_cut_off)
 		return 0;
 	due_us = MIN(due_us, rr_feed_wake_us(gateway->feed));
 	due_us = MIN(due_us, rr_askers_wake_us(gateway));
@@ -152,7 +153,8 @@
 		       int64_t delay_us)
 {
 	if (delay_us >= HELD_UP_US)
-		rr_gate_held_up(gateway->ctx, gateway->gate, now_us, delay_us);
+		rr_gate_report_stall(gateway->ctx, gateway->gate, now_us,
+				     delay_us);
 }
 
 /*
@@ -226,7 +228,7 @@
 	struct rr_gateway *gateway = data;
 
 	rr_log(gateway->ctx, RR_LOG_INFO, "stopping",
-	       RR_FIELD_U64("requests", rr_gate_open_requests(gateway->gate)),
+	       RR_FIELD_U64("requests", rr_gate_count_requests(gateway->gate)),
 	       RR_FIELD_U64("callers", rr_count_callers(gateway->callers)));
 	rr_ask_stop(&gateway->lifecycle, rr_gateway_now_us());
 	gateway->stop_check_us = rr_gateway_now_us() + STOP_CHECK_US;
@@ -271,7 +273,7 @@
 		.extra_window_ms = gateway->settings->extra_window_ms,
 		.cold_overage = gateway->settings->cold_overage,
 		.cold_slack = gateway->settings->cold_slack,
-		.began_us = rr_gateway_now_us(),
+		.process_started_us = rr_gateway_now_us(),
 		.strength = gateway->settings->strength,
 		.log_lines_per_s = gateway->settings->log_request_lines_per_s,
 	};
@@ -297,7 +299,7 @@
 	struct rr_replica_port_options replicas = {
 		.poller = gateway->poller,
 		.request_id = gateway->names->request_id,
-		.seal = gateway->names->seal,
+		.seal = gateway->names->signature,
 		.not_run = gateway->names->not_run,
 		.load = gateway->names->load,
 		.read_load = rr_decode_load,
@@ -453,5 +455,5 @@
 	rr_log(gateway->ctx, RR_LOG_INFO, "stopped",
 	       RR_FIELD_U64("requests",
 			    rr_counter_value(gateway->ctx, RR_N_REQUESTS)),
-	       RR_FIELD_U64("open", rr_gate_open_requests(gateway->gate)));
+	       RR_FIELD_U64("open", rr_gate_count_requests(gateway->gate)));
 }
--- a/source/gateway/request-head.c
+++ b/source/gateway/request-head.c
@@ -6,7 +6,7 @@
 static gboolean is_own(const char *name, const struct rr_gate_names *names)
 {
 	return !g_ascii_strcasecmp(name, names->deadline) ||
-	       !g_ascii_strcasecmp(name, names->expect_endpoint) ||
+	       !g_ascii_strcasecmp(name, names->expect_incarnation) ||
 	       !g_ascii_strcasecmp(name, "Content-Length") ||
 	       !g_ascii_strcasecmp(name, "Expect");
 }
--- a/source/net/platform-watch.c
+++ b/source/net/platform-watch.c
@@ -108,11 +108,11 @@
 }
 
 static void tell_replica(struct rr_platform_port *port,
-			 const struct rr_listing *replica)
+			 const struct rr_endpoint_info *replica)
 {
-	port->options.replica(port->options.data, replica->id, replica->born_ms,
-			      replica->draining ? RR_UPSTREAM_DRAINING :
-						  RR_UPSTREAM_READY);
+	port->options.replica(
+		port->options.data, replica->id, replica->started_ms,
+		replica->draining ? RR_UPSTREAM_DRAINING : RR_UPSTREAM_READY);
 }
 
 static void tell_member(struct rr_platform_port *port,
--- a/source/net/replica-conn.c
+++ b/source/net/replica-conn.c
@@ -78,7 +78,7 @@
 		.attempt = conn->attempt,
 		.outcome = outcome,
 		.unreachable = conn->state == CONN_CONNECTING && !conn->reached,
-		.closed = closed,
+		.connection_closed = closed,
 	};
 
 	char *probed = conn->probe ? g_strdup(conn->replica->lifetime) : NULL;
@@ -169,18 +169,18 @@
 	const struct rr_replica_port *port = conn->port;
 
 	reply->status = message->status;
-	reply->seal = value_of(message, port->seal);
+	reply->signature = value_of(message, port->seal);
 	reply->body = message->body;
 	reply->length = message->body_length;
 	reply->message = message;
 	fill_load(port, message, &reply->load);
 	reply->outcome = RR_GATE_ANSWERED;
 	if (message->status == 421) {
-		reply->outcome = RR_GATE_REFUSED;
-		reply->other_instance = true;
+		reply->outcome = RR_GATE_REJECTED;
+		reply->wrong_incarnation = true;
 	} else if (value_of(message, port->not_run)) {
-		reply->outcome = RR_GATE_REFUSED;
-	} else if (message->status < 300 && port->seal && !reply->seal) {
+		reply->outcome = RR_GATE_REJECTED;
+	} else if (message->status < 300 && port->seal && !reply->signature) {
 		/* A success counts only with its signature. */
 		reply->outcome = RR_GATE_BROKEN;
 	}
--- a/source/net/replica-port.c
+++ b/source/net/replica-port.c
@@ -166,7 +166,8 @@
 	g_queue_push_tail(&port->owed, owed);
 }
 
-static void bind_attempt(struct rr_conn *conn, const struct rr_gate_send *send,
+static void bind_attempt(struct rr_conn *conn,
+			 const struct rr_gate_attempt_info *send,
 			 const struct rr_request_bytes *request)
 {
 	conn->attempt = send->attempt;
@@ -183,17 +184,17 @@
 }
 
 void rr_send_to_replica(struct rr_replica_port *port, int64_t now_us,
-			const struct rr_gate_send *send,
+			const struct rr_gate_attempt_info *send,
 			const struct rr_request_bytes *request)
 {
 	struct rr_conn_replica *replica =
-		replica_of(port, send->lifetime, send->address);
+		replica_of(port, send->incarnation, send->address);
 	GByteArray *bytes = join_request(request);
 	struct rr_conn *conn;
 	bool taken;
 
 	port->now_us = now_us;
-	replica->most_idle = send->kept_connections;
+	replica->most_idle = send->max_idle_connections;
 	while ((conn = take_idle(port, replica, send->idempotent))) {
 		conn->no_body = request->no_body;
 		rr_reset_http_reader(conn->reader, conn->no_body);
@@ -328,7 +329,7 @@
 	if (conn)
 		rr_break_conn(conn,
 			      conn->state == CONN_CONNECTING ? RR_GATE_UNSENT :
-							       RR_GATE_SILENT,
+							       RR_GATE_NO_REPLY,
 			      conn->state == CONN_CONNECTING ?
 				      "connect-timeout" :
 				      "silent");
--- a/source/net/replica-port.h
+++ b/source/net/replica-port.h
@@ -58,7 +58,7 @@
  * copied.
  */
 void rr_send_to_replica(struct rr_replica_port *port, int64_t now_us,
-			const struct rr_gate_send *send,
+			const struct rr_gate_attempt_info *send,
 			const struct rr_request_bytes *request);
 /* End the connection of an attempt, which is not replied to any more. */
 void rr_withdraw_from_replica(struct rr_replica_port *port, uint64_t attempt);
--- a/tests/support/feed-fleet-store.c
+++ b/tests/support/feed-fleet-store.c
@@ -57,7 +57,7 @@
 	if (value && item->kind == RR_FEED_INSTANCE)
 		item->instance = decode_instance(item->id, value);
 	if (value && item->kind == RR_FEED_REPLICA) {
-		item->replica = g_new0(struct rr_listing, 1);
+		item->replica = g_new0(struct rr_endpoint_info, 1);
 		item->replica->id = g_strdup(item->id);
 	}
 	return item;
--- a/tests/support/feed-fleet.c
+++ b/tests/support/feed-fleet.c
@@ -239,7 +239,7 @@
 	node->routes_us = node->fleet->now_us;
 }
 
-static void ignore_listed(void *data, const struct rr_listing *listing)
+static void ignore_listed(void *data, const struct rr_endpoint_info *listing)
 {
 }
 
--- a/tests/support/feed-scene.c
+++ b/tests/support/feed-scene.c
@@ -88,7 +88,7 @@
 			       (unsigned)rr_route_table_version(table));
 }
 
-static void note_listed(void *data, const struct rr_listing *listing)
+static void note_listed(void *data, const struct rr_endpoint_info *listing)
 {
 	struct feed_scene *scene = data;
 
@@ -363,7 +363,7 @@
 	if (!item->removed)
 		item->value = g_strdup("dmFsdWU=");
 	if (item->kind == RR_FEED_REPLICA && !item->removed && !item->fault) {
-		item->replica = g_new0(struct rr_listing, 1);
+		item->replica = g_new0(struct rr_endpoint_info, 1);
 		item->replica->id = g_strdup(what);
 	}
 	return item;
--- a/tests/support/gate-scene.c
+++ b/tests/support/gate-fixture.c
@@ -1,23 +1,23 @@
 /*
- * gate-scene.c - a gate driven by hand.
+ * gate-fixture.c - a gate driven by hand.
  */
-#include "support/gate-scene.h"
+#include "support/gate-fixture.h"
 
 #include <string.h>
 
 static const char *const one_service[] = { "s", NULL };
 const char *const test_shards[] = { "s1", "s2", "s3", "s4", NULL };
 
-const struct test_route test_once_route = {
+const struct test_route test_non_idempotent_route = {
 	.name = "once",
 	.prefix = "/once/",
 	.services = one_service,
-	.once = true,
+	.non_idempotent = true,
 	.max_attempts = 2,
 	.objective_ms = 250,
 	.timeout_ms = 4000,
 };
-const struct test_route test_often_route = {
+const struct test_route test_idempotent_route = {
 	.name = "often",
 	.prefix = "/often/",
 	.services = one_service,
@@ -33,15 +33,15 @@
 	.max_attempts = 2,
 	.objective_ms = 80,
 	.timeout_ms = 1200,
-	.least_share = 0.75,
+	.min_share = 0.75,
 };
 
 static void free_sent(gpointer data)
 {
-	struct test_sent *sent = data;
+	struct test_sent_attempt *sent = data;
 
 	g_free(sent->endpoint);
-	g_free(sent->lifetime);
+	g_free(sent->incarnation);
 	g_free(sent->address);
 	g_free(sent);
 }
@@ -51,40 +51,40 @@
 	struct test_answer *answer = data;
 
 	g_free(answer->reason);
-	g_free(answer->seals);
+	g_free(answer->signatures);
 	g_free(answer);
 }
 
-static void note_send(void *data, const struct rr_gate_send *send)
+static void note_send(void *data, const struct rr_gate_attempt_info *send)
 {
-	struct gate_scene *scene = data;
-	struct test_sent *sent = g_new0(struct test_sent, 1);
+	struct gate_fixture *scene = data;
+	struct test_sent_attempt *sent = g_new0(struct test_sent_attempt, 1);
 
 	sent->attempt = send->attempt;
 	sent->request = send->request;
 	sent->endpoint = g_strdup(send->endpoint);
-	sent->lifetime = g_strdup(send->lifetime);
+	sent->incarnation = g_strdup(send->incarnation);
 	sent->address = g_strdup(send->address);
 	sent->deadline_ms = send->deadline_ms;
 	sent->at_us = scene->now_us;
-	g_ptr_array_add(scene->sent, sent);
+	g_ptr_array_add(scene->attempts, sent);
 }
 
 static void note_withdraw(void *data, uint64_t attempt)
 {
-	struct gate_scene *scene = data;
+	struct gate_fixture *scene = data;
 
-	for (guint i = 0; i < scene->sent->len; i++) {
-		if (test_sent_at(scene, i)->attempt == attempt)
-			test_sent_at(scene, i)->withdrawn = true;
+	for (guint i = 0; i < scene->attempts->len; i++) {
+		if (test_attempt_at(scene, i)->attempt == attempt)
+			test_attempt_at(scene, i)->cancelled = true;
 	}
 }
 
 static bool note_recall(void *data, uint64_t attempt)
 {
-	struct gate_scene *scene = data;
+	struct gate_fixture *scene = data;
 
-	if (!scene->nothing_leaves)
+	if (!scene->nothing_sent)
 		return false;
 	note_withdraw(data, attempt);
 	return true;
@@ -92,7 +92,7 @@
 
 static void note_answer(void *data, const struct rr_gate_answer *answer)
 {
-	struct gate_scene *scene = data;
+	struct gate_fixture *scene = data;
 	struct test_answer *kept = g_new0(struct test_answer, 1);
 
 	kept->request = answer->request;
@@ -100,8 +100,8 @@
 	kept->status = answer->status;
 	kept->reason = g_strdup(answer->reason);
 	kept->retry_after_ms = answer->retry_after_ms;
-	kept->go_elsewhere = answer->go_elsewhere;
-	kept->seals = g_strdup(answer->seals);
+	kept->close_connection = answer->close_connection;
+	kept->signatures = g_strdup(answer->signatures);
 	kept->missing = answer->missing;
 	kept->length = answer->length;
 	kept->at_us = scene->now_us;
@@ -110,23 +110,23 @@
 
 static void note_open(void *data, const char *lifetime, const char *address)
 {
-	struct gate_scene *scene = data;
+	struct gate_fixture *scene = data;
 
-	g_ptr_array_add(scene->opened, g_strdup(lifetime));
+	g_ptr_array_add(scene->preconnected, g_strdup(lifetime));
 }
 
 static void note_probe(void *data, const char *lifetime, const char *address)
 {
-	struct gate_scene *scene = data;
+	struct gate_fixture *scene = data;
 
 	g_ptr_array_add(scene->probes, g_strdup(lifetime));
 }
 
 static void note_forget(void *data, const char *lifetime)
 {
-	struct gate_scene *scene = data;
+	struct gate_fixture *scene = data;
 
-	g_ptr_array_add(scene->forgotten, g_strdup(lifetime));
+	g_ptr_array_add(scene->idle_closed, g_strdup(lifetime));
 }
 
 static void free_report(gpointer data)
@@ -139,7 +139,7 @@
 
 static void note_report(void *data, const struct rr_quarantine_report *told)
 {
-	struct gate_scene *scene = data;
+	struct gate_fixture *scene = data;
 	struct test_report *report = g_new0(struct test_report, 1);
 
 	report->entry = rr_copy_quarantine_entry(told->entry);
@@ -150,16 +150,16 @@
 
 static void keep_line(void *data, enum rr_log_level level, const char *line)
 {
-	struct gate_scene *scene = data;
+	struct gate_fixture *scene = data;
 
 	g_string_append(scene->log, line);
 	g_string_append_c(scene->log, '\n');
 }
 
-static struct gate_scene *new_scene_by(uint32_t seed,
-				       const struct rr_gate_policy *policy)
+static struct gate_fixture *new_scene_by(uint32_t seed,
+					 const struct rr_gate_policy *policy)
 {
-	struct gate_scene *scene = g_new0(struct gate_scene, 1);
+	struct gate_fixture *scene = g_new0(struct gate_fixture, 1);
 	struct rr_context_options context = {
 		.seed = seed,
 		.log = { .write = keep_line,
@@ -174,12 +174,12 @@
 		.zone = "a",
 		.actions = {
 			.send = note_send,
-			.withdraw = note_withdraw,
-			.recall = note_recall,
+			.cancel = note_withdraw,
+			.cancel_unsent = note_recall,
 			.answer = note_answer,
-			.open = note_open,
+			.preconnect = note_open,
 			.probe = note_probe,
-			.forget = note_forget,
+			.close_idle = note_forget,
 			.report = note_report,
 			.data = scene,
 		},
@@ -188,18 +188,18 @@
 		.extra_window_ms = 10000,
 		.cold_overage = 1.5,
 		.cold_slack = 5,
-		.began_us = 1000 * TEST_MS,
+		.process_started_us = 1000 * TEST_MS,
 		.strength = 1,
 		.log_lines_per_s = 50,
 		.policy = policy,
 	};
 
 	scene->now_us = 1000 * TEST_MS;
-	scene->sent = g_ptr_array_new_with_free_func(free_sent);
+	scene->attempts = g_ptr_array_new_with_free_func(free_sent);
 	scene->answers = g_ptr_array_new_with_free_func(free_answer);
 	scene->probes = g_ptr_array_new_with_free_func(g_free);
-	scene->opened = g_ptr_array_new_with_free_func(g_free);
-	scene->forgotten = g_ptr_array_new_with_free_func(g_free);
+	scene->preconnected = g_ptr_array_new_with_free_func(g_free);
+	scene->idle_closed = g_ptr_array_new_with_free_func(g_free);
 	scene->reports = g_ptr_array_new_with_free_func(free_report);
 	scene->log = g_string_new(NULL);
 	scene->ctx = rr_new_context(&context);
@@ -207,34 +207,34 @@
 	return scene;
 }
 
-struct gate_scene *test_new_uncounted_scene(uint32_t seed)
+struct gate_fixture *test_new_uncounted_gate(uint32_t seed)
 {
 	return new_scene_by(seed, NULL);
 }
 
-static struct gate_scene *new_counted_scene(uint32_t seed,
-					    const struct rr_gate_policy *policy)
+static struct gate_fixture *
+new_counted_scene(uint32_t seed, const struct rr_gate_policy *policy)
 {
-	struct gate_scene *scene = new_scene_by(seed, policy);
+	struct gate_fixture *scene = new_scene_by(seed, policy);
 
-	rr_gate_set_instances(scene->ctx, scene->gate, 10);
+	rr_gate_set_instance_count(scene->ctx, scene->gate, 10);
 	return scene;
 }
 
-struct gate_scene *test_new_scene(uint32_t seed)
+struct gate_fixture *test_new_gate(uint32_t seed)
 {
 	return new_counted_scene(seed, NULL);
 }
 
-void test_drop_scene(struct gate_scene *scene)
+void test_free_gate(struct gate_fixture *scene)
 {
 	rr_drop_gate(scene->gate);
 	rr_drop_context(scene->ctx);
-	g_ptr_array_unref(scene->sent);
+	g_ptr_array_unref(scene->attempts);
 	g_ptr_array_unref(scene->answers);
 	g_ptr_array_unref(scene->probes);
-	g_ptr_array_unref(scene->opened);
-	g_ptr_array_unref(scene->forgotten);
+	g_ptr_array_unref(scene->preconnected);
+	g_ptr_array_unref(scene->idle_closed);
 	g_ptr_array_unref(scene->reports);
 	g_string_free(scene->log, TRUE);
 	g_free(scene);
@@ -262,12 +262,12 @@
 	route->name = g_strdup(spec->name);
 	route->host = g_strdup("h");
 	route->prefix = g_strdup(spec->prefix);
-	route->mode = spec->gather ? RR_ROUTE_GATHER : RR_ROUTE_FORWARD;
-	route->idempotent = !spec->once;
+	route->mode = spec->gather ? RR_ROUTE_GATHER : RR_ROUTE_PROXY;
+	route->idempotent = !spec->non_idempotent;
 	route->max_attempts = spec->max_attempts;
 	route->objective_ms = spec->objective_ms;
 	route->timeout_ms = spec->timeout_ms;
-	route->least_share = spec->least_share;
+	route->min_share = spec->min_share;
 	route->priority = spec->priority;
 	if (spec->region)
 		route->regions = g_strsplit(spec->region, ",", -1);
@@ -282,7 +282,7 @@
 	return route;
 }
 
-bool test_set_routes(struct gate_scene *scene, uint64_t version,
+bool test_set_routes(struct gate_fixture *scene, uint64_t version,
 		     const struct test_route *routes, size_t n)
 {
 	struct rr_route_table *table = rr_new_route_table(version);
@@ -297,12 +297,12 @@
 	return taken;
 }
 
-void test_list_lifetime(struct gate_scene *scene,
-			const struct test_lifetime *lifetime)
+void test_list_incarnation(struct gate_fixture *scene,
+			   const struct test_incarnation *lifetime)
 {
-	struct rr_listing listing = {
+	struct rr_endpoint_info listing = {
 		.id = lifetime->id,
-		.born_ms = lifetime->born_ms,
+		.started_ms = lifetime->started_ms,
 		.service = lifetime->service,
 		.address =
 			lifetime->address ? lifetime->address : "127.0.0.1:1",
@@ -312,48 +312,49 @@
 		.cold_ms = lifetime->cold_ms,
 	};
 
-	rr_gate_list(scene->ctx, scene->gate, scene->now_us, &listing);
+	rr_gate_update_endpoint(scene->ctx, scene->gate, scene->now_us,
+				&listing);
 }
 
-void test_list(struct gate_scene *scene, const char *id, const char *service,
-	       const char *zone)
+void test_list_replica(struct gate_fixture *scene, const char *id,
+		       const char *service, const char *zone)
 {
-	struct test_lifetime lifetime = { .id = id,
-					  .service = service,
-					  .zone = zone };
+	struct test_incarnation lifetime = { .id = id,
+					     .service = service,
+					     .zone = zone };
 
-	test_list_lifetime(scene, &lifetime);
+	test_list_incarnation(scene, &lifetime);
 }
 
-void test_list_draining(struct gate_scene *scene, const char *id,
-			const char *service, const char *zone)
+void test_list_draining_replica(struct gate_fixture *scene, const char *id,
+				const char *service, const char *zone)
 {
-	struct test_lifetime lifetime = {
+	struct test_incarnation lifetime = {
 		.id = id, .service = service, .zone = zone, .draining = true
 	};
 
-	test_list_lifetime(scene, &lifetime);
+	test_list_incarnation(scene, &lifetime);
 }
 
-void test_note_instance(struct gate_scene *scene, const char *id,
-			const char *zone, double strength, int64_t born_ms)
+void test_update_instance(struct gate_fixture *scene, const char *id,
+			  const char *zone, double strength, int64_t born_ms)
 {
 	struct rr_gate_instance instance = {
 		.id = id,
 		.zone = zone,
 		.address = "127.0.0.1:4",
 		.strength = strength,
-		.born_ms = born_ms,
+		.started_ms = born_ms,
 	};
 
-	rr_gate_note_instance(scene->ctx, scene->gate, scene->now_us,
-			      &instance);
+	rr_gate_update_instance(scene->ctx, scene->gate, scene->now_us,
+				&instance);
 }
 
-uint64_t test_take(struct gate_scene *scene, const char *path,
-		   int64_t deadline_ms)
+uint64_t test_submit(struct gate_fixture *scene, const char *path,
+		     int64_t deadline_ms)
 {
-	struct rr_gate_ask ask = {
+	struct rr_gate_request_info ask = {
 		.host = "h",
 		.path = path,
 		.path_length = strlen(path),
@@ -361,49 +362,50 @@
 		.fingerprint = scene->fingerprint,
 		.deadline_ms = deadline_ms,
 		.caller_rtt_us = 2000,
-		.caller_is_new = scene->caller_is_new,
-		.handed_left_us = -1,
+		.new_connection = scene->new_connection,
+		.forward_deadline_us = -1,
 	};
 
-	return rr_gate_take(scene->ctx, scene->gate, scene->now_us, &ask);
+	return rr_gate_submit(scene->ctx, scene->gate, scene->now_us, &ask);
 }
 
-void test_pass(struct gate_scene *scene, int64_t us)
+void test_advance_time(struct gate_fixture *scene, int64_t us)
 {
 	int64_t end_us = scene->now_us + us;
 
-	while (rr_gate_wake_us(scene->gate) <= end_us) {
+	while (rr_gate_next_tick_us(scene->gate) <= end_us) {
 		scene->now_us =
-			MAX(scene->now_us, rr_gate_wake_us(scene->gate));
+			MAX(scene->now_us, rr_gate_next_tick_us(scene->gate));
 		rr_gate_tick(scene->ctx, scene->gate, scene->now_us);
 	}
 	scene->now_us = end_us;
 }
 
-struct test_sent *test_sent_at(struct gate_scene *scene, guint i)
+struct test_sent_attempt *test_attempt_at(struct gate_fixture *scene, guint i)
 {
-	g_assert_cmpuint(i, <, scene->sent->len);
-	return g_ptr_array_index(scene->sent, i);
+	g_assert_cmpuint(i, <, scene->attempts->len);
+	return g_ptr_array_index(scene->attempts, i);
 }
 
-static bool is_open(const struct test_sent *sent)
+static bool is_open(const struct test_sent_attempt *sent)
 {
-	return !sent->withdrawn && !sent->replied;
+	return !sent->cancelled && !sent->replied;
 }
 
-guint test_count_open(struct gate_scene *scene)
+guint test_count_open_attempts(struct gate_fixture *scene)
 {
 	guint n = 0;
 
-	for (guint i = 0; i < scene->sent->len; i++)
-		n += is_open(test_sent_at(scene, i));
+	for (guint i = 0; i < scene->attempts->len; i++)
+		n += is_open(test_attempt_at(scene, i));
 	return n;
 }
 
-struct test_sent *test_open_at(struct gate_scene *scene, const char *endpoint)
+struct test_sent_attempt *test_find_open_attempt(struct gate_fixture *scene,
+						 const char *endpoint)
 {
-	for (guint i = 0; i < scene->sent->len; i++) {
-		struct test_sent *sent = test_sent_at(scene, i);
+	for (guint i = 0; i < scene->attempts->len; i++) {
+		struct test_sent_attempt *sent = test_attempt_at(scene, i);
 
 		if (is_open(sent) && !strcmp(sent->endpoint, endpoint))
 			return sent;
@@ -411,7 +413,7 @@
 	return NULL;
 }
 
-void test_reply(struct gate_scene *scene, struct test_sent *sent,
+void test_reply(struct gate_fixture *scene, struct test_sent_attempt *sent,
 		enum rr_gate_outcome outcome, uint16_t status)
 {
 	uint8_t body[32];
@@ -420,10 +422,10 @@
 		.attempt = sent->attempt,
 		.outcome = outcome,
 		.status = status,
-		.seal = seal,
+		.signature = seal,
 		.body = body,
 		.length = sizeof(body),
-		.other_instance = status == 421,
+		.wrong_incarnation = status == 421,
 	};
 
 	memset(body, 'r', sizeof(body));
@@ -432,37 +434,38 @@
 	rr_gate_reply(scene->ctx, scene->gate, scene->now_us, &reply);
 }
 
-void test_reply_all(struct gate_scene *scene)
+void test_reply_all(struct gate_fixture *scene)
 {
-	for (guint i = 0; i < scene->sent->len; i++) {
-		if (is_open(test_sent_at(scene, i)))
-			test_reply(scene, test_sent_at(scene, i),
+	for (guint i = 0; i < scene->attempts->len; i++) {
+		if (is_open(test_attempt_at(scene, i)))
+			test_reply(scene, test_attempt_at(scene, i),
 				   RR_GATE_ANSWERED, 200);
 	}
 }
 
-struct test_answer *test_last_answer(struct gate_scene *scene)
+struct test_answer *test_last_answer(struct gate_fixture *scene)
 {
 	g_assert_cmpuint(scene->answers->len, >, 0);
 	return g_ptr_array_index(scene->answers, scene->answers->len - 1);
 }
 
-struct gate_scene *test_start_scene(const struct test_route *route)
+struct gate_fixture *test_start_gate(const struct test_route *route)
 {
-	return test_start_scene_by(route, NULL);
+	return test_start_gate_with_policy(route, NULL);
 }
 
-struct gate_scene *test_start_scene_by(const struct test_route *route,
-				       const struct rr_gate_policy *policy)
+struct gate_fixture *
+test_start_gate_with_policy(const struct test_route *route,
+			    const struct rr_gate_policy *policy)
 {
-	struct gate_scene *scene = new_counted_scene(7, policy);
+	struct gate_fixture *scene = new_counted_scene(7, policy);
 
 	for (size_t i = 0; route->services[i]; i++) {
 		char *near = g_strconcat(route->services[i], ".a", NULL);
 		char *far = g_strconcat(route->services[i], ".b", NULL);
 
-		test_list(scene, near, route->services[i], "a");
-		test_list(scene, far, route->services[i], "b");
+		test_list_replica(scene, near, route->services[i], "a");
+		test_list_replica(scene, far, route->services[i], "b");
 		g_free(near);
 		g_free(far);
 	}
@@ -470,43 +473,46 @@
 	return scene;
 }
 
-void test_earn_extras(struct gate_scene *scene, const char *path)
+void test_earn_retry_budget(struct gate_fixture *scene, const char *path)
 {
 	for (int i = 0; i < 60; i++) {
-		test_take(scene, path, 1000);
-		test_pass(scene, 2 * TEST_MS);
+		test_submit(scene, path, 1000);
+		test_advance_time(scene, 2 * TEST_MS);
 		test_reply_all(scene);
-		test_pass(scene, 10 * TEST_MS);
+		test_advance_time(scene, 10 * TEST_MS);
 	}
-	g_ptr_array_set_size(scene->sent, 0);
+	g_ptr_array_set_size(scene->attempts, 0);
 	g_ptr_array_set_size(scene->answers, 0);
 }
 
-void test_close_sent(struct gate_scene *scene, struct test_sent *sent)
+void test_close_attempt(struct gate_fixture *scene,
+			struct test_sent_attempt *sent)
 {
 	struct rr_gate_reply reply = {
 		.attempt = sent->attempt,
 		.outcome = RR_GATE_BROKEN,
-		.closed = true,
+		.connection_closed = true,
 	};
 
 	sent->replied = true;
 	rr_gate_reply(scene->ctx, scene->gate, scene->now_us, &reply);
 }
 
-void test_probed(struct gate_scene *scene, const char *lifetime, bool reached)
+void test_report_probe(struct gate_fixture *scene, const char *lifetime,
+		       bool reached)
 {
 	rr_gate_probed(scene->ctx, scene->gate, scene->now_us, lifetime,
 		       reached);
 }
 
-void test_crash(struct gate_scene *scene, struct test_sent *sent)
+void test_crash_replica(struct gate_fixture *scene,
+			struct test_sent_attempt *sent)
 {
-	test_close_sent(scene, sent);
-	test_probed(scene, sent->lifetime, false);
+	test_close_attempt(scene, sent);
+	test_report_probe(scene, sent->incarnation, false);
 }
 
-struct test_report *test_last_report(struct gate_scene *scene)
+struct test_report *test_last_report(struct gate_fixture *scene)
 {
 	return scene->reports->len ?
 		       g_ptr_array_index(scene->reports,
--- a/tests/support/replica-scene.c
+++ b/tests/support/replica-scene.c
@@ -15,10 +15,10 @@
 	scene->outcome = reply->outcome;
 	scene->status = reply->status;
 	scene->unreachable = reply->unreachable;
-	scene->other_instance = reply->other_instance;
+	scene->other_instance = reply->wrong_incarnation;
 	scene->load = reply->load;
 	g_free(scene->seal);
-	scene->seal = g_strdup(reply->seal);
+	scene->seal = g_strdup(reply->signature);
 	g_string_truncate(scene->body, 0);
 	if (reply->length)
 		g_string_append_len(scene->body, (const char *)reply->body,
@@ -70,14 +70,14 @@
 uint64_t replica_send(struct replica_scene *scene, const char *head,
 		      const char *body, bool idempotent, bool no_body)
 {
-	struct rr_gate_send send = {
+	struct rr_gate_attempt_info send = {
 		.attempt = ++scene->next_attempt,
 		.endpoint = "r",
-		.lifetime = "r",
+		.incarnation = "r",
 		.address = scene->listener->address,
 		.deadline_ms = 1000,
 		.idempotent = idempotent,
-		.kept_connections = 1,
+		.max_idle_connections = 1,
 	};
 	struct rr_request_bytes request = {
 		.head = head,
--- a/tests/test-gate-times.c
+++ b/tests/test-gate-deadline.c
@@ -1,5 +1,5 @@
 /*
- * test-gate-times.c - when answers have to leave, and callers come back.
+ * test-gate-deadline.c - when answers have to leave, and callers come back.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -9,26 +9,26 @@
 #include <cmocka.h>
 #include <glib.h>
 
-#include "support/gate-scene.h"
+#include "support/gate-fixture.h"
 
 /* When a search that lacks one of its four parts is answered. */
 static int64_t answered_after_us(bool caller_is_new)
 {
-	struct gate_scene *scene = test_start_scene(&test_search_route);
+	struct gate_fixture *scene = test_start_gate(&test_search_route);
 	int64_t began_us = scene->now_us;
 	int64_t after_us;
 
-	scene->caller_is_new = caller_is_new;
-	test_take(scene, "/search/1", 900);
-	test_pass(scene, 5 * TEST_MS);
+	scene->new_connection = caller_is_new;
+	test_submit(scene, "/search/1", 900);
+	test_advance_time(scene, 5 * TEST_MS);
 	for (guint i = 0; i < 3; i++)
-		test_reply(scene, test_sent_at(scene, i), RR_GATE_ANSWERED,
+		test_reply(scene, test_attempt_at(scene, i), RR_GATE_ANSWERED,
 			   200);
-	test_pass(scene, 200 * TEST_MS);
+	test_advance_time(scene, 200 * TEST_MS);
 	assert_int_equal(test_last_answer(scene)->status, 200);
 	assert_int_equal(test_last_answer(scene)->missing, 1);
 	after_us = test_last_answer(scene)->at_us - began_us;
-	test_drop_scene(scene);
+	test_free_gate(scene);
 	return after_us;
 }
 
--- a/tests/test-gate-peer.c
+++ b/tests/test-gate-forward.c
@@ -1,5 +1,5 @@
 /*
- * test-gate-peer.c - searches that weak instances hand over.
+ * test-gate-forward.c - searches that weak instances hand over.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,24 +11,24 @@
 #include <string.h>
 #include <time.h>
 
-#include "support/gate-scene.h"
+#include "support/gate-fixture.h"
 
 /* A weak instance, w, and the strong one of its zone. */
-static struct gate_scene *lone_scene(void)
+static struct gate_fixture *lone_scene(void)
 {
-	struct gate_scene *scene = test_start_scene(&test_search_route);
+	struct gate_fixture *scene = test_start_gate(&test_search_route);
 
-	test_note_instance(scene, "w", "a", 1, 5000);
-	test_note_instance(scene, "strong", "a", 4, 5000);
+	test_update_instance(scene, "w", "a", 1, 5000);
+	test_update_instance(scene, "strong", "a", 4, 5000);
 	return scene;
 }
 
 /* As above, and one of another zone. */
-static struct gate_scene *weak_scene(void)
+static struct gate_fixture *weak_scene(void)
 {
-	struct gate_scene *scene = lone_scene();
+	struct gate_fixture *scene = lone_scene();
 
-	test_note_instance(scene, "far", "b", 9, 5000);
+	test_update_instance(scene, "far", "b", 9, 5000);
 	return scene;
 }
 
@@ -39,44 +39,44 @@
  */
 static void test_weak_instances_hand_over(void **state)
 {
-	struct gate_scene *scene = weak_scene();
+	struct gate_fixture *scene = weak_scene();
 
-	test_take(scene, "/search/1", 900);
-	assert_int_equal(scene->sent->len, 1);
-	assert_string_equal(test_sent_at(scene, 0)->endpoint, "strong");
-	test_pass(scene, 20 * TEST_MS);
+	test_submit(scene, "/search/1", 900);
+	assert_int_equal(scene->attempts->len, 1);
+	assert_string_equal(test_attempt_at(scene, 0)->endpoint, "strong");
+	test_advance_time(scene, 20 * TEST_MS);
 	test_reply_all(scene);
-	assert_int_equal(test_last_answer(scene)->kind, RR_GATE_FORWARDED);
-	test_drop_scene(scene);
+	assert_int_equal(test_last_answer(scene)->kind, RR_GATE_PROXIED_ANSWER);
+	test_free_gate(scene);
 }
 
 /* An instance that knows nothing yet, with 90 replicas in its first reading. */
-static struct gate_scene *starting_scene(void)
+static struct gate_fixture *starting_scene(void)
 {
-	struct gate_scene *scene = test_new_uncounted_scene(7);
+	struct gate_fixture *scene = test_new_uncounted_gate(7);
 
 	test_set_routes(scene, 1, &test_search_route, 1);
 	for (int i = 0; i < 90; i++) {
 		char *id = g_strdup_printf("r%d.a", i);
 
-		test_list(scene, id, test_shards[i % 4], "a");
+		test_list_replica(scene, id, test_shards[i % 4], "a");
 		g_free(id);
 	}
 	return scene;
 }
 
 /* This one and 73 others of a large site, of which five are that strong. */
-static void tell_fleet(struct gate_scene *scene, double strongest)
+static void tell_fleet(struct gate_fixture *scene, double strongest)
 {
-	test_note_instance(scene, "self", "a", 1, 5000);
+	test_update_instance(scene, "self", "a", 1, 5000);
 	for (int i = 0; i < 73; i++) {
 		char *id = g_strdup_printf("i%d", i);
 
-		test_note_instance(scene, id, "a",
-				   i < 5 ? strongest : strongest / 4, 5000);
+		test_update_instance(scene, id, "a",
+				     i < 5 ? strongest : strongest / 4, 5000);
 		g_free(id);
 	}
-	rr_gate_set_instances(scene->ctx, scene->gate, 74);
+	rr_gate_set_instance_count(scene->ctx, scene->gate, 74);
 }
 
 /*
@@ -85,60 +85,60 @@
  */
 static void test_nothing_is_opened_before_the_count(void **state)
 {
-	struct gate_scene *scene = starting_scene();
+	struct gate_fixture *scene = starting_scene();
 
 	(void)state;
-	test_pass(scene, 50 * TEST_MS);
-	assert_int_equal(scene->opened->len, 0);
+	test_advance_time(scene, 50 * TEST_MS);
+	assert_int_equal(scene->preconnected->len, 0);
 	tell_fleet(scene, 4);
-	test_pass(scene, 50 * TEST_MS);
+	test_advance_time(scene, 50 * TEST_MS);
 	/* Only those to the strong ones. */
-	assert_int_equal(scene->opened->len, 5);
-	test_drop_scene(scene);
+	assert_int_equal(scene->preconnected->len, 5);
+	test_free_gate(scene);
 }
 
 /* Guards against a holder of connections that has none once it is counted. */
 static void test_a_holder_opens_after_the_count(void **state)
 {
-	struct gate_scene *scene = starting_scene();
+	struct gate_fixture *scene = starting_scene();
 
 	(void)state;
 	tell_fleet(scene, 1);
-	test_pass(scene, 50 * TEST_MS);
-	assert_int_equal(scene->opened->len, 90);
-	test_drop_scene(scene);
+	test_advance_time(scene, 50 * TEST_MS);
+	assert_int_equal(scene->preconnected->len, 90);
+	test_free_gate(scene);
 }
 
 /* Guards against a small site that needs a first connection for each request. */
 static void test_a_few_open_after_the_count(void **state)
 {
-	struct gate_scene *scene = starting_scene();
+	struct gate_fixture *scene = starting_scene();
 
 	(void)state;
-	rr_gate_set_instances(scene->ctx, scene->gate, 7);
-	test_pass(scene, 50 * TEST_MS);
-	assert_int_equal(scene->opened->len, 90);
+	rr_gate_set_instance_count(scene->ctx, scene->gate, 7);
+	test_advance_time(scene, 50 * TEST_MS);
+	assert_int_equal(scene->preconnected->len, 90);
 	assert_int_equal(rr_gate_connection_share(scene->gate, "s1"), 3);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /* Refused or not reached: nothing has run, and it is served here at once. */
 static void test_refused_search_is_served_here(void **state)
 {
-	static const enum rr_gate_outcome outcomes[] = { RR_GATE_REFUSED,
+	static const enum rr_gate_outcome outcomes[] = { RR_GATE_REJECTED,
 							 RR_GATE_UNSENT };
 
 	for (size_t i = 0; i < G_N_ELEMENTS(outcomes); i++) {
-		struct gate_scene *scene = lone_scene();
+		struct gate_fixture *scene = lone_scene();
 
-		test_take(scene, "/search/1", 900);
-		test_reply(scene, test_sent_at(scene, 0), outcomes[i], 503);
-		assert_int_equal(scene->sent->len, 5);
+		test_submit(scene, "/search/1", 900);
+		test_reply(scene, test_attempt_at(scene, 0), outcomes[i], 503);
+		assert_int_equal(scene->attempts->len, 5);
 		test_reply_all(scene);
 		assert_int_equal(test_last_answer(scene)->kind,
-				 RR_GATE_GATHERED);
+				 RR_GATE_MERGED_ANSWER);
 		assert_int_equal(test_last_answer(scene)->missing, 0);
-		test_drop_scene(scene);
+		test_free_gate(scene);
 	}
 }
 
@@ -149,15 +149,15 @@
  */
 static void test_another_zones_instance_steps_in(void **state)
 {
-	struct gate_scene *scene = weak_scene();
+	struct gate_fixture *scene = weak_scene();
 
-	test_take(scene, "/search/1", 900);
-	test_reply(scene, test_sent_at(scene, 0), RR_GATE_UNSENT, 0);
-	assert_int_equal(scene->sent->len, 2);
-	assert_string_equal(test_sent_at(scene, 1)->endpoint, "far");
+	test_submit(scene, "/search/1", 900);
+	test_reply(scene, test_attempt_at(scene, 0), RR_GATE_UNSENT, 0);
+	assert_int_equal(scene->attempts->len, 2);
+	assert_string_equal(test_attempt_at(scene, 1)->endpoint, "far");
 	test_reply_all(scene);
-	assert_int_equal(test_last_answer(scene)->kind, RR_GATE_FORWARDED);
-	test_drop_scene(scene);
+	assert_int_equal(test_last_answer(scene)->kind, RR_GATE_PROXIED_ANSWER);
+	test_free_gate(scene);
 }
 
 /*
@@ -167,14 +167,14 @@
  */
 static void test_lost_search_is_not_served_again(void **state)
 {
-	struct gate_scene *scene = weak_scene();
+	struct gate_fixture *scene = weak_scene();
 
-	test_pass(scene, 20000 * TEST_MS);
-	test_take(scene, "/search/1", 900);
-	test_reply(scene, test_sent_at(scene, 0), RR_GATE_BROKEN, 0);
-	assert_int_equal(scene->sent->len, 1);
+	test_advance_time(scene, 20000 * TEST_MS);
+	test_submit(scene, "/search/1", 900);
+	test_reply(scene, test_attempt_at(scene, 0), RR_GATE_BROKEN, 0);
+	assert_int_equal(scene->attempts->len, 1);
 	assert_int_equal(test_last_answer(scene)->status, 502);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -183,67 +183,67 @@
  */
 static void test_frozen_strong_instance(void **state)
 {
-	struct gate_scene *scene = lone_scene();
+	struct gate_fixture *scene = lone_scene();
 
 	for (int i = 0; i < 8; i++) {
-		test_take(scene, "/search/1", 900);
-		if (!test_open_at(scene, "strong"))
+		test_submit(scene, "/search/1", 900);
+		if (!test_find_open_attempt(scene, "strong"))
 			test_reply_all(scene);
-		test_pass(scene, 170 * TEST_MS);
+		test_advance_time(scene, 170 * TEST_MS);
 	}
-	assert_true(test_sent_at(scene, 0)->withdrawn);
+	assert_true(test_attempt_at(scene, 0)->cancelled);
 	assert_int_equal(
 		((struct test_answer *)g_ptr_array_index(scene->answers, 0))
 			->status,
 		502);
-	g_ptr_array_set_size(scene->sent, 0);
-	test_take(scene, "/search/1", 900);
-	assert_int_equal(scene->sent->len, 4);
-	assert_string_equal(test_sent_at(scene, 0)->endpoint, "s1.a");
+	g_ptr_array_set_size(scene->attempts, 0);
+	test_submit(scene, "/search/1", 900);
+	assert_int_equal(scene->attempts->len, 4);
+	assert_string_equal(test_attempt_at(scene, 0)->endpoint, "s1.a");
 	test_reply_all(scene);
-	assert_int_equal(test_last_answer(scene)->kind, RR_GATE_GATHERED);
-	test_drop_scene(scene);
+	assert_int_equal(test_last_answer(scene)->kind, RR_GATE_MERGED_ANSWER);
+	test_free_gate(scene);
 }
 
 static void test_strong_instance_leaves(void **state)
 {
-	struct gate_scene *scene = lone_scene();
+	struct gate_fixture *scene = lone_scene();
 
-	test_note_instance(scene, "strong", NULL, 0, 0);
-	test_take(scene, "/search/1", 900);
-	assert_int_equal(scene->sent->len, 4);
-	test_drop_scene(scene);
+	test_update_instance(scene, "strong", NULL, 0, 0);
+	test_submit(scene, "/search/1", 900);
+	assert_int_equal(scene->attempts->len, 4);
+	test_free_gate(scene);
 }
 
 /* A search that another instance hands over, 50 ms before it is due. */
-static void take_handed(struct gate_scene *scene)
+static void take_handed(struct gate_fixture *scene)
 {
-	struct rr_gate_ask ask = {
+	struct rr_gate_request_info ask = {
 		.host = "h",
 		.path = "/search/1",
 		.path_length = strlen("/search/1"),
 		.deadline_ms = 900,
-		.handed_left_us = 50 * TEST_MS,
+		.forward_deadline_us = 50 * TEST_MS,
 	};
 
-	rr_gate_take(scene->ctx, scene->gate, scene->now_us, &ask);
+	rr_gate_submit(scene->ctx, scene->gate, scene->now_us, &ask);
 }
 
 /* What was handed over is never handed on, whatever the entries say. */
 static void test_handed_search_stays(void **state)
 {
-	struct gate_scene *scene = weak_scene();
+	struct gate_fixture *scene = weak_scene();
 
 	take_handed(scene);
-	assert_int_equal(scene->sent->len, 4);
+	assert_int_equal(scene->attempts->len, 4);
 	for (guint i = 0; i < 3; i++)
-		test_reply(scene, test_sent_at(scene, i), RR_GATE_ANSWERED,
+		test_reply(scene, test_attempt_at(scene, i), RR_GATE_ANSWERED,
 			   200);
-	test_pass(scene, 46 * TEST_MS);
+	test_advance_time(scene, 46 * TEST_MS);
 	assert_int_equal(scene->answers->len, 0);
-	test_pass(scene, 2 * TEST_MS);
+	test_advance_time(scene, 2 * TEST_MS);
 	assert_int_equal(test_last_answer(scene)->missing, 1);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -255,34 +255,34 @@
  */
 static void test_overrun_search_is_not_handed_on(void **state)
 {
-	struct gate_scene *scene = weak_scene();
-	struct test_sent *sent;
+	struct gate_fixture *scene = weak_scene();
+	struct test_sent_attempt *sent;
 
-	test_take(scene, "/search/1", 900);
-	sent = test_sent_at(scene, 0);
-	test_reply(scene, sent, RR_GATE_REFUSED, 429);
-	assert_int_equal(scene->sent->len, 1);
+	test_submit(scene, "/search/1", 900);
+	sent = test_attempt_at(scene, 0);
+	test_reply(scene, sent, RR_GATE_REJECTED, 429);
+	assert_int_equal(scene->attempts->len, 1);
 	assert_int_equal(test_last_answer(scene)->status, 503);
 	assert_true(test_last_answer(scene)->retry_after_ms > 0);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /* Two searches take all room, those behind them wait; one more is refused. */
 static void test_strong_instance_says_that_there_is_no_room(void **state)
 {
-	struct gate_scene *scene = test_start_scene(&test_search_route);
+	struct gate_fixture *scene = test_start_gate(&test_search_route);
 
 	for (int i = 0; i < 5; i++)
 		take_handed(scene);
 	assert_int_equal(scene->answers->len, 0);
-	test_pass(scene, 20 * TEST_MS);
+	test_advance_time(scene, 20 * TEST_MS);
 	take_handed(scene);
 	assert_string_equal(test_last_answer(scene)->reason, "overrun");
 	assert_int_equal(test_last_answer(scene)->status, 429);
-	test_take(scene, "/search/1", 900);
+	test_submit(scene, "/search/1", 900);
 	assert_string_equal(test_last_answer(scene)->reason, "overrun");
 	assert_int_equal(test_last_answer(scene)->status, 503);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -291,15 +291,15 @@
  */
 static void test_refused_by_replicas_is_not_handed_on(void **state)
 {
-	struct gate_scene *scene = test_start_scene(&test_search_route);
+	struct gate_fixture *scene = test_start_gate(&test_search_route);
 
 	take_handed(scene);
-	test_reply(scene, test_sent_at(scene, 0), RR_GATE_REFUSED, 503);
-	scene->nothing_leaves = true;
-	test_reply(scene, test_sent_at(scene, 1), RR_GATE_REFUSED, 503);
+	test_reply(scene, test_attempt_at(scene, 0), RR_GATE_REJECTED, 503);
+	scene->nothing_sent = true;
+	test_reply(scene, test_attempt_at(scene, 1), RR_GATE_REJECTED, 503);
 	assert_string_equal(test_last_answer(scene)->reason, "too-few-parts");
 	assert_int_equal(test_last_answer(scene)->status, 429);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -309,7 +309,7 @@
  */
 static void test_refused_searches_earn_nothing(void **state)
 {
-	struct gate_scene *scene = test_new_scene(1);
+	struct gate_fixture *scene = test_new_gate(1);
 	guint sent;
 
 	test_set_routes(scene, 1, &test_search_route, 1);
@@ -320,17 +320,17 @@
 	for (size_t i = 0; test_shards[i]; i++) {
 		char *id = g_strconcat(test_shards[i], ".a", NULL);
 
-		test_list(scene, id, test_shards[i], "a");
+		test_list_replica(scene, id, test_shards[i], "a");
 		id[strlen(id) - 1] = 'b';
-		test_list(scene, id, test_shards[i], "b");
+		test_list_replica(scene, id, test_shards[i], "b");
 		g_free(id);
 	}
 	take_handed(scene);
-	sent = scene->sent->len;
+	sent = scene->attempts->len;
 	assert_int_equal(sent, 4);
-	test_reply(scene, test_sent_at(scene, 0), RR_GATE_REFUSED, 503);
-	assert_int_equal(scene->sent->len, sent);
-	test_drop_scene(scene);
+	test_reply(scene, test_attempt_at(scene, 0), RR_GATE_REJECTED, 503);
+	assert_int_equal(scene->attempts->len, sent);
+	test_free_gate(scene);
 }
 
 /*
@@ -341,20 +341,21 @@
  */
 static void test_a_strong_instance_starts_again(void **state)
 {
-	struct gate_scene *scene = lone_scene();
+	struct gate_fixture *scene = lone_scene();
 
 	for (int i = 0; i < 4; i++) {
-		test_take(scene, "/search/1", 900);
-		test_reply(scene, test_sent_at(scene, scene->sent->len - 1),
-			   RR_GATE_SILENT, 0);
+		test_submit(scene, "/search/1", 900);
+		test_reply(scene,
+			   test_attempt_at(scene, scene->attempts->len - 1),
+			   RR_GATE_NO_REPLY, 0);
 	}
-	g_ptr_array_set_size(scene->sent, 0);
-	test_note_instance(scene, "strong", "a", 4, 3000);
-	test_take(scene, "/search/1", 900);
-	assert_int_equal(scene->sent->len, 1);
-	assert_string_equal(test_sent_at(scene, 0)->endpoint, "strong");
-	assert_true(scene->forgotten->len > 0);
-	test_drop_scene(scene);
+	g_ptr_array_set_size(scene->attempts, 0);
+	test_update_instance(scene, "strong", "a", 4, 3000);
+	test_submit(scene, "/search/1", 900);
+	assert_int_equal(scene->attempts->len, 1);
+	assert_string_equal(test_attempt_at(scene, 0)->endpoint, "strong");
+	assert_true(scene->idle_closed->len > 0);
+	test_free_gate(scene);
 }
 
 /*
@@ -366,39 +367,39 @@
 static void test_many_entries_are_read_quickly(void **state)
 {
 	const clock_t most = CLOCKS_PER_SEC;
-	struct gate_scene *scene = test_start_scene(&test_search_route);
+	struct gate_fixture *scene = test_start_gate(&test_search_route);
 	clock_t from = clock();
 
 	(void)state;
-	test_note_instance(scene, "w", "a", 1, 5000);
+	test_update_instance(scene, "w", "a", 1, 5000);
 	for (int i = 0; i < 1200; i++) {
 		char *id = g_strdup_printf("i%d", i);
 
-		test_note_instance(scene, id, i % 2 ? "a" : "b",
-				   i == 601 ? 4 : 1, 5000);
+		test_update_instance(scene, id, i % 2 ? "a" : "b",
+				     i == 601 ? 4 : 1, 5000);
 		g_free(id);
 	}
-	test_take(scene, "/search/1", 900);
+	test_submit(scene, "/search/1", 900);
 	assert_true(clock() - from < most);
-	assert_int_equal(scene->sent->len, 1);
-	assert_string_equal(test_sent_at(scene, 0)->endpoint, "i601");
-	test_drop_scene(scene);
+	assert_int_equal(scene->attempts->len, 1);
+	assert_string_equal(test_attempt_at(scene, 0)->endpoint, "i601");
+	test_free_gate(scene);
 }
 
 /* What an entry says again, as after its lease was renewed, changes nothing. */
 static void test_same_entry_keeps_what_was_seen(void **state)
 {
-	struct gate_scene *scene = lone_scene();
+	struct gate_fixture *scene = lone_scene();
 
 	(void)state;
-	test_take(scene, "/search/1", 900);
-	test_reply(scene, test_sent_at(scene, 0), RR_GATE_SILENT, 0);
-	g_ptr_array_set_size(scene->sent, 0);
-	test_note_instance(scene, "strong", "a", 4, 5000);
-	test_take(scene, "/search/1", 900);
+	test_submit(scene, "/search/1", 900);
+	test_reply(scene, test_attempt_at(scene, 0), RR_GATE_NO_REPLY, 0);
+	g_ptr_array_set_size(scene->attempts, 0);
+	test_update_instance(scene, "strong", "a", 4, 5000);
+	test_submit(scene, "/search/1", 900);
 	/* It was not reached a moment ago, and is left alone still. */
-	assert_int_equal(scene->sent->len, 4);
-	test_drop_scene(scene);
+	assert_int_equal(scene->attempts->len, 4);
+	test_free_gate(scene);
 }
 
 int main(void)
--- a/tests/test-gate-drawn.c
+++ b/tests/test-gate-generated.c
@@ -1,5 +1,5 @@
 /*
- * test-gate-drawn.c - deployments that nobody has seen, drawn at random: the
+ * test-gate-generated.c - deployments that nobody has seen, drawn at random: the
  * policy loses to the plain one nowhere.
  *
  * Story: a customer's shards have one replica each, and their work takes a
--- a/tests/test-gate-lifetime.c
+++ b/tests/test-gate-incarnation.c
@@ -1,5 +1,5 @@
 /*
- * test-gate-lifetime.c - replicas that start again under the id they had.
+ * test-gate-incarnation.c - replicas that start again under the id they had.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -10,66 +10,66 @@
 #include <glib.h>
 #include <string.h>
 
-#include "support/gate-scene.h"
+#include "support/gate-fixture.h"
 
 #define FIRST_BORN_MS INT64_C(1700000000000)
 #define SECOND_BORN_MS (FIRST_BORN_MS + 5000)
 
 static const char *const one_service[] = { "s", NULL };
 
-static void list_as(struct gate_scene *scene, int64_t born_ms, bool draining)
+static void list_as(struct gate_fixture *scene, int64_t born_ms, bool draining)
 {
-	struct test_lifetime lifetime = {
+	struct test_incarnation lifetime = {
 		.id = "r",
 		.service = "s",
 		.zone = "a",
-		.born_ms = born_ms,
+		.started_ms = born_ms,
 		.draining = draining,
 	};
 
-	test_list_lifetime(scene, &lifetime);
+	test_list_incarnation(scene, &lifetime);
 }
 
-static void list_born(struct gate_scene *scene, int64_t born_ms)
+static void list_born(struct gate_fixture *scene, int64_t born_ms)
 {
 	list_as(scene, born_ms, false);
 }
 
-static void list_draining(struct gate_scene *scene, int64_t born_ms)
+static void list_draining(struct gate_fixture *scene, int64_t born_ms)
 {
 	list_as(scene, born_ms, true);
 }
 
 /* One replica, "r", of the service of a route. */
-static struct gate_scene *start(const struct test_route *route)
+static struct gate_fixture *start(const struct test_route *route)
 {
-	struct gate_scene *scene = test_new_scene(7);
+	struct gate_fixture *scene = test_new_gate(7);
 
 	list_born(scene, FIRST_BORN_MS);
 	assert_true(test_set_routes(scene, 5, route, 1));
 	return scene;
 }
 
-static struct test_sent *last_sent(struct gate_scene *scene)
+static struct test_sent_attempt *last_sent(struct gate_fixture *scene)
 {
-	return test_sent_at(scene, scene->sent->len - 1);
+	return test_attempt_at(scene, scene->attempts->len - 1);
 }
 
-static void assert_refused(struct gate_scene *scene)
+static void assert_refused(struct gate_fixture *scene)
 {
-	guint sent = scene->sent->len;
+	guint sent = scene->attempts->len;
 
-	test_take(scene, "/often/1", 900);
-	assert_int_equal(scene->sent->len, sent);
+	test_submit(scene, "/often/1", 900);
+	assert_int_equal(scene->attempts->len, sent);
 	assert_int_equal(test_last_answer(scene)->status, 503);
 }
 
-static void assert_served(struct gate_scene *scene)
+static void assert_served(struct gate_fixture *scene)
 {
-	guint sent = scene->sent->len;
+	guint sent = scene->attempts->len;
 
-	test_take(scene, "/often/1", 900);
-	assert_int_equal(scene->sent->len, sent + 1);
+	test_submit(scene, "/often/1", 900);
+	assert_int_equal(scene->attempts->len, sent + 1);
 	test_reply(scene, last_sent(scene), RR_GATE_ANSWERED, 200);
 }
 
@@ -80,7 +80,7 @@
  */
 static void test_a_drained_replica_is_used_once_born_again(void **state)
 {
-	struct gate_scene *scene = start(&test_often_route);
+	struct gate_fixture *scene = start(&test_idempotent_route);
 
 	list_draining(scene, FIRST_BORN_MS);
 	assert_refused(scene);
@@ -88,7 +88,7 @@
 	assert_refused(scene);
 	list_born(scene, SECOND_BORN_MS);
 	assert_served(scene);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -97,14 +97,14 @@
  */
 static void test_after_421_the_next_lifetime_is_used(void **state)
 {
-	struct gate_scene *scene = start(&test_often_route);
+	struct gate_fixture *scene = start(&test_idempotent_route);
 
-	test_take(scene, "/often/1", 900);
-	test_reply(scene, last_sent(scene), RR_GATE_REFUSED, 421);
+	test_submit(scene, "/often/1", 900);
+	test_reply(scene, last_sent(scene), RR_GATE_REJECTED, 421);
 	assert_refused(scene);
 	list_born(scene, SECOND_BORN_MS);
 	assert_served(scene);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -114,18 +114,18 @@
  */
 static void test_an_earlier_lifetime_never_returns(void **state)
 {
-	struct gate_scene *scene = start(&test_often_route);
+	struct gate_fixture *scene = start(&test_idempotent_route);
 
 	list_born(scene, SECOND_BORN_MS);
 	list_draining(scene, FIRST_BORN_MS);
 	assert_served(scene);
-	rr_gate_unlist(scene->ctx, scene->gate, scene->now_us, "r");
-	test_pass(scene, 5000 * TEST_MS);
+	rr_gate_unlist_endpoint(scene->ctx, scene->gate, scene->now_us, "r");
+	test_advance_time(scene, 5000 * TEST_MS);
 	list_born(scene, FIRST_BORN_MS);
 	assert_refused(scene);
 	list_born(scene, SECOND_BORN_MS);
 	assert_served(scene);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -134,16 +134,16 @@
  */
 static void test_what_was_seen_is_of_one_lifetime(void **state)
 {
-	struct gate_scene *scene = start(&test_often_route);
+	struct gate_fixture *scene = start(&test_idempotent_route);
 
 	for (int i = 0; i < 3; i++) {
-		test_take(scene, "/often/1", 900);
-		test_reply(scene, last_sent(scene), RR_GATE_SILENT, 0);
+		test_submit(scene, "/often/1", 900);
+		test_reply(scene, last_sent(scene), RR_GATE_NO_REPLY, 0);
 	}
 	assert_refused(scene);
 	list_born(scene, SECOND_BORN_MS);
 	assert_served(scene);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -153,45 +153,45 @@
  */
 static void test_a_lost_lifetimes_work_is_unknown(void **state)
 {
-	struct gate_scene *scene = start(&test_once_route);
+	struct gate_fixture *scene = start(&test_non_idempotent_route);
 
-	test_take(scene, "/once/1", 900);
+	test_submit(scene, "/once/1", 900);
 	list_born(scene, SECOND_BORN_MS);
-	assert_int_equal(scene->sent->len, 1);
+	assert_int_equal(scene->attempts->len, 1);
 	assert_int_equal(scene->answers->len, 0);
 	test_reply(scene, last_sent(scene), RR_GATE_BROKEN, 0);
-	assert_int_equal(scene->sent->len, 1);
+	assert_int_equal(scene->attempts->len, 1);
 	assert_int_equal(test_last_answer(scene)->status, 502);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /* Lost at the lifetime before, it may be repeated at the next one. */
 static void test_the_next_lifetime_takes_a_repeat(void **state)
 {
-	struct gate_scene *scene = start(&test_often_route);
+	struct gate_fixture *scene = start(&test_idempotent_route);
 
-	test_earn_extras(scene, "/often/1");
-	test_take(scene, "/often/1", 900);
+	test_earn_retry_budget(scene, "/often/1");
+	test_submit(scene, "/often/1", 900);
 	list_born(scene, SECOND_BORN_MS);
-	test_reply(scene, test_sent_at(scene, 0), RR_GATE_BROKEN, 0);
-	assert_int_equal(scene->sent->len, 2);
-	assert_string_not_equal(test_sent_at(scene, 0)->lifetime,
-				test_sent_at(scene, 1)->lifetime);
+	test_reply(scene, test_attempt_at(scene, 0), RR_GATE_BROKEN, 0);
+	assert_int_equal(scene->attempts->len, 2);
+	assert_string_not_equal(test_attempt_at(scene, 0)->incarnation,
+				test_attempt_at(scene, 1)->incarnation);
 	test_reply(scene, last_sent(scene), RR_GATE_ANSWERED, 200);
-	assert_int_equal(test_last_answer(scene)->kind, RR_GATE_FORWARDED);
-	test_drop_scene(scene);
+	assert_int_equal(test_last_answer(scene)->kind, RR_GATE_PROXIED_ANSWER);
+	test_free_gate(scene);
 }
 
 /* A reply of the lifetime before tells nothing of the one that is there. */
 static void test_a_late_421_is_the_earlier_lifetimes(void **state)
 {
-	struct gate_scene *scene = start(&test_often_route);
+	struct gate_fixture *scene = start(&test_idempotent_route);
 
-	test_take(scene, "/often/1", 900);
+	test_submit(scene, "/often/1", 900);
 	list_born(scene, SECOND_BORN_MS);
-	test_reply(scene, last_sent(scene), RR_GATE_REFUSED, 421);
+	test_reply(scene, last_sent(scene), RR_GATE_REJECTED, 421);
 	assert_served(scene);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -200,28 +200,28 @@
  */
 static void test_connections_are_a_lifetimes_own(void **state)
 {
-	struct gate_scene *scene = start(&test_often_route);
-	struct test_lifetime moved = {
+	struct gate_fixture *scene = start(&test_idempotent_route);
+	struct test_incarnation moved = {
 		.id = "r",
 		.service = "s",
 		.zone = "a",
 		.address = "127.0.0.1:2",
-		.born_ms = SECOND_BORN_MS,
+		.started_ms = SECOND_BORN_MS,
 	};
 	char *before;
 
 	assert_served(scene);
-	before = g_strdup(last_sent(scene)->lifetime);
-	test_list_lifetime(scene, &moved);
-	assert_string_equal(
-		g_ptr_array_index(scene->forgotten, scene->forgotten->len - 1),
-		before);
+	before = g_strdup(last_sent(scene)->incarnation);
+	test_list_incarnation(scene, &moved);
+	assert_string_equal(g_ptr_array_index(scene->idle_closed,
+					      scene->idle_closed->len - 1),
+			    before);
 	assert_served(scene);
 	assert_string_equal(last_sent(scene)->address, "127.0.0.1:2");
 	assert_string_equal(last_sent(scene)->endpoint, "r");
-	assert_string_not_equal(last_sent(scene)->lifetime, before);
+	assert_string_not_equal(last_sent(scene)->incarnation, before);
 	g_free(before);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -231,17 +231,17 @@
  */
 static void test_a_new_lifetime_may_serve_another_service(void **state)
 {
-	struct gate_scene *scene = start(&test_often_route);
-	struct test_lifetime other = {
+	struct gate_fixture *scene = start(&test_idempotent_route);
+	struct test_incarnation other = {
 		.id = "r",
 		.service = "t",
 		.zone = "b",
-		.born_ms = SECOND_BORN_MS,
+		.started_ms = SECOND_BORN_MS,
 	};
 
-	test_list_lifetime(scene, &other);
+	test_list_incarnation(scene, &other);
 	assert_refused(scene);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -250,22 +250,22 @@
  */
 static void test_a_moved_lifetime_keeps_its_drain(void **state)
 {
-	struct gate_scene *scene = start(&test_often_route);
-	struct test_lifetime moved = {
+	struct gate_fixture *scene = start(&test_idempotent_route);
+	struct test_incarnation moved = {
 		.id = "r",
 		.service = "s",
 		.zone = "a",
 		.address = "127.0.0.1:2",
-		.born_ms = FIRST_BORN_MS,
+		.started_ms = FIRST_BORN_MS,
 	};
 
-	test_list_lifetime(scene, &moved);
+	test_list_incarnation(scene, &moved);
 	assert_served(scene);
 	assert_string_equal(last_sent(scene)->address, "127.0.0.1:2");
 	list_draining(scene, FIRST_BORN_MS);
-	test_list_lifetime(scene, &moved);
+	test_list_incarnation(scene, &moved);
 	assert_refused(scene);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -274,49 +274,49 @@
  */
 static void test_an_entry_that_lacks_its_start_names_nobody(void **state)
 {
-	struct gate_scene *scene = start(&test_often_route);
+	struct gate_fixture *scene = start(&test_idempotent_route);
 
 	list_born(scene, 0);
-	test_pass(scene, 5000 * TEST_MS);
+	test_advance_time(scene, 5000 * TEST_MS);
 	assert_refused(scene);
 	list_born(scene, FIRST_BORN_MS);
 	assert_served(scene);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /* A lifetime is cold by its own entry, not by the one before. */
 static void test_cold_time_is_a_lifetimes_own(void **state)
 {
-	struct gate_scene *scene = test_new_scene(7);
-	struct test_route route = test_often_route;
-	struct test_lifetime cold = {
+	struct gate_fixture *scene = test_new_gate(7);
+	struct test_route route = test_idempotent_route;
+	struct test_incarnation cold = {
 		.id = "r",
 		.service = "s",
 		.zone = "a",
-		.born_ms = FIRST_BORN_MS,
+		.started_ms = FIRST_BORN_MS,
 		.cold_ms = 60000,
 	};
 
 	route.services = one_service;
-	test_list_lifetime(scene, &cold);
-	test_list(scene, "q", "s", "a");
+	test_list_incarnation(scene, &cold);
+	test_list_replica(scene, "q", "s", "a");
 	assert_true(test_set_routes(scene, 5, &route, 1));
 	for (int i = 0; i < 8; i++) {
-		test_take(scene, "/often/1", 900);
-		test_pass(scene, 20 * TEST_MS);
+		test_submit(scene, "/often/1", 900);
+		test_advance_time(scene, 20 * TEST_MS);
 		test_reply_all(scene);
 	}
 	list_born(scene, SECOND_BORN_MS);
-	g_ptr_array_set_size(scene->sent, 0);
+	g_ptr_array_set_size(scene->attempts, 0);
 	for (int i = 0; i < 40; i++) {
-		test_take(scene, "/often/1", 900);
-		test_pass(scene, 20 * TEST_MS);
+		test_submit(scene, "/often/1", 900);
+		test_advance_time(scene, 20 * TEST_MS);
 		test_reply_all(scene);
 	}
-	assert_non_null(scene->sent);
-	for (guint i = 0; i < scene->sent->len; i++) {
-		if (!strcmp(test_sent_at(scene, i)->endpoint, "r")) {
-			test_drop_scene(scene);
+	assert_non_null(scene->attempts);
+	for (guint i = 0; i < scene->attempts->len; i++) {
+		if (!strcmp(test_attempt_at(scene, i)->endpoint, "r")) {
+			test_free_gate(scene);
 			return;
 		}
 	}
--- a/tests/test-gate-policy.c
+++ b/tests/test-gate-policy.c
@@ -10,7 +10,7 @@
 #include <glib.h>
 
 #include "ragwort/gate-policy.h"
-#include "support/gate-scene.h"
+#include "support/gate-fixture.h"
 #include "support/paths.h"
 
 static void test_values_by_name(void **state)
@@ -54,20 +54,21 @@
 
 	for (; names[n]; n++) {
 		struct rr_gate_policy policy;
-		struct gate_scene *scene;
+		struct gate_fixture *scene;
 
 		rr_init_gate_policy(&policy);
 		assert_true(rr_set_gate_policy(&policy, names[n], "off"));
-		scene = test_start_scene_by(&test_search_route, &policy);
+		scene = test_start_gate_with_policy(&test_search_route,
+						    &policy);
 		for (int i = 0; i < 40; i++) {
-			test_take(scene, "/search/1", 900);
-			test_pass(scene, 5 * TEST_MS);
+			test_submit(scene, "/search/1", 900);
+			test_advance_time(scene, 5 * TEST_MS);
 			test_reply_all(scene);
-			test_pass(scene, 5 * TEST_MS);
+			test_advance_time(scene, 5 * TEST_MS);
 		}
 		assert_int_equal(scene->answers->len, 40);
 		assert_int_equal(test_last_answer(scene)->status, 200);
-		test_drop_scene(scene);
+		test_free_gate(scene);
 	}
 	assert_true(n > 10);
 }
--- a/tests/test-gate-random.c
+++ b/tests/test-gate-random.c
@@ -15,7 +15,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "support/gate-scene.h"
+#include "support/gate-fixture.h"
 
 #define SERVICES 6
 #define REPLICAS 3
@@ -39,7 +39,7 @@
 };
 
 struct world {
-	struct gate_scene *scene;
+	struct gate_fixture *scene;
 	GRand *rand;
 	GHashTable *requests; /* id -> struct request */
 	guint sent_seen;
@@ -76,7 +76,7 @@
 		{ .name = "once",
 		  .prefix = "/once/",
 		  .services = first,
-		  .once = true,
+		  .non_idempotent = true,
 		  .max_attempts = 2,
 		  .objective_ms = 250,
 		  .timeout_ms = 1000 },
@@ -93,7 +93,7 @@
 		  .max_attempts = 2,
 		  .objective_ms = 80,
 		  .timeout_ms = 600,
-		  .least_share = 0.75,
+		  .min_share = 0.75,
 		  .priority = 1 },
 	};
 
@@ -107,15 +107,15 @@
 	char *name = g_strdup_printf("s%u", service);
 	char *id = g_strdup_printf("s%u.%u", service, replica);
 	static const char *const zones[] = { "a", "b", "c" };
-	struct test_lifetime lifetime = {
+	struct test_incarnation lifetime = {
 		.id = id,
 		.service = name,
 		.zone = zones[replica],
-		.born_ms = born_ms,
+		.started_ms = born_ms,
 		.draining = draining,
 	};
 
-	test_list_lifetime(world->scene, &lifetime);
+	test_list_incarnation(world->scene, &lifetime);
 	g_free(id);
 	g_free(name);
 }
@@ -150,15 +150,16 @@
 {
 	char *id = g_strdup_printf("s%u.%u", service, replica);
 
-	rr_gate_unlist(world->scene->ctx, world->scene->gate,
-		       world->scene->now_us, id);
+	rr_gate_unlist_endpoint(world->scene->ctx, world->scene->gate,
+				world->scene->now_us, id);
 	if (!world->unlisted_us[service][replica])
 		world->unlisted_us[service][replica] = world->scene->now_us;
 	g_free(id);
 }
 
 /* Nothing goes to a replica that drains, or is gone from the list for 2 s. */
-static void check_sent(struct world *world, const struct test_sent *sent)
+static void check_sent(struct world *world,
+		       const struct test_sent_attempt *sent)
 {
 	struct request *request = find(world, sent->request);
 	uint32_t service = (uint32_t)(sent->endpoint[1] - '0');
@@ -172,7 +173,7 @@
 	assert_false(request->left);
 	assert_false(world->draining[service][replica]);
 	assert_int_equal(
-		g_ascii_strtoll(strchr(sent->lifetime, '@') + 1, NULL, 10),
+		g_ascii_strtoll(strchr(sent->incarnation, '@') + 1, NULL, 10),
 		world->born_ms[service][replica]);
 	assert_true(!unlisted_us || sent->at_us - unlisted_us < 2000 * TEST_MS);
 	count = GPOINTER_TO_UINT(
@@ -197,7 +198,7 @@
 	assert_true(request->open);
 	request->open = false;
 	switch (answer->kind) {
-	case RR_GATE_OWN:
+	case RR_GATE_LOCAL_ANSWER:
 		if (answer->status == 503 || answer->status == 429)
 			assert_int_equal(request->may_have_run, 0);
 		else
@@ -206,10 +207,10 @@
 		assert_true((answer->status == 503) ==
 			    (answer->retry_after_ms > 0));
 		break;
-	case RR_GATE_FORWARDED:
+	case RR_GATE_PROXIED_ANSWER:
 		assert_false(request->gathers);
 		break;
-	case RR_GATE_GATHERED:
+	case RR_GATE_MERGED_ANSWER:
 		assert_true(request->gathers);
 		assert_true(answer->missing <= 1);
 		break;
@@ -219,10 +220,10 @@
 
 static void check_news(struct world *world)
 {
-	struct gate_scene *scene = world->scene;
+	struct gate_fixture *scene = world->scene;
 
-	while (world->sent_seen < scene->sent->len)
-		check_sent(world, test_sent_at(scene, world->sent_seen++));
+	while (world->sent_seen < scene->attempts->len)
+		check_sent(world, test_attempt_at(scene, world->sent_seen++));
 	while (world->answers_seen < scene->answers->len)
 		check_answer(world, g_ptr_array_index(scene->answers,
 						      world->answers_seen++));
@@ -250,7 +251,7 @@
 		request->end_us = world->scene->now_us + deadline_ms * TEST_MS;
 	request->per_service = g_hash_table_new(NULL, NULL);
 	world->asked++;
-	*key = test_take(world->scene, paths[kind], deadline_ms);
+	*key = test_submit(world->scene, paths[kind], deadline_ms);
 	g_hash_table_insert(world->requests, key, request);
 }
 
@@ -258,23 +259,23 @@
 {
 	static const enum rr_gate_outcome outcomes[] = {
 		RR_GATE_ANSWERED, RR_GATE_ANSWERED, RR_GATE_ANSWERED,
-		RR_GATE_ANSWERED, RR_GATE_REFUSED,  RR_GATE_UNSENT,
-		RR_GATE_BROKEN,	  RR_GATE_SILENT,
+		RR_GATE_ANSWERED, RR_GATE_REJECTED, RR_GATE_UNSENT,
+		RR_GATE_BROKEN,	  RR_GATE_NO_REPLY,
 	};
-	struct gate_scene *scene = world->scene;
+	struct gate_fixture *scene = world->scene;
 	enum rr_gate_outcome outcome =
 		outcomes[draw(world, G_N_ELEMENTS(outcomes))];
 	uint16_t status =
 		outcome == RR_GATE_ANSWERED ? (draw(world, 10) ? 200 : 500) : 0;
-	guint from = scene->sent->len > 40 ? scene->sent->len - 40 : 0;
+	guint from = scene->attempts->len > 40 ? scene->attempts->len - 40 : 0;
 
-	for (guint i = from; i < scene->sent->len; i++) {
-		struct test_sent *sent = test_sent_at(scene, i);
+	for (guint i = from; i < scene->attempts->len; i++) {
+		struct test_sent_attempt *sent = test_attempt_at(scene, i);
 		struct request *request = find(world, sent->request);
 
-		if (sent->replied || sent->withdrawn || draw(world, 3))
+		if (sent->replied || sent->cancelled || draw(world, 3))
 			continue;
-		if (outcome == RR_GATE_REFUSED || outcome == RR_GATE_UNSENT) {
+		if (outcome == RR_GATE_REJECTED || outcome == RR_GATE_UNSENT) {
 			gpointer key = GUINT_TO_POINTER(
 				(guint)(sent->endpoint[1] - '0'));
 			guint count = GPOINTER_TO_UINT(
@@ -291,7 +292,7 @@
 
 static void leave(struct world *world)
 {
-	struct gate_scene *scene = world->scene;
+	struct gate_fixture *scene = world->scene;
 	GHashTableIter iter;
 	gpointer key;
 	gpointer value;
@@ -304,8 +305,8 @@
 			continue;
 		request->left = true;
 		if (draw(world, 2)) {
-			rr_gate_leave(scene->ctx, scene->gate, scene->now_us,
-				      *(uint64_t *)key);
+			rr_gate_half_close(scene->ctx, scene->gate,
+					   scene->now_us, *(uint64_t *)key);
 			return;
 		}
 		request->open = false;
@@ -323,22 +324,23 @@
 /* Old requests and attempts go, or the run would be quadratic. */
 static void clean_up(struct world *world)
 {
-	if (world->scene->sent->len < 4000)
+	if (world->scene->attempts->len < 4000)
 		return;
 	check_news(world);
-	test_pass(world->scene, 2000 * TEST_MS);
+	test_advance_time(world->scene, 2000 * TEST_MS);
 	check_news(world);
-	for (guint i = 0; i < world->scene->sent->len; i++) {
-		struct test_sent *sent = test_sent_at(world->scene, i);
+	for (guint i = 0; i < world->scene->attempts->len; i++) {
+		struct test_sent_attempt *sent =
+			test_attempt_at(world->scene, i);
 
-		if (!sent->replied && !sent->withdrawn)
-			test_reply(world->scene, sent, RR_GATE_SILENT, 0);
+		if (!sent->replied && !sent->cancelled)
+			test_reply(world->scene, sent, RR_GATE_NO_REPLY, 0);
 	}
 	check_news(world);
-	assert_int_equal(rr_gate_open_requests(world->scene->gate), 0);
+	assert_int_equal(rr_gate_count_requests(world->scene->gate), 0);
 	g_hash_table_foreach_remove(world->requests, is_over, NULL);
 	assert_int_equal(g_hash_table_size(world->requests), 0);
-	g_ptr_array_set_size(world->scene->sent, 0);
+	g_ptr_array_set_size(world->scene->attempts, 0);
 	g_ptr_array_set_size(world->scene->answers, 0);
 	world->sent_seen = 0;
 	world->answers_seen = 0;
@@ -346,7 +348,7 @@
 
 static void probe_outcome(struct world *world)
 {
-	struct gate_scene *scene = world->scene;
+	struct gate_fixture *scene = world->scene;
 	char *id;
 
 	if (!scene->probes->len)
@@ -369,7 +371,7 @@
 	else if (what < 850)
 		reply(world);
 	else if (what < 960)
-		test_pass(world->scene, draw(world, 20) * TEST_MS);
+		test_advance_time(world->scene, draw(world, 20) * TEST_MS);
 	else if (what < 980)
 		leave(world);
 	else if (what < 985)
@@ -392,7 +394,7 @@
 
 static void run(uint32_t seed, int steps)
 {
-	struct world world = { .scene = test_new_scene(seed) };
+	struct world world = { .scene = test_new_gate(seed) };
 
 	world.rand = g_rand_new_with_seed(seed);
 	world.requests = g_hash_table_new_full(g_int64_hash, g_int64_equal,
@@ -408,7 +410,7 @@
 		step(&world);
 	g_hash_table_unref(world.requests);
 	g_rand_free(world.rand);
-	test_drop_scene(world.scene);
+	test_free_gate(world.scene);
 }
 
 static void test_seeds(void **state)
--- a/tests/test-gate-zone.c
+++ b/tests/test-gate-zone.c
@@ -10,16 +10,16 @@
 #include <glib.h>
 #include <string.h>
 
-#include "support/gate-scene.h"
+#include "support/gate-fixture.h"
 
 /* Replicas of these zones answer what is open there. */
-static void reply_from(struct gate_scene *scene, const char *zones)
+static void reply_from(struct gate_fixture *scene, const char *zones)
 {
-	for (guint j = 0; j < scene->sent->len; j++) {
-		struct test_sent *sent = test_sent_at(scene, j);
+	for (guint j = 0; j < scene->attempts->len; j++) {
+		struct test_sent_attempt *sent = test_attempt_at(scene, j);
 		const char *zone = strchr(sent->endpoint, '.') + 1;
 
-		if (!sent->replied && !sent->withdrawn && strchr(zones, *zone))
+		if (!sent->replied && !sent->cancelled && strchr(zones, *zone))
 			test_reply(scene, sent, RR_GATE_ANSWERED, 200);
 	}
 }
@@ -33,35 +33,35 @@
 static void test_a_zone_is_cut_off(void **state)
 {
 	struct test_route route = test_search_route;
-	struct gate_scene *scene = test_new_scene(7);
+	struct gate_fixture *scene = test_new_gate(7);
 	const char *reason;
 
-	route.least_share = 0.9;
-	test_list(scene, "s1.a", "s1", "a");
-	test_list(scene, "s2.a", "s2", "a");
-	test_list(scene, "s3.b", "s3", "b");
-	test_list(scene, "s4.b", "s4", "b");
+	route.min_share = 0.9;
+	test_list_replica(scene, "s1.a", "s1", "a");
+	test_list_replica(scene, "s2.a", "s2", "a");
+	test_list_replica(scene, "s3.b", "s3", "b");
+	test_list_replica(scene, "s4.b", "s4", "b");
 	test_set_routes(scene, 5, &route, 1);
-	assert_true(rr_gate_serves(scene->gate, &reason));
+	assert_true(rr_gate_is_ready(scene->gate, &reason));
 	for (int i = 0; i < 16; i++) {
-		test_take(scene, "/search/1", 200);
-		test_pass(scene, 3 * TEST_MS);
+		test_submit(scene, "/search/1", 200);
+		test_advance_time(scene, 3 * TEST_MS);
 		reply_from(scene, "a");
-		test_pass(scene, 60 * TEST_MS);
+		test_advance_time(scene, 60 * TEST_MS);
 	}
-	assert_false(rr_gate_serves(scene->gate, &reason));
+	assert_false(rr_gate_is_ready(scene->gate, &reason));
 	assert_string_equal(reason, "cut-off");
-	g_ptr_array_set_size(scene->sent, 0);
-	test_take(scene, "/search/1", 900);
-	assert_int_equal(scene->sent->len, 0);
+	g_ptr_array_set_size(scene->attempts, 0);
+	test_submit(scene, "/search/1", 900);
+	assert_int_equal(scene->attempts->len, 0);
 	assert_int_equal(test_last_answer(scene)->status, 503);
-	assert_true(test_last_answer(scene)->go_elsewhere);
+	assert_true(test_last_answer(scene)->close_connection);
 	g_ptr_array_set_size(scene->probes, 0);
-	test_pass(scene, 1000 * TEST_MS);
+	test_advance_time(scene, 1000 * TEST_MS);
 	assert_in_range(scene->probes->len, 3, 4);
 	rr_gate_probed(scene->ctx, scene->gate, scene->now_us, "s3.b", true);
-	assert_true(rr_gate_serves(scene->gate, &reason));
-	test_drop_scene(scene);
+	assert_true(rr_gate_is_ready(scene->gate, &reason));
+	test_free_gate(scene);
 }
 
 /*
@@ -74,23 +74,23 @@
 static void test_two_zones_fall_silent_at_once(void **state)
 {
 	struct test_route route = test_search_route;
-	struct gate_scene *scene = test_new_scene(7);
+	struct gate_fixture *scene = test_new_gate(7);
 	const char *reason;
 
 	(void)state;
-	route.least_share = 0.9;
-	test_list(scene, "s1.a", "s1", "a");
-	test_list(scene, "s2.b", "s2", "b");
-	test_list(scene, "s3.b", "s3", "b");
-	test_list(scene, "s4.c", "s4", "c");
+	route.min_share = 0.9;
+	test_list_replica(scene, "s1.a", "s1", "a");
+	test_list_replica(scene, "s2.b", "s2", "b");
+	test_list_replica(scene, "s3.b", "s3", "b");
+	test_list_replica(scene, "s4.c", "s4", "c");
 	test_set_routes(scene, 5, &route, 1);
 	for (int i = 0; i < 3; i++) {
-		test_take(scene, "/search/1", 90);
-		test_pass(scene, 95 * TEST_MS);
+		test_submit(scene, "/search/1", 90);
+		test_advance_time(scene, 95 * TEST_MS);
 	}
-	assert_false(rr_gate_serves(scene->gate, &reason));
+	assert_false(rr_gate_is_ready(scene->gate, &reason));
 	assert_string_equal(reason, "cut-off");
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -102,27 +102,28 @@
 {
 	static const char *const three[] = { "s1", "s2", "s3", NULL };
 	struct test_route route = test_search_route;
-	struct gate_scene *scene = test_new_scene(7);
+	struct gate_fixture *scene = test_new_gate(7);
 	const char *reason;
 
 	route.services = three;
-	route.least_share = 0.9;
-	test_list(scene, "s1.a", "s1", "a");
-	test_list(scene, "s2.b", "s2", "b");
-	test_list(scene, "s3.c", "s3", "c");
+	route.min_share = 0.9;
+	test_list_replica(scene, "s1.a", "s1", "a");
+	test_list_replica(scene, "s2.b", "s2", "b");
+	test_list_replica(scene, "s3.c", "s3", "c");
 	test_set_routes(scene, 5, &route, 1);
 	for (int i = 0; i < 40; i++) {
-		test_take(scene, "/search/1", 200);
-		test_pass(scene, 3 * TEST_MS);
-		for (guint j = 0; j < scene->sent->len; j++) {
-			struct test_sent *sent = test_sent_at(scene, j);
+		test_submit(scene, "/search/1", 200);
+		test_advance_time(scene, 3 * TEST_MS);
+		for (guint j = 0; j < scene->attempts->len; j++) {
+			struct test_sent_attempt *sent =
+				test_attempt_at(scene, j);
 			bool answers = strstr(sent->endpoint, ".a") ||
 				       (i < 12 && strstr(sent->endpoint, ".c"));
 
-			if (!sent->replied && !sent->withdrawn && answers)
+			if (!sent->replied && !sent->cancelled && answers)
 				test_reply(scene, sent, RR_GATE_ANSWERED, 200);
 		}
-		test_pass(scene, 60 * TEST_MS);
+		test_advance_time(scene, 60 * TEST_MS);
 		while (scene->probes->len) {
 			char *id = g_ptr_array_steal_index(scene->probes, 0);
 
@@ -131,9 +132,9 @@
 			g_free(id);
 		}
 	}
-	assert_false(rr_gate_serves(scene->gate, &reason));
+	assert_false(rr_gate_is_ready(scene->gate, &reason));
 	assert_string_equal(reason, "cut-off");
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -143,7 +144,7 @@
  */
 static void test_a_zone_refuses_connections(void **state)
 {
-	struct gate_scene *scene = test_new_scene(7);
+	struct gate_fixture *scene = test_new_gate(7);
 	struct rr_gate_reply reply = { .outcome = RR_GATE_UNSENT,
 				       .unreachable = true };
 	const char *reason;
@@ -151,24 +152,25 @@
 
 	for (int i = 0; i < 20; i++) {
 		g_snprintf(id, sizeof(id), "x%d.b", i);
-		test_list(scene, id, i < 6 ? "s1" : "other", "b");
+		test_list_replica(scene, id, i < 6 ? "s1" : "other", "b");
 	}
-	test_list(scene, "s2.a", "s2", "a");
-	test_list(scene, "s3.a", "s3", "a");
-	test_list(scene, "s4.a", "s4", "a");
+	test_list_replica(scene, "s2.a", "s2", "a");
+	test_list_replica(scene, "s3.a", "s3", "a");
+	test_list_replica(scene, "s4.a", "s4", "a");
 	{
 		struct test_route route = test_search_route;
 
-		route.least_share = 1;
+		route.min_share = 1;
 		test_set_routes(scene, 5, &route, 1);
 	}
-	test_pass(scene, 500 * TEST_MS);
+	test_advance_time(scene, 500 * TEST_MS);
 	for (int i = 0; i < 6; i++) {
-		test_take(scene, "/search/1", 900);
-		for (guint j = 0; j < scene->sent->len; j++) {
-			struct test_sent *sent = test_sent_at(scene, j);
+		test_submit(scene, "/search/1", 900);
+		for (guint j = 0; j < scene->attempts->len; j++) {
+			struct test_sent_attempt *sent =
+				test_attempt_at(scene, j);
 
-			if (sent->replied || sent->withdrawn ||
+			if (sent->replied || sent->cancelled ||
 			    !strstr(sent->endpoint, ".b"))
 				continue;
 			sent->replied = true;
@@ -179,7 +181,7 @@
 		test_reply_all(scene);
 	}
 	for (int i = 0; i < 3; i++) {
-		test_pass(scene, 310 * TEST_MS);
+		test_advance_time(scene, 310 * TEST_MS);
 		while (scene->probes->len) {
 			char *probed =
 				g_ptr_array_steal_index(scene->probes, 0);
@@ -189,9 +191,9 @@
 			g_free(probed);
 		}
 	}
-	assert_false(rr_gate_serves(scene->gate, &reason));
+	assert_false(rr_gate_is_ready(scene->gate, &reason));
 	assert_string_equal(reason, "cut-off");
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -200,38 +202,39 @@
  */
 static void test_a_dark_replica_is_probed(void **state)
 {
-	struct gate_scene *scene = test_start_scene(&test_often_route);
+	struct gate_fixture *scene = test_start_gate(&test_idempotent_route);
 
-	test_earn_extras(scene, "/often/1");
-	test_take(scene, "/often/1", 900);
+	test_earn_retry_budget(scene, "/often/1");
+	test_submit(scene, "/often/1", 900);
 	{
 		struct rr_gate_reply reply = {
-			.attempt = test_sent_at(scene, 0)->attempt,
+			.attempt = test_attempt_at(scene, 0)->attempt,
 			.outcome = RR_GATE_UNSENT,
 			.unreachable = true,
 		};
 
-		test_sent_at(scene, 0)->replied = true;
+		test_attempt_at(scene, 0)->replied = true;
 		rr_gate_reply(scene->ctx, scene->gate, scene->now_us, &reply);
 	}
 	test_reply_all(scene);
-	g_ptr_array_set_size(scene->sent, 0);
+	g_ptr_array_set_size(scene->attempts, 0);
 	for (int i = 0; i < 30; i++) {
-		test_take(scene, "/often/1", 900);
+		test_submit(scene, "/often/1", 900);
 		test_reply_all(scene);
-		test_pass(scene, 50 * TEST_MS);
+		test_advance_time(scene, 50 * TEST_MS);
 		if (scene->probes->len)
 			rr_gate_probed(scene->ctx, scene->gate, scene->now_us,
 				       "s.a", false);
 	}
-	for (guint i = 0; i < scene->sent->len; i++)
-		assert_string_equal(test_sent_at(scene, i)->endpoint, "s.b");
+	for (guint i = 0; i < scene->attempts->len; i++)
+		assert_string_equal(test_attempt_at(scene, i)->endpoint, "s.b");
 	assert_true(scene->probes->len > 1);
 	rr_gate_probed(scene->ctx, scene->gate, scene->now_us, "s.a", true);
-	test_take(scene, "/often/1", 900);
-	assert_string_equal(test_sent_at(scene, scene->sent->len - 1)->endpoint,
-			    "s.a");
-	test_drop_scene(scene);
+	test_submit(scene, "/often/1", 900);
+	assert_string_equal(
+		test_attempt_at(scene, scene->attempts->len - 1)->endpoint,
+		"s.a");
+	test_free_gate(scene);
 }
 
 /*
@@ -243,34 +246,34 @@
 static void test_a_cut_shows_before_attempts_are_given_up(void **state)
 {
 	struct test_route route = test_search_route;
-	struct gate_scene *scene = test_new_scene(7);
+	struct gate_fixture *scene = test_new_gate(7);
 	const char *reason;
 	int64_t cut_us;
 
 	(void)state;
-	route.least_share = 0.9;
-	test_list(scene, "s1.a", "s1", "a");
-	test_list(scene, "s2.b", "s2", "b");
-	test_list(scene, "s3.c", "s3", "c");
-	test_list(scene, "s4.c", "s4", "c");
+	route.min_share = 0.9;
+	test_list_replica(scene, "s1.a", "s1", "a");
+	test_list_replica(scene, "s2.b", "s2", "b");
+	test_list_replica(scene, "s3.c", "s3", "c");
+	test_list_replica(scene, "s4.c", "s4", "c");
 	test_set_routes(scene, 5, &route, 1);
 	for (int i = 0; i < 20; i++) {
-		test_take(scene, "/search/1", 1200);
-		test_pass(scene, 5 * TEST_MS);
+		test_submit(scene, "/search/1", 1200);
+		test_advance_time(scene, 5 * TEST_MS);
 		reply_from(scene, "abc");
-		test_pass(scene, 45 * TEST_MS);
+		test_advance_time(scene, 45 * TEST_MS);
 	}
 	cut_us = scene->now_us;
-	while (rr_gate_serves(scene->gate, &reason)) {
-		test_take(scene, "/search/1", 1200);
-		test_pass(scene, 5 * TEST_MS);
+	while (rr_gate_is_ready(scene->gate, &reason)) {
+		test_submit(scene, "/search/1", 1200);
+		test_advance_time(scene, 5 * TEST_MS);
 		reply_from(scene, "a");
-		test_pass(scene, 45 * TEST_MS);
+		test_advance_time(scene, 45 * TEST_MS);
 		if (scene->now_us - cut_us > 250 * TEST_MS)
 			fail_msg("not known after a quarter of a second");
 	}
 	assert_string_equal(reason, "cut-off");
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -280,25 +283,26 @@
  */
 static void test_silence_shows_without_extra_attempts(void **state)
 {
-	struct test_route route = test_often_route;
-	struct gate_scene *scene = test_new_scene(7);
+	struct test_route route = test_idempotent_route;
+	struct gate_fixture *scene = test_new_gate(7);
 
 	(void)state;
 	route.timeout_ms = 20000;
-	test_list(scene, "s.a", "s", "a");
+	test_list_replica(scene, "s.a", "s", "a");
 	test_set_routes(scene, 5, &route, 1);
-	test_list(scene, "t.b", "t", "b");
-	test_earn_extras(scene, "/often/1");
-	test_take(scene, "/often/1", 10000);
-	assert_string_equal(test_sent_at(scene, 0)->endpoint, "s.a");
-	test_pass(scene, 900 * TEST_MS);
-	assert_false(test_sent_at(scene, 0)->withdrawn);
+	test_list_replica(scene, "t.b", "t", "b");
+	test_earn_retry_budget(scene, "/often/1");
+	test_submit(scene, "/often/1", 10000);
+	assert_string_equal(test_attempt_at(scene, 0)->endpoint, "s.a");
+	test_advance_time(scene, 900 * TEST_MS);
+	assert_false(test_attempt_at(scene, 0)->cancelled);
 	assert_true(scene->probes->len > 0);
-	test_list(scene, "s.b", "s", "b");
-	test_take(scene, "/often/1", 10000);
-	assert_string_equal(test_sent_at(scene, scene->sent->len - 1)->endpoint,
-			    "s.b");
-	test_drop_scene(scene);
+	test_list_replica(scene, "s.b", "s", "b");
+	test_submit(scene, "/often/1", 10000);
+	assert_string_equal(
+		test_attempt_at(scene, scene->attempts->len - 1)->endpoint,
+		"s.b");
+	test_free_gate(scene);
 }
 
 /*
@@ -307,27 +311,27 @@
  */
 static void test_a_pause_is_no_cut(void **state)
 {
-	struct gate_scene *scene = test_start_scene(&test_search_route);
+	struct gate_fixture *scene = test_start_gate(&test_search_route);
 	guint probes = 0;
 
 	(void)state;
 	for (int i = 0; i < 60; i++) {
 		bool pauses = i % 10 < 2;
 
-		test_take(scene, "/search/1", 1200);
-		test_pass(scene, 5 * TEST_MS);
+		test_submit(scene, "/search/1", 1200);
+		test_advance_time(scene, 5 * TEST_MS);
 		reply_from(scene, pauses ? "a" : "ab");
-		test_pass(scene, 45 * TEST_MS);
+		test_advance_time(scene, 45 * TEST_MS);
 		for (; probes < scene->probes->len; probes++)
 			rr_gate_probed(scene->ctx, scene->gate, scene->now_us,
 				       g_ptr_array_index(scene->probes, probes),
 				       true);
 	}
-	g_ptr_array_set_size(scene->sent, 0);
-	test_list_draining(scene, "s1.a", "s1", "a");
-	test_take(scene, "/search/1", 1200);
-	assert_non_null(test_open_at(scene, "s1.b"));
-	test_drop_scene(scene);
+	g_ptr_array_set_size(scene->attempts, 0);
+	test_list_draining_replica(scene, "s1.a", "s1", "a");
+	test_submit(scene, "/search/1", 1200);
+	assert_non_null(test_find_open_attempt(scene, "s1.b"));
+	test_free_gate(scene);
 }
 
 /*
@@ -339,7 +343,7 @@
 static void test_own_delay_is_not_silence(void **state)
 {
 	enum { SHARDS = 180 };
-	struct gate_scene *scene = test_new_scene(7);
+	struct gate_fixture *scene = test_new_gate(7);
 	const char *names[SHARDS + 1] = { NULL };
 	struct test_route route = test_search_route;
 	const char *reason;
@@ -349,31 +353,31 @@
 		char *id = g_strdup_printf("s%d.%c", i, 'b' + i % 4);
 
 		names[i] = g_strdup_printf("s%d", i);
-		test_list(scene, id, names[i], strchr(id, '.') + 1);
+		test_list_replica(scene, id, names[i], strchr(id, '.') + 1);
 		g_free(id);
 	}
 	route.services = names;
 	route.objective_ms = 240;
 	test_set_routes(scene, 5, &route, 1);
 	for (int i = 0; i < 3; i++) {
-		test_take(scene, "/search/1", 900);
+		test_submit(scene, "/search/1", 900);
 		scene->now_us += 150 * TEST_MS;
-		rr_gate_held_up(scene->ctx, scene->gate, scene->now_us,
-				150 * TEST_MS);
+		rr_gate_report_stall(scene->ctx, scene->gate, scene->now_us,
+				     150 * TEST_MS);
 		/* Timers that came due meanwhile, then what was unread. */
 		rr_gate_tick(scene->ctx, scene->gate, scene->now_us);
 		assert_int_equal(scene->probes->len, 0);
-		assert_true(rr_gate_serves(scene->gate, &reason));
+		assert_true(rr_gate_is_ready(scene->gate, &reason));
 		test_reply_all(scene);
-		test_pass(scene, 100 * TEST_MS);
+		test_advance_time(scene, 100 * TEST_MS);
 	}
 	/* Without a delay the same silence is judged. */
-	test_take(scene, "/search/1", 900);
-	test_pass(scene, 300 * TEST_MS);
+	test_submit(scene, "/search/1", 900);
+	test_advance_time(scene, 300 * TEST_MS);
 	assert_true(scene->probes->len > 0);
 	for (int i = 0; i < SHARDS; i++)
 		g_free((char *)names[i]);
-	test_drop_scene(scene);
+	test_free_gate(scene);
 }
 
 /*
@@ -384,50 +388,50 @@
  */
 static void test_told_of_a_cut(void **state)
 {
-	struct gate_scene *scene = test_new_scene(7);
+	struct gate_fixture *scene = test_new_gate(7);
 	struct test_route route = test_search_route;
 	const char *reason;
 
 	(void)state;
-	route.least_share = 0.9;
-	test_list(scene, "s1.a", "s1", "a");
-	test_list(scene, "s2.a", "s2", "a");
-	test_list(scene, "s3.b", "s3", "b");
-	test_list(scene, "s4.c", "s4", "c");
+	route.min_share = 0.9;
+	test_list_replica(scene, "s1.a", "s1", "a");
+	test_list_replica(scene, "s2.a", "s2", "a");
+	test_list_replica(scene, "s3.b", "s3", "b");
+	test_list_replica(scene, "s4.c", "s4", "c");
 	test_set_routes(scene, 5, &route, 1);
 	rr_gate_suspect_zones(scene->ctx, scene->gate, scene->now_us);
 	assert_true(scene->probes->len >= 2);
-	assert_true(rr_gate_serves(scene->gate, &reason));
-	test_pass(scene, 200 * TEST_MS);
-	assert_false(rr_gate_serves(scene->gate, &reason));
+	assert_true(rr_gate_is_ready(scene->gate, &reason));
+	test_advance_time(scene, 200 * TEST_MS);
+	assert_false(rr_gate_is_ready(scene->gate, &reason));
 	assert_string_equal(reason, "cut-off");
-	assert_true(rr_gate_is_cut_off(scene->gate));
+	assert_true(rr_gate_is_isolated(scene->gate));
 	rr_gate_probed(scene->ctx, scene->gate, scene->now_us, "s3.b", true);
-	assert_true(rr_gate_serves(scene->gate, &reason));
-	test_drop_scene(scene);
+	assert_true(rr_gate_is_ready(scene->gate, &reason));
+	test_free_gate(scene);
 }
 
 /* Told wrongly, its probes are answered, and it goes on. */
 static void test_told_of_a_cut_wrongly(void **state)
 {
-	struct gate_scene *scene = test_new_scene(7);
+	struct gate_fixture *scene = test_new_gate(7);
 	struct test_route route = test_search_route;
 	const char *reason;
 
 	(void)state;
-	route.least_share = 0.9;
-	test_list(scene, "s1.a", "s1", "a");
-	test_list(scene, "s3.b", "s3", "b");
-	test_list(scene, "s4.c", "s4", "c");
+	route.min_share = 0.9;
+	test_list_replica(scene, "s1.a", "s1", "a");
+	test_list_replica(scene, "s3.b", "s3", "b");
+	test_list_replica(scene, "s4.c", "s4", "c");
 	test_set_routes(scene, 5, &route, 1);
 	rr_gate_suspect_zones(scene->ctx, scene->gate, scene->now_us);
-	test_pass(scene, 5 * TEST_MS);
+	test_advance_time(scene, 5 * TEST_MS);
 	rr_gate_probed(scene->ctx, scene->gate, scene->now_us, "s3.b", true);
 	rr_gate_probed(scene->ctx, scene->gate, scene->now_us, "s4.c", true);
-	test_pass(scene, 500 * TEST_MS);
-	assert_false(rr_gate_is_cut_off(scene->gate));
-	assert_true(rr_gate_serves(scene->gate, &reason));
-	test_drop_scene(scene);
+	test_advance_time(scene, 500 * TEST_MS);
+	assert_false(rr_gate_is_isolated(scene->gate));
+	assert_true(rr_gate_is_ready(scene->gate, &reason));
+	test_free_gate(scene);
 }
 
 int main(void)
--- a/tests/test-platform-entries.c
+++ b/tests/test-platform-entries.c
@@ -82,7 +82,7 @@
 	assert_true(item->replica->draining);
 	assert_int_equal(item->replica->slots, 2);
 	assert_int_equal(item->replica->cold_ms, 900);
-	assert_int_equal(item->replica->born_ms, 1700000000000);
+	assert_int_equal(item->replica->started_ms, 1700000000000);
 	rr_free_feed_item(item);
 	g_free(text);
 }
@@ -94,7 +94,7 @@
 	struct rr_feed_item *item = decode("i-1", text, strlen(text));
 
 	assert_non_null(item->replica);
-	assert_int_equal(item->replica->born_ms, 0);
+	assert_int_equal(item->replica->started_ms, 0);
 	rr_free_feed_item(item);
 	g_free(text);
 }
--- a/tests/test-platform-load.c
+++ b/tests/test-platform-load.c
@@ -35,10 +35,10 @@
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
-		struct rr_gate_load load = { .told = true };
+		struct rr_gate_load load = { .reported = true };
 
 		assert_false(rr_decode_load(texts[i], &load));
-		assert_false(load.told);
+		assert_false(load.reported);
 	}
 }
 
--- a/tests/test-platform-routes.c
+++ b/tests/test-platform-routes.c
@@ -54,12 +54,12 @@
 	assert_int_equal(route->n_parts, 3);
 	assert_string_equal(route->parts[2].service, "z");
 	assert_int_equal(route->top_k, 5);
-	assert_true(route->least_share == 0.75);
+	assert_true(route->min_share == 0.75);
 	assert_int_equal(route->objective_ms, 40);
 	assert_int_equal(route->timeout_ms, 600);
 	assert_int_equal(route->priority, 2);
 	route = find(table, "/t/1");
-	assert_int_equal(route->mode, RR_ROUTE_FORWARD);
+	assert_int_equal(route->mode, RR_ROUTE_PROXY);
 	assert_false(route->idempotent);
 	assert_int_equal(route->max_attempts, 3);
 	assert_string_equal(route->parts[0].service, "k");
--- a/tests/test-replica-pool.c
+++ b/tests/test-replica-pool.c
@@ -107,7 +107,7 @@
 	assert_int_equal(scene->replies, 0);
 	rr_tick_replica_port(scene->port, g_get_monotonic_time() + 1600 * 1000);
 	assert_int_equal(scene->replies, 1);
-	assert_int_equal(scene->outcome, RR_GATE_SILENT);
+	assert_int_equal(scene->outcome, RR_GATE_NO_REPLY);
 	raw_drop(peer);
 	replica_stop(scene);
 }
--- a/tests/test-replica-port.c
+++ b/tests/test-replica-port.c
@@ -41,13 +41,13 @@
 	(void)state;
 	raw_send(peer, REPLICA_OK "Load: 2,5,2,800\r\n\r\nab");
 	raw_turn_until(&scene->replies, 1);
-	assert_true(scene->load.told);
+	assert_true(scene->load.reported);
 	assert_int_equal(scene->load.pace_percent, 800);
 	replica_ask(scene);
 	raw_expect(peer, REPLICA_GET);
 	raw_send(peer, REPLICA_OK "Load: busy\r\n\r\ncd");
 	raw_turn_until(&scene->replies, 2);
-	assert_false(scene->load.told);
+	assert_false(scene->load.reported);
 	assert_int_equal(scene->outcome, RR_GATE_ANSWERED);
 	assert_int_equal(rr_counter_value(scene->ctx, RR_N_BAD_LOADS), 1);
 	raw_drop(peer);
@@ -207,7 +207,7 @@
 
 		raw_send(peer, cases[i].text);
 		raw_turn_until(&scene->replies, 1);
-		assert_int_equal(scene->outcome, RR_GATE_REFUSED);
+		assert_int_equal(scene->outcome, RR_GATE_REJECTED);
 		assert_int_equal(scene->other_instance, cases[i].other);
 		raw_drop(peer);
 		replica_stop(scene);
