--- a/bench/gate/emulated-crash.c
+++ b/bench/gate/emulated-crash.c
@@ -147,7 +147,7 @@
 	const struct rr_quarantine_entry *known =
 		g_hash_table_lookup(world->entries, &entry->fingerprint.low);
 
-	return known && known->in_force >= entry->in_force &&
+	return known && known->quarantined >= entry->quarantined &&
 	       g_strv_length(known->crashed) >= g_strv_length(entry->crashed);
 }
 
--- a/bench/gate/emulated-fault.c
+++ b/bench/gate/emulated-fault.c
@@ -78,8 +78,9 @@
 		struct instance *instance =
 			g_ptr_array_index(world->instances, i);
 
-		rr_gate_evacuate(instance->ctx, instance->gate, world->now_us,
-				 name, (uint64_t)world->now_us, in_force);
+		rr_gate_set_evacuation(instance->ctx, instance->gate,
+				       world->now_us, name,
+				       (uint64_t)world->now_us, in_force);
 		set_tick(instance);
 	}
 }
--- a/bench/gate/emulator.c
+++ b/bench/gate/emulator.c
@@ -210,8 +210,9 @@
 	struct probe *probe = data;
 	struct instance *instance = probe->instance;
 
-	rr_gate_probed(instance->ctx, instance->gate, instance->world->now_us,
-		       probe->lifetime, probe->reached);
+	rr_gate_handle_probe_result(instance->ctx, instance->gate,
+				    instance->world->now_us, probe->lifetime,
+				    probe->reached);
 	set_tick(instance);
 	g_free(probe->lifetime);
 	g_free(probe);
--- a/fuzz/entries.c
+++ b/fuzz/entries.c
@@ -63,7 +63,7 @@
 	if (!entry == !fault)
 		abort();
 	if (entry &&
-	    (!entry->crashed[0] || !rr_is_fingerprint(&entry->fingerprint)))
+	    (!entry->crashed[0] || !rr_is_fingerprint_set(&entry->fingerprint)))
 		abort();
 	rr_free_quarantine_entry(entry);
 }
--- a/include/ragwort/fingerprint.h
+++ b/include/ragwort/fingerprint.h
@@ -13,7 +13,7 @@
 #include <stdint.h>
 
 /* Buffer size for a fingerprint in hexadecimal, with the null byte. */
-#define RR_FINGERPRINT_TEXT 33
+#define RR_FINGERPRINT_TEXT_SIZE 33
 
 struct rr_fingerprint {
 	uint64_t high;
@@ -34,12 +34,12 @@
 /* Hash a request's parts.  Linear in the length of the body. */
 struct rr_fingerprint rr_fingerprint(const struct rr_fingerprint_parts *parts);
 /* False if it is unset. */
-bool rr_is_fingerprint(const struct rr_fingerprint *fingerprint);
+bool rr_is_fingerprint_set(const struct rr_fingerprint *fingerprint);
 bool rr_same_fingerprint(const struct rr_fingerprint *a,
 			 const struct rr_fingerprint *b);
 /* Write 32 lower-case hexadecimal digits to `text`, and return it. */
 char *rr_format_fingerprint(const struct rr_fingerprint *fingerprint,
-			    char text[RR_FINGERPRINT_TEXT]);
+			    char text[RR_FINGERPRINT_TEXT_SIZE]);
 /* Parse 32 lower-case hexadecimal digits.  False if `text` is malformed. */
 bool rr_parse_fingerprint(const char *text, struct rr_fingerprint *fingerprint);
 
--- a/include/ragwort/gate-policy-list.h
+++ b/include/ragwort/gate-policy-list.h
@@ -39,7 +39,7 @@
 RR_POLICY_SWITCH(choose_avoids_suspects, true, "a replica that was silent gets no work until a probe reaches it or its suspicion ends")
 
 /* How many attempts are open at a replica. */
-RR_POLICY_SWITCH(limit_adapts, true, "open attempts at a replica are limited by its answers' times and refusals (limit.c)")
+RR_POLICY_SWITCH(limit_adapts, true, "open attempts at a replica are limited by its answers' times and refusals (concurrency-limit.c)")
 RR_POLICY_NUMBER(limit_shed_shrink, 0.5, "of the limit", "what a refusal for want of room leaves of the limit")
 
 /* When a part is sent to another replica as well. */
--- a/include/ragwort/gate.h
+++ b/include/ragwort/gate.h
@@ -159,14 +159,14 @@
 			   const char *address);
 	/*
 	 * Find out whether a replica that was silent can be reached: by a new
-	 * connection.  rr_gate_probed() tells.
+	 * connection.  rr_gate_handle_probe_result() tells.
 	 */
 	void (*probe)(void *data, const char *lifetime, const char *address);
 	/* A replica takes no new work: connections that are idle may go. */
 	void (*close_idle)(void *data, const char *lifetime);
 	/*
 	 * Publish what is known of a query of death.  The outcome of a claim
-	 * is passed to rr_gate_claimed().
+	 * is passed to rr_gate_handle_claim_result().
 	 */
 	void (*report)(void *data, const struct rr_quarantine_report *report);
 	void *data;
@@ -236,9 +236,9 @@
  * `revision` is the store's; what is older than the latest known counts for
  * nothing.  The zone need not be known yet.
  */
-void rr_gate_evacuate(struct rr_context *ctx, struct rr_gate *gate,
-		      int64_t now_us, const char *zone, uint64_t revision,
-		      bool in_force);
+void rr_gate_set_evacuation(struct rr_context *ctx, struct rr_gate *gate,
+			    int64_t now_us, const char *zone, uint64_t revision,
+			    bool in_force);
 
 /* An instance as its entry tells of it; strings are copied. */
 struct rr_gate_instance {
@@ -282,8 +282,9 @@
 		   const struct rr_gate_reply *reply);
 
 /* The outcome of a probe. */
-void rr_gate_probed(struct rr_context *ctx, struct rr_gate *gate,
-		    int64_t now_us, const char *lifetime, bool reached);
+void rr_gate_handle_probe_result(struct rr_context *ctx, struct rr_gate *gate,
+				 int64_t now_us, const char *lifetime,
+				 bool reached);
 
 /*
  * Apply the store's entry of a query of death.  `entry` is NULL if it was
@@ -294,9 +295,10 @@
 			      const struct rr_fingerprint *fingerprint,
 			      const struct rr_quarantine_entry *entry);
 /* The outcome of a claim: whether this instance may send one canary. */
-void rr_gate_claimed(struct rr_context *ctx, struct rr_gate *gate,
-		     int64_t now_us, const struct rr_quarantine_entry *entry,
-		     bool granted);
+void rr_gate_handle_claim_result(struct rr_context *ctx, struct rr_gate *gate,
+				 int64_t now_us,
+				 const struct rr_quarantine_entry *entry,
+				 bool granted);
 
 /* Whether it is cut off from all other zones and lacks a route for it. */
 bool rr_gate_is_isolated(const struct rr_gate *gate);
--- a/include/ragwort/quarantine.h
+++ b/include/ragwort/quarantine.h
@@ -11,13 +11,13 @@
 #include "ragwort/fingerprint.h"
 
 /* Maximum number of replicas listed in an entry. */
-#define RR_QUARANTINE_MOST_CRASHED 4
+#define RR_QUARANTINE_MAX_CRASHED 4
 
 struct rr_quarantine_entry {
 	struct rr_fingerprint fingerprint;
 	char **crashed; /* lifetimes of replicas, NULL-terminated */
 	/* Quarantined: not sent to replicas.  Otherwise only suspected. */
-	bool in_force;
+	bool quarantined;
 	uint32_t trials; /* canary requests sent while quarantined */
 };
 
--- a/source/base/fingerprint.c
+++ b/source/base/fingerprint.c
@@ -46,7 +46,7 @@
 	return fingerprint;
 }
 
-bool rr_is_fingerprint(const struct rr_fingerprint *fingerprint)
+bool rr_is_fingerprint_set(const struct rr_fingerprint *fingerprint)
 {
 	return fingerprint->high || fingerprint->low;
 }
@@ -58,9 +58,9 @@
 }
 
 char *rr_format_fingerprint(const struct rr_fingerprint *fingerprint,
-			    char text[RR_FINGERPRINT_TEXT])
+			    char text[RR_FINGERPRINT_TEXT_SIZE])
 {
-	g_snprintf(text, RR_FINGERPRINT_TEXT,
+	g_snprintf(text, RR_FINGERPRINT_TEXT_SIZE,
 		   "%016" G_GINT64_MODIFIER "x%016" G_GINT64_MODIFIER "x",
 		   fingerprint->high, fingerprint->low);
 	return text;
@@ -81,8 +81,8 @@
 
 bool rr_parse_fingerprint(const char *text, struct rr_fingerprint *fingerprint)
 {
-	return strlen(text) == RR_FINGERPRINT_TEXT - 1 &&
+	return strlen(text) == RR_FINGERPRINT_TEXT_SIZE - 1 &&
 	       parse_half(text, &fingerprint->high) &&
 	       parse_half(text + HALF_DIGITS, &fingerprint->low) &&
-	       rr_is_fingerprint(fingerprint);
+	       rr_is_fingerprint_set(fingerprint);
 }
--- a/source/core/admission.c
+++ b/source/core/admission.c
@@ -20,7 +20,7 @@
 				const struct rr_service *service)
 {
 	const struct rr_service_map *map = service->map;
-	int64_t typical_us = rr_sketch_quantile(&service->times, 0.5);
+	int64_t typical_us = rr_sketch_quantile_us(&service->times, 0.5);
 	uint64_t lanes = 0;
 
 	if (!service->n_waiting)
@@ -57,7 +57,7 @@
 	if (core->switches.no_admission)
 		return NULL;
 	if (service->n_open >= config->max_open_requests) {
-		wait_us = rr_sketch_quantile(&service->times, 0.5);
+		wait_us = rr_sketch_quantile_us(&service->times, 0.5);
 		*retry_after_ms = whole_ms(MAX(wait_us * 4, 20000));
 		return "overloaded";
 	}
--- a/source/core/choose.c
+++ b/source/core/choose.c
@@ -8,7 +8,7 @@
  * break ties.
  */
 #include "core/core-private.h"
-#include "core/pick.h"
+#include "core/weighted-choice.h"
 
 #include <string.h>
 
@@ -261,7 +261,7 @@
 	const struct rr_replica *x = shard->replicas[a];
 	const struct rr_replica *y = shard->replicas[b];
 	double typical_us =
-		(double)rr_sketch_quantile(&query->service->times, 0.5);
+		(double)rr_sketch_quantile_us(&query->service->times, 0.5);
 	double wait_x;
 	double wait_y;
 
@@ -273,7 +273,7 @@
 	    x->reported_load >= 0 && y->reported_load >= 0 &&
 	    ABS(x->reported_load - y->reported_load) > TIE)
 		return y->reported_load < x->reported_load ? b : a;
-	return rr_toss_for_lighter(ctx, wait_x, wait_y, WAIT_POWER) ? a : b;
+	return rr_choose_by_wait(ctx, wait_x, wait_y, WAIT_POWER) ? a : b;
 }
 
 size_t rr_choose_replica(struct rr_context *ctx, struct rr_core *core,
@@ -307,7 +307,7 @@
 static double outlier_border_us(const struct rr_replica *replica)
 {
 	double median_us =
-		(double)rr_sketch_quantile(&replica->service->times, 0.5);
+		(double)rr_sketch_quantile_us(&replica->service->times, 0.5);
 
 	return median_us > 0 ? OUTLIER_FACTOR * median_us + OUTLIER_MARGIN_US :
 			       0;
--- a/source/core/cold-share.c
+++ b/source/core/cold-share.c
@@ -18,16 +18,16 @@
 	uint32_t share;
 
 #ifdef RR_MUTANT_COLD_SHARE_UNDIVIDED
-	return MIN(all, RR_COLD_MOST);
+	return MIN(all, RR_COLD_MAX_PER_S);
 #endif
 	if (before >= owners)
 		return 0;
 	share = all / owners + (before < all % owners);
-	return MIN(share, RR_COLD_MOST);
+	return MIN(share, RR_COLD_MAX_PER_S);
 }
 
-bool rr_cold_may_send(const struct rr_cold_window *window, int64_t now_us,
-		      uint32_t share)
+bool rr_cold_window_has_room(const struct rr_cold_window *window,
+			     int64_t now_us, uint32_t share)
 {
 	uint64_t oldest;
 
@@ -35,11 +35,11 @@
 		return false;
 	if (window->n_sent < share)
 		return true;
-	oldest = (window->n_sent - share) % RR_COLD_MOST;
+	oldest = (window->n_sent - share) % RR_COLD_MAX_PER_S;
 	return now_us - window->sent_us[oldest] >= WINDOW_US;
 }
 
-void rr_cold_note_sent(struct rr_cold_window *window, int64_t now_us)
+void rr_add_to_cold_window(struct rr_cold_window *window, int64_t now_us)
 {
-	window->sent_us[window->n_sent++ % RR_COLD_MOST] = now_us;
+	window->sent_us[window->n_sent++ % RR_COLD_MAX_PER_S] = now_us;
 }
--- a/source/core/cold-share.h
+++ b/source/core/cold-share.h
@@ -14,7 +14,7 @@
 #include <stdint.h>
 
 /* The most that one instance sends a cold replica in a second. */
-#define RR_COLD_MOST 32
+#define RR_COLD_MAX_PER_S 32
 
 /*
  * What one instance may send in any second.  `bound` is what all may,
@@ -25,13 +25,13 @@
 
 /* Sendings to one replica of late; all zero: none. */
 struct rr_cold_window {
-	int64_t sent_us[RR_COLD_MOST]; /* a ring */
+	int64_t sent_us[RR_COLD_MAX_PER_S]; /* a ring */
 	uint64_t n_sent;
 };
 
 /* Whether one more may be sent to stay within a share. */
-bool rr_cold_may_send(const struct rr_cold_window *window, int64_t now_us,
-		      uint32_t share);
-void rr_cold_note_sent(struct rr_cold_window *window, int64_t now_us);
+bool rr_cold_window_has_room(const struct rr_cold_window *window,
+			     int64_t now_us, uint32_t share);
+void rr_add_to_cold_window(struct rr_cold_window *window, int64_t now_us);
 
 #endif
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -283,7 +283,7 @@
 	case RR_TIMER_DEADLINE:
 		rr_end_query_at_deadline(ctx, core, query);
 		return;
-	case RR_TIMER_ENOUGH:
+	case RR_TIMER_COVERAGE_WAIT:
 		rr_end_query_at_enough(ctx, core, query);
 		return;
 	case RR_TIMER_PROGRESS:
@@ -303,7 +303,7 @@
 {
 	switch (timer->kind) {
 	case RR_TIMER_DEADLINE:
-	case RR_TIMER_ENOUGH:
+	case RR_TIMER_COVERAGE_WAIT:
 	case RR_TIMER_LINGER:
 	case RR_TIMER_RETRY:
 	case RR_TIMER_PROGRESS:
@@ -318,18 +318,18 @@
 		return;
 	case RR_TIMER_POLL:
 	case RR_TIMER_POLL_TIMEOUT:
-	case RR_TIMER_PUMP:
+	case RR_TIMER_SEND_QUEUED:
 		fire_replica_timer(ctx, core, timer);
 		return;
-	case RR_TIMER_CONFIG_ASK:
+	case RR_TIMER_CONFIG_REQUEST:
 		rr_fire_config_ask(ctx, core, timer->id);
 		return;
-	case RR_TIMER_GATE_LOOK:
+	case RR_TIMER_GATE_ADVANCE:
 	case RR_TIMER_GATE_HEDGE:
 	case RR_TIMER_GATE_PROBE:
-	case RR_TIMER_GATE_ZONE:
-	case RR_TIMER_GATE_UNLISTED:
-	case RR_TIMER_GATE_CLAIM:
+	case RR_TIMER_GATE_ZONE_PROBE:
+	case RR_TIMER_GATE_UNLISTED_GRACE:
+	case RR_TIMER_GATE_CLAIM_TIMEOUT:
 		rr_invariant("own-timers", false);
 		return;
 	}
@@ -340,7 +340,7 @@
 	struct rr_timer timer;
 
 	enter(ctx, core, now_us);
-	while (rr_take_timer(core->timers, core->now_us, &timer))
+	while (rr_pop_timer(core->timers, core->now_us, &timer))
 		fire_timer(ctx, core, &timer);
 	if (core->ledger)
 		rr_tick_ledger(ctx, core->ledger, core->now_us);
--- a/source/core/evacuation.h
+++ b/source/core/evacuation.h
@@ -10,10 +10,10 @@
 
 /* All zero: a zone that never was evacuated. */
 struct rr_evacuation {
-	bool in_force;
-	bool returning;	   /* taken back, and not for long */
-	uint64_t revision; /* of the store, of the latest change known */
-	int64_t since_us;  /* when that change was learnt here */
+	bool active;
+	bool ended;	    /* taken back, and not for long */
+	uint64_t revision;  /* of the store, of the latest change known */
+	int64_t changed_us; /* when that change was learnt here */
 };
 
 /*
@@ -22,19 +22,19 @@
  * fallen behind and tells of an evacuation that is over, or of the time before
  * one that is in force.
  */
-bool rr_take_evacuation(struct rr_evacuation *evacuation, int64_t now_us,
-			uint64_t revision, bool in_force);
+bool rr_update_evacuation(struct rr_evacuation *evacuation, int64_t now_us,
+			  uint64_t revision, bool in_force);
 
 /*
  * The share of its work that a zone gets, from 0 to 1.  After it was taken
  * back it grows for `return_us`, so that its replicas, which may be cold, do
  * not get the work of all instances in one moment.
  */
-double rr_evacuation_share(const struct rr_evacuation *evacuation,
-			   int64_t now_us, int64_t return_us);
+double rr_zone_traffic_share(const struct rr_evacuation *evacuation,
+			     int64_t now_us, int64_t return_us);
 
 /* Whether the replicas of a zone may be cold for having been evacuated. */
-bool rr_evacuation_left_cold(const struct rr_evacuation *evacuation,
-			     int64_t now_us, int64_t cold_us);
+bool rr_is_cold_after_evacuation(const struct rr_evacuation *evacuation,
+				 int64_t now_us, int64_t cold_us);
 
 #endif
--- a/source/core/feed-report.c
+++ b/source/core/feed-report.c
@@ -116,7 +116,7 @@
 }
 
 static const char *text_of(const struct waiting_report *report,
-			   char text[RR_FINGERPRINT_TEXT])
+			   char text[RR_FINGERPRINT_TEXT_SIZE])
 {
 	return rr_format_fingerprint(&report->entry->fingerprint, text);
 }
@@ -158,7 +158,7 @@
 		  const struct waiting_report *report)
 {
 	return report->released ||
-	       (report->entry->in_force && count_known(feed) < MOST_LASTING);
+	       (report->entry->quarantined && count_known(feed) < MOST_LASTING);
 }
 
 void rr_tick_reports(struct rr_context *ctx, struct rr_feed *feed)
@@ -166,7 +166,7 @@
 	struct rr_reports *reports = feed->reports;
 	struct waiting_report *report = g_queue_peek_head(&reports->waiting);
 	struct rr_feed_call call = { .kind = RR_FEED_REPORT };
-	char text[RR_FINGERPRINT_TEXT];
+	char text[RR_FINGERPRINT_TEXT_SIZE];
 
 	if (!report || reports->line.call ||
 	    reports->line.due_us > feed->now_us)
@@ -211,7 +211,7 @@
 			const struct waiting_report *report, uint64_t revision)
 {
 	struct rr_reports *reports = feed->reports;
-	char text[RR_FINGERPRINT_TEXT];
+	char text[RR_FINGERPRINT_TEXT_SIZE];
 	uint64_t *kept = g_new(uint64_t, 1);
 
 	*kept = revision;
--- a/source/core/follow.c
+++ b/source/core/follow.c
@@ -108,7 +108,7 @@
 			replica->shard = shard;
 			replica->owners_view = 0;
 			if (replica->limit.value < 1)
-				rr_start_limit(&replica->limit,
+				rr_reset_limit(&replica->limit,
 					       rr_slot_share(replica));
 		}
 	}
@@ -124,9 +124,9 @@
 {
 	double room = MAX(SMALLEST_ROOM, (double)entry->n_shards);
 
-	rr_set_budget(&service->hedges, entry->hedge_budget, SMALLEST_ROOM,
-		      FIRST_HEDGES);
-	rr_set_budget(&service->retries, entry->retry_budget, room, room);
+	rr_set_token_budget(&service->hedges, entry->hedge_budget,
+			    SMALLEST_ROOM, FIRST_HEDGES);
+	rr_set_token_budget(&service->retries, entry->retry_budget, room, room);
 }
 
 static void put_service(struct rr_context *ctx, struct rr_core *core,
@@ -249,7 +249,7 @@
 	core->asking = true;
 	core->ask_number++;
 	rr_set_timer(core->timers, core->now_us + ASK_PERIOD_US,
-		     RR_TIMER_CONFIG_ASK, core->ask_number, 0);
+		     RR_TIMER_CONFIG_REQUEST, core->ask_number, 0);
 	rr_send_message(ctx, core, instance, address, message);
 }
 
--- a/source/core/gate-admit.c
+++ b/source/core/gate-admit.c
@@ -17,16 +17,16 @@
 		       const struct rr_gate_request *run,
 		       const struct rr_gate_service *service)
 {
-	struct rr_wait_outlook outlook = {
+	struct rr_overload_inputs outlook = {
 		.now_us = gate->now_us,
-		.cut_us = run->answer_by_us,
+		.answer_by_us = run->answer_by_us,
 		.typical_us = service->typical_us,
 	};
 
 	if (rr_service_has_capacity(gate, service))
 		return false;
 	outlook.capacity = rr_service_capacity(gate, service);
-	return rr_would_overrun(&service->wait_queue, &outlook);
+	return rr_would_overload(&service->wait_queue, &outlook);
 }
 
 enum rr_admission rr_admit_request(const struct rr_gate *gate,
--- a/source/core/gate-attempt.c
+++ b/source/core/gate-attempt.c
@@ -25,11 +25,11 @@
 
 void rr_trace_attempt(const struct rr_gate *gate, struct rr_gate_request *run,
 		      const struct rr_gate_attempt *attempt,
-		      enum rr_trail_kind kind, const char *reason,
+		      enum rr_trace_event_kind kind, const char *reason,
 		      uint32_t status)
 {
 	const struct rr_endpoint *endpoint = attempt->endpoint;
-	struct rr_trail_step step = {
+	struct rr_trace_event step = {
 		.at_us = gate->now_us,
 		.kind = kind,
 		.reason = reason,
@@ -38,20 +38,20 @@
 		.attempt = attempt->id,
 		.status = status,
 		.in_flight = endpoint->in_flight.length,
-		.slowness = rr_track_slowness(&endpoint->track, gate->now_us),
+		.slowness = rr_decayed_slowness(&endpoint->track, gate->now_us),
 		.pace_percent = endpoint->pace_percent,
 		.extras_left = rr_extras_left(&endpoint->service->retry_budget,
 					      gate->now_us),
 	};
 
-	rr_note_step(&run->trace, &step);
+	rr_add_trace_event(&run->trace, &step);
 }
 
 static void note_part(const struct rr_gate *gate, struct rr_gate_request *run,
-		      const struct rr_gate_part *part, enum rr_trail_kind kind,
-		      const char *reason)
+		      const struct rr_gate_part *part,
+		      enum rr_trace_event_kind kind, const char *reason)
 {
-	struct rr_trail_step step = {
+	struct rr_trace_event step = {
 		.at_us = gate->now_us,
 		.kind = kind,
 		.reason = reason,
@@ -60,7 +60,7 @@
 					      gate->now_us),
 	};
 
-	rr_note_step(&run->trace, &step);
+	rr_add_trace_event(&run->trace, &step);
 }
 
 static void withdraw(struct rr_context *ctx, struct rr_gate *gate,
@@ -68,7 +68,7 @@
 {
 	if (attempt->request)
 		rr_trace_attempt(gate, attempt->request, attempt,
-				 RR_TRAIL_WITHDRAWN, reason, 0);
+				 RR_TRACE_CANCELLED, reason, 0);
 	rr_count(ctx, RR_N_WITHDRAWN, 1);
 	gate->actions.cancel(gate->actions.data, attempt->id);
 	rr_remove_attempt(gate, attempt);
@@ -90,8 +90,8 @@
 	const struct rr_gate_policy *policy = &gate->policy;
 	int64_t typical_us =
 		rr_typical_attempt_us(gate, run->stats, run->route);
-	int64_t cheap_us = rr_sketch_quantile(&run->stats->attempt_times,
-					      policy->hedge_quantile);
+	int64_t cheap_us = rr_sketch_quantile_us(&run->stats->attempt_times,
+						 policy->hedge_quantile);
 	double dear_us = policy->hedge_dear_factor * (double)typical_us;
 	int64_t last_us;
 
@@ -101,8 +101,9 @@
 	cheap_us = MAX(cheap_us, policy->hedge_least_us);
 	/* A hedge that could not answer in time any more is worth little. */
 	last_us = run->answer_by_us - 2 * typical_us - part->last_sent_us;
-	return rr_hedge_price_us(
-		rr_extras_used(&part->service->retry_budget, gate->now_us),
+	return rr_hedge_threshold_us(
+		rr_extras_used_fraction(&part->service->retry_budget,
+					gate->now_us),
 		cheap_us, MIN((int64_t)dear_us, last_us));
 }
 
@@ -138,7 +139,7 @@
 	part->last_sent_us = gate->now_us;
 	run->n_may_have_run++;
 	rr_count(ctx, RR_N_ATTEMPTS, 1);
-	rr_trace_attempt(gate, run, attempt, RR_TRAIL_SENT, why, 0);
+	rr_trace_attempt(gate, run, attempt, RR_TRACE_SENT, why, 0);
 	send.attempt = attempt->id;
 	send.request = run->id;
 	send.endpoint = endpoint->id;
@@ -165,16 +166,16 @@
 {
 	struct rr_gate_part *part = &run->parts[index];
 	struct rr_waiter waiter = {
-		.run = run->id,
+		.request = run->id,
 		.part = (uint32_t)index,
 		.priority = run->route->priority,
 		.since_us = gate->now_us,
-		.cut_us = run->answer_by_us,
+		.answer_by_us = run->answer_by_us,
 	};
 
 	if (part->queued)
 		return;
-	note_part(gate, run, part, RR_TRAIL_WAITS, "no-room");
+	note_part(gate, run, part, RR_TRACE_QUEUED, "no-room");
 	part->queued = true;
 	rr_push_waiter(&part->service->wait_queue, &waiter);
 }
@@ -205,7 +206,7 @@
 	if (part->not_sent_reason == reason)
 		return;
 	part->not_sent_reason = reason;
-	note_part(gate, run, part, RR_TRAIL_NOT_SENT, reason);
+	note_part(gate, run, part, RR_TRACE_NOT_SENT, reason);
 }
 
 static const char *name_choice(const struct rr_gate_part *part,
@@ -279,7 +280,7 @@
 	if (!rr_pop_waiter(&service->wait_queue, gate->now_us,
 			   service->typical_us, &waiter))
 		return false;
-	run = rr_find_request(gate, waiter.run);
+	run = rr_find_request(gate, waiter.request);
 	if (run)
 		end_wait(ctx, gate, run, waiter.part);
 	return true;
@@ -323,9 +324,9 @@
 		set_timer(gate, due_us, RR_TIMER_GATE_HEDGE, id);
 		return;
 	}
-	rr_track_overdue(&attempt->endpoint->track, gate->now_us,
-			 gate->now_us - attempt->sent_us,
-			 rr_typical_attempt_us(gate, run->stats, run->route));
+	rr_observe_overdue(&attempt->endpoint->track, gate->now_us,
+			   gate->now_us - attempt->sent_us,
+			   rr_typical_attempt_us(gate, run->stats, run->route));
 	rr_note_attempt_overdue(ctx, gate, attempt->endpoint);
 	if (rr_try_send_part(ctx, gate, run, attempt->part, "hedge")) {
 		rr_count(ctx, RR_N_HEDGES, 1);
@@ -352,7 +353,7 @@
 		next = l->next;
 		if (attempt->part != index || !attempt->idempotent)
 			continue;
-		rr_track_overdue(
+		rr_observe_overdue(
 			&attempt->endpoint->track, gate->now_us,
 			gate->now_us - attempt->sent_us,
 			rr_typical_attempt_us(gate, run->stats, run->route));
@@ -402,14 +403,14 @@
 		if (!gate->actions.cancel_unsent(gate->actions.data,
 						 attempt->id))
 			continue;
-		rr_trace_attempt(gate, run, attempt, RR_TRAIL_WITHDRAWN,
+		rr_trace_attempt(gate, run, attempt, RR_TRACE_CANCELLED,
 				 "not-sent-yet", 0);
 		run->parts[attempt->part].n_may_have_run--;
 		run->parts[attempt->part].n_reached--;
 		run->n_may_have_run--;
 		rr_remove_attempt(gate, attempt);
 		rr_note_attempt_lost(ctx, gate, attempt->endpoint,
-				     RR_LOSS_SILENT);
+				     RR_LOSS_UNREACHABLE);
 		rr_free_attempt(attempt);
 	}
 }
--- a/source/core/gate-choose.c
+++ b/source/core/gate-choose.c
@@ -7,7 +7,7 @@
  * this instance has found the replica, times its own open work there.
  */
 #include "core/gate-private.h"
-#include "core/pick.h"
+#include "core/weighted-choice.h"
 
 enum tier {
 	TIER_GOOD,
@@ -21,7 +21,7 @@
 			      const struct rr_route_stats *record,
 			      const struct rr_route *route)
 {
-	int64_t typical_us = rr_sketch_quantile(&record->attempt_times, 0.5);
+	int64_t typical_us = rr_sketch_quantile_us(&record->attempt_times, 0.5);
 
 	if (typical_us)
 		return typical_us;
@@ -51,14 +51,14 @@
 	const GPtrArray *endpoints = endpoint->service->endpoints;
 
 	if (endpoint->service == gate->coordinators ||
-	    endpoint->track.silences_in_row > 1)
+	    endpoint->track.consecutive_silences > 1)
 		return false;
 	for (guint i = 0; i < endpoints->len; i++) {
 		const struct rr_endpoint *other =
 			g_ptr_array_index(endpoints, i);
 
 		if (other != endpoint && !other->draining &&
-		    !other->zone->evacuation->in_force)
+		    !other->zone->evacuation->active)
 			return false;
 	}
 	return true;
@@ -73,7 +73,7 @@
 	if (endpoint->draining || endpoint->zone->unreachable)
 		return false;
 #ifndef RR_MUTANT_GATE_IGNORES_EVACUATION
-	if (endpoint->zone->evacuation->in_force)
+	if (endpoint->zone->evacuation->active)
 		return false;
 #endif
 	if (!gate->policy.choose_avoids_suspects ||
@@ -126,9 +126,9 @@
 	double far_us;
 
 	if (policy->choose_by_losses)
-		losses = rr_track_losses(&endpoint->track, gate->now_us);
+		losses = rr_decayed_loss_rate(&endpoint->track, gate->now_us);
 	if (policy->choose_by_slowness)
-		wait_us *= rr_track_slowness(&endpoint->track, gate->now_us);
+		wait_us *= rr_decayed_slowness(&endpoint->track, gate->now_us);
 	wait_us *= 1 + policy->choose_busy_weight * endpoint->in_flight.length;
 	if (rr_is_cold(gate, endpoint))
 		wait_us *= policy->choose_cold_factor;
@@ -150,8 +150,8 @@
 	double wait_a = expected_wait_us(gate, a, reckoning);
 	double wait_b = expected_wait_us(gate, b, reckoning);
 
-	return rr_toss_for_lighter(ctx, wait_a, wait_b,
-				   gate->policy.choose_wait_power) ?
+	return rr_choose_by_wait(ctx, wait_a, wait_b,
+				 gate->policy.choose_wait_power) ?
 		       a :
 		       b;
 }
@@ -200,7 +200,7 @@
 
 	if (!gate->policy.limit_adapts)
 		return MAX(1, bounds.highest);
-	return rr_limit_now(&endpoint->limit, bounds.highest);
+	return rr_current_limit(&endpoint->limit, bounds.highest);
 }
 
 static bool has_room(const struct rr_gate *gate,
--- a/source/core/gate-cold.c
+++ b/source/core/gate-cold.c
@@ -22,8 +22,8 @@
 {
 	if (endpoint->cold_until_us > gate->now_us)
 		return true;
-	return endpoint->zone->evacuation->returning &&
-	       rr_evacuation_left_cold(
+	return endpoint->zone->evacuation->ended &&
+	       rr_is_cold_after_evacuation(
 		       endpoint->zone->evacuation, gate->now_us,
 		       rr_cold_period_us(gate, endpoint->service));
 }
@@ -118,13 +118,14 @@
 	if (has_just_begun(gate))
 		return false;
 	share = share_of(gate, endpoint, bound);
-	return rr_cold_may_send(&endpoint->cold_quota->window, gate->now_us,
-				share);
+	return rr_cold_window_has_room(&endpoint->cold_quota->window,
+				       gate->now_us, share);
 }
 
 void rr_charge_cold_quota(const struct rr_gate *gate,
 			  struct rr_endpoint *endpoint)
 {
 	if (endpoint->cold_quota && rr_is_cold(gate, endpoint))
-		rr_cold_note_sent(&endpoint->cold_quota->window, gate->now_us);
+		rr_add_to_cold_window(&endpoint->cold_quota->window,
+				      gate->now_us);
 }
--- a/source/core/gate-endpoint.c
+++ b/source/core/gate-endpoint.c
@@ -3,7 +3,7 @@
  *
  * The list is one source, what attempts see another: a lifetime that answers
  * 421 for another replica, or that the list calls draining, takes nothing new
- * any more; a later lifetime does (gate-lifetime.c).
+ * any more; a later lifetime does (gate-incarnation.c).
  */
 #include "core/gate-private.h"
 
@@ -31,7 +31,7 @@
 /* Whether a replica gets a line of its own now; else it is counted. */
 static bool is_told(struct rr_gate *gate)
 {
-	if (rr_take_trail_lines(&gate->list_log_budget, gate->now_us, 1, false))
+	if (rr_take_log_lines(&gate->list_log_budget, gate->now_us, 1, false))
 		return true;
 	gate->suppressed_changes++;
 	return false;
@@ -70,8 +70,8 @@
 			       gate->policy.share_weak_part /
 				       (gate->n_instances - holders) :
 			       (1 - gate->policy.share_weak_part) / holders;
-	rr_set_allowance(&service->retry_budget, gate->extra_ratio,
-			 slack * part);
+	rr_set_retry_budget(&service->retry_budget, gate->extra_ratio,
+			    slack * part);
 }
 
 struct rr_gate_service *rr_get_gate_service(struct rr_gate *gate,
@@ -86,8 +86,8 @@
 	service->name = g_strdup(name);
 	service->endpoints = g_ptr_array_new();
 	rr_init_wait_queue(&service->wait_queue);
-	rr_init_allowance(&service->retry_budget, gate->extra_window_us,
-			  gate->process_started_us);
+	rr_init_retry_budget(&service->retry_budget, gate->extra_window_us,
+			     gate->process_started_us);
 	set_extras(gate, service);
 	g_hash_table_insert(gate->services, service->name, service);
 	return service;
@@ -187,7 +187,7 @@
 	endpoint->zone = rr_get_gate_zone(gate, listing->zone);
 	endpoint->region = g_hash_table_lookup(gate->regions, listing->zone);
 	endpoint->service = rr_get_gate_service(gate, listing->service);
-	rr_init_track(&endpoint->track);
+	rr_init_passive_health(&endpoint->track);
 	g_queue_init(&endpoint->in_flight);
 	g_ptr_array_add(endpoint->service->endpoints, endpoint);
 	g_hash_table_insert(gate->endpoints, endpoint->id, endpoint);
@@ -305,7 +305,7 @@
 	endpoint->cold_until_us =
 		gate->now_us + (int64_t)listing->cold_ms * 1000;
 	if (is_new) {
-		rr_start_limit(&endpoint->limit,
+		rr_reset_limit(&endpoint->limit,
 			       rr_endpoint_bounds(gate, endpoint).share);
 		log_listed(ctx, gate, listing, "endpoint-listed", "new");
 	}
@@ -390,7 +390,7 @@
 	return;
 #endif
 	rr_set_timer(gate->timers, now_us + gate->policy.list_unlisted_grace_us,
-		     RR_TIMER_GATE_UNLISTED, endpoint->number, 0);
+		     RR_TIMER_GATE_UNLISTED_GRACE, endpoint->number, 0);
 }
 
 void rr_expire_unlisted(struct rr_context *ctx, struct rr_gate *gate,
--- a/source/core/gate-evacuate.c
+++ b/source/core/gate-evacuate.c
@@ -29,7 +29,7 @@
 
 		if (endpoint->draining)
 			continue;
-		if (!endpoint->zone->evacuation->in_force)
+		if (!endpoint->zone->evacuation->active)
 			return false;
 		any = true;
 	}
@@ -42,10 +42,11 @@
 	const struct rr_evacuation *evacuation = endpoint->zone->evacuation;
 	double share;
 
-	if (!evacuation->returning)
+	if (!evacuation->ended)
 		return false;
-	share = rr_evacuation_share(evacuation, gate->now_us,
-				    rr_cold_period_us(gate, endpoint->service));
+	share = rr_zone_traffic_share(
+		evacuation, gate->now_us,
+		rr_cold_period_us(gate, endpoint->service));
 	return share < 1 && rr_random_unit(ctx) >= share;
 }
 
@@ -125,19 +126,19 @@
 
 	g_hash_table_iter_init(&iter, gate->evacuations);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		n += ((const struct rr_evacuation *)value)->in_force;
+		n += ((const struct rr_evacuation *)value)->active;
 	return n;
 }
 
-void rr_gate_evacuate(struct rr_context *ctx, struct rr_gate *gate,
-		      int64_t now_us, const char *zone, uint64_t revision,
-		      bool in_force)
+void rr_gate_set_evacuation(struct rr_context *ctx, struct rr_gate *gate,
+			    int64_t now_us, const char *zone, uint64_t revision,
+			    bool in_force)
 {
 	guint left = 0;
 
 	gate->now_us = now_us;
-	if (!rr_take_evacuation(rr_get_evacuation(gate, zone), now_us, revision,
-				in_force))
+	if (!rr_update_evacuation(rr_get_evacuation(gate, zone), now_us,
+				  revision, in_force))
 		return;
 #ifdef RR_MUTANT_GATE_SENDS_AFTER_EVACUATION
 	return;
--- a/source/core/gate-lifetime.c
+++ b/source/core/gate-incarnation.c
@@ -1,5 +1,5 @@
 /*
- * gate-lifetime.c - which lifetime of a replica an entry tells of.
+ * gate-incarnation.c - which lifetime of a replica an entry tells of.
  *
  * A replica may start again under its id.  It then has nothing of before: no
  * drain, connection, work in flight or measured time of the earlier lifetime
--- a/source/core/gate-log.c
+++ b/source/core/gate-log.c
@@ -71,7 +71,7 @@
 		      size_t steps_left_out)
 {
 	struct lacks lacks = count_lacks(run);
-	char fingerprint[RR_FINGERPRINT_TEXT];
+	char fingerprint[RR_FINGERPRINT_TEXT_SIZE];
 
 	rr_format_fingerprint(&run->fingerprint, fingerprint);
 	rr_log(ctx, RR_LOG_INFO, "answered",
@@ -120,7 +120,7 @@
 }
 
 /* Whether a step is of a part that lacks, or of the whole request. */
-static bool is_of_lacking(void *data, const struct rr_trail_step *step)
+static bool is_of_lacking(void *data, const struct rr_trace_event *step)
 {
 	return !step->service || g_ptr_array_find(data, step->service, NULL);
 }
@@ -130,12 +130,12 @@
 			   const struct rr_gate_request *run)
 {
 	GPtrArray *lacking = list_lacking(run);
-	size_t n = rr_count_steps(&run->trace, is_of_lacking, lacking);
+	size_t n = rr_count_trace_events(&run->trace, is_of_lacking, lacking);
 
-	if (rr_take_trail_lines(&gate->request_log_budget, gate->now_us, n + 1,
-				false))
-		rr_write_some_steps(ctx, &run->trace, run->request_id,
-				    run->started_us, is_of_lacking, lacking);
+	if (rr_take_log_lines(&gate->request_log_budget, gate->now_us, n + 1,
+			      false))
+		rr_log_trace_matching(ctx, &run->trace, run->request_id,
+				      run->started_us, is_of_lacking, lacking);
 	else
 		n = 0;
 	g_ptr_array_unref(lacking);
@@ -147,7 +147,7 @@
 {
 	const struct rr_gate_request *run = attempt->request;
 	const struct rr_endpoint *endpoint = attempt->endpoint;
-	char fingerprint[RR_FINGERPRINT_TEXT];
+	char fingerprint[RR_FINGERPRINT_TEXT_SIZE];
 
 	rr_format_fingerprint(&attempt->fingerprint, fingerprint);
 	rr_log(ctx, RR_LOG_INFO, "attempt-broken",
@@ -165,14 +165,14 @@
 		    const struct rr_gate_answer *answer)
 {
 	bool ordinary = is_ordinary(gate, run, answer);
-	size_t steps = run->trace.steps->len;
+	size_t steps = run->trace.events->len;
 
 	if (ordinary && !rr_is_sampled(run->request_id))
 		return;
-	if (rr_take_trail_lines(&gate->request_log_budget, gate->now_us,
-				steps + 1, ordinary)) {
-		rr_write_steps(ctx, &run->trace, run->request_id,
-			       run->started_us);
+	if (rr_take_log_lines(&gate->request_log_budget, gate->now_us,
+			      steps + 1, ordinary)) {
+		rr_log_trace(ctx, &run->trace, run->request_id,
+			     run->started_us);
 		write_end(ctx, gate, run, answer, 0);
 		return;
 	}
--- a/source/core/gate-delay.c
+++ b/source/core/gate-loop-delay.c
@@ -1,5 +1,5 @@
 /*
- * gate-delay.c - this instance's own delay is not the silence of others.
+ * gate-loop-delay.c - this instance's own delay is not the silence of others.
  *
  * While the loop is busy, its process is frozen or its share of the processor
  * is used up, answers lie unread.  That time counts for nothing: not for how
@@ -16,7 +16,7 @@
 	return since_us ? MIN(since_us + delay_us, now_us) : 0;
 }
 
-static void excuse_track(struct rr_track *track, int64_t delay_us,
+static void excuse_track(struct rr_passive_health *track, int64_t delay_us,
 			 int64_t now_us)
 {
 	track->open_since_us = later_by(track->open_since_us, delay_us, now_us);
--- a/source/core/gate-private.h
+++ b/source/core/gate-private.h
@@ -6,15 +6,15 @@
 
 #include <glib.h>
 
-#include "core/allowance.h"
-#include "core/budget.h"
+#include "core/retry-budget.h"
+#include "core/token-budget.h"
 #include "core/cold-share.h"
 #include "core/evacuation.h"
-#include "core/limit.h"
+#include "core/concurrency-limit.h"
 #include "core/quarantine.h"
 #include "core/timer.h"
-#include "core/track.h"
-#include "core/trail.h"
+#include "core/passive-health.h"
+#include "core/request-trace.h"
 #include "core/wait-queue.h"
 #include "ragwort/counters.h"
 #include "ragwort/gate.h"
@@ -35,7 +35,7 @@
 	char *name;
 	bool is_local;			  /* this instance's own */
 	struct rr_evacuation *evacuation; /* the gate's */
-	struct rr_track track;
+	struct rr_passive_health track;
 	uint32_t n_in_flight; /* attempts under way there */
 	uint32_t unanswered;  /* given up since the last sign of life */
 	bool unreachable;     /* left alone until it is heard again */
@@ -82,9 +82,10 @@
 	bool remote_coordinator; /* another zone's strong instance: where none here is good */
 	uint32_t slots;
 	uint32_t pace_percent; /* of its machine, last told; 0: never */
-	struct rr_track track;
-	struct rr_limit limit; /* of open attempts, in usual times */
-	GQueue in_flight;      /* struct rr_gate_attempt, the oldest first */
+	struct rr_passive_health track;
+	struct rr_concurrency_limit
+		limit;	  /* of open attempts, in usual times */
+	GQueue in_flight; /* struct rr_gate_attempt, the oldest first */
 	struct rr_cold_quota
 		*cold_quota; /* NULL: it was not sent to while cold */
 	/* struct rr_closed_attempt, while it is probed; may be NULL */
@@ -95,7 +96,7 @@
 struct rr_gate_service {
 	char *name;
 	GPtrArray *endpoints; /* struct rr_endpoint, not referenced */
-	struct rr_allowance retry_budget;
+	struct rr_retry_budget retry_budget;
 	bool is_shard;	    /* a shard of a search, in the routes in force */
 	int64_t typical_us; /* of its last attempt's kind of work */
 	struct rr_wait_queue wait_queue; /* parts that found no room */
@@ -103,7 +104,7 @@
 
 /* What lasts of a route through the versions that name it. */
 struct rr_route_stats {
-	struct rr_sketch
+	struct rr_latency_sketch
 		attempt_times; /* of its attempts, whatever the replica */
 	double *split_credits; /* of a split's parts */
 	size_t n_credits;
@@ -167,7 +168,7 @@
 	uint32_t retry_after_ms; /* sent to its caller; 0 if drawn */
 	struct rr_top_records top_records;
 	GString *signatures;
-	struct rr_trail trace;
+	struct rr_request_trace trace;
 	int64_t last_part_us;  /* when the last part came; 0: none did */
 	int64_t routes_age_us; /* since its version came into force */
 };
@@ -224,8 +225,8 @@
 	struct rr_gate_service *coordinators; /* those it hands them to */
 	struct rr_route_table *route_table;
 	int64_t routes_applied_us;
-	struct rr_trail_budget request_log_budget;
-	struct rr_trail_budget list_log_budget;
+	struct rr_log_budget request_log_budget;
+	struct rr_log_budget list_log_budget;
 	/* Replicas that came, went or were retired and were not told singly. */
 	uint32_t suppressed_changes;
 	struct rr_timers *timers;
@@ -238,7 +239,7 @@
 	GHashTable
 		*incarnations; /* name -> struct rr_endpoint, the same ones */
 	GHashTable *
-		latest_starts; /* id -> latest start told, see gate-lifetime.c */
+		latest_starts; /* id -> latest start told, see gate-incarnation.c */
 	GHashTable *route_stats; /* route's name -> struct rr_route_stats */
 	struct rr_quarantine *quarantine;
 	GHashTable *requests; /* id -> struct rr_gate_request */
@@ -273,7 +274,7 @@
 void rr_remove_endpoint(struct rr_context *ctx, struct rr_gate *gate,
 			const char *id, const char *reason);
 
-/* gate-lifetime.c */
+/* gate-incarnation.c */
 enum rr_incarnation_match {
 	RR_INCARNATION_SAME,	 /* what is told of the one that is known */
 	RR_INCARNATION_REPLACED, /* another one takes its place */
@@ -411,7 +412,7 @@
 /* Keep a step of an attempt for the log; `status` 0: there is none. */
 void rr_trace_attempt(const struct rr_gate *gate, struct rr_gate_request *run,
 		      const struct rr_gate_attempt *attempt,
-		      enum rr_trail_kind kind, const char *reason,
+		      enum rr_trace_event_kind kind, const char *reason,
 		      uint32_t status);
 /* End the other attempts of a part that has its answer. */
 void rr_cancel_losers(struct rr_context *ctx, struct rr_gate *gate,
--- a/source/core/gate-quarantine.c
+++ b/source/core/gate-quarantine.c
@@ -20,7 +20,7 @@
 rr_new_gate_quarantine(const struct rr_gate_policy *policy)
 {
 	struct rr_quarantine_options options = {
-		.crashes = policy->quarantine_crashes,
+		.crash_threshold = policy->quarantine_crashes,
 		.hold_us = policy->quarantine_hold_us,
 		.harmless_us = policy->quarantine_harmless_us,
 	};
@@ -33,7 +33,7 @@
 		       enum rr_log_level level, const char *event,
 		       const char *reason)
 {
-	char fingerprint[RR_FINGERPRINT_TEXT];
+	char fingerprint[RR_FINGERPRINT_TEXT_SIZE];
 	char *crashed = g_strjoinv(",", (char **)record->crashed);
 
 	rr_format_fingerprint(&record->fingerprint, fingerprint);
@@ -41,7 +41,7 @@
 	       RR_FIELD_STRING("reason", reason),
 	       RR_FIELD_U64("crashed", record->n_crashed),
 	       RR_FIELD_STRING("endpoints", crashed),
-	       RR_FIELD_I64("age_us", gate->now_us - record->since_us),
+	       RR_FIELD_I64("age_us", gate->now_us - record->first_crash_us),
 	       RR_FIELD_U64("trials", record->trials));
 	g_free(crashed);
 }
@@ -58,7 +58,7 @@
 			   enum rr_log_level level, const char *reason)
 {
 	log_record(ctx, gate, record, level, "request-released", reason);
-	rr_forget_quarantined(gate->quarantine, &record->fingerprint);
+	rr_remove_quarantine_record(gate->quarantine, &record->fingerprint);
 	set_quarantine_gauge(ctx, gate);
 }
 
@@ -82,15 +82,15 @@
 static void report(struct rr_gate *gate, struct rr_quarantine_record *record,
 		   bool released)
 {
-	struct rr_quarantine_entry entry = rr_entry_of_record(record);
+	struct rr_quarantine_entry entry = rr_make_quarantine_entry(record);
 	struct rr_quarantine_report told = {
 		.entry = &entry,
 		.released = released,
 	};
 
-	record->n_reported = record->n_crashed;
-	record->force_reported = record->in_force;
-	record->stored = true;
+	record->n_published = record->n_crashed;
+	record->quarantine_published = record->quarantined;
+	record->maybe_stored = true;
 	gate->actions.report(gate->actions.data, &told);
 }
 
@@ -102,15 +102,15 @@
 static void publish_record(struct rr_gate *gate,
 			   struct rr_quarantine_record *record)
 {
-	bool is_unpublished = record->in_force ?
-				      !record->force_reported :
-				      record->n_reported < record->n_crashed;
+	bool is_unpublished = record->quarantined ?
+				      !record->quarantine_published :
+				      record->n_published < record->n_crashed;
 
 #ifdef RR_MUTANT_GATE_KEEPS_CRASHES_TO_ITSELF
 	return;
 #endif
 	if (is_unpublished &&
-	    (record->in_force || !find_run_of(gate, &record->fingerprint)))
+	    (record->quarantined || !find_run_of(gate, &record->fingerprint)))
 		report(gate, record, false);
 }
 
@@ -131,14 +131,15 @@
 {
 	struct rr_fingerprint fingerprint = record->fingerprint;
 
-	if (rr_enforce_quarantine(gate->quarantine, gate->now_us, record)) {
+	if (rr_quarantine_if_confirmed(gate->quarantine, gate->now_us,
+				       record)) {
 		rr_count(ctx, RR_N_QUARANTINED, 1);
 		log_record(ctx, gate, record, RR_LOG_WARNING,
 			   "request-quarantined", CRASHES_REPLICAS);
 		set_quarantine_gauge(ctx, gate);
 		stop_runs_of(ctx, gate, &fingerprint);
 	}
-	record = rr_find_quarantined(gate->quarantine, &fingerprint);
+	record = rr_find_quarantine_record(gate->quarantine, &fingerprint);
 	if (record)
 		publish_record(gate, record);
 }
@@ -251,7 +252,7 @@
 {
 	if (!run->trial &&
 	    (rr_quarantine_is_empty(gate->quarantine) ||
-	     !rr_find_quarantined(gate->quarantine, &run->fingerprint)))
+	     !rr_find_quarantine_record(gate->quarantine, &run->fingerprint)))
 		return false;
 	run->canary = true;
 	rr_send_canary(ctx, gate, run);
@@ -278,7 +279,7 @@
 	/* Draining and unlisted replicas are expected to exit. */
 	if (!gate->policy.quarantine_known ||
 	    endpoint->service == gate->coordinators || !endpoint->listed ||
-	    endpoint->draining || !rr_is_fingerprint(&attempt->fingerprint))
+	    endpoint->draining || !rr_is_fingerprint_set(&attempt->fingerprint))
 		return;
 	if (!endpoint->closed_attempts)
 		endpoint->closed_attempts = g_array_new(
@@ -297,7 +298,7 @@
 		       const struct rr_crash *crash, const char *lifetime)
 {
 	struct rr_quarantine_record *record =
-		rr_note_crash(gate->quarantine, gate->now_us, crash, lifetime);
+		rr_add_crash(gate->quarantine, gate->now_us, crash, lifetime);
 
 	if (!record)
 		return;
@@ -341,18 +342,19 @@
 	struct rr_quarantine_record *record;
 
 	if (attempt->endpoint->service == gate->coordinators ||
-	    !rr_is_fingerprint(&attempt->fingerprint))
+	    !rr_is_fingerprint_set(&attempt->fingerprint))
 		return;
-	rr_note_harmless(gate->quarantine, gate->now_us, &attempt->fingerprint);
+	rr_mark_harmless(gate->quarantine, gate->now_us, &attempt->fingerprint);
 	if (rr_quarantine_is_empty(gate->quarantine))
 		return;
-	record = rr_find_quarantined(gate->quarantine, &attempt->fingerprint);
+	record = rr_find_quarantine_record(gate->quarantine,
+					   &attempt->fingerprint);
 	if (!record)
 		return;
-	if (record->stored)
+	if (record->maybe_stored)
 		report(gate, record, true);
 	release_record(ctx, gate, record,
-		       record->in_force ? RR_LOG_WARNING : RR_LOG_INFO,
+		       record->quarantined ? RR_LOG_WARNING : RR_LOG_INFO,
 		       "ran-to-its-end");
 }
 
@@ -362,8 +364,8 @@
 			       struct rr_gate_request *run)
 {
 	const struct rr_quarantine_record *record =
-		rr_find_quarantined(gate->quarantine, &run->fingerprint);
-	int64_t wait_us = record ? record->retry_us - gate->now_us : 0;
+		rr_find_quarantine_record(gate->quarantine, &run->fingerprint);
+	int64_t wait_us = record ? record->next_trial_us - gate->now_us : 0;
 
 	/* Without a remaining hold, Retry-After is drawn as usual. */
 	if (wait_us > 0)
@@ -376,15 +378,15 @@
 static void claim_trial(struct rr_gate *gate, struct rr_gate_request *run,
 			struct rr_quarantine_record *record)
 {
-	struct rr_quarantine_entry entry = rr_entry_of_record(record);
+	struct rr_quarantine_entry entry = rr_make_quarantine_entry(record);
 	struct rr_quarantine_report told = { .entry = &entry, .claim = true };
 
 	entry.trials++;
-	record->claiming = run->id;
+	record->claimant_id = run->id;
 	run->claim_pending = true;
 	rr_set_timer(gate->timers,
 		     gate->now_us + gate->policy.quarantine_claim_us,
-		     RR_TIMER_GATE_CLAIM, run->id, 0);
+		     RR_TIMER_GATE_CLAIM_TIMEOUT, run->id, 0);
 	gate->actions.report(gate->actions.data, &told);
 }
 
@@ -396,20 +398,20 @@
 
 	if (rr_quarantine_is_empty(gate->quarantine))
 		return RR_QUARANTINE_PASS;
-	record = rr_find_quarantined(gate->quarantine, &run->fingerprint);
+	record = rr_find_quarantine_record(gate->quarantine, &run->fingerprint);
 	if (!record)
 		return RR_QUARANTINE_PASS;
 #ifdef RR_MUTANT_GATE_IGNORES_QUARANTINE
 	return RR_QUARANTINE_PASS;
 #endif
-	if (!record->in_force)
+	if (!record->quarantined)
 		return RR_QUARANTINE_PASS;
 #ifdef RR_MUTANT_GATE_TRIES_AT_WILL
 	run->trial = true;
 	return RR_QUARANTINE_PASS;
 #endif
 	if (record->trials >= gate->policy.quarantine_trials ||
-	    gate->now_us < record->retry_us || record->claiming) {
+	    gate->now_us < record->next_trial_us || record->claimant_id) {
 		refuse_quarantined(ctx, gate, run);
 		return RR_QUARANTINE_REJECTED;
 	}
@@ -430,28 +432,29 @@
 			   const struct rr_gate_request *run)
 {
 	struct rr_quarantine_record *record =
-		rr_find_quarantined(gate->quarantine, &run->fingerprint);
+		rr_find_quarantine_record(gate->quarantine, &run->fingerprint);
 
-	if (record && record->claiming == run->id)
-		record->claiming = 0;
+	if (record && record->claimant_id == run->id)
+		record->claimant_id = 0;
 }
 
-void rr_gate_claimed(struct rr_context *ctx, struct rr_gate *gate,
-		     int64_t now_us, const struct rr_quarantine_entry *entry,
-		     bool granted)
+void rr_gate_handle_claim_result(struct rr_context *ctx, struct rr_gate *gate,
+				 int64_t now_us,
+				 const struct rr_quarantine_entry *entry,
+				 bool granted)
 {
-	struct rr_quarantine_record *record =
-		rr_find_quarantined(gate->quarantine, &entry->fingerprint);
+	struct rr_quarantine_record *record = rr_find_quarantine_record(
+		gate->quarantine, &entry->fingerprint);
 	struct rr_gate_request *run;
 
 	gate->now_us = now_us;
 	if (!record)
 		return;
-	run = rr_find_request(gate, record->claiming);
-	record->claiming = 0;
+	run = rr_find_request(gate, record->claimant_id);
+	record->claimant_id = 0;
 	if (granted)
-		rr_count_trials(gate->quarantine, now_us, record,
-				entry->trials);
+		rr_update_trial_count(gate->quarantine, now_us, record,
+				      entry->trials);
 	if (!run || !run->claim_pending)
 		return;
 	run->claim_pending = false;
@@ -471,8 +474,8 @@
 			      const struct rr_quarantine_entry *entry)
 {
 	struct rr_quarantine_record *record =
-		rr_find_quarantined(gate->quarantine, fingerprint);
-	bool was_in_force = record && record->in_force;
+		rr_find_quarantine_record(gate->quarantine, fingerprint);
+	bool was_in_force = record && record->quarantined;
 
 	gate->now_us = now_us;
 	if (!entry) {
@@ -481,14 +484,14 @@
 				       "entry-removed");
 		return;
 	}
-	record = rr_merge_quarantine(gate->quarantine, now_us, entry);
-	if (record->in_force && !was_in_force) {
+	record = rr_merge_quarantine_entry(gate->quarantine, now_us, entry);
+	if (record->quarantined && !was_in_force) {
 		log_record(ctx, gate, record, RR_LOG_WARNING,
 			   "request-quarantined", "reported");
 		set_quarantine_gauge(ctx, gate);
 		stop_runs_of(ctx, gate, fingerprint);
 	}
-	record = rr_find_quarantined(gate->quarantine, fingerprint);
+	record = rr_find_quarantine_record(gate->quarantine, fingerprint);
 	if (record)
 		update_record(ctx, gate, record);
 }
@@ -500,7 +503,7 @@
 
 	if (rr_quarantine_is_empty(gate->quarantine))
 		return;
-	record = rr_find_quarantined(gate->quarantine, fingerprint);
+	record = rr_find_quarantine_record(gate->quarantine, fingerprint);
 	if (record)
 		publish_record(gate, record);
 }
--- a/source/core/gate-reply.c
+++ b/source/core/gate-reply.c
@@ -11,10 +11,10 @@
 	struct rr_endpoint *endpoint = attempt->endpoint;
 	struct rr_limit_bounds bounds = rr_endpoint_bounds(gate, endpoint);
 	int64_t typical_us =
-		rr_sketch_quantile(&attempt->stats->attempt_times, 0.5);
+		rr_sketch_quantile_us(&attempt->stats->attempt_times, 0.5);
 
-	rr_track_answer(&endpoint->track, gate->now_us, took_us, typical_us);
-	rr_add_time(&attempt->stats->attempt_times, took_us);
+	rr_observe_answer(&endpoint->track, gate->now_us, took_us, typical_us);
+	rr_add_latency(&attempt->stats->attempt_times, took_us);
 	if (!typical_us)
 		return;
 	attempt->endpoint->service->typical_us = typical_us;
@@ -25,7 +25,7 @@
 
 static void take_shed(struct rr_gate *gate, struct rr_endpoint *endpoint)
 {
-	rr_track_shed(&endpoint->track, gate->now_us);
+	rr_observe_rejection(&endpoint->track, gate->now_us);
 	rr_shrink_limit(&endpoint->limit, gate->policy.limit_shed_shrink);
 }
 
@@ -64,7 +64,7 @@
 				     reply->unreachable ||
 						     reply->outcome ==
 							     RR_GATE_NO_REPLY ?
-					     RR_LOSS_SILENT :
+					     RR_LOSS_UNREACHABLE :
 					     RR_LOSS_BROKEN);
 		return;
 	}
@@ -197,7 +197,7 @@
 	if (reply->load.reported)
 		attempt->endpoint->pace_percent = reply->load.pace_percent;
 	if (run)
-		rr_trace_attempt(gate, run, attempt, RR_TRAIL_REPLY,
+		rr_trace_attempt(gate, run, attempt, RR_TRACE_REPLY,
 				 outcome_name(reply), reply->status);
 	if (reply->outcome == RR_GATE_BROKEN)
 		rr_log_broken_attempt(ctx, gate, attempt);
@@ -226,7 +226,7 @@
 	if (!run ||
 	    !gate->actions.cancel_unsent(gate->actions.data, attempt->id))
 		return false;
-	rr_trace_attempt(gate, run, attempt, RR_TRAIL_WITHDRAWN, reason, 0);
+	rr_trace_attempt(gate, run, attempt, RR_TRACE_CANCELLED, reason, 0);
 	rr_remove_attempt(gate, attempt);
 	uncount(run, &run->parts[attempt->part], attempt, &unsent,
 		gate->now_us);
--- a/source/core/gate-request.c
+++ b/source/core/gate-request.c
@@ -19,7 +19,7 @@
 {
 	struct rr_gate_request *run = data;
 
-	rr_clear_trail(&run->trace);
+	rr_clear_trace(&run->trace);
 	rr_clear_top_records(&run->top_records);
 	if (run->signatures)
 		g_string_free(run->signatures, TRUE);
@@ -386,11 +386,11 @@
 	rr_set_timer(gate->timers,
 		     run->forwarded ? rr_forward_expires_us(gate, run) :
 				      run->answer_by_us,
-		     RR_TIMER_GATE_LOOK, id, 0);
+		     RR_TIMER_GATE_ADVANCE, id, 0);
 	if (run->expires_us != run->answer_by_us &&
 	    run->expires_us != INT64_MAX)
-		rr_set_timer(gate->timers, run->expires_us, RR_TIMER_GATE_LOOK,
-			     id, 0);
+		rr_set_timer(gate->timers, run->expires_us,
+			     RR_TIMER_GATE_ADVANCE, id, 0);
 	if (run->forwarded &&
 	    !rr_try_send_part(ctx, gate, run, 0, "handed-over")) {
 		rr_serve_locally(ctx, gate, run);
@@ -411,7 +411,7 @@
 		.status = status,
 		.reason = reason,
 	};
-	char fingerprint[RR_FINGERPRINT_TEXT];
+	char fingerprint[RR_FINGERPRINT_TEXT_SIZE];
 
 	rr_format_fingerprint(&ask->fingerprint, fingerprint);
 	if (is_promise(status))
@@ -458,7 +458,7 @@
 	run->route = route;
 	run->stats = record_of(gate, route);
 	g_queue_init(&run->in_flight);
-	rr_init_trail(&run->trace);
+	rr_init_trace(&run->trace);
 	run->routes_age_us = now_us - gate->routes_applied_us;
 	run->from_peer = ask->forward_deadline_us >= 0;
 	g_hash_table_insert(gate->requests, &run->id, run);
@@ -471,13 +471,13 @@
 static void note_left(const struct rr_gate *gate, struct rr_gate_request *run,
 		      const char *reason)
 {
-	struct rr_trail_step step = {
+	struct rr_trace_event step = {
 		.at_us = gate->now_us,
-		.kind = RR_TRAIL_LEFT,
+		.kind = RR_TRACE_CALLER_CLOSED,
 		.reason = reason,
 	};
 
-	rr_note_step(&run->trace, &step);
+	rr_add_trace_event(&run->trace, &step);
 }
 
 void rr_gate_half_close(struct rr_context *ctx, struct rr_gate *gate,
@@ -495,8 +495,8 @@
 		return;
 	run->expires_us =
 		MIN(run->expires_us, now_us + gate->policy.answer_left_us);
-	rr_set_timer(gate->timers, run->expires_us, RR_TIMER_GATE_LOOK, run->id,
-		     0);
+	rr_set_timer(gate->timers, run->expires_us, RR_TIMER_GATE_ADVANCE,
+		     run->id, 0);
 }
 
 void rr_gate_abandon(struct rr_context *ctx, struct rr_gate *gate,
--- a/source/core/gate-zone.c
+++ b/source/core/gate-zone.c
@@ -25,7 +25,7 @@
 	zone->is_local = !g_strcmp0(name, gate->zone) ||
 			 !strcmp(name, RR_COORDINATOR_SERVICE);
 	zone->evacuation = rr_get_evacuation(gate, name);
-	rr_init_track(&zone->track);
+	rr_init_passive_health(&zone->track);
 	g_ptr_array_add(gate->zones, zone);
 	return zone;
 }
@@ -41,17 +41,17 @@
 void rr_note_attempt_started(struct rr_gate *gate, struct rr_endpoint *endpoint)
 {
 	if (!endpoint->in_flight.length)
-		rr_track_open(&endpoint->track, gate->now_us);
+		rr_resume_silence_clock(&endpoint->track, gate->now_us);
 	if (!endpoint->zone->n_in_flight++)
-		rr_track_open(&endpoint->zone->track, gate->now_us);
+		rr_resume_silence_clock(&endpoint->zone->track, gate->now_us);
 }
 
 void rr_note_attempt_ended(struct rr_gate *gate, struct rr_endpoint *endpoint)
 {
 	if (!endpoint->in_flight.length)
-		rr_track_closed(&endpoint->track, gate->now_us);
+		rr_pause_silence_clock(&endpoint->track, gate->now_us);
 	if (!--endpoint->zone->n_in_flight)
-		rr_track_closed(&endpoint->zone->track, gate->now_us);
+		rr_pause_silence_clock(&endpoint->zone->track, gate->now_us);
 }
 
 static void set_probe(struct rr_gate *gate, struct rr_endpoint *endpoint)
@@ -101,8 +101,8 @@
 static void watch_zone(struct rr_gate *gate, struct rr_gate_zone *zone,
 		       int64_t after_us)
 {
-	rr_set_timer(gate->timers, gate->now_us + after_us, RR_TIMER_GATE_ZONE,
-		     zone->number, ++zone->timer_seq);
+	rr_set_timer(gate->timers, gate->now_us + after_us,
+		     RR_TIMER_GATE_ZONE_PROBE, zone->number, ++zone->timer_seq);
 }
 
 /* Find out by probes whether a zone is silent. */
@@ -167,7 +167,7 @@
 				  gate->policy.silence_unanswered;
 
 	return zone->unanswered >= enough &&
-	       rr_track_silent_us(&zone->track, gate->now_us) >=
+	       rr_silence_us(&zone->track, gate->now_us) >=
 		       gate->policy.silence_zone_us;
 }
 
@@ -203,7 +203,7 @@
 	       RR_FIELD_STRING("zone", zone->name),
 	       RR_FIELD_U64("unanswered", zone->unanswered),
 	       RR_FIELD_I64("silent_us",
-			    rr_track_silent_us(&zone->track, gate->now_us)));
+			    rr_silence_us(&zone->track, gate->now_us)));
 	zone->suspected = false;
 	watch_zone(gate, zone, gate->policy.silence_probe_us);
 	suspect_other_zones(ctx, gate);
@@ -234,7 +234,7 @@
 {
 	if (zone->unanswered + zone->n_in_flight >=
 		    gate->policy.suspect_zone_unanswered &&
-	    rr_track_silent_us(&zone->track, gate->now_us) >=
+	    rr_silence_us(&zone->track, gate->now_us) >=
 		    gate->policy.suspect_zone_us)
 		suspect_zone(ctx, gate, zone);
 }
@@ -257,7 +257,7 @@
 {
 	bool already = rr_is_suspected(&endpoint->track, gate->now_us);
 
-	rr_track_loss(&endpoint->track, gate->now_us, RR_LOSS_SILENT);
+	rr_observe_loss(&endpoint->track, gate->now_us, RR_LOSS_UNREACHABLE);
 	if (already)
 		return;
 	rr_log(ctx, RR_LOG_INFO, "endpoint-suspected",
@@ -272,7 +272,7 @@
 static void judge_replica(struct rr_context *ctx, struct rr_gate *gate,
 			  struct rr_endpoint *endpoint)
 {
-	if (rr_track_silent_us(&endpoint->track, gate->now_us) >=
+	if (rr_silence_us(&endpoint->track, gate->now_us) >=
 	    gate->policy.silence_replica_us)
 		suspect(ctx, gate, endpoint, "silent");
 }
@@ -304,7 +304,7 @@
 			  struct rr_endpoint *endpoint, enum rr_loss loss)
 {
 	if (loss == RR_LOSS_BROKEN) {
-		rr_track_loss(&endpoint->track, gate->now_us, loss);
+		rr_observe_loss(&endpoint->track, gate->now_us, loss);
 		return;
 	}
 	suspect(ctx, gate, endpoint, "unreachable");
@@ -314,7 +314,7 @@
 static void zone_alive(struct rr_context *ctx, struct rr_gate *gate,
 		       struct rr_gate_zone *zone)
 {
-	rr_track_seen(&zone->track, gate->now_us);
+	rr_observe_contact(&zone->track, gate->now_us);
 	zone->unanswered = 0;
 	zone->last_contact_us = gate->now_us;
 	zone->failed_probes = 0;
@@ -330,7 +330,7 @@
 void rr_note_contact(struct rr_context *ctx, struct rr_gate *gate,
 		     struct rr_endpoint *endpoint)
 {
-	rr_track_seen(&endpoint->track, gate->now_us);
+	rr_observe_contact(&endpoint->track, gate->now_us);
 	zone_alive(ctx, gate, endpoint->zone);
 }
 
@@ -356,7 +356,7 @@
 	if (!endpoint)
 		return;
 	endpoint->probing = false;
-	if (endpoint->draining || !endpoint->track.silences_in_row)
+	if (endpoint->draining || !endpoint->track.consecutive_silences)
 		return;
 	/* A silent zone is probed as one. */
 	if (endpoint->zone->unreachable) {
@@ -414,8 +414,9 @@
 	watch_zone(gate, zone, gate->policy.silence_probe_us);
 }
 
-void rr_gate_probed(struct rr_context *ctx, struct rr_gate *gate,
-		    int64_t now_us, const char *lifetime, bool reached)
+void rr_gate_handle_probe_result(struct rr_context *ctx, struct rr_gate *gate,
+				 int64_t now_us, const char *lifetime,
+				 bool reached)
 {
 	struct rr_endpoint *endpoint =
 		g_hash_table_lookup(gate->incarnations, lifetime);
@@ -426,7 +427,7 @@
 	endpoint->probing = false;
 	rr_resolve_closed_attempts(ctx, gate, endpoint, reached);
 	if (reached) {
-		rr_track_reached(&endpoint->track);
+		rr_observe_reachable(&endpoint->track);
 		zone_alive(ctx, gate, endpoint->zone);
 		rr_send_queued_parts(ctx, gate, endpoint->service);
 		return;
@@ -435,8 +436,8 @@
 		    gate->policy.silence_failed_probes &&
 	    endpoint->zone->suspected)
 		silence_zone(ctx, gate, endpoint->zone);
-	if (endpoint->track.silences_in_row && !endpoint->draining) {
-		rr_track_unreached(&endpoint->track, now_us);
+	if (endpoint->track.consecutive_silences && !endpoint->draining) {
+		rr_observe_unreachable(&endpoint->track, now_us);
 		set_probe(gate, endpoint);
 	}
 }
--- a/source/core/gate.c
+++ b/source/core/gate.c
@@ -64,8 +64,8 @@
 	gate->strength = options->strength;
 	gate->peers = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					    rr_free_gate_peer);
-	gate->request_log_budget.per_s = options->log_lines_per_s;
-	gate->list_log_budget.per_s = LIST_LINES_PER_S;
+	gate->request_log_budget.lines_per_s = options->log_lines_per_s;
+	gate->list_log_budget.lines_per_s = LIST_LINES_PER_S;
 	g_queue_init(&gate->to_preconnect);
 	gate->timers = rr_new_timers();
 	gate->zones = g_ptr_array_new_with_free_func(rr_free_gate_zone);
@@ -165,9 +165,9 @@
 	rr_update_peers(ctx, gate);
 	rr_preconnect_listed(gate);
 	rr_log_suppressed_changes(ctx, gate);
-	while (rr_take_timer(gate->timers, now_us, &timer)) {
+	while (rr_pop_timer(gate->timers, now_us, &timer)) {
 		switch (timer.kind) {
-		case RR_TIMER_GATE_LOOK:
+		case RR_TIMER_GATE_ADVANCE:
 			fire_look(ctx, gate, timer.id);
 			break;
 		case RR_TIMER_GATE_HEDGE:
@@ -176,13 +176,13 @@
 		case RR_TIMER_GATE_PROBE:
 			rr_handle_probe_timer(ctx, gate, timer.id);
 			break;
-		case RR_TIMER_GATE_ZONE:
+		case RR_TIMER_GATE_ZONE_PROBE:
 			rr_handle_zone_timer(ctx, gate, timer.id, timer.index);
 			break;
-		case RR_TIMER_GATE_UNLISTED:
+		case RR_TIMER_GATE_UNLISTED_GRACE:
 			rr_expire_unlisted(ctx, gate, timer.id);
 			break;
-		case RR_TIMER_GATE_CLAIM:
+		case RR_TIMER_GATE_CLAIM_TIMEOUT:
 			rr_handle_claim_timeout(ctx, gate, timer.id);
 			break;
 		default:
--- a/source/core/hedge.c
+++ b/source/core/hedge.c
@@ -25,8 +25,8 @@
 void rr_set_hedge_timer(struct rr_core *core,
 			const struct rr_attempt_run *attempt)
 {
-	int64_t after_us = rr_sketch_quantile(&attempt->query->service->times,
-					      HEDGE_QUANTILE);
+	int64_t after_us = rr_sketch_quantile_us(
+		&attempt->query->service->times, HEDGE_QUANTILE);
 
 	if (after_us)
 		look_again(core, attempt, after_us);
@@ -39,12 +39,12 @@
  */
 static int64_t price_us(const struct rr_service *service)
 {
-	double dear =
-		DEAR_MEDIANS * (double)rr_sketch_quantile(&service->times, 0.5);
+	double dear = DEAR_MEDIANS *
+		      (double)rr_sketch_quantile_us(&service->times, 0.5);
 
-	return rr_hedge_price_us(
-		rr_budget_used(&service->hedges),
-		rr_sketch_quantile(&service->times, HEDGE_QUANTILE),
+	return rr_hedge_threshold_us(
+		rr_budget_used_fraction(&service->hedges),
+		rr_sketch_quantile_us(&service->times, HEDGE_QUANTILE),
 		(int64_t)dear);
 }
 
--- a/source/core/quarantine.c
+++ b/source/core/quarantine.c
@@ -66,8 +66,8 @@
 }
 
 struct rr_quarantine_record *
-rr_find_quarantined(const struct rr_quarantine *quarantine,
-		    const struct rr_fingerprint *fingerprint)
+rr_find_quarantine_record(const struct rr_quarantine *quarantine,
+			  const struct rr_fingerprint *fingerprint)
 {
 	return g_hash_table_lookup(quarantine->records, fingerprint);
 }
@@ -82,24 +82,24 @@
 	return quarantine->n_in_force;
 }
 
-void rr_forget_quarantined(struct rr_quarantine *quarantine,
-			   const struct rr_fingerprint *fingerprint)
+void rr_remove_quarantine_record(struct rr_quarantine *quarantine,
+				 const struct rr_fingerprint *fingerprint)
 {
 	struct rr_quarantine_record *record =
-		rr_find_quarantined(quarantine, fingerprint);
+		rr_find_quarantine_record(quarantine, fingerprint);
 
 	if (!record)
 		return;
-	quarantine->n_in_force -= record->in_force;
+	quarantine->n_in_force -= record->quarantined;
 	g_hash_table_remove(quarantine->records, fingerprint);
 }
 
 static bool goes_before(const struct rr_quarantine_record *a,
 			const struct rr_quarantine_record *b)
 {
-	if (a->in_force != b->in_force)
-		return !a->in_force;
-	return a->since_us < b->since_us;
+	if (a->quarantined != b->quarantined)
+		return !a->quarantined;
+	return a->first_crash_us < b->first_crash_us;
 }
 
 static void make_room(struct rr_quarantine *quarantine)
@@ -115,7 +115,7 @@
 		if (!first || goes_before(value, first))
 			first = value;
 	}
-	rr_forget_quarantined(quarantine, &first->fingerprint);
+	rr_remove_quarantine_record(quarantine, &first->fingerprint);
 }
 
 static struct rr_quarantine_record *
@@ -123,14 +123,14 @@
 	  const struct rr_fingerprint *fingerprint)
 {
 	struct rr_quarantine_record *record =
-		rr_find_quarantined(quarantine, fingerprint);
+		rr_find_quarantine_record(quarantine, fingerprint);
 
 	if (record)
 		return record;
 	make_room(quarantine);
 	record = g_new0(struct rr_quarantine_record, 1);
 	record->fingerprint = *fingerprint;
-	record->since_us = since_us;
+	record->first_crash_us = since_us;
 	g_hash_table_insert(quarantine->records, &record->fingerprint, record);
 	return record;
 }
@@ -145,15 +145,15 @@
 static void add_crashed(struct rr_quarantine_record *record,
 			const char *lifetime)
 {
-	if (record->n_crashed < RR_QUARANTINE_MOST_CRASHED &&
+	if (record->n_crashed < RR_QUARANTINE_MAX_CRASHED &&
 	    !has_crashed(record, lifetime))
 		record->crashed[record->n_crashed++] = g_strdup(lifetime);
 }
 
-struct rr_quarantine_record *rr_note_crash(struct rr_quarantine *quarantine,
-					   int64_t now_us,
-					   const struct rr_crash *crash,
-					   const char *lifetime)
+struct rr_quarantine_record *rr_add_crash(struct rr_quarantine *quarantine,
+					  int64_t now_us,
+					  const struct rr_crash *crash,
+					  const char *lifetime)
 {
 	struct rr_quarantine_record *record;
 	bool repeated;
@@ -165,12 +165,13 @@
 	record = record_of(quarantine, crash->closed_us, &crash->fingerprint);
 	if (has_crashed(record, lifetime))
 		return NULL;
-	repeated = record->n_crashed && crash->sent_us >= record->since_us;
+	repeated =
+		record->n_crashed && crash->sent_us >= record->first_crash_us;
 #ifdef RR_MUTANT_QUARANTINE_BLAMES_BYSTANDERS
 	repeated = true;
 #endif
-	record->repeated |= repeated;
-	record->since_us = MIN(record->since_us, crash->closed_us);
+	record->crash_repeated |= repeated;
+	record->first_crash_us = MIN(record->first_crash_us, crash->closed_us);
 	add_crashed(record, lifetime);
 	return record;
 }
@@ -189,45 +190,47 @@
 static void put_into_force(struct rr_quarantine *quarantine, int64_t now_us,
 			   struct rr_quarantine_record *record)
 {
-	if (record->in_force)
+	if (record->quarantined)
 		return;
-	record->in_force = true;
-	record->retry_us = retry_at(quarantine, now_us, record->trials);
+	record->quarantined = true;
+	record->next_trial_us = retry_at(quarantine, now_us, record->trials);
 	quarantine->n_in_force++;
 }
 
-void rr_count_trials(const struct rr_quarantine *quarantine, int64_t now_us,
-		     struct rr_quarantine_record *record, uint32_t trials)
+void rr_update_trial_count(const struct rr_quarantine *quarantine,
+			   int64_t now_us, struct rr_quarantine_record *record,
+			   uint32_t trials)
 {
 	if (trials <= record->trials)
 		return;
 	record->trials = trials;
-	record->retry_us = retry_at(quarantine, now_us, trials);
+	record->next_trial_us = retry_at(quarantine, now_us, trials);
 }
 
 struct rr_quarantine_record *
-rr_merge_quarantine(struct rr_quarantine *quarantine, int64_t now_us,
-		    const struct rr_quarantine_entry *entry)
+rr_merge_quarantine_entry(struct rr_quarantine *quarantine, int64_t now_us,
+			  const struct rr_quarantine_entry *entry)
 {
 	struct rr_quarantine_record *record =
 		record_of(quarantine, now_us, &entry->fingerprint);
 
 	for (char **lifetime = entry->crashed; *lifetime; lifetime++)
 		add_crashed(record, *lifetime);
-	if (entry->in_force)
+	if (entry->quarantined)
 		put_into_force(quarantine, now_us, record);
-	rr_count_trials(quarantine, now_us, record, entry->trials);
-	record->stored = true;
-	record->n_reported = g_strv_length(entry->crashed);
-	record->force_reported = entry->in_force;
+	rr_update_trial_count(quarantine, now_us, record, entry->trials);
+	record->maybe_stored = true;
+	record->n_published = g_strv_length(entry->crashed);
+	record->quarantine_published = entry->quarantined;
 	return record;
 }
 
-bool rr_enforce_quarantine(struct rr_quarantine *quarantine, int64_t now_us,
-			   struct rr_quarantine_record *record)
+bool rr_quarantine_if_confirmed(struct rr_quarantine *quarantine,
+				int64_t now_us,
+				struct rr_quarantine_record *record)
 {
-	if (record->in_force || !record->repeated ||
-	    record->n_crashed < quarantine->options.crashes)
+	if (record->quarantined || !record->crash_repeated ||
+	    record->n_crashed < quarantine->options.crash_threshold)
 		return false;
 	put_into_force(quarantine, now_us, record);
 	return true;
@@ -239,7 +242,7 @@
 	return &quarantine->harmless[fingerprint->low % HARMLESS_SLOTS];
 }
 
-void rr_note_harmless(struct rr_quarantine *quarantine, int64_t now_us,
+void rr_mark_harmless(struct rr_quarantine *quarantine, int64_t now_us,
 		      const struct rr_fingerprint *fingerprint)
 {
 	struct harmless *slot = slot_of(quarantine, fingerprint);
@@ -254,18 +257,18 @@
 	const struct harmless *slot =
 		slot_of((struct rr_quarantine *)quarantine, fingerprint);
 
-	return rr_is_fingerprint(fingerprint) &&
+	return rr_is_fingerprint_set(fingerprint) &&
 	       rr_same_fingerprint(&slot->fingerprint, fingerprint) &&
 	       now_us - slot->at_us < quarantine->options.harmless_us;
 }
 
 struct rr_quarantine_entry
-rr_entry_of_record(const struct rr_quarantine_record *record)
+rr_make_quarantine_entry(const struct rr_quarantine_record *record)
 {
 	return (struct rr_quarantine_entry){
 		.fingerprint = record->fingerprint,
 		.crashed = (char **)record->crashed,
-		.in_force = record->in_force,
+		.quarantined = record->quarantined,
 		.trials = record->trials,
 	};
 }
--- a/source/core/quarantine.h
+++ b/source/core/quarantine.h
@@ -18,22 +18,24 @@
 struct rr_quarantine_record {
 	struct rr_fingerprint fingerprint;
 	/* Lifetimes of replicas, NULL-terminated. */
-	char *crashed[RR_QUARANTINE_MOST_CRASHED + 1];
+	char *crashed[RR_QUARANTINE_MAX_CRASHED + 1];
 	guint n_crashed;
 	/* A replica crashed on an attempt sent after an earlier crash. */
-	bool repeated;
-	bool in_force;
+	bool crash_repeated;
+	bool quarantined;
 	uint32_t trials;
-	int64_t since_us;  /* when the first crash became known here */
-	int64_t retry_us;  /* quarantined: earliest time of a trial */
-	uint64_t claiming; /* id of the request that waits for a claim, or 0 */
-	guint n_reported;  /* entries of crashed[] that were published */
-	bool force_reported; /* in_force was published */
-	bool stored;	     /* the store may hold an entry */
+	int64_t first_crash_us; /* when the first crash became known here */
+	int64_t next_trial_us;	/* quarantined: earliest time of a trial */
+	uint64_t
+		claimant_id; /* id of the request that waits for a claim, or 0 */
+	guint n_published;   /* entries of crashed[] that were published */
+	bool quarantine_published; /* in_force was published */
+	bool maybe_stored;	   /* the store may hold an entry */
 };
 
 struct rr_quarantine_options {
-	uint32_t crashes;    /* crashed replicas that quarantine a request */
+	uint32_t
+		crash_threshold; /* crashed replicas that quarantine a request */
 	int64_t hold_us;     /* until the first trial; quadruples each time */
 	int64_t harmless_us; /* how long a completed run clears a request */
 };
@@ -46,8 +48,8 @@
 
 /* NULL if absent.  Valid until the next call that adds a record. */
 struct rr_quarantine_record *
-rr_find_quarantined(const struct rr_quarantine *quarantine,
-		    const struct rr_fingerprint *fingerprint);
+rr_find_quarantine_record(const struct rr_quarantine *quarantine,
+			  const struct rr_fingerprint *fingerprint);
 bool rr_quarantine_is_empty(const struct rr_quarantine *quarantine);
 /* Number of quarantined requests. */
 uint32_t rr_count_quarantined(const struct rr_quarantine *quarantine);
@@ -63,31 +65,33 @@
  * Add a crash.  NULL if it is ignored: the request completed recently, or this
  * crash was added before.
  */
-struct rr_quarantine_record *rr_note_crash(struct rr_quarantine *quarantine,
-					   int64_t now_us,
-					   const struct rr_crash *crash,
-					   const char *lifetime);
+struct rr_quarantine_record *rr_add_crash(struct rr_quarantine *quarantine,
+					  int64_t now_us,
+					  const struct rr_crash *crash,
+					  const char *lifetime);
 /* Merge an entry of the store. */
 struct rr_quarantine_record *
-rr_merge_quarantine(struct rr_quarantine *quarantine, int64_t now_us,
-		    const struct rr_quarantine_entry *entry);
+rr_merge_quarantine_entry(struct rr_quarantine *quarantine, int64_t now_us,
+			  const struct rr_quarantine_entry *entry);
 /* Quarantine a request if its crashes suffice.  True if it was not before. */
-bool rr_enforce_quarantine(struct rr_quarantine *quarantine, int64_t now_us,
-			   struct rr_quarantine_record *record);
+bool rr_quarantine_if_confirmed(struct rr_quarantine *quarantine,
+				int64_t now_us,
+				struct rr_quarantine_record *record);
 /* Set the number of trials that any instance has sent. */
-void rr_count_trials(const struct rr_quarantine *quarantine, int64_t now_us,
-		     struct rr_quarantine_record *record, uint32_t trials);
-void rr_forget_quarantined(struct rr_quarantine *quarantine,
-			   const struct rr_fingerprint *fingerprint);
+void rr_update_trial_count(const struct rr_quarantine *quarantine,
+			   int64_t now_us, struct rr_quarantine_record *record,
+			   uint32_t trials);
+void rr_remove_quarantine_record(struct rr_quarantine *quarantine,
+				 const struct rr_fingerprint *fingerprint);
 
 /* A replica completed the request. */
-void rr_note_harmless(struct rr_quarantine *quarantine, int64_t now_us,
+void rr_mark_harmless(struct rr_quarantine *quarantine, int64_t now_us,
 		      const struct rr_fingerprint *fingerprint);
 bool rr_is_harmless(const struct rr_quarantine *quarantine, int64_t now_us,
 		    const struct rr_fingerprint *fingerprint);
 
 /* The record as a store entry.  Valid until the record changes. */
 struct rr_quarantine_entry
-rr_entry_of_record(const struct rr_quarantine_record *record);
+rr_make_quarantine_entry(const struct rr_quarantine_record *record);
 
 #endif
--- a/source/core/query.c
+++ b/source/core/query.c
@@ -257,7 +257,7 @@
 	}
 	rr_set_timer(core->timers,
 		     core->now_us + (int64_t)config->wait_ms * 1000,
-		     RR_TIMER_ENOUGH, query->id, 0);
+		     RR_TIMER_COVERAGE_WAIT, query->id, 0);
 }
 
 void rr_advance_query(struct rr_context *ctx, struct rr_core *core,
--- a/source/core/relay-serve.c
+++ b/source/core/relay-serve.c
@@ -168,7 +168,7 @@
 	const struct rr_service_config *config = query->map->service;
 	int64_t latest_us =
 		(int64_t)config->attempt_timeout_ms * (1000 / PROGRESS_PART);
-	int64_t usual_us = rr_sketch_quantile(&query->service->times, 0.95);
+	int64_t usual_us = rr_sketch_quantile_us(&query->service->times, 0.95);
 
 	if (usual_us)
 		latest_us = MIN(latest_us, 2 * usual_us);
--- a/source/core/replica-limit.c
+++ b/source/core/replica-limit.c
@@ -59,7 +59,7 @@
 	if (replica->state == RR_UPSTREAM_COLD ||
 	    replica->samples < WARM_REPLIES)
 		return 1;
-	return rr_limit_now(&replica->limit, highest);
+	return rr_current_limit(&replica->limit, highest);
 }
 
 void rr_adapt_replica_limit(struct rr_replica *replica, int64_t took_us,
--- a/source/core/replica-private.h
+++ b/source/core/replica-private.h
@@ -7,8 +7,8 @@
 
 #include <glib.h>
 
-#include "core/budget.h"
-#include "core/limit.h"
+#include "core/token-budget.h"
+#include "core/concurrency-limit.h"
 #include "ragwort/attempt.h"
 #include "ragwort/config.h"
 #include "ragwort/context.h"
@@ -37,7 +37,7 @@
 
 	/* Own estimate of the time of an attempt, exponentially weighted. */
 	double latency_us;
-	struct rr_limit limit; /* of attempts in flight */
+	struct rr_concurrency_limit limit; /* of attempts in flight */
 	int64_t shed_until_us;
 	int64_t set_aside_until_us;
 	uint32_t times_set_aside;
@@ -87,9 +87,9 @@
 struct rr_service {
 	char *name;
 	struct rr_service_map *map; /* NULL: not in the configuration */
-	struct rr_budget hedges;
-	struct rr_budget retries;
-	struct rr_sketch times;
+	struct rr_token_budget hedges;
+	struct rr_token_budget retries;
+	struct rr_latency_sketch times;
 	uint32_t n_open;
 	uint32_t n_open_batch;
 	uint32_t n_waiting;   /* attempts in the queues of its replicas */
--- a/source/core/replica.c
+++ b/source/core/replica.c
@@ -133,7 +133,7 @@
 	replica->samples = 0;
 	replica->losses_in_row = 0;
 	replica->set_aside_until_us = 0;
-	rr_start_limit(&replica->limit, rr_slot_share(replica));
+	rr_reset_limit(&replica->limit, rr_slot_share(replica));
 }
 
 bool rr_note_replica_born(struct rr_context *ctx, struct rr_replica *replica,
@@ -222,7 +222,7 @@
 static void mix_latency(struct rr_replica *replica, double took)
 {
 	double median_us =
-		(double)rr_sketch_quantile(&replica->service->times, 0.5);
+		(double)rr_sketch_quantile_us(&replica->service->times, 0.5);
 
 	if (median_us > 0)
 		took = MIN(took, MOST_MEDIANS * median_us);
@@ -239,7 +239,7 @@
 	replica->losses_in_row = 0;
 	mix_latency(replica, (double)MAX(1, took_us));
 	rr_adapt_replica_limit(replica, took_us, in_flight);
-	rr_add_time(&replica->service->times, took_us);
+	rr_add_latency(&replica->service->times, took_us);
 	rr_judge_outlier(ctx, core, replica);
 }
 
@@ -273,7 +273,7 @@
 		MAX(replica->shed_until_us,
 		    core->now_us + (int64_t)retry_after_ms * 1000);
 	rr_shrink_limit(&replica->limit, SHED_SHRINK);
-	rr_set_timer(core->timers, replica->shed_until_us, RR_TIMER_PUMP,
+	rr_set_timer(core->timers, replica->shed_until_us, RR_TIMER_SEND_QUEUED,
 		     replica->number, 0);
 }
 
@@ -326,7 +326,7 @@
 			replica->owned = true;
 	}
 	if (replica->owned && !was_owned)
-		rr_start_limit(&replica->limit, rr_slot_share(replica));
+		rr_reset_limit(&replica->limit, rr_slot_share(replica));
 	if (was_owned && !replica->owned)
 		forget_state(replica);
 }
--- a/source/core/allowance.c
+++ b/source/core/retry-budget.c
@@ -1,29 +1,29 @@
 /*
- * allowance.c - extra attempts within a sliding window.
+ * retry-budget.c - extra attempts within a sliding window.
  */
-#include "core/allowance.h"
+#include "core/retry-budget.h"
 
 #include <glib.h>
 
-#define SLOTS (RR_ALLOWANCE_SLOTS + 1)
+#define SLOTS (RR_RETRY_BUDGET_SLOTS + 1)
 
-void rr_init_allowance(struct rr_allowance *allowance, int64_t window_us,
-		       int64_t began_us)
+void rr_init_retry_budget(struct rr_retry_budget *allowance, int64_t window_us,
+			  int64_t began_us)
 {
-	*allowance = (struct rr_allowance){
-		.slot_us = MAX(window_us / RR_ALLOWANCE_SLOTS, 1),
+	*allowance = (struct rr_retry_budget){
+		.slot_us = MAX(window_us / RR_RETRY_BUDGET_SLOTS, 1),
 		.slack_from_us = began_us + window_us,
 	};
 }
 
-void rr_set_allowance(struct rr_allowance *allowance, double ratio,
-		      double slack)
+void rr_set_retry_budget(struct rr_retry_budget *allowance, double ratio,
+			 double slack)
 {
 	allowance->ratio = ratio;
 	allowance->slack = slack;
 }
 
-static void empty_slot(struct rr_allowance *allowance, size_t slot)
+static void empty_slot(struct rr_retry_budget *allowance, size_t slot)
 {
 	allowance->earned_sum -= allowance->earned[slot];
 	allowance->spent_sum -= allowance->spent[slot];
@@ -32,18 +32,19 @@
 }
 
 /* Empty the slots that have come since the newest one. */
-static size_t slot_at(struct rr_allowance *allowance, int64_t now_us)
+static size_t slot_at(struct rr_retry_budget *allowance, int64_t now_us)
 {
 	int64_t now = now_us / allowance->slot_us;
 
-	allowance->newest = MAX(allowance->newest, now - SLOTS);
-	while (allowance->newest < now)
-		empty_slot(allowance, (size_t)(++allowance->newest % SLOTS));
-	return (size_t)(allowance->newest % SLOTS);
+	allowance->newest_slot = MAX(allowance->newest_slot, now - SLOTS);
+	while (allowance->newest_slot < now)
+		empty_slot(allowance,
+			   (size_t)(++allowance->newest_slot % SLOTS));
+	return (size_t)(allowance->newest_slot % SLOTS);
 }
 
 /* The oldest slot lies partly before the window: it earns nothing. */
-static double allowed(const struct rr_allowance *allowance, size_t slot,
+static double allowed(const struct rr_retry_budget *allowance, size_t slot,
 		      int64_t now_us)
 {
 	size_t oldest = (slot + 1) % SLOTS;
@@ -58,14 +59,15 @@
 	return allowance->ratio * earned + slack;
 }
 
-double rr_extras_left(struct rr_allowance *allowance, int64_t now_us)
+double rr_extras_left(struct rr_retry_budget *allowance, int64_t now_us)
 {
 	size_t slot = slot_at(allowance, now_us);
 
 	return allowed(allowance, slot, now_us) - allowance->spent_sum;
 }
 
-double rr_extras_used(struct rr_allowance *allowance, int64_t now_us)
+double rr_extras_used_fraction(struct rr_retry_budget *allowance,
+			       int64_t now_us)
 {
 	double most = allowed(allowance, slot_at(allowance, now_us), now_us);
 	double spent = allowance->spent_sum;
@@ -73,13 +75,13 @@
 	return spent < most ? spent / most : 1;
 }
 
-void rr_earn_extra(struct rr_allowance *allowance, int64_t now_us)
+void rr_earn_extra(struct rr_retry_budget *allowance, int64_t now_us)
 {
 	allowance->earned[slot_at(allowance, now_us)]++;
 	allowance->earned_sum++;
 }
 
-bool rr_take_extra(struct rr_allowance *allowance, int64_t now_us)
+bool rr_take_extra(struct rr_retry_budget *allowance, int64_t now_us)
 {
 	if (rr_extras_left(allowance, now_us) < 1)
 		return false;
@@ -88,7 +90,7 @@
 	return true;
 }
 
-void rr_return_extra(struct rr_allowance *allowance, int64_t now_us)
+void rr_return_extra(struct rr_retry_budget *allowance, int64_t now_us)
 {
 	size_t slot = slot_at(allowance, now_us);
 
--- a/source/core/snapshot.c
+++ b/source/core/snapshot.c
@@ -195,7 +195,7 @@
 
 static bool may_restart(struct rr_core *core, const struct rr_query *query)
 {
-	int64_t typical_us = rr_sketch_quantile(&query->service->times, 0.5);
+	int64_t typical_us = rr_sketch_quantile_us(&query->service->times, 0.5);
 
 	if (query->kind != RR_SEARCH || query->guarded || query->origin)
 		return false;
--- a/source/core/timer.c
+++ b/source/core/timer.c
@@ -35,7 +35,7 @@
 {
 	if (a->due_us != b->due_us)
 		return a->due_us < b->due_us;
-	return a->order < b->order;
+	return a->sequence < b->sequence;
 }
 
 static void swap_timers(struct rr_timer *a, struct rr_timer *b)
@@ -51,7 +51,7 @@
 {
 	struct rr_timer timer = {
 		.due_us = due_us,
-		.order = timers->next_order++,
+		.sequence = timers->next_order++,
 		.kind = kind,
 		.index = index,
 		.id = id,
@@ -90,8 +90,8 @@
 	}
 }
 
-bool rr_take_timer(struct rr_timers *timers, int64_t now_us,
-		   struct rr_timer *timer)
+bool rr_pop_timer(struct rr_timers *timers, int64_t now_us,
+		  struct rr_timer *timer)
 {
 	if (!timers->heap->len || timer_at(timers, 0)->due_us > now_us)
 		return false;
--- a/source/core/timer.h
+++ b/source/core/timer.h
@@ -11,29 +11,29 @@
 #include <stdint.h>
 
 enum rr_timer_kind {
-	RR_TIMER_DEADLINE,	  /* id: query */
-	RR_TIMER_ENOUGH,	  /* id: query; the wait after enough */
-	RR_TIMER_LINGER,	  /* id: query; answered, outcome open */
-	RR_TIMER_PROGRESS,	  /* id: query of a peer */
-	RR_TIMER_RETRY,		  /* id: query, index: task */
-	RR_TIMER_HEDGE,		  /* id: attempt */
-	RR_TIMER_ATTEMPT_TIMEOUT, /* id: attempt */
-	RR_TIMER_RELAY_TIMEOUT,	  /* id: relay */
-	RR_TIMER_POLL,		  /* id: replica's number */
-	RR_TIMER_POLL_TIMEOUT,	  /* id: replica's number */
-	RR_TIMER_PUMP,		  /* id: replica's number */
-	RR_TIMER_CONFIG_ASK,	  /* id: number of the ask */
-	RR_TIMER_GATE_LOOK,	  /* id: gateway request */
-	RR_TIMER_GATE_HEDGE,	  /* id: gateway attempt */
-	RR_TIMER_GATE_PROBE,	  /* id: endpoint's number */
-	RR_TIMER_GATE_ZONE,	  /* id: zone's number */
-	RR_TIMER_GATE_UNLISTED,	  /* id: endpoint's number */
-	RR_TIMER_GATE_CLAIM,	  /* id: gateway request */
+	RR_TIMER_DEADLINE,	      /* id: query */
+	RR_TIMER_COVERAGE_WAIT,	      /* id: query; the wait after enough */
+	RR_TIMER_LINGER,	      /* id: query; answered, outcome open */
+	RR_TIMER_PROGRESS,	      /* id: query of a peer */
+	RR_TIMER_RETRY,		      /* id: query, index: task */
+	RR_TIMER_HEDGE,		      /* id: attempt */
+	RR_TIMER_ATTEMPT_TIMEOUT,     /* id: attempt */
+	RR_TIMER_RELAY_TIMEOUT,	      /* id: relay */
+	RR_TIMER_POLL,		      /* id: replica's number */
+	RR_TIMER_POLL_TIMEOUT,	      /* id: replica's number */
+	RR_TIMER_SEND_QUEUED,	      /* id: replica's number */
+	RR_TIMER_CONFIG_REQUEST,      /* id: number of the ask */
+	RR_TIMER_GATE_ADVANCE,	      /* id: gateway request */
+	RR_TIMER_GATE_HEDGE,	      /* id: gateway attempt */
+	RR_TIMER_GATE_PROBE,	      /* id: endpoint's number */
+	RR_TIMER_GATE_ZONE_PROBE,     /* id: zone's number */
+	RR_TIMER_GATE_UNLISTED_GRACE, /* id: endpoint's number */
+	RR_TIMER_GATE_CLAIM_TIMEOUT,  /* id: gateway request */
 };
 
 struct rr_timer {
 	int64_t due_us;
-	uint64_t order; /* timers of one due time fire as they were set */
+	uint64_t sequence; /* timers of one due time fire as they were set */
 	enum rr_timer_kind kind;
 	uint32_t index;
 	uint64_t id;
@@ -46,8 +46,8 @@
 void rr_set_timer(struct rr_timers *timers, int64_t due_us,
 		  enum rr_timer_kind kind, uint64_t id, uint32_t index);
 /* Take the next timer due at `now_us`; false if there is none. */
-bool rr_take_timer(struct rr_timers *timers, int64_t now_us,
-		   struct rr_timer *timer);
+bool rr_pop_timer(struct rr_timers *timers, int64_t now_us,
+		  struct rr_timer *timer);
 /* When the next one is due; INT64_MAX for never. */
 int64_t rr_next_timer_us(const struct rr_timers *timers);
 
--- a/source/core/budget.c
+++ b/source/core/token-budget.c
@@ -1,8 +1,8 @@
 /*
- * budget.c - token budgets for extra attempts, and the sketch of attempt
+ * token-budget.c - token budgets for extra attempts, and the sketch of attempt
  * times that hedges are set by.
  */
-#include "core/budget.h"
+#include "core/token-budget.h"
 
 #include <glib.h>
 #include <math.h>
@@ -14,8 +14,8 @@
 #define SKETCH_FULL 8192
 #define SKETCH_FEWEST 20
 
-void rr_set_budget(struct rr_budget *budget, double ratio, double cap,
-		   double first)
+void rr_set_token_budget(struct rr_token_budget *budget, double ratio,
+			 double cap, double first)
 {
 	bool is_new = budget->cap <= 0;
 
@@ -26,12 +26,12 @@
 	budget->tokens = MIN(budget->tokens, budget->cap);
 }
 
-void rr_earn_token(struct rr_budget *budget)
+void rr_earn_token(struct rr_token_budget *budget)
 {
 	budget->tokens = MIN(budget->cap, budget->tokens + budget->ratio);
 }
 
-bool rr_take_tokens(struct rr_budget *budget, double n)
+bool rr_take_tokens(struct rr_token_budget *budget, double n)
 {
 	if (budget->tokens < n)
 		return false;
@@ -49,7 +49,7 @@
 	return MIN((size_t)at, RR_SKETCH_BUCKETS - 1);
 }
 
-void rr_add_time(struct rr_sketch *sketch, int64_t took_us)
+void rr_add_latency(struct rr_latency_sketch *sketch, int64_t took_us)
 {
 	sketch->counts[bucket_of(took_us)]++;
 	if (++sketch->total < SKETCH_FULL)
@@ -61,7 +61,8 @@
 	}
 }
 
-int64_t rr_sketch_quantile(const struct rr_sketch *sketch, double quantile)
+int64_t rr_sketch_quantile_us(const struct rr_latency_sketch *sketch,
+			      double quantile)
 {
 	uint32_t wanted = (uint32_t)ceil(quantile * sketch->total);
 	uint32_t seen = 0;
@@ -77,12 +78,12 @@
 	return (int64_t)(SKETCH_FLOOR_US * pow(SKETCH_STEP, RR_SKETCH_BUCKETS));
 }
 
-double rr_budget_used(const struct rr_budget *budget)
+double rr_budget_used_fraction(const struct rr_token_budget *budget)
 {
 	return budget->cap > 0 ? 1.0 - budget->tokens / budget->cap : 1;
 }
 
-int64_t rr_hedge_price_us(double used, int64_t cheap_us, int64_t dear_us)
+int64_t rr_hedge_threshold_us(double used, int64_t cheap_us, int64_t dear_us)
 {
 	if (dear_us < cheap_us)
 		return cheap_us;
--- a/source/core/wait-queue.c
+++ b/source/core/wait-queue.c
@@ -41,12 +41,12 @@
 
 static bool has_waited_long(const struct rr_waiter *waiter, int64_t now_us)
 {
-	double allowed_us = (double)(waiter->cut_us - waiter->since_us);
+	double allowed_us = (double)(waiter->answer_by_us - waiter->since_us);
 
 	return (double)(now_us - waiter->since_us) > OVERRUN_PART * allowed_us;
 }
 
-bool rr_is_overrun(const struct rr_wait_queue *queue, int64_t now_us)
+bool rr_is_overloaded(const struct rr_wait_queue *queue, int64_t now_us)
 {
 	for (guint i = 0; i < queue->waiters->len; i++) {
 		if (has_waited_long(waiter_at(queue, i), now_us))
@@ -55,27 +55,27 @@
 	return false;
 }
 
-bool rr_would_overrun(const struct rr_wait_queue *queue,
-		      const struct rr_wait_outlook *outlook)
+bool rr_would_overload(const struct rr_wait_queue *queue,
+		       const struct rr_overload_inputs *outlook)
 {
 	double ahead_us =
 		(double)queue->waiters->len * (double)outlook->typical_us;
-	double allowed_us =
-		NEWCOMER_PART * (double)(outlook->cut_us - outlook->now_us);
+	double allowed_us = NEWCOMER_PART *
+			    (double)(outlook->answer_by_us - outlook->now_us);
 
 #ifdef RR_MUTANT_QUEUE_NO_OUTLOOK
 	allowed_us = G_MAXDOUBLE;
 #endif
 	return ahead_us > allowed_us * outlook->capacity ||
-	       rr_is_overrun(queue, outlook->now_us);
+	       rr_is_overloaded(queue, outlook->now_us);
 }
 
 /* Whether `a`, which is newer, goes before `b`. */
 static bool goes_before(const struct rr_waiter *a, const struct rr_waiter *b,
 			int64_t in_time_us, bool newest_first)
 {
-	bool a_in_time = a->cut_us >= in_time_us;
-	bool b_in_time = b->cut_us >= in_time_us;
+	bool a_in_time = a->answer_by_us >= in_time_us;
+	bool b_in_time = b->answer_by_us >= in_time_us;
 
 	if (a_in_time != b_in_time)
 		return a_in_time;
@@ -87,7 +87,7 @@
 bool rr_pop_waiter(struct rr_wait_queue *queue, int64_t now_us,
 		   int64_t typical_us, struct rr_waiter *waiter)
 {
-	bool newest_first = rr_is_overrun(queue, now_us);
+	bool newest_first = rr_is_overloaded(queue, now_us);
 	guint best = 0;
 
 #ifdef RR_MUTANT_QUEUE_OLDEST_FIRST
--- a/source/core/wait-queue.h
+++ b/source/core/wait-queue.h
@@ -12,11 +12,11 @@
 #include <stdint.h>
 
 struct rr_waiter {
-	uint64_t run; /* the request, and which of its parts */
+	uint64_t request; /* the request, and which of its parts */
 	uint32_t part;
 	uint32_t priority; /* 0 is the highest */
 	int64_t since_us;
-	int64_t cut_us; /* an answer after this misses its objective */
+	int64_t answer_by_us; /* an answer after this misses its objective */
 };
 
 struct rr_wait_queue {
@@ -40,14 +40,14 @@
 bool rr_pop_waiter(struct rr_wait_queue *queue, int64_t now_us,
 		   int64_t typical_us, struct rr_waiter *waiter);
 /* Whether more comes than can be served: see above. */
-bool rr_is_overrun(const struct rr_wait_queue *queue, int64_t now_us);
+bool rr_is_overloaded(const struct rr_wait_queue *queue, int64_t now_us);
 
 /* What the wait of one more is reckoned from. */
-struct rr_wait_outlook {
+struct rr_overload_inputs {
 	int64_t now_us;
-	int64_t cut_us;	    /* its own */
-	int64_t typical_us; /* one piece of work */
-	uint32_t capacity;  /* so many at once */
+	int64_t answer_by_us; /* its own */
+	int64_t typical_us;   /* one piece of work */
+	uint32_t capacity;    /* so many at once */
 };
 
 /*
@@ -55,7 +55,7 @@
  * up too much of the newcomer's time.  Turned away then, before a backlog
  * shows by its age, fewer are served late.
  */
-bool rr_would_overrun(const struct rr_wait_queue *queue,
-		      const struct rr_wait_outlook *outlook);
+bool rr_would_overload(const struct rr_wait_queue *queue,
+		       const struct rr_overload_inputs *outlook);
 
 #endif
--- a/source/core/pick.h
+++ b/source/core/weighted-choice.h
@@ -1,5 +1,5 @@
 /*
- * pick.h - choosing between two by their expected waits.
+ * weighted-choice.h - choosing between two by their expected waits.
  */
 #ifndef RAGWORT_CORE_PICK_H
 #define RAGWORT_CORE_PICK_H
@@ -14,7 +14,7 @@
  * against an estimate that is never put right because nothing is sent there:
  * a replica that was slow once would stay idle for good.  Waits are above 0.
  */
-bool rr_toss_for_lighter(struct rr_context *ctx, double wait_x, double wait_y,
-			 double power);
+bool rr_choose_by_wait(struct rr_context *ctx, double wait_x, double wait_y,
+		       double power);
 
 #endif
--- a/source/gateway/gateway-store.c
+++ b/source/gateway/gateway-store.c
@@ -132,8 +132,8 @@
 {
 	struct rr_gateway *gateway = data;
 
-	rr_gate_evacuate(gateway->ctx, gateway->gate, rr_gateway_now_us(), zone,
-			 revision, in_force);
+	rr_gate_set_evacuation(gateway->ctx, gateway->gate, rr_gateway_now_us(),
+			       zone, revision, in_force);
 }
 
 static void take_quarantine(void *data,
@@ -151,8 +151,8 @@
 {
 	struct rr_gateway *gateway = data;
 
-	rr_gate_claimed(gateway->ctx, gateway->gate, rr_gateway_now_us(), entry,
-			granted);
+	rr_gate_handle_claim_result(gateway->ctx, gateway->gate,
+				    rr_gateway_now_us(), entry, granted);
 }
 
 struct rr_feed_actions rr_gateway_feed_actions(struct rr_gateway *gateway)
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -217,8 +217,8 @@
 {
 	struct rr_gateway *gateway = data;
 
-	rr_gate_probed(gateway->ctx, gateway->gate, rr_gateway_now_us(),
-		       lifetime, reached);
+	rr_gate_handle_probe_result(gateway->ctx, gateway->gate,
+				    rr_gateway_now_us(), lifetime, reached);
 }
 
 /* Signals. */
--- a/source/tool/quarantine.c
+++ b/source/tool/quarantine.c
@@ -24,7 +24,7 @@
 	}
 	crashed = g_strjoinv(" ", entry->crashed);
 	printf("%s  %-11s  trials %u  crashed %s\n", item->id,
-	       entry->in_force ? "quarantined" : "suspected", entry->trials,
+	       entry->quarantined ? "quarantined" : "suspected", entry->trials,
 	       crashed);
 	g_free(crashed);
 }
--- a/tests/support/feed-scene.c
+++ b/tests/support/feed-scene.c
@@ -42,9 +42,9 @@
 static char *name_entry(const struct rr_quarantine_entry *entry, bool released)
 {
 	return g_strdup_printf("%s %" G_GUINT64_FORMAT,
-			       released	       ? "released" :
-			       entry->in_force ? "quarantined" :
-						 "suspected",
+			       released		  ? "released" :
+			       entry->quarantined ? "quarantined" :
+						    "suspected",
 			       entry->fingerprint.low);
 }
 
@@ -280,7 +280,7 @@
 	return (struct rr_quarantine_entry){
 		.fingerprint.low = n,
 		.crashed = crashed,
-		.in_force = in_force,
+		.quarantined = in_force,
 	};
 }
 
@@ -318,7 +318,7 @@
 {
 	uint64_t n = g_ascii_strtoull(strchr(what, '/') + 1, NULL, 10);
 	struct rr_quarantine_entry entry = make_quarantine(n, *what == 'q');
-	char text[RR_FINGERPRINT_TEXT];
+	char text[RR_FINGERPRINT_TEXT_SIZE];
 
 	item->kind = RR_FEED_QUARANTINE;
 	item->id = g_strdup(rr_format_fingerprint(&entry.fingerprint, text));
--- a/tests/support/gate-fixture.c
+++ b/tests/support/gate-fixture.c
@@ -501,8 +501,8 @@
 void test_report_probe(struct gate_fixture *scene, const char *lifetime,
 		       bool reached)
 {
-	rr_gate_probed(scene->ctx, scene->gate, scene->now_us, lifetime,
-		       reached);
+	rr_gate_handle_probe_result(scene->ctx, scene->gate, scene->now_us,
+				    lifetime, reached);
 }
 
 void test_crash_replica(struct gate_fixture *scene,
--- a/tests/test-cold-share.c
+++ b/tests/test-cold-share.c
@@ -73,9 +73,9 @@
 
 	(void)state;
 	for (int64_t now_ms = 0; now_ms < 9000; now_ms += 7) {
-		if (!rr_cold_may_send(&window, now_ms * MS, 5))
+		if (!rr_cold_window_has_room(&window, now_ms * MS, 5))
 			continue;
-		rr_cold_note_sent(&window, now_ms * MS);
+		rr_add_to_cold_window(&window, now_ms * MS);
 		sent_ms[n++] = now_ms;
 	}
 	assert_in_range(n, 35, 45);
@@ -88,9 +88,9 @@
 	struct rr_cold_window window = { 0 };
 
 	(void)state;
-	assert_false(rr_cold_may_send(&window, 5000 * MS, 0));
+	assert_false(rr_cold_window_has_room(&window, 5000 * MS, 0));
 	assert_int_equal(rr_cold_share(0.7, 3, 0), 0);
-	assert_int_equal(rr_cold_share(1e9, 1, 0), RR_COLD_MOST);
+	assert_int_equal(rr_cold_share(1e9, 1, 0), RR_COLD_MAX_PER_S);
 }
 
 int main(void)
--- a/tests/test-fingerprint.c
+++ b/tests/test-fingerprint.c
@@ -40,7 +40,7 @@
 	struct rr_fingerprint y = rr_fingerprint(&b);
 
 	(void)state;
-	assert_true(rr_is_fingerprint(&x));
+	assert_true(rr_is_fingerprint_set(&x));
 	assert_true(rr_same_fingerprint(&x, &y));
 	g_free(copied);
 }
@@ -75,7 +75,7 @@
 {
 	struct rr_fingerprint x = { 0x1234abcd, 0xfe00000000000001 };
 	struct rr_fingerprint y;
-	char text[RR_FINGERPRINT_TEXT];
+	char text[RR_FINGERPRINT_TEXT_SIZE];
 
 	(void)state;
 	assert_string_equal(rr_format_fingerprint(&x, text),
--- a/tests/test-gate-choose.c
+++ b/tests/test-gate-choose.c
@@ -120,7 +120,8 @@
 	test_submit(scene, "/often/1", 900);
 	test_reply(scene, test_attempt_at(scene, 2), RR_GATE_NO_REPLY, 0);
 	test_advance_time(scene, 450 * TEST_MS);
-	rr_gate_probed(scene->ctx, scene->gate, scene->now_us, "s.a", false);
+	rr_gate_handle_probe_result(scene->ctx, scene->gate, scene->now_us,
+				    "s.a", false);
 	test_submit(scene, "/often/1", 900);
 	assert_int_equal(scene->attempts->len, 3);
 	assert_int_equal(test_last_answer(scene)->status, 503);
--- a/tests/test-gate-cold.c
+++ b/tests/test-gate-cold.c
@@ -134,8 +134,10 @@
 
 	(void)state;
 	test_list_replica(scene, "s.a", "s", "a");
-	rr_gate_evacuate(scene->ctx, scene->gate, scene->now_us, "a", 5, true);
-	rr_gate_evacuate(scene->ctx, scene->gate, scene->now_us, "a", 6, false);
+	rr_gate_set_evacuation(scene->ctx, scene->gate, scene->now_us, "a", 5,
+			       true);
+	rr_gate_set_evacuation(scene->ctx, scene->gate, scene->now_us, "a", 6,
+			       false);
 	assert_int_equal(serve_for_a_second(scene, "s.a"), 11);
 	test_free_gate(scene);
 }
--- a/tests/test-gate-evacuate.c
+++ b/tests/test-gate-evacuate.c
@@ -15,15 +15,15 @@
 static void evacuate(struct gate_fixture *scene, const char *zone,
 		     uint64_t revision)
 {
-	rr_gate_evacuate(scene->ctx, scene->gate, scene->now_us, zone, revision,
-			 true);
+	rr_gate_set_evacuation(scene->ctx, scene->gate, scene->now_us, zone,
+			       revision, true);
 }
 
 static void take_back(struct gate_fixture *scene, const char *zone,
 		      uint64_t revision)
 {
-	rr_gate_evacuate(scene->ctx, scene->gate, scene->now_us, zone, revision,
-			 false);
+	rr_gate_set_evacuation(scene->ctx, scene->gate, scene->now_us, zone,
+			       revision, false);
 }
 
 /* Attempts from the i-th on that went to replicas of a zone. */
--- a/tests/test-gate-quarantine.c
+++ b/tests/test-gate-quarantine.c
@@ -63,7 +63,7 @@
 	struct rr_quarantine_entry entry = {
 		.fingerprint = deadly,
 		.crashed = crashed,
-		.in_force = true,
+		.quarantined = true,
 	};
 
 	rr_gate_apply_quarantine(scene->ctx, scene->gate, scene->now_us,
@@ -88,7 +88,7 @@
 	test_crash_replica(scene, last_sent(scene));
 	assert_int_equal(scene->attempts->len, 6);
 	assert_int_equal(test_last_answer(scene)->status, 502);
-	assert_true(test_last_report(scene)->entry->in_force);
+	assert_true(test_last_report(scene)->entry->quarantined);
 	assert_refused(scene, "/search/1");
 	assert_true(test_last_answer(scene)->retry_after_ms <= HOLD_MS);
 	assert_true(test_last_answer(scene)->retry_after_ms > HOLD_MS - 1000);
@@ -284,8 +284,9 @@
 	for (int i = 0; scenes[i]; i++) {
 		test_submit(scenes[i], "/once/1", 900);
 		test_crash_replica(scenes[i], last_sent(scenes[i]));
-		assert_int_equal(test_last_report(scenes[i])->entry->in_force,
-				 i == 2);
+		assert_int_equal(
+			test_last_report(scenes[i])->entry->quarantined,
+			i == 2);
 		pass_on(scenes[i], scenes);
 		for (int j = 0; scenes[j]; j++)
 			test_advance_time(scenes[j], 100 * TEST_MS);
@@ -376,8 +377,8 @@
 
 static void answer_claim(struct gate_fixture *scene, bool granted)
 {
-	rr_gate_claimed(scene->ctx, scene->gate, scene->now_us,
-			test_last_report(scene)->entry, granted);
+	rr_gate_handle_claim_result(scene->ctx, scene->gate, scene->now_us,
+				    test_last_report(scene)->entry, granted);
 }
 
 /* Guards against a wrong quarantine that lasts. */
--- a/tests/test-gate-random.c
+++ b/tests/test-gate-random.c
@@ -355,8 +355,8 @@
 		return;
 	id = g_strdup(g_ptr_array_index(scene->probes, 0));
 	g_ptr_array_remove_index(scene->probes, 0);
-	rr_gate_probed(scene->ctx, scene->gate, scene->now_us, id,
-		       draw(world, 2));
+	rr_gate_handle_probe_result(scene->ctx, scene->gate, scene->now_us, id,
+				    draw(world, 2));
 	g_free(id);
 }
 
--- a/tests/test-gate-zone.c
+++ b/tests/test-gate-zone.c
@@ -59,7 +59,8 @@
 	g_ptr_array_set_size(scene->probes, 0);
 	test_advance_time(scene, 1000 * TEST_MS);
 	assert_in_range(scene->probes->len, 3, 4);
-	rr_gate_probed(scene->ctx, scene->gate, scene->now_us, "s3.b", true);
+	rr_gate_handle_probe_result(scene->ctx, scene->gate, scene->now_us,
+				    "s3.b", true);
 	assert_true(rr_gate_is_ready(scene->gate, &reason));
 	test_free_gate(scene);
 }
@@ -127,8 +128,9 @@
 		while (scene->probes->len) {
 			char *id = g_ptr_array_steal_index(scene->probes, 0);
 
-			rr_gate_probed(scene->ctx, scene->gate, scene->now_us,
-				       id, i < 12 && strstr(id, ".c"));
+			rr_gate_handle_probe_result(scene->ctx, scene->gate,
+						    scene->now_us, id,
+						    i < 12 && strstr(id, ".c"));
 			g_free(id);
 		}
 	}
@@ -186,8 +188,9 @@
 			char *probed =
 				g_ptr_array_steal_index(scene->probes, 0);
 
-			rr_gate_probed(scene->ctx, scene->gate, scene->now_us,
-				       probed, false);
+			rr_gate_handle_probe_result(scene->ctx, scene->gate,
+						    scene->now_us, probed,
+						    false);
 			g_free(probed);
 		}
 	}
@@ -223,13 +226,15 @@
 		test_reply_all(scene);
 		test_advance_time(scene, 50 * TEST_MS);
 		if (scene->probes->len)
-			rr_gate_probed(scene->ctx, scene->gate, scene->now_us,
-				       "s.a", false);
+			rr_gate_handle_probe_result(scene->ctx, scene->gate,
+						    scene->now_us, "s.a",
+						    false);
 	}
 	for (guint i = 0; i < scene->attempts->len; i++)
 		assert_string_equal(test_attempt_at(scene, i)->endpoint, "s.b");
 	assert_true(scene->probes->len > 1);
-	rr_gate_probed(scene->ctx, scene->gate, scene->now_us, "s.a", true);
+	rr_gate_handle_probe_result(scene->ctx, scene->gate, scene->now_us,
+				    "s.a", true);
 	test_submit(scene, "/often/1", 900);
 	assert_string_equal(
 		test_attempt_at(scene, scene->attempts->len - 1)->endpoint,
@@ -323,9 +328,9 @@
 		reply_from(scene, pauses ? "a" : "ab");
 		test_advance_time(scene, 45 * TEST_MS);
 		for (; probes < scene->probes->len; probes++)
-			rr_gate_probed(scene->ctx, scene->gate, scene->now_us,
-				       g_ptr_array_index(scene->probes, probes),
-				       true);
+			rr_gate_handle_probe_result(
+				scene->ctx, scene->gate, scene->now_us,
+				g_ptr_array_index(scene->probes, probes), true);
 	}
 	g_ptr_array_set_size(scene->attempts, 0);
 	test_list_draining_replica(scene, "s1.a", "s1", "a");
@@ -406,7 +411,8 @@
 	assert_false(rr_gate_is_ready(scene->gate, &reason));
 	assert_string_equal(reason, "cut-off");
 	assert_true(rr_gate_is_isolated(scene->gate));
-	rr_gate_probed(scene->ctx, scene->gate, scene->now_us, "s3.b", true);
+	rr_gate_handle_probe_result(scene->ctx, scene->gate, scene->now_us,
+				    "s3.b", true);
 	assert_true(rr_gate_is_ready(scene->gate, &reason));
 	test_free_gate(scene);
 }
@@ -426,8 +432,10 @@
 	test_set_routes(scene, 5, &route, 1);
 	rr_gate_suspect_zones(scene->ctx, scene->gate, scene->now_us);
 	test_advance_time(scene, 5 * TEST_MS);
-	rr_gate_probed(scene->ctx, scene->gate, scene->now_us, "s3.b", true);
-	rr_gate_probed(scene->ctx, scene->gate, scene->now_us, "s4.c", true);
+	rr_gate_handle_probe_result(scene->ctx, scene->gate, scene->now_us,
+				    "s3.b", true);
+	rr_gate_handle_probe_result(scene->ctx, scene->gate, scene->now_us,
+				    "s4.c", true);
 	test_advance_time(scene, 500 * TEST_MS);
 	assert_false(rr_gate_is_isolated(scene->gate));
 	assert_true(rr_gate_is_ready(scene->gate, &reason));
--- a/tests/test-platform-entries.c
+++ b/tests/test-platform-entries.c
@@ -466,7 +466,7 @@
 	struct rr_quarantine_entry entry = {
 		.fingerprint = { 1, 2 },
 		.crashed = crashed,
-		.in_force = true,
+		.quarantined = true,
 		.trials = 3,
 	};
 	char *text = rr_encode_quarantine(&entry);
@@ -478,7 +478,7 @@
 	assert_non_null(back);
 	assert_true(
 		rr_same_fingerprint(&back->fingerprint, &entry.fingerprint));
-	assert_true(back->in_force);
+	assert_true(back->quarantined);
 	assert_int_equal(back->trials, 3);
 	assert_int_equal(g_strv_length(back->crashed), 2);
 	assert_string_equal(back->crashed[1], crashed[1]);
--- a/tests/test-quarantine.c
+++ b/tests/test-quarantine.c
@@ -19,7 +19,7 @@
 static struct rr_quarantine *new_quarantine(void)
 {
 	struct rr_quarantine_options options = {
-		.crashes = 3,
+		.crash_threshold = 3,
 		.hold_us = HOLD_US,
 		.harmless_us = 10 * S,
 	};
@@ -37,9 +37,10 @@
 		.closed_us = closed_us,
 	};
 	struct rr_quarantine_record *record =
-		rr_note_crash(quarantine, closed_us, &crash, lifetime);
+		rr_add_crash(quarantine, closed_us, &crash, lifetime);
 
-	return record && rr_enforce_quarantine(quarantine, closed_us, record);
+	return record &&
+	       rr_quarantine_if_confirmed(quarantine, closed_us, record);
 }
 
 static void test_three_replicas_one_after_the_other(void **state)
@@ -87,7 +88,7 @@
 	struct rr_fingerprint other = { 1, 3 };
 
 	(void)state;
-	rr_note_harmless(quarantine, 1 * S, &deadly);
+	rr_mark_harmless(quarantine, 1 * S, &deadly);
 	for (char name[] = "a"; *name < 'g'; ++*name)
 		assert_false(crash(quarantine, 2 * S + *name, 2 * S + *name + 1,
 				   name));
@@ -110,16 +111,16 @@
 		.crashed = crashed,
 	};
 	struct rr_quarantine_record *record =
-		rr_merge_quarantine(quarantine, 100, &entry);
+		rr_merge_quarantine_entry(quarantine, 100, &entry);
 
 	(void)state;
 	assert_int_equal(record->n_crashed, 2);
-	rr_merge_quarantine(quarantine, 101, &entry);
+	rr_merge_quarantine_entry(quarantine, 101, &entry);
 	assert_int_equal(record->n_crashed, 2);
 	assert_true(crash(quarantine, 110, 120, "c"));
-	entry = rr_entry_of_record(record);
+	entry = rr_make_quarantine_entry(record);
 	assert_int_equal(g_strv_length(entry.crashed), 3);
-	assert_true(entry.in_force);
+	assert_true(entry.quarantined);
 	rr_drop_quarantine(quarantine);
 }
 
@@ -130,23 +131,23 @@
 	struct rr_quarantine_entry entry = {
 		.fingerprint = deadly,
 		.crashed = crashed,
-		.in_force = true,
+		.quarantined = true,
 	};
 	struct rr_quarantine_record *record =
-		rr_merge_quarantine(quarantine, 5, &entry);
+		rr_merge_quarantine_entry(quarantine, 5, &entry);
 
 	(void)state;
-	assert_true(record->retry_us == 5 + HOLD_US);
-	rr_count_trials(quarantine, HOLD_US + 5, record, 1);
-	assert_true(record->retry_us == HOLD_US + 5 + 4 * HOLD_US);
+	assert_true(record->next_trial_us == 5 + HOLD_US);
+	rr_update_trial_count(quarantine, HOLD_US + 5, record, 1);
+	assert_true(record->next_trial_us == HOLD_US + 5 + 4 * HOLD_US);
 	/* An entry of before that tells nothing new. */
 	entry.trials = 0;
-	rr_merge_quarantine(quarantine, 2 * HOLD_US, &entry);
+	rr_merge_quarantine_entry(quarantine, 2 * HOLD_US, &entry);
 	assert_int_equal(record->trials, 1);
-	assert_true(record->retry_us == HOLD_US + 5 + 4 * HOLD_US);
-	rr_forget_quarantined(quarantine, &deadly);
+	assert_true(record->next_trial_us == HOLD_US + 5 + 4 * HOLD_US);
+	rr_remove_quarantine_record(quarantine, &deadly);
 	assert_int_equal(rr_count_quarantined(quarantine), 0);
-	assert_null(rr_find_quarantined(quarantine, &deadly));
+	assert_null(rr_find_quarantine_record(quarantine, &deadly));
 	rr_drop_quarantine(quarantine);
 }
 
@@ -167,15 +168,15 @@
 			.closed_us = (int64_t)i + 1,
 		};
 
-		rr_note_crash(quarantine, (int64_t)i, &other, "x");
+		rr_add_crash(quarantine, (int64_t)i, &other, "x");
 	}
 	for (uint64_t i = 0; i < 5000; i++) {
 		struct rr_fingerprint other = { 9, i };
 
-		n += rr_find_quarantined(quarantine, &other) != NULL;
+		n += rr_find_quarantine_record(quarantine, &other) != NULL;
 	}
 	assert_int_equal(n, 1023);
-	assert_non_null(rr_find_quarantined(quarantine, &deadly));
+	assert_non_null(rr_find_quarantine_record(quarantine, &deadly));
 	rr_drop_quarantine(quarantine);
 }
 
--- a/tests/test-trail.c
+++ b/tests/test-request-trace.c
@@ -1,5 +1,5 @@
 /*
- * test-trail.c - which requests are told, whole or not at all, and how many
+ * test-request-trace.c - which requests are told, whole or not at all, and how many
  * lines that makes.
  */
 #include <setjmp.h>
@@ -11,23 +11,24 @@
 #include <glib.h>
 #include <string.h>
 
-#include "core/trail.h"
+#include "core/request-trace.h"
 #include "ragwort/context.h"
 
 #define SECOND_US ((int64_t)1000000)
 
-static void note(struct rr_trail *trail, int64_t at_us, const char *endpoint)
+static void note(struct rr_request_trace *trail, int64_t at_us,
+		 const char *endpoint)
 {
-	struct rr_trail_step step = {
+	struct rr_trace_event step = {
 		.at_us = at_us,
-		.kind = RR_TRAIL_SENT,
+		.kind = RR_TRACE_SENT,
 		.reason = "first",
 		.service = "s",
 		.endpoint = (char *)endpoint,
 		.attempt = 1,
 	};
 
-	rr_note_step(trail, &step);
+	rr_add_trace_event(trail, &step);
 }
 
 static void keep_line(void *data, enum rr_log_level level, const char *line)
@@ -45,17 +46,17 @@
 			 .max_level = RR_LOG_INFO },
 	};
 	struct rr_context *ctx = rr_new_context(&options);
-	struct rr_trail trail;
+	struct rr_request_trace trail;
 	char endpoint[] = "i-1";
 
-	rr_init_trail(&trail);
+	rr_init_trace(&trail);
 	note(&trail, 5000, endpoint);
 	/* The replica may be gone before its line is written. */
 	memset(endpoint, 'x', 3);
-	rr_write_steps(ctx, &trail, "id", 2000);
+	rr_log_trace(ctx, &trail, "id", 2000);
 	assert_non_null(strstr(out->str, "event=sent request=id after_us=3000 "
 					 "attempt=1 service=s endpoint=i-1"));
-	rr_clear_trail(&trail);
+	rr_clear_trace(&trail);
 	rr_drop_context(ctx);
 	g_string_free(out, TRUE);
 }
@@ -63,12 +64,12 @@
 /* Lines written in ten seconds by so many requests of 41 lines a second. */
 static size_t write_for_ten_seconds(int per_s, bool ordinary)
 {
-	struct rr_trail_budget budget = { .per_s = 100 };
+	struct rr_log_budget budget = { .lines_per_s = 100 };
 	size_t lines = 0;
 
 	for (int i = 0; i < 10 * per_s; i++) {
-		if (rr_take_trail_lines(&budget, i * SECOND_US / per_s, 41,
-					ordinary))
+		if (rr_take_log_lines(&budget, i * SECOND_US / per_s, 41,
+				      ordinary))
 			lines += 41;
 	}
 	return lines;
@@ -87,13 +88,13 @@
 /* Ordinary requests leave room for those that go wrong. */
 static void test_ordinary_ones_come_last(void **state)
 {
-	struct rr_trail_budget budget = { .per_s = 100 };
+	struct rr_log_budget budget = { .lines_per_s = 100 };
 
-	while (rr_take_trail_lines(&budget, 10 * SECOND_US, 10, true))
+	while (rr_take_log_lines(&budget, 10 * SECOND_US, 10, true))
 		;
-	assert_true(rr_take_trail_lines(&budget, 10 * SECOND_US, 90, false));
-	assert_false(rr_take_trail_lines(&budget, 10 * SECOND_US, 41, false));
-	assert_true(rr_take_trail_lines(&budget, 11 * SECOND_US, 90, false));
+	assert_true(rr_take_log_lines(&budget, 10 * SECOND_US, 90, false));
+	assert_false(rr_take_log_lines(&budget, 10 * SECOND_US, 41, false));
+	assert_true(rr_take_log_lines(&budget, 11 * SECOND_US, 90, false));
 }
 
 static void test_sampling_goes_by_the_id(void **state)
--- a/tests/test-allowance.c
+++ b/tests/test-retry-budget.c
@@ -1,5 +1,5 @@
 /*
- * test-allowance.c - extra attempts within a sliding window.
+ * test-retry-budget.c - extra attempts within a sliding window.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -9,23 +9,23 @@
 #include <cmocka.h>
 #include <glib.h>
 
-#include "core/allowance.h"
+#include "core/retry-budget.h"
 
 #define SECOND ((int64_t)1000000)
 #define WINDOW (10 * SECOND)
 #define RATIO 0.2
 #define SLACK 30
 
-static struct rr_allowance started(int64_t began_us)
+static struct rr_retry_budget started(int64_t began_us)
 {
-	struct rr_allowance allowance;
+	struct rr_retry_budget allowance;
 
-	rr_init_allowance(&allowance, WINDOW, began_us);
-	rr_set_allowance(&allowance, RATIO, SLACK);
+	rr_init_retry_budget(&allowance, WINDOW, began_us);
+	rr_set_retry_budget(&allowance, RATIO, SLACK);
 	return allowance;
 }
 
-static int take_all(struct rr_allowance *allowance, int64_t now_us)
+static int take_all(struct rr_retry_budget *allowance, int64_t now_us)
 {
 	int n = 0;
 
@@ -41,7 +41,7 @@
  */
 static void test_second_spell_has_its_slack(void **state)
 {
-	struct rr_allowance allowance = started(0);
+	struct rr_retry_budget allowance = started(0);
 
 	assert_int_equal(take_all(&allowance, 20 * SECOND), SLACK);
 	assert_int_equal(take_all(&allowance, 29 * SECOND), 0);
@@ -51,7 +51,7 @@
 /* Whatever is asked when, no window that ends with an extra attempt has more. */
 static void test_any_window(void **state)
 {
-	struct rr_allowance allowance = started(0);
+	struct rr_retry_budget allowance = started(0);
 	GRand *rand = g_rand_new_with_seed(5);
 	GArray *spent = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	GArray *earned = g_array_new(FALSE, FALSE, sizeof(int64_t));
@@ -91,7 +91,7 @@
  */
 static void test_restart_has_no_slack(void **state)
 {
-	struct rr_allowance allowance = started(50 * SECOND);
+	struct rr_retry_budget allowance = started(50 * SECOND);
 
 	assert_int_equal(take_all(&allowance, 51 * SECOND), 0);
 	for (int i = 0; i < 10; i++)
@@ -103,18 +103,19 @@
 /* More instances than thought: what was spent stays counted. */
 static void test_smaller_share(void **state)
 {
-	struct rr_allowance allowance = started(0);
+	struct rr_retry_budget allowance = started(0);
 
 	assert_int_equal(take_all(&allowance, 20 * SECOND), SLACK);
-	rr_set_allowance(&allowance, RATIO, SLACK / 2.0);
+	rr_set_retry_budget(&allowance, RATIO, SLACK / 2.0);
 	assert_true(rr_extras_left(&allowance, 20 * SECOND) < 0);
-	assert_float_equal(rr_extras_used(&allowance, 20 * SECOND), 1, 1e-9);
+	assert_float_equal(rr_extras_used_fraction(&allowance, 20 * SECOND), 1,
+			   1e-9);
 	assert_int_equal(take_all(&allowance, 31 * SECOND), SLACK / 2);
 }
 
 static void test_returned_ones_count_no_more(void **state)
 {
-	struct rr_allowance allowance = started(0);
+	struct rr_retry_budget allowance = started(0);
 
 	assert_int_equal(take_all(&allowance, 20 * SECOND), SLACK);
 	rr_return_extra(&allowance, 22 * SECOND);
--- a/tests/test-tool.c
+++ b/tests/test-tool.c
@@ -292,7 +292,7 @@
 	struct rr_quarantine_entry entry = {
 		.fingerprint = { 1, 2 },
 		.crashed = crashed,
-		.in_force = true,
+		.quarantined = true,
 	};
 	const char *fingerprint = "00000000000000010000000000000002";
 
--- a/tests/test-wait-queue.c
+++ b/tests/test-wait-queue.c
@@ -20,10 +20,10 @@
 		 int64_t since_us, int64_t cut_us)
 {
 	struct rr_waiter waiter = {
-		.run = run,
+		.request = run,
 		.priority = priority,
 		.since_us = since_us,
-		.cut_us = cut_us,
+		.answer_by_us = cut_us,
 	};
 
 	rr_push_waiter(queue, &waiter);
@@ -33,7 +33,8 @@
 {
 	struct rr_waiter waiter;
 
-	return rr_pop_waiter(queue, now_us, WORK_US, &waiter) ? waiter.run : 0;
+	return rr_pop_waiter(queue, now_us, WORK_US, &waiter) ? waiter.request :
+								0;
 }
 
 static void test_oldest_first_while_all_goes_well(void **state)
@@ -44,7 +45,7 @@
 	push(&queue, 1, 1, 0, 100 * MS);
 	push(&queue, 2, 1, 5 * MS, 105 * MS);
 	push(&queue, 3, 1, 9 * MS, 109 * MS);
-	assert_false(rr_is_overrun(&queue, 10 * MS));
+	assert_false(rr_is_overloaded(&queue, 10 * MS));
 	assert_int_equal(pop(&queue, 10 * MS), 1);
 	assert_int_equal(pop(&queue, 11 * MS), 2);
 	assert_int_equal(pop(&queue, 12 * MS), 3);
@@ -74,7 +75,7 @@
 	push(&queue, 1, 1, 0, 100 * MS);
 	push(&queue, 2, 1, 30 * MS, 130 * MS);
 	push(&queue, 3, 1, 40 * MS, 140 * MS);
-	assert_true(rr_is_overrun(&queue, 45 * MS));
+	assert_true(rr_is_overloaded(&queue, 45 * MS));
 	assert_int_equal(pop(&queue, 45 * MS), 3);
 	assert_int_equal(pop(&queue, 45 * MS), 2);
 	rr_clear_wait_queue(&queue);
@@ -123,7 +124,7 @@
 			continue;
 		}
 		free_us = MAX(free_us, waiter.since_us) + work_us;
-		if (free_us <= waiter.cut_us)
+		if (free_us <= waiter.answer_by_us)
 			in_time++;
 	}
 	/* What the replica can do at all is 10 / 12 of what comes. */
@@ -149,9 +150,9 @@
 
 	rr_init_wait_queue(&queue);
 	for (int64_t now_us = 0; now_us < 5000 * MS; now_us += 4 * MS) {
-		struct rr_wait_outlook outlook = {
+		struct rr_overload_inputs outlook = {
 			.now_us = now_us,
-			.cut_us = now_us + allowed_us,
+			.answer_by_us = now_us + allowed_us,
 			.typical_us = work_us,
 			.capacity = 2,
 		};
@@ -161,9 +162,9 @@
 			    !rr_pop_waiter(&queue, now_us, work_us, &waiter))
 				continue;
 			free_us[i] = now_us + work_us;
-			in_time += free_us[i] <= waiter.cut_us;
+			in_time += free_us[i] <= waiter.answer_by_us;
 		}
-		if (rr_would_overrun(&queue, &outlook))
+		if (rr_would_overload(&queue, &outlook))
 			continue;
 		taken++;
 		push(&queue, (uint64_t)taken, 1, now_us, now_us + allowed_us);
