--- a/bench/policy/model.c
+++ b/bench/policy/model.c
@@ -237,7 +237,7 @@
 		struct rr_shard_config *shard = &service->shards[s];
 
 		shard->name = g_strdup_printf("shard-%02d", s);
-		shard->yard = g_strdup(shard->name);
+		shard->public_name = g_strdup(shard->name);
 		shard->key_from = (uint64_t)s * POLICY_KEYS;
 		shard->key_to = shard->key_from + POLICY_KEYS;
 		shard->n_replicas = POLICY_REPLICAS;
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -111,7 +111,7 @@
 		struct rr_shard_config *shard = &service->shards[s];
 
 		shard->name = g_strdup_printf("shard-%04u", s);
-		shard->yard = g_strdup(shard->name);
+		shard->public_name = g_strdup(shard->name);
 		shard->key_from = (uint64_t)s * KEYS;
 		shard->key_to = shard->key_from + KEYS;
 		shard->n_replicas = n_replicas;
--- a/bench/start.c
+++ b/bench/start.c
@@ -186,15 +186,15 @@
 			.call = note_call,
 			.cancel = ignore_cancel,
 			.routes = ignore_routes,
-			.listed = take_listed,
-			.unlisted = ignore_id,
-			.instances = take_instances,
+			.replica_listed = take_listed,
+			.replica_unlisted = ignore_id,
+			.instance_count = take_instances,
 			.instance = take_instance,
 			.data = start,
 		},
 		.self = { .id = (char *)"i-0", .zone = (char *)"z0",
 			  .strength = 0.12 },
-		.news_bound_ms = 6000,
+		.max_staleness_ms = 6000,
 	};
 
 	start->gate = rr_new_gate(start->ctx, &gate);
@@ -214,7 +214,7 @@
 	make_cores(&start);
 	rr_decode_feed_reply(RR_FEED_RANGE, 200, (const uint8_t *)list->str,
 			     list->len, &reply);
-	reply.call = start.reading;
+	reply.call_id = start.reading;
 	decoded_ms = cpu_ms();
 	rr_feed_reply(start.ctx, start.feed, 1, &reply);
 	taken_ms = cpu_ms();
--- a/fuzz/entries.c
+++ b/fuzz/entries.c
@@ -85,11 +85,12 @@
 static void pass_on(const char *key, const char *text, size_t length)
 {
 	struct rr_news_call call = { .after = 1 };
-	GArray *items = g_array_new(FALSE, FALSE, sizeof(struct rr_news_item));
+	GArray *items =
+		g_array_new(FALSE, FALSE, sizeof(struct rr_feed_change));
 	char *value = g_base64_encode((const guchar *)text, length);
-	struct rr_news_item item = { .key = key,
-				     .value = value,
-				     .revision = 2 };
+	struct rr_feed_change item = { .key = key,
+				       .value = value,
+				       .revision = 2 };
 	struct rr_feed_reply reply = { 0 };
 	GString *body;
 
--- a/include/ragwort/config.h
+++ b/include/ragwort/config.h
@@ -25,8 +25,8 @@
 };
 
 struct rr_shard_config {
-	char *name; /* unique in the service */
-	char *yard; /* what callers call the part; may equal name */
+	char *name;	   /* unique in the service */
+	char *public_name; /* what callers call the part; may equal name */
 	/* Keys held, [key_from, key_to). */
 	uint64_t key_from;
 	uint64_t key_to;
@@ -39,9 +39,9 @@
 	enum rr_answer_mode answer;
 	uint32_t deadline_ms;
 	/* RR_ANSWER_LATENCY: share of shards, 0 to 1, that is enough. */
-	double enough;
+	double min_coverage;
 	/* RR_ANSWER_LATENCY: how long to wait for the rest after that. */
-	uint32_t wait_ms;
+	uint32_t straggler_wait_ms;
 	/* Attempts may be repeated; false: every request goes by the ledger. */
 	bool idempotent;
 	/* Work costs money: no hedge, and the ledger as for reservations. */
--- a/include/ragwort/feed.h
+++ b/include/ragwort/feed.h
@@ -21,12 +21,12 @@
 #include "ragwort/route.h"
 
 enum rr_feed_call_kind {
-	RR_FEED_RANGE, /* a page of all items */
-	RR_FEED_WATCH, /* what changed */
-	RR_FEED_GRANT, /* a lease */
-	RR_FEED_KEEP,  /* renew it */
-	RR_FEED_ENTER, /* write and remove entries under it */
-	RR_FEED_LEAVE, /* end the lease, and with it the entries */
+	RR_FEED_RANGE,	       /* a page of all items */
+	RR_FEED_WATCH,	       /* what changed */
+	RR_FEED_LEASE_GRANT,   /* a lease */
+	RR_FEED_LEASE_RENEW,   /* renew it */
+	RR_FEED_WRITE_ENTRIES, /* write and remove entries under it */
+	RR_FEED_LEASE_REVOKE,  /* end the lease, and with it the entries */
 	/* Write or remove the entry of a query of death. */
 	RR_FEED_REPORT,
 };
@@ -35,9 +35,9 @@
 struct rr_instance {
 	char *id;
 	char *zone;
-	char *address;	 /* IP:PORT for other instances; "" for none */
-	double strength; /* its share of a processor */
-	int64_t born_ms; /* when it started, in Unix milliseconds; 0: untold */
+	char *address;	    /* IP:PORT for other instances; "" for none */
+	double strength;    /* its share of a processor */
+	int64_t started_ms; /* when it started, in Unix milliseconds; 0: untold */
 };
 
 struct rr_feed_call {
@@ -45,17 +45,18 @@
 	const char *peer; /* IP:PORT of an instance to ask; NULL: the store */
 	enum rr_feed_call_kind kind;
 	const char *after_key;	 /* range: the last key had; NULL: the first */
-	bool may_be_old;	 /* range: what was there seconds ago will do */
+	bool allow_stale;	 /* range: what was there seconds ago will do */
 	uint64_t after_revision; /* watch */
 	uint32_t wait_ms;	 /* watch: longest until an empty answer */
 	uint32_t ttl_ms;	 /* grant */
 	uint64_t lease;		 /* keep, enter, leave; 0: the peer's */
-	const GPtrArray *entered; /* enter: const struct rr_instance */
-	const GPtrArray *removed; /* enter: const char, ids */
+	const GPtrArray *added;	 /* enter: const struct rr_instance */
+	const GPtrArray *removed;		 /* enter: const char, ids */
 	const struct rr_quarantine_entry *entry; /* report */
-	bool entry_goes;			 /* report: remove it */
-	uint64_t revision;   /* report: expected of the key, 0 if absent */
-	uint32_t timeout_ms; /* then it has failed */
+	bool remove_entry;			 /* report: remove it */
+	uint64_t
+		expected_revision; /* report: expected of the key, 0 if absent */
+	uint32_t timeout_ms;	   /* then it has failed */
 };
 
 enum rr_feed_item_kind {
@@ -75,9 +76,10 @@
 	char *id;
 	uint64_t revision;
 	bool removed;
-	char *value;	   /* in text, to be passed on; NULL: removed */
-	bool packed;	   /* it is compressed */
-	const char *fault; /* why its value could not be read; NULL: it could */
+	char *value;	 /* in text, to be passed on; NULL: removed */
+	bool compressed; /* it is compressed */
+	const char *
+		decode_error; /* why its value could not be read; NULL: it could */
 	/* Unless removed; NULL where its value could not be read. */
 	struct rr_route_table *routes;
 	struct rr_endpoint_info *replica; /* its strings are the item's */
@@ -88,7 +90,7 @@
 enum rr_feed_status {
 	RR_FEED_OK,
 	/* Watch: the changes since then are no longer kept. */
-	RR_FEED_FORGOTTEN,
+	RR_FEED_COMPACTED,
 	/* Keep, enter, report: there is no such lease any more. */
 	RR_FEED_NO_LEASE,
 	/* Report: another revision; items has the key as it is now. */
@@ -98,13 +100,13 @@
 };
 
 struct rr_feed_reply {
-	uint64_t call;
+	uint64_t call_id;
 	enum rr_feed_status status;
-	uint16_t code;	   /* HTTP status; 0: no answer */
-	GPtrArray *items;  /* struct rr_feed_item; NULL: none */
-	bool more;	   /* range: another page follows */
-	uint64_t revision; /* range, watch, enter, report: of the store */
-	uint64_t lease;	   /* grant */
+	uint16_t http_status; /* HTTP status; 0: no answer */
+	GPtrArray *items;     /* struct rr_feed_item; NULL: none */
+	bool more;	      /* range: another page follows */
+	uint64_t revision;    /* range, watch, enter, report: of the store */
+	uint64_t lease;	      /* grant */
 };
 
 /* What was learnt; arguments are valid during the call only. */
@@ -112,9 +114,10 @@
 	void (*call)(void *data, const struct rr_feed_call *call);
 	void (*cancel)(void *data, uint64_t call);
 	void (*routes)(void *data, struct rr_route_table *table);
-	void (*listed)(void *data, const struct rr_endpoint_info *listing);
-	void (*unlisted)(void *data, const char *id);
-	void (*instances)(void *data, uint32_t instances);
+	void (*replica_listed)(void *data,
+			       const struct rr_endpoint_info *listing);
+	void (*replica_unlisted)(void *data, const char *id);
+	void (*instance_count)(void *data, uint32_t instances);
 	/* An instance's entry, this one's too; NULL: it has gone. */
 	void (*instance)(void *data, const char *id,
 			 const struct rr_instance *instance);
@@ -128,16 +131,17 @@
 	void (*quarantine)(void *data, const struct rr_fingerprint *fingerprint,
 			   const struct rr_quarantine_entry *entry);
 	/* The outcome of a claim that was passed to rr_feed_report(). */
-	void (*claimed)(void *data, const struct rr_quarantine_entry *entry,
-			bool granted);
+	void (*claim_decided)(void *data,
+			      const struct rr_quarantine_entry *entry,
+			      bool granted);
 	void *data;
 };
 
 /* An item as it is passed on to another instance. */
-struct rr_news_item {
+struct rr_feed_change {
 	const char *key;
 	const char *value; /* NULL: removed */
-	bool packed;	   /* it is compressed */
+	bool compressed;   /* it is compressed */
 	uint64_t revision;
 };
 
@@ -148,7 +152,7 @@
 	/* IP:PORT of instances to read from while the store is away. */
 	const char *const *seeds; /* ends with NULL; NULL: none */
 	/* Longest time until a change has to be known here. */
-	uint32_t news_bound_ms;
+	uint32_t max_staleness_ms;
 };
 
 struct rr_feed;
@@ -173,26 +177,26 @@
 void rr_feed_report(struct rr_feed *feed, int64_t now_us,
 		    const struct rr_quarantine_report *report);
 /* Whether everything was read at least once. */
-bool rr_feed_has_read(const struct rr_feed *feed);
+bool rr_feed_has_synced(const struct rr_feed *feed);
 /* Whether the store answered the last question. */
-bool rr_feed_is_reached(const struct rr_feed *feed);
+bool rr_feed_is_store_reachable(const struct rr_feed *feed);
 
 /*
  * Whether this instance hears the store, by itself or from one that goes
  * before it in its zone: only then does it pass changes on.
  */
-bool rr_feed_passes_on(const struct rr_feed *feed);
+bool rr_feed_can_serve_changes(const struct rr_feed *feed);
 /*
  * Whether it did a moment ago, and asks anew: who waits here for changes is
  * better off waiting than asking another.
  */
-bool rr_feed_passes_on_soon(const struct rr_feed *feed, int64_t now_us);
+bool rr_feed_is_in_serve_grace(const struct rr_feed *feed, int64_t now_us);
 /* When that is over; INT64_MAX: it is, or it passes on. */
-int64_t rr_feed_soon_until_us(const struct rr_feed *feed);
+int64_t rr_feed_serve_grace_end_us(const struct rr_feed *feed);
 /* The revision up to which changes are known here. */
 uint64_t rr_feed_revision(const struct rr_feed *feed);
 /*
- * Changes behind a revision as struct rr_news_item, for g_array_unref(), as
+ * Changes behind a revision as struct rr_feed_change, for g_array_unref(), as
  * many as an instance takes without holding up its callers; of revision 0 all
  * items.  *revision: up to which they tell.  They point into the feed until its
  * next event.  NULL: some since then are no longer kept.
@@ -203,10 +207,12 @@
  * Another instance asks to be entered in the store by this one, and asks
  * again every few seconds.  False: this one does not do so now.
  */
-bool rr_feed_enroll(struct rr_context *ctx, struct rr_feed *feed,
-		    int64_t now_us, const struct rr_instance *instance);
+bool rr_feed_register_instance(struct rr_context *ctx, struct rr_feed *feed,
+			       int64_t now_us,
+			       const struct rr_instance *instance);
 /* Another instance that was entered by this one leaves. */
-void rr_feed_strike_off(struct rr_feed *feed, int64_t now_us, const char *id);
+void rr_feed_deregister_instance(struct rr_feed *feed, int64_t now_us,
+				 const char *id);
 
 void rr_free_feed_item(gpointer item);
 /* For rr_free_instance(); strings that are NULL become "". */
--- a/source/base/config.c
+++ b/source/base/config.c
@@ -32,7 +32,7 @@
 	}
 	g_free(shard->replicas);
 	g_free(shard->name);
-	g_free(shard->yard);
+	g_free(shard->public_name);
 }
 
 static void clear_service(struct rr_service_config *service)
@@ -59,8 +59,8 @@
 	*service = (struct rr_service_config){
 		.answer = RR_ANSWER_COVERAGE,
 		.deadline_ms = 2000,
-		.enough = 1.0,
-		.wait_ms = 0,
+		.min_coverage = 1.0,
+		.straggler_wait_ms = 0,
 		.idempotent = true,
 		.slots = 2,
 		.connections = 25,
--- a/source/core/answer.c
+++ b/source/core/answer.c
@@ -18,7 +18,8 @@
 			query->map->shards[task->shard].config;
 		struct rr_lacking lacking = {
 			.shard = shard->name,
-			.yard = shard->yard ? shard->yard : shard->name,
+			.yard = shard->public_name ? shard->public_name :
+						     shard->name,
 			.reason = task->reason,
 		};
 
--- a/source/core/news.c
+++ b/source/core/change-log.c
@@ -1,7 +1,7 @@
 /*
- * news.c - what the store told, by key, the removed ones too.
+ * change-log.c - what the store told, by key, the removed ones too.
  */
-#include "core/news.h"
+#include "core/change-log.h"
 
 /*
  * Removed keys that are remembered: several times what a day's replacements
@@ -16,7 +16,7 @@
 	uint64_t revision;
 };
 
-struct rr_news {
+struct rr_change_log {
 	GHashTable *items;  /* key -> struct kept */
 	uint32_t n_removed; /* of them */
 	uint64_t floor;	    /* removals up to here may be forgotten */
@@ -31,16 +31,16 @@
 	g_free(kept);
 }
 
-struct rr_news *rr_new_news(void)
+struct rr_change_log *rr_new_change_log(void)
 {
-	struct rr_news *news = g_new0(struct rr_news, 1);
+	struct rr_change_log *news = g_new0(struct rr_change_log, 1);
 
 	news->items =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_kept);
 	return news;
 }
 
-void rr_drop_news(struct rr_news *news)
+void rr_drop_change_log(struct rr_change_log *news)
 {
 	if (!news)
 		return;
@@ -49,7 +49,7 @@
 }
 
 /* All removals at once: they are cheap to learn anew, and it is rare. */
-static void forget_removed(struct rr_news *news)
+static void forget_removed(struct rr_change_log *news)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -68,7 +68,8 @@
 	news->n_removed = 0;
 }
 
-void rr_keep_news(struct rr_news *news, const struct rr_news_item *item)
+void rr_put_change(struct rr_change_log *news,
+		   const struct rr_feed_change *item)
 {
 	struct kept *kept = g_hash_table_lookup(news->items, item->key);
 
@@ -81,7 +82,7 @@
 	}
 	g_free(kept->value);
 	kept->value = g_strdup(item->value);
-	kept->packed = item->packed;
+	kept->packed = item->compressed;
 	kept->revision = item->revision;
 	if (!item->value && ++news->n_removed > MOST_REMOVED)
 		forget_removed(news);
@@ -91,7 +92,7 @@
  * Guards against an asker that has an older list than this one began with: it
  * would never hear of a replica that was removed in between.
  */
-void rr_begin_news(struct rr_news *news, uint64_t revision)
+void rr_start_change_log(struct rr_change_log *news, uint64_t revision)
 {
 #ifndef RR_MUTANT_NEWS_BEGINS_UNTOLD
 	news->floor = MAX(news->floor, revision);
@@ -100,15 +101,15 @@
 
 static gint compare_revisions(gconstpointer a, gconstpointer b)
 {
-	const struct rr_news_item *one = a;
-	const struct rr_news_item *other = b;
+	const struct rr_feed_change *one = a;
+	const struct rr_feed_change *other = b;
 
 	return one->revision < other->revision ?
 		       -1 :
 		       one->revision > other->revision;
 }
 
-GArray *rr_news_after(const struct rr_news *news, uint64_t after)
+GArray *rr_list_changes_after(const struct rr_change_log *news, uint64_t after)
 {
 	GArray *items;
 	GHashTableIter iter;
@@ -116,14 +117,14 @@
 
 	if (after && after < news->floor)
 		return NULL;
-	items = g_array_new(FALSE, FALSE, sizeof(struct rr_news_item));
+	items = g_array_new(FALSE, FALSE, sizeof(struct rr_feed_change));
 	g_hash_table_iter_init(&iter, news->items);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct kept *kept = value;
-		struct rr_news_item item = {
+		struct rr_feed_change item = {
 			.key = kept->key,
 			.value = kept->value,
-			.packed = kept->packed,
+			.compressed = kept->packed,
 			.revision = kept->revision,
 		};
 
@@ -134,19 +135,19 @@
 	return items;
 }
 
-uint64_t rr_cut_news(GArray *items, guint most)
+uint64_t rr_truncate_changes(GArray *items, guint most)
 {
 	guint n = most;
 
 	if (items->len <= most)
 		return 0;
 	while (n < items->len &&
-	       g_array_index(items, struct rr_news_item, n).revision ==
-		       g_array_index(items, struct rr_news_item, n - 1)
+	       g_array_index(items, struct rr_feed_change, n).revision ==
+		       g_array_index(items, struct rr_feed_change, n - 1)
 			       .revision)
 		n++;
 	if (n == items->len)
 		return 0;
 	g_array_set_size(items, n);
-	return g_array_index(items, struct rr_news_item, n - 1).revision;
+	return g_array_index(items, struct rr_feed_change, n - 1).revision;
 }
--- a/source/core/follow.c
+++ b/source/core/config-apply.c
@@ -1,5 +1,5 @@
 /*
- * follow.c - the configuration in force: only ever a higher revision.
+ * config-apply.c - the configuration in force: only ever a higher revision.
  */
 #include "core/core-private.h"
 
@@ -220,7 +220,7 @@
 	core->record_length = record ? length : 0;
 	rr_start_ledger(ctx, core);
 	rr_refresh_members(core);
-	rr_poll_owned(ctx, core);
+	rr_poll_owned_replicas(ctx, core);
 	rr_count(ctx, RR_N_CONFIG_CHANGES, 1);
 	rr_set_gauge(ctx, RR_G_CONFIG_REVISION, config->revision);
 	rr_log(ctx, RR_LOG_INFO, "config",
@@ -253,8 +253,8 @@
 	rr_send_message(ctx, core, instance, address, message);
 }
 
-void rr_note_revision(struct rr_context *ctx, struct rr_core *core,
-		      const struct rr_peer_message *message)
+void rr_check_peer_config_revision(struct rr_context *ctx, struct rr_core *core,
+				   const struct rr_peer_message *message)
 {
 	if (message->config_revision <= rr_core_config_revision(core) ||
 	    message->kind == RR_PEER_CONFIG)
@@ -265,8 +265,8 @@
 	ask_for_record(ctx, core, message->from);
 }
 
-void rr_fire_config_ask(struct rr_context *ctx, struct rr_core *core,
-			uint64_t number)
+void rr_fire_config_request(struct rr_context *ctx, struct rr_core *core,
+			    uint64_t number)
 {
 	if (core->asking && number == core->ask_number)
 		core->asking = false;
@@ -289,8 +289,8 @@
 	rr_send_message(ctx, core, message->from, address, reply);
 }
 
-void rr_take_config_record(struct rr_context *ctx, struct rr_core *core,
-			   const struct rr_peer_message *message)
+void rr_handle_config_record(struct rr_context *ctx, struct rr_core *core,
+			     const struct rr_peer_message *message)
 {
 	if (!message->config_record || !message->config_length)
 		return;
--- a/source/core/watch.c
+++ b/source/core/config-watch.c
@@ -1,5 +1,5 @@
 /*
- * watch.c - which instances watch the configuration record.
+ * config-watch.c - which instances watch the configuration record.
  */
 #include "core/core-private.h"
 #include "ragwort/owner.h"
--- a/source/core/core-private.h
+++ b/source/core/core-private.h
@@ -121,15 +121,15 @@
 /* relay-serve.c */
 void rr_drop_served(struct rr_core *core);
 
-/* follow.c */
-void rr_note_revision(struct rr_context *ctx, struct rr_core *core,
-		      const struct rr_peer_message *message);
+/* config-apply.c */
+void rr_check_peer_config_revision(struct rr_context *ctx, struct rr_core *core,
+				   const struct rr_peer_message *message);
 void rr_answer_config_get(struct rr_context *ctx, struct rr_core *core,
 			  const struct rr_peer_message *message);
-void rr_take_config_record(struct rr_context *ctx, struct rr_core *core,
-			   const struct rr_peer_message *message);
-void rr_fire_config_ask(struct rr_context *ctx, struct rr_core *core,
-			uint64_t number);
+void rr_handle_config_record(struct rr_context *ctx, struct rr_core *core,
+			     const struct rr_peer_message *message);
+void rr_fire_config_request(struct rr_context *ctx, struct rr_core *core,
+			    uint64_t number);
 
 /* reserve.c: the ledger's callback, and the ledger itself */
 void rr_start_ledger(struct rr_context *ctx, struct rr_core *core);
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -204,7 +204,7 @@
 	rr_refresh_members(core);
 	rr_lose_relays_of_gone(ctx, core);
 	rr_forget_peers(core);
-	rr_poll_owned(ctx, core);
+	rr_poll_owned_replicas(ctx, core);
 	rr_set_gauge(ctx, RR_G_MEMBERS, core->n_members);
 }
 
@@ -322,7 +322,7 @@
 		fire_replica_timer(ctx, core, timer);
 		return;
 	case RR_TIMER_CONFIG_REQUEST:
-		rr_fire_config_ask(ctx, core, timer->id);
+		rr_fire_config_request(ctx, core, timer->id);
 		return;
 	case RR_TIMER_GATE_ADVANCE:
 	case RR_TIMER_GATE_HEDGE:
@@ -369,7 +369,7 @@
 		    int64_t now_us, const struct rr_health *health)
 {
 	enter(ctx, core, now_us);
-	rr_take_health(ctx, core, health);
+	rr_handle_health_reply(ctx, core, health);
 	rr_settle_core(ctx, core);
 }
 
@@ -403,7 +403,7 @@
 		rr_answer_config_get(ctx, core, message);
 		return;
 	case RR_PEER_CONFIG:
-		rr_take_config_record(ctx, core, message);
+		rr_handle_config_record(ctx, core, message);
 		return;
 	}
 }
@@ -435,7 +435,7 @@
 	rr_count(ctx, RR_N_PEER_MESSAGES_TAKEN, 1);
 	hear_peer(core, message->from);
 	rr_handle_member_message(ctx, core->members, core->now_us, message);
-	rr_note_revision(ctx, core, message);
+	rr_check_peer_config_revision(ctx, core, message);
 	take_message(ctx, core, message);
 	rr_settle_core(ctx, core);
 }
--- a/source/core/feed-count.c
+++ b/source/core/feed-count.c
@@ -17,36 +17,36 @@
 #define FIRST_COUNT_US (2 * G_USEC_PER_SEC)
 #define STANDING_ENTRIES 3
 
-int64_t rr_first_count_us(int64_t now_us)
+int64_t rr_initial_count_due_us(int64_t now_us)
 {
 	return now_us + FIRST_COUNT_US;
 }
 
 static void tell_count(struct rr_feed *feed, uint32_t count)
 {
-	rr_allow_following(feed->sources);
-	feed->shrink_us = 0;
-	feed->told = count;
-	feed->actions.instances(feed->actions.data, count);
+	rr_enable_peer_sources(feed->sources);
+	feed->shrink_due_us = 0;
+	feed->reported_count = count;
+	feed->actions.instance_count(feed->actions.data, count);
 }
 
-void rr_look_at_count(struct rr_feed *feed)
+void rr_update_instance_count(struct rr_feed *feed)
 {
 	uint32_t count;
 
-	if (!feed->has_read)
+	if (!feed->has_synced)
 		return;
 	count = MAX(feed->n_instances, 1);
-	if (feed->now_us < feed->count_from_us && count < STANDING_ENTRIES)
+	if (feed->now_us < feed->count_due_us && count < STANDING_ENTRIES)
 		return;
-	if (count >= feed->told) {
-		if (count > feed->told)
+	if (count >= feed->reported_count) {
+		if (count > feed->reported_count)
 			tell_count(feed, count);
-		feed->shrink_us = 0;
+		feed->shrink_due_us = 0;
 		return;
 	}
-	if (!feed->shrink_us)
-		feed->shrink_us = feed->now_us + SHRINK_US;
-	else if (feed->now_us >= feed->shrink_us)
+	if (!feed->shrink_due_us)
+		feed->shrink_due_us = feed->now_us + SHRINK_US;
+	else if (feed->now_us >= feed->shrink_due_us)
 		tell_count(feed, count);
 }
--- a/source/core/feed-entry.c
+++ b/source/core/feed-entry.c
@@ -37,26 +37,26 @@
 /* The instance to be entered by; NULL: by itself. */
 static const char *find_enterer(struct rr_feed *feed)
 {
-	if (feed->now_us - feed->entered_well_us >= UNENTERED_US)
-		feed->enters_itself = true;
-	if (feed->enters_itself)
+	if (feed->now_us - feed->last_registered_us >= UNENTERED_US)
+		feed->registers_itself = true;
+	if (feed->registers_itself)
 		return NULL;
-	return rr_find_enterer(feed->sources, feed->enterer_turn);
+	return rr_find_registrar(feed->sources, feed->registrar_turn);
 }
 
 static void write_entries(struct rr_context *ctx, struct rr_feed *feed)
 {
-	struct rr_roster_batch batch =
-		rr_take_roster_batch(feed->roster, MOST_KEYS - 1);
-	struct rr_feed_call call = { .kind = RR_FEED_ENTER,
+	struct rr_registration_batch batch =
+		rr_take_registration_batch(feed->registrations, MOST_KEYS - 1);
+	struct rr_feed_call call = { .kind = RR_FEED_WRITE_ENTRIES,
 				     .lease = feed->lease,
-				     .entered = batch.entered,
+				     .added = batch.added,
 				     .removed = batch.removed };
 
-	if (!feed->entered)
-		g_ptr_array_insert(batch.entered, 0, feed->self);
+	if (!feed->is_registered)
+		g_ptr_array_insert(batch.added, 0, feed->self);
 	rr_start_feed_call(ctx, feed, &feed->entry, &call);
-	rr_clear_roster_batch(&batch);
+	rr_clear_registration_batch(&batch);
 }
 
 /*
@@ -65,26 +65,28 @@
  */
 static bool must_keep(const struct rr_feed *feed)
 {
-	return feed->entered && feed->now_us - feed->kept_us >= ASK_US;
+	return feed->is_registered &&
+	       feed->now_us - feed->lease_renewed_us >= ASK_US;
 }
 
 /* Enter this instance and others by calls to the store. */
 static void renew(struct rr_context *ctx, struct rr_feed *feed)
 {
-	struct rr_feed_call call = { .kind = RR_FEED_GRANT,
+	struct rr_feed_call call = { .kind = RR_FEED_LEASE_GRANT,
 				     .ttl_ms = LEASE_MS,
 				     .lease = feed->lease };
 
-	g_clear_pointer(&feed->enterer, g_free);
-	rr_strike_off_silent(feed->roster,
-			     feed->now_us - (int64_t)LEASE_MS * 1000);
+	g_clear_pointer(&feed->registrar, g_free);
+	rr_expire_registrations(feed->registrations,
+				feed->now_us - (int64_t)LEASE_MS * 1000);
 	if (feed->lease && !must_keep(feed) &&
-	    (!feed->entered || rr_roster_is_due(feed->roster))) {
+	    (!feed->is_registered ||
+	     rr_has_unwritten_registrations(feed->registrations))) {
 		write_entries(ctx, feed);
 		return;
 	}
 	if (feed->lease)
-		call.kind = RR_FEED_KEEP;
+		call.kind = RR_FEED_LEASE_RENEW;
 	rr_start_feed_call(ctx, feed, &feed->entry, &call);
 }
 
@@ -93,17 +95,17 @@
 			      const char *enterer)
 {
 	GPtrArray *entered = g_ptr_array_new();
-	struct rr_feed_call call = { .kind = RR_FEED_ENTER,
-				     .entered = entered };
+	struct rr_feed_call call = { .kind = RR_FEED_WRITE_ENTRIES,
+				     .added = entered };
 
 	g_ptr_array_add(entered, feed->self);
-	g_free(feed->enterer);
-	feed->enterer = g_strdup(enterer);
-	call.peer = feed->enterer;
+	g_free(feed->registrar);
+	feed->registrar = g_strdup(enterer);
+	call.peer = feed->registrar;
 	feed->lease = 0;
-	feed->entered = false;
-	feed->suspect = false;
-	rr_roster_lapsed(feed->roster);
+	feed->is_registered = false;
+	feed->watch_suspected = false;
+	rr_rewrite_all_registrations(feed->registrations);
 	rr_start_feed_call(ctx, feed, &feed->entry, &call);
 	g_ptr_array_unref(entered);
 }
@@ -111,15 +113,15 @@
 /* Who is entered by whom shows once everything was read. */
 static bool may_enter(const struct rr_feed *feed)
 {
-	return feed->has_read && !feed->alone_until_us && !feed->leaving &&
-	       rr_sources_may_follow(feed->sources);
+	return feed->has_synced && !feed->peer_recheck_us && !feed->leaving &&
+	       rr_peer_sources_enabled(feed->sources);
 }
 
 void rr_tick_feed_entry(struct rr_context *ctx, struct rr_feed *feed)
 {
 	const char *enterer;
 
-	if (feed->entry.call || !may_enter(feed) ||
+	if (feed->entry.call_id || !may_enter(feed) ||
 	    feed->entry.due_us > feed->now_us)
 		return;
 	enterer = find_enterer(feed);
@@ -131,7 +133,7 @@
 
 int64_t rr_feed_entry_wake_us(const struct rr_feed *feed)
 {
-	if (feed->entry.call || !may_enter(feed))
+	if (feed->entry.call_id || !may_enter(feed))
 		return INT64_MAX;
 	return feed->entry.due_us;
 }
@@ -139,70 +141,73 @@
 static void take_from_store(struct rr_context *ctx, struct rr_feed *feed,
 			    const struct rr_feed_reply *reply)
 {
-	rr_end_feed_suspicion(ctx, feed);
-	feed->entered_well_us = feed->now_us;
+	rr_end_watch_suspicion(ctx, feed);
+	feed->last_registered_us = feed->now_us;
 	switch (feed->entry.kind) {
-	case RR_FEED_GRANT:
+	case RR_FEED_LEASE_GRANT:
 		feed->lease = reply->lease;
-		feed->kept_us = feed->now_us;
-		feed->entered = false;
+		feed->lease_renewed_us = feed->now_us;
+		feed->is_registered = false;
 		feed->entry.due_us = feed->now_us;
 		return;
-	case RR_FEED_ENTER:
-		feed->entered = true;
-		rr_roster_written(feed->roster, reply->revision);
+	case RR_FEED_WRITE_ENTRIES:
+		feed->is_registered = true;
+		rr_confirm_registration_batch(feed->registrations,
+					      reply->revision);
 		break;
 	default:
-		feed->kept_us = feed->now_us;
+		feed->lease_renewed_us = feed->now_us;
 		break;
 	}
 	feed->entry.due_us =
 		feed->now_us +
-		(rr_roster_is_due(feed->roster) ? GATHER_US : KEEP_US);
+		(rr_has_unwritten_registrations(feed->registrations) ?
+			 GATHER_US :
+			 KEEP_US);
 }
 
 /* Another instance took this one's entry over. */
 static void take_from_enterer(struct rr_feed *feed)
 {
-	feed->entered_well_us = feed->now_us;
+	feed->last_registered_us = feed->now_us;
 	feed->entry.due_us = feed->now_us + ASK_US;
 }
 
 static void take_failure(struct rr_context *ctx, struct rr_feed *feed)
 {
-	if (feed->enterer) {
-		feed->enterer_turn++;
+	if (feed->registrar) {
+		feed->registrar_turn++;
 	} else {
 		rr_count(ctx, RR_N_STORE_FAILURES, 1);
-		feed->suspect = true;
-		rr_roster_not_written(feed->roster);
-		rr_note_feed_reached(ctx, feed, false);
+		feed->watch_suspected = true;
+		rr_retry_registration_batch(feed->registrations);
+		rr_set_store_reachable(ctx, feed, false);
 	}
-	rr_delay_feed_line(ctx, feed, &feed->entry);
+	rr_back_off_feed_call(ctx, feed, &feed->entry);
 }
 
-void rr_take_feed_entry(struct rr_context *ctx, struct rr_feed *feed,
-			const struct rr_feed_reply *reply)
+void rr_handle_feed_entry_reply(struct rr_context *ctx, struct rr_feed *feed,
+				const struct rr_feed_reply *reply)
 {
-	feed->entry.call = 0;
+	feed->entry.call_id = 0;
 	switch (reply->status) {
 	case RR_FEED_OK:
 		feed->entry.backoff_us = 0;
-		if (feed->enterer)
+		if (feed->registrar)
 			take_from_enterer(feed);
 		else
 			take_from_store(ctx, feed, reply);
 		return;
 	case RR_FEED_NO_LEASE:
-		rr_end_feed_suspicion(ctx, feed);
+		rr_end_watch_suspicion(ctx, feed);
 		feed->lease = 0;
-		feed->entered = false;
-		feed->enters_itself = false;
-		feed->entered_well_us = feed->now_us;
-		rr_roster_lapsed(feed->roster);
-		rr_delay_feed_line(ctx, feed, &feed->entry);
+		feed->is_registered = false;
+		feed->registers_itself = false;
+		feed->last_registered_us = feed->now_us;
+		rr_rewrite_all_registrations(feed->registrations);
+		rr_back_off_feed_call(ctx, feed, &feed->entry);
 		return;
-	case RR_FEED_FORGOTTEN:
+	case RR_FEED_COMPACTED:
 	case RR_FEED_CONFLICT:
 	case RR_FEED_FAILED:
 		take_failure(ctx, feed);
@@ -210,30 +215,33 @@
 	}
 }
 
-bool rr_feed_enroll(struct rr_context *ctx, struct rr_feed *feed,
-		    int64_t now_us, const struct rr_instance *instance)
+bool rr_feed_register_instance(struct rr_context *ctx, struct rr_feed *feed,
+			       int64_t now_us,
+			       const struct rr_instance *instance)
 {
 	feed->now_us = now_us;
-	if (feed->leaving || !feed->entered || feed->enterer ||
-	    !feed->reached || g_strcmp0(instance->zone, feed->self->zone))
+	if (feed->leaving || !feed->is_registered || feed->registrar ||
+	    !feed->store_reachable ||
+	    g_strcmp0(instance->zone, feed->self->zone))
 		return false;
-	if (!rr_enroll(feed->roster, instance, now_us)) {
+	if (!rr_register_instance(feed->registrations, instance, now_us)) {
 		rr_log(ctx, RR_LOG_WARNING, "not-entered",
 		       RR_FIELD_STRING("instance", instance->id),
 		       RR_FIELD_STRING("reason", "too-many"));
 		return false;
 	}
-	if (rr_roster_is_due(feed->roster))
+	if (rr_has_unwritten_registrations(feed->registrations))
 		feed->entry.due_us =
 			MIN(feed->entry.due_us, now_us + GATHER_US);
 	return true;
 }
 
-void rr_feed_strike_off(struct rr_feed *feed, int64_t now_us, const char *id)
+void rr_feed_deregister_instance(struct rr_feed *feed, int64_t now_us,
+				 const char *id)
 {
 	feed->now_us = now_us;
-	rr_strike_off(feed->roster, id);
-	if (rr_roster_is_due(feed->roster))
+	rr_deregister_instance(feed->registrations, id);
+	if (rr_has_unwritten_registrations(feed->registrations))
 		feed->entry.due_us =
 			MIN(feed->entry.due_us, now_us + GATHER_US);
 }
@@ -243,7 +251,7 @@
 			     const char *peer)
 {
 	GPtrArray *removed = g_ptr_array_new();
-	struct rr_feed_call call = { .kind = RR_FEED_ENTER,
+	struct rr_feed_call call = { .kind = RR_FEED_WRITE_ENTRIES,
 				     .peer = peer,
 				     .lease = feed->lease,
 				     .removed = removed };
@@ -255,19 +263,19 @@
 
 void rr_feed_leave(struct rr_context *ctx, struct rr_feed *feed, int64_t now_us)
 {
-	struct rr_feed_call call = { .kind = RR_FEED_LEAVE,
+	struct rr_feed_call call = { .kind = RR_FEED_LEASE_REVOKE,
 				     .lease = feed->lease };
 
 	feed->now_us = now_us;
 	if (feed->leaving)
 		return;
 	feed->leaving = true;
-	if (feed->entry.call)
-		feed->actions.cancel(feed->actions.data, feed->entry.call);
-	feed->entry.call = 0;
-	if (feed->enterer)
-		remove_own_entry(ctx, feed, feed->enterer);
-	else if (feed->lease && rr_roster_is_empty(feed->roster))
+	if (feed->entry.call_id)
+		feed->actions.cancel(feed->actions.data, feed->entry.call_id);
+	feed->entry.call_id = 0;
+	if (feed->registrar)
+		remove_own_entry(ctx, feed, feed->registrar);
+	else if (feed->lease && rr_registrations_are_empty(feed->registrations))
 		rr_start_feed_call(ctx, feed, &feed->entry, &call);
 	else if (feed->lease)
 		remove_own_entry(ctx, feed, NULL);
--- a/source/core/feed-items.c
+++ b/source/core/feed-items.c
@@ -44,13 +44,13 @@
 	copy->zone = g_strdup(instance->zone ? instance->zone : "");
 	copy->address = g_strdup(instance->address ? instance->address : "");
 	copy->strength = instance->strength;
-	copy->born_ms = instance->born_ms;
+	copy->started_ms = instance->started_ms;
 	return copy;
 }
 
 static void forget_instance(struct rr_feed *feed, const char *id)
 {
-	rr_note_source(feed->sources, feed->now_us, id, NULL);
+	rr_update_source(feed->sources, feed->now_us, id, NULL);
 	feed->actions.instance(feed->actions.data, id, NULL);
 }
 
@@ -65,10 +65,11 @@
 
 /* Whom a key named is not known to be there any more. */
 static void forget_named(struct rr_feed *feed,
-			 const struct rr_feed_known *known, uint64_t revision)
+			 const struct rr_feed_key_state *known,
+			 uint64_t revision)
 {
 	if (known->kind == RR_FEED_REPLICA)
-		feed->actions.unlisted(feed->actions.data, known->id);
+		feed->actions.replica_unlisted(feed->actions.data, known->id);
 	else if (known->kind == RR_FEED_INSTANCE)
 		forget_instance(feed, known->id);
 	else if (known->kind == RR_FEED_EVACUATION)
@@ -78,38 +79,38 @@
 		forget_quarantine(feed, known->id);
 }
 
-static void set_names_one(struct rr_feed *feed, struct rr_feed_known *known,
+static void set_names_one(struct rr_feed *feed, struct rr_feed_key_state *known,
 			  bool names_one)
 {
-	if (known->kind == RR_FEED_INSTANCE && names_one != known->names_one)
+	if (known->kind == RR_FEED_INSTANCE && names_one != known->is_valid)
 		feed->n_instances += names_one ? 1 : -1;
-	known->names_one = names_one;
+	known->is_valid = names_one;
 }
 
 static void forget_key(struct rr_feed *feed, const char *key, uint64_t revision)
 {
-	struct rr_feed_known *known = g_hash_table_lookup(feed->known, key);
-	struct rr_news_item news = { .key = key, .revision = revision };
+	struct rr_feed_key_state *known = g_hash_table_lookup(feed->keys, key);
+	struct rr_feed_change news = { .key = key, .revision = revision };
 
 	if (!known)
 		return;
-	rr_keep_news(feed->news, &news);
+	rr_put_change(feed->change_log, &news);
 	forget_named(feed, known, revision);
 	set_names_one(feed, known, false);
-	g_hash_table_remove(feed->known, key);
+	g_hash_table_remove(feed->keys, key);
 }
 
-static void tell_fault(struct rr_context *ctx, struct rr_feed_known *known,
+static void tell_fault(struct rr_context *ctx, struct rr_feed_key_state *known,
 		       const struct rr_feed_item *item)
 {
 	rr_count(ctx, RR_N_ENTRIES_UNREADABLE, 1);
 	/* Written again and again, it is told once. */
-	if (known->fault != item->fault)
+	if (known->decode_error != item->decode_error)
 		rr_log(ctx, RR_LOG_ERROR, "item-unreadable",
 		       RR_FIELD_STRING("key", item->key),
-		       RR_FIELD_STRING("reason", item->fault),
+		       RR_FIELD_STRING("reason", item->decode_error),
 		       RR_FIELD_U64("revision", item->revision));
-	known->fault = item->fault;
+	known->decode_error = item->decode_error;
 }
 
 /*
@@ -118,10 +119,10 @@
  * The routes in force stay, since without any nobody would be served.
  */
 static void learn_fault(struct rr_context *ctx, struct rr_feed *feed,
-			struct rr_feed_known *known,
+			struct rr_feed_key_state *known,
 			const struct rr_feed_item *item)
 {
-	if (known->names_one)
+	if (known->is_valid)
 		forget_named(feed, known, item->revision);
 	set_names_one(feed, known, false);
 	tell_fault(ctx, known, item);
@@ -132,40 +133,41 @@
  * for the evacuation.
  */
 static void learn_evacuation(struct rr_context *ctx, struct rr_feed *feed,
-			     struct rr_feed_known *known,
+			     struct rr_feed_key_state *known,
 			     const struct rr_feed_item *item)
 {
-	if (item->fault)
+	if (item->decode_error)
 		tell_fault(ctx, known, item);
 	feed->actions.evacuation(feed->actions.data, item->id, item->revision,
 				 true);
 }
 
 static void learn(struct rr_context *ctx, struct rr_feed *feed,
-		  struct rr_feed_known *known, const struct rr_feed_item *item)
+		  struct rr_feed_key_state *known,
+		  const struct rr_feed_item *item)
 {
 	if (item->kind == RR_FEED_EVACUATION) {
 		learn_evacuation(ctx, feed, known, item);
 		return;
 	}
 #ifndef RR_MUTANT_FEED_KEEPS_UNREADABLE
-	if (item->fault) {
+	if (item->decode_error) {
 		learn_fault(ctx, feed, known, item);
 		return;
 	}
 #endif
-	known->fault = NULL;
+	known->decode_error = NULL;
 	set_names_one(feed, known, true);
 	switch (item->kind) {
 	case RR_FEED_ROUTES:
 		feed->actions.routes(feed->actions.data, item->routes);
 		break;
 	case RR_FEED_REPLICA:
-		feed->actions.listed(feed->actions.data, item->replica);
+		feed->actions.replica_listed(feed->actions.data, item->replica);
 		break;
 	case RR_FEED_INSTANCE:
-		rr_note_source(feed->sources, feed->now_us, item->id,
-			       item->instance);
+		rr_update_source(feed->sources, feed->now_us, item->id,
+				 item->instance);
 		feed->actions.instance(feed->actions.data, item->id,
 				       item->instance);
 		break;
@@ -183,28 +185,28 @@
 static void keep_for_others(struct rr_feed *feed,
 			    const struct rr_feed_item *item)
 {
-	struct rr_news_item news = {
+	struct rr_feed_change news = {
 		.key = item->key,
 		.value = item->value,
-		.packed = item->packed,
+		.compressed = item->compressed,
 		.revision = item->revision,
 	};
 
 	if (item->value)
-		rr_keep_news(feed->news, &news);
+		rr_put_change(feed->change_log, &news);
 }
 
-void rr_take_feed_item(struct rr_context *ctx, struct rr_feed *feed,
-		       const struct rr_feed_item *item)
+void rr_apply_feed_item(struct rr_context *ctx, struct rr_feed *feed,
+			const struct rr_feed_item *item)
 {
-	struct rr_feed_known *known =
-		g_hash_table_lookup(feed->known, item->key);
+	struct rr_feed_key_state *known =
+		g_hash_table_lookup(feed->keys, item->key);
 
 	if (item->kind == RR_FEED_OTHER)
 		return;
 	if (item->kind == RR_FEED_INSTANCE)
-		rr_roster_heard(feed->roster, item->id, item->revision,
-				item->removed);
+		rr_observe_registration(feed->registrations, item->id,
+					item->revision, item->removed);
 #ifndef RR_MUTANT_FEED_OLD_NEWS
 	if (known && item->revision < known->revision)
 		return;
@@ -214,10 +216,10 @@
 		return;
 	}
 	if (!known) {
-		known = g_new0(struct rr_feed_known, 1);
+		known = g_new0(struct rr_feed_key_state, 1);
 		known->kind = item->kind;
 		known->id = g_strdup(item->id);
-		g_hash_table_insert(feed->known, g_strdup(item->key), known);
+		g_hash_table_insert(feed->keys, g_strdup(item->key), known);
 	}
 	known->seen = true;
 	if (known->revision == item->revision)
@@ -227,16 +229,16 @@
 	learn(ctx, feed, known, item);
 }
 
-void rr_forget_unseen(struct rr_feed *feed)
+void rr_remove_unseen_keys(struct rr_feed *feed)
 {
 	GPtrArray *gone = g_ptr_array_new_with_free_func(g_free);
 	GHashTableIter iter;
 	gpointer key;
 	gpointer known;
 
-	g_hash_table_iter_init(&iter, feed->known);
+	g_hash_table_iter_init(&iter, feed->keys);
 	while (g_hash_table_iter_next(&iter, &key, &known)) {
-		if (!((struct rr_feed_known *)known)->seen)
+		if (!((struct rr_feed_key_state *)known)->seen)
 			g_ptr_array_add(gone, g_strdup(key));
 	}
 	for (guint i = 0; i < gone->len; i++)
--- a/source/core/feed-range.c
+++ b/source/core/feed-range.c
@@ -22,11 +22,11 @@
 	GHashTableIter iter;
 	gpointer known;
 
-	feed->ranging = true;
+	feed->range_active = true;
 	g_clear_pointer(&feed->after_key, g_free);
-	g_hash_table_iter_init(&iter, feed->known);
+	g_hash_table_iter_init(&iter, feed->keys);
 	while (g_hash_table_iter_next(&iter, NULL, &known))
-		((struct rr_feed_known *)known)->seen = false;
+		((struct rr_feed_key_state *)known)->seen = false;
 }
 
 /* Whether no other instance has an entry. */
@@ -35,9 +35,9 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, feed->known);
+	g_hash_table_iter_init(&iter, feed->keys);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct rr_feed_known *known = value;
+		const struct rr_feed_key_state *known = value;
 
 		if (known->kind == RR_FEED_INSTANCE &&
 		    strcmp(known->id, feed->self->id))
@@ -56,45 +56,45 @@
 		ALONE_LEAST_PART + (1 - ALONE_LEAST_PART) * rr_random_unit(ctx);
 	double weakness = 1 - MIN(feed->self->strength, 1);
 
-	feed->was_alone = true;
-	feed->alone_until_us = feed->now_us + (int64_t)(weakness * weakness *
-							drawn * ALONE_US);
+	feed->found_no_peers = true;
+	feed->peer_recheck_us = feed->now_us + (int64_t)(weakness * weakness *
+							 drawn * ALONE_US);
 	/* The others are entered after it has looked again. */
-	feed->count_from_us = rr_first_count_us(feed->alone_until_us);
+	feed->count_due_us = rr_initial_count_due_us(feed->peer_recheck_us);
 	rr_start_feed_range(feed);
-	feed->reading.due_us = feed->alone_until_us;
+	feed->reading.due_us = feed->peer_recheck_us;
 }
 
 /* Who was alone has looked for others twice. */
 static void stop_waiting(struct rr_feed *feed)
 {
-	if (feed->was_alone)
-		rr_allow_following(feed->sources);
-	feed->was_alone = false;
-	feed->alone_until_us = 0;
+	if (feed->found_no_peers)
+		rr_enable_peer_sources(feed->sources);
+	feed->found_no_peers = false;
+	feed->peer_recheck_us = 0;
 }
 
 static void end_range(struct rr_context *ctx, struct rr_feed *feed)
 {
-	rr_forget_unseen(feed);
+	rr_remove_unseen_keys(feed);
 	g_clear_pointer(&feed->after_key, g_free);
-	feed->ranging = false;
-	feed->from_asked = false;
+	feed->range_active = false;
+	feed->range_from_peer = false;
 	feed->revision = feed->range_revision;
-	rr_begin_news(feed->news, feed->revision);
+	rr_start_change_log(feed->change_log, feed->revision);
 	feed->reading.due_us = feed->now_us;
 	rr_log(ctx, RR_LOG_INFO, "store-read",
 	       RR_FIELD_U64("revision", feed->revision),
-	       RR_FIELD_U64("items", g_hash_table_size(feed->known)));
-	feed->has_read = true;
-	if (!feed->was_alone && !feed->asked && knows_nobody(feed))
+	       RR_FIELD_U64("items", g_hash_table_size(feed->keys)));
+	feed->has_synced = true;
+	if (!feed->found_no_peers && !feed->read_peer && knows_nobody(feed))
 		wait_for_others(ctx, feed);
 	else
 		stop_waiting(feed);
 }
 
-void rr_take_feed_page(struct rr_context *ctx, struct rr_feed *feed,
-		       const struct rr_feed_reply *reply)
+void rr_handle_feed_page(struct rr_context *ctx, struct rr_feed *feed,
+			 const struct rr_feed_reply *reply)
 {
 	const struct rr_feed_item *last = NULL;
 
@@ -104,7 +104,7 @@
 				  reply->revision;
 	for (guint i = 0; reply->items && i < reply->items->len; i++) {
 		last = g_ptr_array_index(reply->items, i);
-		rr_take_feed_item(ctx, feed, last);
+		rr_apply_feed_item(ctx, feed, last);
 	}
 	if (reply->more && last) {
 		g_free(feed->after_key);
@@ -118,16 +118,17 @@
 /* Go on with what is known: its changes may be had elsewhere. */
 static void leave_range(struct rr_feed *feed)
 {
-	feed->ranging = false;
-	feed->from_asked = false;
+	feed->range_active = false;
+	feed->range_from_peer = false;
 	g_clear_pointer(&feed->after_key, g_free);
 }
 
-void rr_take_failed_feed_range(struct rr_context *ctx, struct rr_feed *feed)
+void rr_handle_feed_range_failure(struct rr_context *ctx, struct rr_feed *feed)
 {
-	bool store = !feed->asked;
+	bool store = !feed->read_peer;
 
-	if (feed->has_read && (feed->from_asked || feed->was_alone)) {
+	if (feed->has_synced &&
+	    (feed->range_from_peer || feed->found_no_peers)) {
 		leave_range(feed);
 		stop_waiting(feed);
 	} else {
@@ -135,5 +136,5 @@
 		rr_start_feed_range(feed);
 	}
 	if (store)
-		rr_note_feed_reached(ctx, feed, false);
+		rr_set_store_reachable(ctx, feed, false);
 }
--- a/source/core/feed-rank.c
+++ b/source/core/feed-rank.c
@@ -34,7 +34,7 @@
 	return (int64_t)(instance->strength * STRENGTH_STEPS + 0.5);
 }
 
-bool rr_goes_before(const struct rr_instance *a, const struct rr_instance *b)
+bool rr_ranks_before(const struct rr_instance *a, const struct rr_instance *b)
 {
 	if (told_strength(a) != told_strength(b))
 		return told_strength(a) > told_strength(b);
@@ -50,25 +50,27 @@
  */
 guint rr_zone_watchers(guint n_instances)
 {
-	return n_instances <= 1 + ASKERS + ASKERS * ASKERS ? 1 : RR_WATCHERS;
+	return n_instances <= 1 + ASKERS + ASKERS * ASKERS ?
+		       1 :
+		       RR_MAX_ZONE_WATCHERS;
 }
 
-guint rr_zone_enterers(guint n_instances)
+guint rr_zone_registrars(guint n_instances)
 {
-	return n_instances <= SMALL_ZONE ? 1 : RR_ENTERERS;
+	return n_instances <= SMALL_ZONE ? 1 : RR_MAX_ZONE_REGISTRARS;
 }
 
-struct rr_place rr_find_place(guint rank, guint n)
+struct rr_tree_position rr_find_tree_position(guint rank, guint n)
 {
-	struct rr_place place = { .end = rr_zone_watchers(n) };
+	struct rr_tree_position place = { .level_end = rr_zone_watchers(n) };
 	guint from = 0;
 
-	while (rank >= place.end) {
+	while (rank >= place.level_end) {
 		place.level++;
-		place.above_from = from;
-		place.n_above = place.end - from;
-		from = place.end;
-		place.end += place.n_above * ASKERS;
+		place.parents_from = from;
+		place.n_parents = place.level_end - from;
+		from = place.level_end;
+		place.level_end += place.n_parents * ASKERS;
 	}
 	return place;
 }
--- a/source/core/feed-roster.c
+++ b/source/core/feed-registration.c
@@ -1,8 +1,8 @@
 /*
- * feed-roster.c - who is entered by this instance, and what of it the store
+ * feed-registration.c - who is entered by this instance, and what of it the store
  * has yet to be told.
  */
-#include "core/feed-roster.h"
+#include "core/feed-registration.h"
 
 #include <string.h>
 
@@ -18,7 +18,7 @@
 	int64_t heard_us;
 };
 
-struct rr_roster {
+struct rr_registrations {
 	GHashTable *all; /* id -> struct enrolled */
 };
 
@@ -30,16 +30,16 @@
 	g_free(enrolled);
 }
 
-struct rr_roster *rr_new_roster(void)
+struct rr_registrations *rr_new_registrations(void)
 {
-	struct rr_roster *roster = g_new0(struct rr_roster, 1);
+	struct rr_registrations *roster = g_new0(struct rr_registrations, 1);
 
 	roster->all = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					    free_enrolled);
 	return roster;
 }
 
-void rr_drop_roster(struct rr_roster *roster)
+void rr_drop_registrations(struct rr_registrations *roster)
 {
 	if (!roster)
 		return;
@@ -50,11 +50,11 @@
 static bool is_same(const struct rr_instance *a, const struct rr_instance *b)
 {
 	return !strcmp(a->zone, b->zone) && !strcmp(a->address, b->address) &&
-	       a->strength == b->strength && a->born_ms == b->born_ms;
+	       a->strength == b->strength && a->started_ms == b->started_ms;
 }
 
-bool rr_enroll(struct rr_roster *roster, const struct rr_instance *instance,
-	       int64_t now_us)
+bool rr_register_instance(struct rr_registrations *roster,
+			  const struct rr_instance *instance, int64_t now_us)
 {
 	struct enrolled *enrolled =
 		g_hash_table_lookup(roster->all, instance->id);
@@ -76,7 +76,7 @@
 	enrolled->instance->zone = g_strdup(instance->zone);
 	enrolled->instance->address = g_strdup(instance->address);
 	enrolled->instance->strength = instance->strength;
-	enrolled->instance->born_ms = instance->born_ms;
+	enrolled->instance->started_ms = instance->started_ms;
 	return true;
 }
 
@@ -92,7 +92,7 @@
 	enrolled->due = true;
 }
 
-void rr_strike_off(struct rr_roster *roster, const char *id)
+void rr_deregister_instance(struct rr_registrations *roster, const char *id)
 {
 	struct enrolled *enrolled = g_hash_table_lookup(roster->all, id);
 
@@ -104,7 +104,7 @@
 		g_hash_table_remove(roster->all, id);
 }
 
-void rr_strike_off_silent(struct rr_roster *roster, int64_t since_us)
+void rr_expire_registrations(struct rr_registrations *roster, int64_t since_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -122,7 +122,7 @@
 	}
 }
 
-int64_t rr_roster_oldest_us(const struct rr_roster *roster)
+int64_t rr_oldest_registration_us(const struct rr_registrations *roster)
 {
 	int64_t oldest_us = INT64_MAX;
 	GHashTableIter iter;
@@ -138,7 +138,7 @@
 	return oldest_us;
 }
 
-bool rr_roster_is_due(const struct rr_roster *roster)
+bool rr_has_unwritten_registrations(const struct rr_registrations *roster)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -153,21 +153,21 @@
 	return false;
 }
 
-bool rr_roster_is_empty(const struct rr_roster *roster)
+bool rr_registrations_are_empty(const struct rr_registrations *roster)
 {
 	return !g_hash_table_size(roster->all);
 }
 
-struct rr_roster_batch rr_take_roster_batch(struct rr_roster *roster,
-					    guint most)
+struct rr_registration_batch
+rr_take_registration_batch(struct rr_registrations *roster, guint most)
 {
-	struct rr_roster_batch batch = { .entered = g_ptr_array_new(),
-					 .removed = g_ptr_array_new() };
+	struct rr_registration_batch batch = { .added = g_ptr_array_new(),
+					       .removed = g_ptr_array_new() };
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, roster->all);
-	while (batch.entered->len + batch.removed->len < most &&
+	while (batch.added->len + batch.removed->len < most &&
 	       g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct enrolled *enrolled = value;
 
@@ -176,20 +176,21 @@
 		enrolled->due = false;
 		enrolled->busy = true;
 		if (enrolled->present)
-			g_ptr_array_add(batch.entered, enrolled->instance);
+			g_ptr_array_add(batch.added, enrolled->instance);
 		else
 			g_ptr_array_add(batch.removed, enrolled->instance->id);
 	}
 	return batch;
 }
 
-void rr_clear_roster_batch(struct rr_roster_batch *batch)
+void rr_clear_registration_batch(struct rr_registration_batch *batch)
 {
-	g_ptr_array_unref(batch->entered);
+	g_ptr_array_unref(batch->added);
 	g_ptr_array_unref(batch->removed);
 }
 
-void rr_roster_written(struct rr_roster *roster, uint64_t revision)
+void rr_confirm_registration_batch(struct rr_registrations *roster,
+				   uint64_t revision)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -207,7 +208,7 @@
 	}
 }
 
-void rr_roster_not_written(struct rr_roster *roster)
+void rr_retry_registration_batch(struct rr_registrations *roster)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -225,7 +226,7 @@
 	}
 }
 
-void rr_roster_lapsed(struct rr_roster *roster)
+void rr_rewrite_all_registrations(struct rr_registrations *roster)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -242,8 +243,8 @@
 	}
 }
 
-void rr_roster_heard(struct rr_roster *roster, const char *id,
-		     uint64_t revision, bool removed)
+void rr_observe_registration(struct rr_registrations *roster, const char *id,
+			     uint64_t revision, bool removed)
 {
 	struct enrolled *enrolled = g_hash_table_lookup(roster->all, id);
 
--- a/source/core/feed-report.c
+++ b/source/core/feed-report.c
@@ -28,9 +28,9 @@
 	bool claim;
 };
 
-struct rr_reports {
+struct rr_report_queue {
 	GQueue waiting; /* struct waiting_report; the first is in flight */
-	struct rr_feed_line line;
+	struct rr_feed_call_state line;
 	uint64_t lease;
 	int64_t lease_until_us;
 	/* Fingerprint -> uint64_t: revisions of own writes. */
@@ -45,9 +45,9 @@
 	g_free(report);
 }
 
-struct rr_reports *rr_new_reports(void)
+struct rr_report_queue *rr_new_report_queue(void)
 {
-	struct rr_reports *reports = g_new0(struct rr_reports, 1);
+	struct rr_report_queue *reports = g_new0(struct rr_report_queue, 1);
 
 	g_queue_init(&reports->waiting);
 	reports->written =
@@ -55,7 +55,7 @@
 	return reports;
 }
 
-void rr_drop_reports(struct rr_reports *reports)
+void rr_drop_report_queue(struct rr_report_queue *reports)
 {
 	g_queue_clear_full(&reports->waiting, free_report);
 	g_hash_table_unref(reports->written);
@@ -63,13 +63,13 @@
 }
 
 /* A queued report of the same content, which a later one replaces. */
-static GList *find_waiting(struct rr_reports *reports,
+static GList *find_waiting(struct rr_report_queue *reports,
 			   const struct rr_fingerprint *fingerprint)
 {
 	GList *link = reports->waiting.head;
 
 	/* The first is in flight. */
-	if (link && reports->line.call)
+	if (link && reports->line.call_id)
 		link = link->next;
 	for (; link; link = link->next) {
 		const struct waiting_report *report = link->data;
@@ -85,7 +85,7 @@
 void rr_feed_report(struct rr_feed *feed, int64_t now_us,
 		    const struct rr_quarantine_report *told)
 {
-	struct rr_reports *reports = feed->reports;
+	struct rr_report_queue *reports = feed->report_queue;
 	struct waiting_report *report = g_new0(struct waiting_report, 1);
 	GList *before = find_waiting(reports, &told->entry->fingerprint);
 
@@ -101,13 +101,13 @@
 	g_queue_push_tail(&reports->waiting, report);
 	if (reports->waiting.length > MOST_WAITING)
 		free_report(g_queue_pop_nth(&reports->waiting,
-					    reports->line.call ? 1 : 0));
+					    reports->line.call_id ? 1 : 0));
 }
 
 /* Remove the first report. */
 static void end_first(struct rr_feed *feed)
 {
-	struct rr_reports *reports = feed->reports;
+	struct rr_report_queue *reports = feed->report_queue;
 
 	free_report(g_queue_pop_head(&reports->waiting));
 	reports->line.backoff_us = 0;
@@ -125,14 +125,14 @@
 static uint64_t revision_of(const struct rr_feed *feed, const char *text)
 {
 	const uint64_t *written =
-		g_hash_table_lookup(feed->reports->written, text);
+		g_hash_table_lookup(feed->report_queue->written, text);
 	uint64_t known_revision = 0;
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, feed->known);
+	g_hash_table_iter_init(&iter, feed->keys);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct rr_feed_known *known = value;
+		const struct rr_feed_key_state *known = value;
 
 		if (known->kind == RR_FEED_QUARANTINE &&
 		    !g_strcmp0(known->id, text))
@@ -147,9 +147,9 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, feed->known);
+	g_hash_table_iter_init(&iter, feed->keys);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		n += ((const struct rr_feed_known *)value)->kind ==
+		n += ((const struct rr_feed_key_state *)value)->kind ==
 		     RR_FEED_QUARANTINE;
 	return n;
 }
@@ -161,20 +161,20 @@
 	       (report->entry->quarantined && count_known(feed) < MOST_LASTING);
 }
 
-void rr_tick_reports(struct rr_context *ctx, struct rr_feed *feed)
+void rr_tick_report_queue(struct rr_context *ctx, struct rr_feed *feed)
 {
-	struct rr_reports *reports = feed->reports;
+	struct rr_report_queue *reports = feed->report_queue;
 	struct waiting_report *report = g_queue_peek_head(&reports->waiting);
 	struct rr_feed_call call = { .kind = RR_FEED_REPORT };
 	char text[RR_FINGERPRINT_TEXT_SIZE];
 
-	if (!report || reports->line.call ||
+	if (!report || reports->line.call_id ||
 	    reports->line.due_us > feed->now_us)
 		return;
 	if (!lasts(feed, report)) {
 		if (!reports->lease ||
 		    reports->lease_until_us <= feed->now_us) {
-			call.kind = RR_FEED_GRANT;
+			call.kind = RR_FEED_LEASE_GRANT;
 			call.ttl_ms = LEASE_MS;
 			rr_start_feed_call(ctx, feed, &reports->line, &call);
 			return;
@@ -182,19 +182,19 @@
 		call.lease = reports->lease;
 	}
 	call.entry = report->entry;
-	call.entry_goes = report->released;
-	call.revision = revision_of(feed, text_of(report, text));
+	call.remove_entry = report->released;
+	call.expected_revision = revision_of(feed, text_of(report, text));
 #ifdef RR_MUTANT_REPORTS_KNOW_NO_REVISION
 	call.revision = 0;
 #endif
 	rr_start_feed_call(ctx, feed, &reports->line, &call);
 }
 
-int64_t rr_reports_wake_us(const struct rr_feed *feed)
+int64_t rr_report_queue_wake_us(const struct rr_feed *feed)
 {
-	const struct rr_reports *reports = feed->reports;
+	const struct rr_report_queue *reports = feed->report_queue;
 
-	if (!reports->waiting.length || reports->line.call)
+	if (!reports->waiting.length || reports->line.call_id)
 		return INT64_MAX;
 	return reports->line.due_us;
 }
@@ -203,14 +203,14 @@
 		       const struct waiting_report *report, bool granted)
 {
 	if (report->claim)
-		feed->actions.claimed(feed->actions.data, report->entry,
-				      granted);
+		feed->actions.claim_decided(feed->actions.data, report->entry,
+					    granted);
 }
 
 static void set_written(struct rr_feed *feed,
 			const struct waiting_report *report, uint64_t revision)
 {
-	struct rr_reports *reports = feed->reports;
+	struct rr_report_queue *reports = feed->report_queue;
 	char text[RR_FINGERPRINT_TEXT_SIZE];
 	uint64_t *kept = g_new(uint64_t, 1);
 
@@ -229,25 +229,25 @@
 			  const struct rr_feed_reply *reply)
 {
 	struct waiting_report *report =
-		g_queue_peek_head(&feed->reports->waiting);
+		g_queue_peek_head(&feed->report_queue->waiting);
 	bool again = !reply->items->len && !report->claim && !report->released;
 
 	set_written(feed, report, 0);
 	tell_claim(feed, report, false);
 	if (again) {
-		rr_delay_feed_line(ctx, feed, &feed->reports->line);
+		rr_back_off_feed_call(ctx, feed, &feed->report_queue->line);
 		return;
 	}
 	end_first(feed);
 	for (guint i = 0; i < reply->items->len; i++)
-		rr_take_feed_item(ctx, feed,
-				  g_ptr_array_index(reply->items, i));
+		rr_apply_feed_item(ctx, feed,
+				   g_ptr_array_index(reply->items, i));
 }
 
 static void take_failure(struct rr_context *ctx, struct rr_feed *feed)
 {
 	struct waiting_report *report =
-		g_queue_peek_head(&feed->reports->waiting);
+		g_queue_peek_head(&feed->report_queue->waiting);
 
 	rr_count(ctx, RR_N_STORE_FAILURES, 1);
 	if (report->claim) {
@@ -255,15 +255,15 @@
 		end_first(feed);
 		return;
 	}
-	rr_delay_feed_line(ctx, feed, &feed->reports->line);
+	rr_back_off_feed_call(ctx, feed, &feed->report_queue->line);
 }
 
 static void take_good(struct rr_feed *feed, const struct rr_feed_reply *reply)
 {
-	struct rr_reports *reports = feed->reports;
+	struct rr_report_queue *reports = feed->report_queue;
 	struct waiting_report *report = g_queue_peek_head(&reports->waiting);
 
-	if (reports->line.kind == RR_FEED_GRANT) {
+	if (reports->line.kind == RR_FEED_LEASE_GRANT) {
 		reports->lease = reply->lease;
 		reports->lease_until_us =
 			feed->now_us + (int64_t)LEASE_MS * 1000 / 2;
@@ -275,15 +275,15 @@
 	end_first(feed);
 }
 
-void rr_take_report_reply(struct rr_context *ctx, struct rr_feed *feed,
-			  const struct rr_feed_reply *reply)
+void rr_handle_report_reply(struct rr_context *ctx, struct rr_feed *feed,
+			    const struct rr_feed_reply *reply)
 {
-	struct rr_reports *reports = feed->reports;
+	struct rr_report_queue *reports = feed->report_queue;
 
-	if (!reply->call || reply->call != reports->line.call)
+	if (!reply->call_id || reply->call_id != reports->line.call_id)
 		return;
 	rr_log_feed_call(ctx, feed, &reports->line, NULL, reply);
-	reports->line.call = 0;
+	reports->line.call_id = 0;
 	switch (reply->status) {
 	case RR_FEED_OK:
 		take_good(feed, reply);
@@ -293,9 +293,9 @@
 		break;
 	case RR_FEED_NO_LEASE:
 		reports->lease = 0;
-		rr_delay_feed_line(ctx, feed, &reports->line);
+		rr_back_off_feed_call(ctx, feed, &reports->line);
 		break;
-	case RR_FEED_FORGOTTEN:
+	case RR_FEED_COMPACTED:
 	case RR_FEED_FAILED:
 		take_failure(ctx, feed);
 		break;
--- a/source/core/feed-order.c
+++ b/source/core/feed-source-order.c
@@ -1,5 +1,5 @@
 /*
- * feed-order.c - the order in which an instance asks, from its place in its
+ * feed-source-order.c - the order in which an instance asks, from its place in its
  * zone: who watches, who stands by, whose level it asks, and who enters it.
  *
  * Nobody agrees on places: from another view of the entries follows a watch
@@ -34,7 +34,7 @@
 
 /* The first instances of one zone, fewer where it has no more. */
 struct first {
-	const struct rr_instance *instances[RR_STANDBYS];
+	const struct rr_instance *instances[RR_MAX_WATCH_CANDIDATES];
 	guint n;
 	guint n_all; /* instances of the zone */
 };
@@ -50,11 +50,11 @@
 {
 	guint place = first->n;
 
-	while (place && rr_goes_before(instance, first->instances[place - 1]))
+	while (place && rr_ranks_before(instance, first->instances[place - 1]))
 		place--;
-	if (place == RR_STANDBYS)
+	if (place == RR_MAX_WATCH_CANDIDATES)
 		return;
-	first->n = MIN(first->n + 1, RR_STANDBYS);
+	first->n = MIN(first->n + 1, RR_MAX_WATCH_CANDIDATES);
 	for (guint i = first->n - 1; i > place; i--)
 		first->instances[i] = first->instances[i - 1];
 	first->instances[place] = instance;
@@ -95,8 +95,8 @@
 
 static gint compare_instances(gconstpointer a, gconstpointer b)
 {
-	return rr_goes_before(*(const struct rr_instance *const *)a,
-			      *(const struct rr_instance *const *)b) ?
+	return rr_ranks_before(*(const struct rr_instance *const *)a,
+			       *(const struct rr_instance *const *)b) ?
 		       -1 :
 		       1;
 }
@@ -115,7 +115,7 @@
 
 		if (strcmp(instance->zone, sources->self.zone))
 			continue;
-		if (rr_goes_before(instance, &sources->self))
+		if (rr_ranks_before(instance, &sources->self))
 			g_ptr_array_add(before, value);
 		else
 			++*n_behind;
@@ -127,7 +127,7 @@
 /* The place of this instance in its zone, and the one that it asks first. */
 struct own_place {
 	guint rank;
-	struct rr_place place;
+	struct rr_tree_position place;
 	const struct rr_instance *above; /* NULL: its level asks the watchers */
 	bool is_asked;			 /* a level is below it */
 	bool enters;			 /* itself, and others */
@@ -139,15 +139,16 @@
 	GPtrArray *before = find_before(sources, &n_behind);
 	guint n = before->len + 1 + n_behind;
 	struct own_place own = { .rank = before->len,
-				 .place = rr_find_place(before->len, n) };
-	const struct rr_place *place = &own.place;
+				 .place = rr_find_tree_position(before->len,
+								n) };
+	const struct rr_tree_position *place = &own.place;
 
-	own.is_asked = n > place->end;
-	own.enters = before->len < rr_zone_enterers(n);
+	own.is_asked = n > place->level_end;
+	own.enters = before->len < rr_zone_registrars(n);
 	if (place->level > 1)
 		own.above = g_ptr_array_index(
 			before,
-			place->above_from + before->len % place->n_above);
+			place->parents_from + before->len % place->n_parents);
 	g_ptr_array_unref(before);
 	return own;
 }
@@ -162,7 +163,7 @@
 
 	if (*instance->address)
 		rr_append_source(order, sources, instance->address,
-				 SOURCE_BESIDE);
+				 SOURCE_FALLBACK);
 }
 
 static gint compare_zones(gconstpointer a, gconstpointer b)
@@ -233,16 +234,16 @@
 static void find_enterers(struct rr_sources *sources, const struct first *near,
 			  bool enters)
 {
-	guint n = MIN(near->n, rr_zone_enterers(near->n_all));
+	guint n = MIN(near->n, rr_zone_registrars(near->n_all));
 	guint from = g_str_hash(sources->self.id);
 
-	g_ptr_array_set_size(sources->enterers, 0);
+	g_ptr_array_set_size(sources->registrars, 0);
 	for (guint i = 0; i < n && !enters; i++) {
 		const struct rr_instance *instance =
 			near->instances[(from + i) % n];
 
 		if (*instance->address)
-			g_ptr_array_add(sources->enterers,
+			g_ptr_array_add(sources->registrars,
 					g_strdup(instance->address));
 	}
 }
@@ -267,7 +268,7 @@
 		    instance == own->above || !*instance->address)
 			continue;
 		rr_append_source(order, sources, instance->address,
-				 before ? SOURCE_ABOVE : SOURCE_BESIDE);
+				 before ? SOURCE_PRECEDING : SOURCE_FALLBACK);
 	}
 }
 
@@ -286,14 +287,14 @@
 	const struct first *near =
 		g_hash_table_lookup(zones, sources->self.zone);
 	GPtrArray *far = list_far_zones(sources, zones);
-	bool stands_by = own->rank < RR_STANDBYS;
+	bool stands_by = own->rank < RR_MAX_WATCH_CANDIDATES;
 	guint far_before = stands_by ? 0 : FAR_BEFORE_STORE;
 
 	if (!own->place.level)
 		append_store(order, sources);
 	if (own->above && *own->above->address)
 		rr_append_source(order, sources, own->above->address,
-				 SOURCE_ABOVE);
+				 SOURCE_PRECEDING);
 	append_near(order, sources, near, own, true);
 	append_far_watchers(order, sources, zones, far, 0, far_before);
 	if (own->place.level)
@@ -303,26 +304,27 @@
 	g_ptr_array_unref(far);
 }
 
-void rr_make_source_order(struct rr_sources *sources)
+void rr_rebuild_source_order(struct rr_sources *sources)
 {
 	GPtrArray *order = g_ptr_array_new_with_free_func(rr_free_source);
 	GHashTable *zones = find_first(sources);
 	struct own_place own = find_own_place(sources);
 
-	sources->is_asked = sources->may_follow && own.is_asked;
-	sources->stands_by = !sources->may_follow || own.rank < RR_STANDBYS;
-	if (sources->may_follow)
+	sources->has_children = sources->peers_enabled && own.is_asked;
+	sources->is_watch_candidate =
+		!sources->peers_enabled || own.rank < RR_MAX_WATCH_CANDIDATES;
+	if (sources->peers_enabled)
 		append_all(order, sources, zones, &own);
 	else
 		append_store(order, sources);
 	append_seeds(order, sources);
 	find_enterers(sources, g_hash_table_lookup(zones, sources->self.zone),
-		      !sources->may_follow || own.enters);
-	sources->watchers = sources->may_follow ?
-				    count_first(zones) :
-				    g_hash_table_size(sources->instances) + 1;
+		      !sources->peers_enabled || own.enters);
+	sources->n_watchers = sources->peers_enabled ?
+				      count_first(zones) :
+				      g_hash_table_size(sources->instances) + 1;
 	g_hash_table_unref(zones);
 	g_ptr_array_unref(sources->order);
 	sources->order = order;
-	sources->is_old = false;
+	sources->order_is_stale = false;
 }
--- a/source/core/feed-source.c
+++ b/source/core/feed-source.c
@@ -54,8 +54,8 @@
 
 static void refresh(struct rr_sources *sources)
 {
-	if (sources->is_old)
-		rr_make_source_order(sources);
+	if (sources->order_is_stale)
+		rr_rebuild_source_order(sources);
 }
 
 /* Forget those whose entries went long ago. */
@@ -65,13 +65,13 @@
 	gpointer id;
 	gpointer gone_us;
 
-	g_hash_table_iter_init(&iter, sources->gone);
+	g_hash_table_iter_init(&iter, sources->removed_at);
 	while (g_hash_table_iter_next(&iter, &id, &gone_us)) {
 		if (now_us - *(int64_t *)gone_us < GONE_US)
 			continue;
 		g_hash_table_remove(sources->instances, id);
 		g_hash_table_iter_remove(&iter);
-		sources->is_old = true;
+		sources->order_is_stale = true;
 	}
 }
 
@@ -85,13 +85,13 @@
 	sources->self.strength = self->strength;
 	sources->instances = g_hash_table_new_full(g_str_hash, g_str_equal,
 						   NULL, free_instance);
-	sources->gone =
+	sources->removed_at =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	sources->order = g_ptr_array_new_with_free_func(rr_free_source);
-	sources->enterers = g_ptr_array_new_with_free_func(g_free);
+	sources->registrars = g_ptr_array_new_with_free_func(g_free);
 	for (; seeds && *seeds; seeds++)
 		rr_append_source(sources->order, sources, *seeds, SOURCE_SEED);
-	rr_make_source_order(sources);
+	rr_rebuild_source_order(sources);
 	return sources;
 }
 
@@ -100,9 +100,9 @@
 	if (!sources)
 		return;
 	g_hash_table_unref(sources->instances);
-	g_hash_table_unref(sources->gone);
+	g_hash_table_unref(sources->removed_at);
 	g_ptr_array_unref(sources->order);
-	g_ptr_array_unref(sources->enterers);
+	g_ptr_array_unref(sources->registrars);
 	g_free(sources->self.id);
 	g_free(sources->self.zone);
 	g_free(sources);
@@ -114,15 +114,15 @@
 	int64_t *gone_us;
 
 	if (!g_hash_table_contains(sources->instances, id) ||
-	    g_hash_table_contains(sources->gone, id))
+	    g_hash_table_contains(sources->removed_at, id))
 		return;
 	gone_us = g_new(int64_t, 1);
 	*gone_us = now_us;
-	g_hash_table_insert(sources->gone, g_strdup(id), gone_us);
+	g_hash_table_insert(sources->removed_at, g_strdup(id), gone_us);
 }
 
-void rr_note_source(struct rr_sources *sources, int64_t now_us, const char *id,
-		    const struct rr_instance *instance)
+void rr_update_source(struct rr_sources *sources, int64_t now_us,
+		      const char *id, const struct rr_instance *instance)
 {
 	struct rr_instance *kept;
 
@@ -131,8 +131,8 @@
 		return;
 	}
 	g_hash_table_remove(sources->instances, id);
-	g_hash_table_remove(sources->gone, id);
-	sources->is_old = true;
+	g_hash_table_remove(sources->removed_at, id);
+	sources->order_is_stale = true;
 	if (!instance->zone || !instance->address ||
 	    !strcmp(id, sources->self.id))
 		return;
@@ -142,12 +142,12 @@
 	g_hash_table_insert(sources->instances, kept->id, kept);
 }
 
-void rr_allow_following(struct rr_sources *sources)
+void rr_enable_peer_sources(struct rr_sources *sources)
 {
-	if (sources->may_follow)
+	if (sources->peers_enabled)
 		return;
-	sources->may_follow = true;
-	sources->is_old = true;
+	sources->peers_enabled = true;
+	sources->order_is_stale = true;
 }
 
 const char *rr_pick_source(struct rr_sources *sources, int64_t now_us,
@@ -160,7 +160,7 @@
 	store = rr_find_source(sources, STORE);
 	*due_us = INT64_MAX;
 	/* An instance may have fallen behind: what is whole is the store's. */
-	if (everything && store->bad_until_us <= now_us)
+	if (everything && store->backoff_until_us <= now_us)
 		return store->address;
 	for (guint i = 0; i < sources->order->len; i++) {
 		const struct source *source =
@@ -168,9 +168,9 @@
 
 		if (source->kind == SOURCE_SEED && !everything)
 			continue;
-		if (source->bad_until_us <= now_us)
+		if (source->backoff_until_us <= now_us)
 			return source->address;
-		*due_us = MIN(*due_us, source->bad_until_us);
+		*due_us = MIN(*due_us, source->backoff_until_us);
 	}
 	return NULL;
 }
@@ -178,7 +178,7 @@
 bool rr_may_ask_store(struct rr_sources *sources, int64_t now_us)
 {
 	refresh(sources);
-	return rr_find_source(sources, STORE)->bad_until_us <= now_us;
+	return rr_find_source(sources, STORE)->backoff_until_us <= now_us;
 }
 
 /*
@@ -190,20 +190,22 @@
 {
 	if (!is_store(source))
 		return FIRST_INSTANCE_WAIT_US;
-	return sources->stands_by ? FIRST_STORE_WAIT_US : MOST_INSTANCE_WAIT_US;
+	return sources->is_watch_candidate ? FIRST_STORE_WAIT_US :
+					     MOST_INSTANCE_WAIT_US;
 }
 
 static int64_t most_wait_us(const struct rr_sources *sources,
 			    const struct source *source)
 {
-	if (source->kind == SOURCE_ABOVE)
+	if (source->kind == SOURCE_PRECEDING)
 		return MOST_ABOVE_WAIT_US;
-	return is_store(source) && sources->stands_by ? MOST_STORE_WAIT_US :
-							MOST_INSTANCE_WAIT_US;
+	return is_store(source) && sources->is_watch_candidate ?
+		       MOST_STORE_WAIT_US :
+		       MOST_INSTANCE_WAIT_US;
 }
 
-void rr_source_failed(struct rr_context *ctx, struct rr_sources *sources,
-		      const char *address, int64_t now_us)
+void rr_mark_source_failed(struct rr_context *ctx, struct rr_sources *sources,
+			   const char *address, int64_t now_us)
 {
 	struct source *source;
 	int64_t most_us;
@@ -214,17 +216,17 @@
 	if (!source)
 		return;
 	most_us = most_wait_us(sources, source);
-	wait_us = source->wait_us;
+	wait_us = source->next_backoff_us;
 	if (!wait_us)
 		wait_us = first_wait_us(sources, source);
-	source->wait_us = MIN(2 * wait_us, most_us);
+	source->next_backoff_us = MIN(2 * wait_us, most_us);
 	/* Drawn, so that instances do not all come back at once. */
-	source->bad_until_us =
+	source->backoff_until_us =
 		now_us +
 		(int64_t)((0.5 + 0.5 * rr_random_unit(ctx)) * (double)wait_us);
 }
 
-void rr_source_answered(struct rr_sources *sources, const char *address)
+void rr_mark_source_healthy(struct rr_sources *sources, const char *address)
 {
 	struct source *source;
 
@@ -232,17 +234,17 @@
 	source = rr_find_source(sources, address);
 	if (!source)
 		return;
-	source->wait_us = 0;
-	source->bad_until_us = 0;
+	source->next_backoff_us = 0;
+	source->backoff_until_us = 0;
 }
 
-bool rr_sources_follow(struct rr_sources *sources)
+bool rr_prefers_peer_source(struct rr_sources *sources)
 {
 	refresh(sources);
 	return !is_store(g_ptr_array_index(sources->order, 0));
 }
 
-bool rr_source_may_be_told(struct rr_sources *sources, const char *address)
+bool rr_may_serve_changes_from(struct rr_sources *sources, const char *address)
 {
 	const struct source *source;
 
@@ -251,25 +253,26 @@
 #ifdef RR_MUTANT_SOURCE_TELLS_ANYTHING
 	return source != NULL;
 #endif
-	return source && source->kind == SOURCE_ABOVE && sources->is_asked;
+	return source && source->kind == SOURCE_PRECEDING &&
+	       sources->has_children;
 }
 
-const char *rr_find_enterer(struct rr_sources *sources, guint turn)
+const char *rr_find_registrar(struct rr_sources *sources, guint turn)
 {
 	guint n;
 
 	refresh(sources);
-	n = sources->enterers->len;
-	return n ? g_ptr_array_index(sources->enterers, turn % n) : NULL;
+	n = sources->registrars->len;
+	return n ? g_ptr_array_index(sources->registrars, turn % n) : NULL;
 }
 
-bool rr_sources_may_follow(const struct rr_sources *sources)
+bool rr_peer_sources_enabled(const struct rr_sources *sources)
 {
-	return sources->may_follow;
+	return sources->peers_enabled;
 }
 
 uint32_t rr_count_watchers(struct rr_sources *sources)
 {
 	refresh(sources);
-	return sources->watchers;
+	return sources->n_watchers;
 }
--- a/source/core/feed.c
+++ b/source/core/feed.c
@@ -52,7 +52,7 @@
 
 static void free_known(gpointer data)
 {
-	struct rr_feed_known *known = data;
+	struct rr_feed_key_state *known = data;
 
 	g_free(known->id);
 	g_free(known);
@@ -65,21 +65,21 @@
 	struct rr_feed *feed = g_new0(struct rr_feed, 1);
 
 	feed->actions = options->actions;
-	feed->news_bound_ms = options->news_bound_ms;
+	feed->max_staleness_ms = options->max_staleness_ms;
 	feed->self = rr_copy_instance(&options->self);
-	feed->roster = rr_new_roster();
-	feed->reports = rr_new_reports();
+	feed->registrations = rr_new_registrations();
+	feed->report_queue = rr_new_report_queue();
 	feed->sources = rr_new_sources(&options->self, options->seeds);
-	feed->news = rr_new_news();
+	feed->change_log = rr_new_change_log();
 	feed->now_us = now_us;
-	feed->known = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					    free_known);
-	feed->ranging = true;
+	feed->keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+					   free_known);
+	feed->range_active = true;
 	feed->reading.due_us = now_us;
-	feed->heard_us = now_us;
-	feed->entered_well_us = now_us;
-	feed->count_from_us = rr_first_count_us(now_us);
-	feed->reached = true;
+	feed->last_read_us = now_us;
+	feed->last_registered_us = now_us;
+	feed->count_due_us = rr_initial_count_due_us(now_us);
+	feed->store_reachable = true;
 	return feed;
 }
 
@@ -87,38 +87,38 @@
 {
 	if (!feed)
 		return;
-	g_hash_table_unref(feed->known);
+	g_hash_table_unref(feed->keys);
 	rr_drop_sources(feed->sources);
-	rr_drop_news(feed->news);
-	rr_drop_roster(feed->roster);
-	rr_drop_reports(feed->reports);
+	rr_drop_change_log(feed->change_log);
+	rr_drop_registrations(feed->registrations);
+	rr_drop_report_queue(feed->report_queue);
 	rr_free_instance(feed->self);
-	g_free(feed->asked);
-	g_free(feed->enterer);
+	g_free(feed->read_peer);
+	g_free(feed->registrar);
 	g_free(feed->after_key);
 	g_free(feed);
 }
 
 static const char *const call_names[] = {
-	[RR_FEED_RANGE] = "read",    [RR_FEED_WATCH] = "watch",
-	[RR_FEED_GRANT] = "lease",   [RR_FEED_KEEP] = "renewal",
-	[RR_FEED_ENTER] = "entry",   [RR_FEED_LEAVE] = "leave",
+	[RR_FEED_RANGE] = "read",	   [RR_FEED_WATCH] = "watch",
+	[RR_FEED_LEASE_GRANT] = "lease",   [RR_FEED_LEASE_RENEW] = "renewal",
+	[RR_FEED_WRITE_ENTRIES] = "entry", [RR_FEED_LEASE_REVOKE] = "leave",
 	[RR_FEED_REPORT] = "report",
 };
 
 static const enum rr_counter call_counters[] = {
 	[RR_FEED_RANGE] = RR_N_STORE_READS,
 	[RR_FEED_WATCH] = RR_N_STORE_WATCHES,
-	[RR_FEED_GRANT] = RR_N_STORE_LEASES,
-	[RR_FEED_KEEP] = RR_N_STORE_RENEWALS,
-	[RR_FEED_ENTER] = RR_N_STORE_ENTRIES,
-	[RR_FEED_LEAVE] = RR_N_STORE_LEASES,
+	[RR_FEED_LEASE_GRANT] = RR_N_STORE_LEASES,
+	[RR_FEED_LEASE_RENEW] = RR_N_STORE_RENEWALS,
+	[RR_FEED_WRITE_ENTRIES] = RR_N_STORE_ENTRIES,
+	[RR_FEED_LEASE_REVOKE] = RR_N_STORE_LEASES,
 	[RR_FEED_REPORT] = RR_N_STORE_REPORTS,
 };
 
 static const char *const status_names[] = {
 	[RR_FEED_OK] = "ok",
-	[RR_FEED_FORGOTTEN] = "forgotten",
+	[RR_FEED_COMPACTED] = "forgotten",
 	[RR_FEED_NO_LEASE] = "no-lease",
 	[RR_FEED_CONFLICT] = "conflict",
 	[RR_FEED_FAILED] = "failed",
@@ -129,33 +129,34 @@
  * renewal or another instance answers is told by counters.
  */
 void rr_log_feed_call(struct rr_context *ctx, const struct rr_feed *feed,
-		      const struct rr_feed_line *line, const char *peer,
+		      const struct rr_feed_call_state *line, const char *peer,
 		      const struct rr_feed_reply *reply)
 {
 	bool good = reply->status == RR_FEED_OK;
 
-	if (good && (peer || line->kind == RR_FEED_KEEP))
+	if (good && (peer || line->kind == RR_FEED_LEASE_RENEW))
 		return;
 	rr_log(ctx, RR_LOG_INFO, "store-call",
 	       RR_FIELD_STRING("kind", call_names[line->kind]),
 	       RR_FIELD_STRING("from", peer ? peer : "store"),
 	       RR_FIELD_STRING("outcome", status_names[reply->status]),
-	       RR_FIELD_U64("code", reply->code),
-	       RR_FIELD_I64("took_us", feed->now_us - line->since_us),
+	       RR_FIELD_U64("code", reply->http_status),
+	       RR_FIELD_I64("took_us", feed->now_us - line->started_us),
 	       RR_FIELD_U64("items", reply->items ? reply->items->len : 0),
 	       RR_FIELD_U64("revision", reply->revision),
 	       RR_FIELD_U64("known", feed->revision));
 }
 
 void rr_start_feed_call(struct rr_context *ctx, struct rr_feed *feed,
-			struct rr_feed_line *line, struct rr_feed_call *call)
+			struct rr_feed_call_state *line,
+			struct rr_feed_call *call)
 {
-	call->id = line->call = ++feed->next_call;
+	call->id = line->call_id = ++feed->last_call_id;
 	line->kind = call->kind;
-	line->since_us = feed->now_us;
+	line->started_us = feed->now_us;
 	call->timeout_ms =
 		call->wait_ms +
-		(call->peer ? feed->news_bound_ms / PEER_TIMEOUT_PART :
+		(call->peer ? feed->max_staleness_ms / PEER_TIMEOUT_PART :
 			      CALL_TIMEOUT_MS);
 	if (call->peer) {
 		rr_count(ctx, RR_N_PEER_NEWS_CALLS, 1);
@@ -174,13 +175,13 @@
 static uint32_t watch_ms(struct rr_feed *feed, bool peer)
 {
 	/* After a silent one the next is to say at once whether it hears. */
-	if (peer && !feed->heard)
+	if (peer && !feed->last_read_ok)
 		return 0;
 	/* One that others tell would not notice that its own watch is deaf. */
-	if (peer || rr_sources_follow(feed->sources))
-		return feed->news_bound_ms / PEER_WAIT_PART;
+	if (peer || rr_prefers_peer_source(feed->sources))
+		return feed->max_staleness_ms / PEER_WAIT_PART;
 #ifndef RR_MUTANT_FEED_LONG_WATCH
-	if (feed->doubted)
+	if (feed->needs_short_watch)
 		return DOUBTED_WATCH_MS;
 #endif
 	return WATCH_MS;
@@ -188,7 +189,7 @@
 
 static int64_t news_bound_us(const struct rr_feed *feed)
 {
-	return (int64_t)feed->news_bound_ms * 1000;
+	return (int64_t)feed->max_staleness_ms * 1000;
 }
 
 /* Nobody was heard for so long: the store is next. */
@@ -200,16 +201,16 @@
 /* Whom to ask next; NULL: nobody now, until *due_us. */
 static const char *pick_source(struct rr_feed *feed, int64_t *due_us)
 {
-	if (feed->ranging && feed->from_asked)
-		return feed->asked;
+	if (feed->range_active && feed->range_from_peer)
+		return feed->read_peer;
 	/*
 	 * Guards against several before the store that are frozen: each is
 	 * waited for, and the bound on news would be over.
 	 */
-	if (feed->now_us - feed->heard_us >= silence_us(feed) &&
+	if (feed->now_us - feed->last_read_us >= silence_us(feed) &&
 	    rr_may_ask_store(feed->sources, feed->now_us))
 		return "";
-	return rr_pick_source(feed->sources, feed->now_us, feed->ranging,
+	return rr_pick_source(feed->sources, feed->now_us, feed->range_active,
 			      due_us);
 }
 
@@ -220,17 +221,17 @@
 
 	if (!source)
 		return;
-	g_free(feed->asked);
-	call.peer = feed->asked = *source ? g_strdup(source) : NULL;
+	g_free(feed->read_peer);
+	call.peer = feed->read_peer = *source ? g_strdup(source) : NULL;
 	g_free(source);
-	if (feed->ranging) {
+	if (feed->range_active) {
 		call.kind = RR_FEED_RANGE;
 		call.after_key = feed->after_key;
 		/*
 		 * What an old copy lacks is told by the first watch.  Later on
 		 * it would unlist what came after it.
 		 */
-		call.may_be_old = !feed->has_read || feed->was_alone;
+		call.allow_stale = !feed->has_synced || feed->found_no_peers;
 	} else {
 		call.after_revision = feed->revision;
 		call.wait_ms = watch_ms(feed, call.peer != NULL);
@@ -238,8 +239,8 @@
 	rr_start_feed_call(ctx, feed, &feed->reading, &call);
 }
 
-void rr_delay_feed_line(struct rr_context *ctx, struct rr_feed *feed,
-			struct rr_feed_line *line)
+void rr_back_off_feed_call(struct rr_context *ctx, struct rr_feed *feed,
+			   struct rr_feed_call_state *line)
 {
 	line->backoff_us = line->backoff_us ?
 				   MIN(2 * line->backoff_us, MOST_BACKOFF_US) :
@@ -249,14 +250,14 @@
 					 (double)line->backoff_us);
 }
 
-void rr_note_feed_reached(struct rr_context *ctx, struct rr_feed *feed,
-			  bool reached)
+void rr_set_store_reachable(struct rr_context *ctx, struct rr_feed *feed,
+			    bool reached)
 {
-	if (feed->reached == reached)
+	if (feed->store_reachable == reached)
 		return;
-	if (!reached && rr_feed_passes_on(feed))
-		feed->passed_on_us = feed->now_us;
-	feed->reached = reached;
+	if (!reached && rr_feed_can_serve_changes(feed))
+		feed->last_serving_us = feed->now_us;
+	feed->store_reachable = reached;
 	rr_log(ctx, RR_LOG_WARNING, reached ? "store-regained" : "store-lost",
 	       RR_FIELD_U64("revision", feed->revision));
 }
@@ -273,7 +274,7 @@
 	int64_t bound_us = news_bound_us(feed);
 
 	/* What another instance tells is merged already. */
-	if (n >= MANY_CHANGES || feed->asked)
+	if (n >= MANY_CHANGES || feed->read_peer)
 		return 0;
 	return MIN(many * bound_us / MERGE_PART, bound_us / MERGE_MOST_PART);
 }
@@ -284,8 +285,8 @@
 	bool news = reply->items && reply->items->len;
 
 	for (guint i = 0; news && i < reply->items->len; i++)
-		rr_take_feed_item(ctx, feed,
-				  g_ptr_array_index(reply->items, i));
+		rr_apply_feed_item(ctx, feed,
+				   g_ptr_array_index(reply->items, i));
 	feed->revision = MAX(feed->revision, reply->revision);
 	feed->reading.due_us =
 		feed->now_us + (news ? merge_us(feed, reply->items->len) : 0);
@@ -301,24 +302,25 @@
 #ifdef RR_MUTANT_FEED_OLDER_COPY
 	return false;
 #endif
-	return feed->ranging && reply->revision < feed->revision;
+	return feed->range_active && reply->revision < feed->revision;
 }
 
 static void take_good_reading(struct rr_context *ctx, struct rr_feed *feed,
 			      const struct rr_feed_reply *reply)
 {
-	rr_source_answered(feed->sources, feed->asked ? feed->asked : "");
-	feed->heard = true;
-	feed->heard_us = feed->now_us;
-	if (!feed->asked) {
-		feed->doubted = false;
-		rr_note_feed_reached(ctx, feed, true);
+	rr_mark_source_healthy(feed->sources,
+			       feed->read_peer ? feed->read_peer : "");
+	feed->last_read_ok = true;
+	feed->last_read_us = feed->now_us;
+	if (!feed->read_peer) {
+		feed->needs_short_watch = false;
+		rr_set_store_reachable(ctx, feed, true);
 	}
-	if (feed->ranging)
-		rr_take_feed_page(ctx, feed, reply);
+	if (feed->range_active)
+		rr_handle_feed_page(ctx, feed, reply);
 	else
 		take_changes(ctx, feed, reply);
-	rr_look_at_count(feed);
+	rr_update_instance_count(feed);
 }
 
 static void log_failed_reading(struct rr_context *ctx,
@@ -328,44 +330,46 @@
 	rr_log(ctx, RR_LOG_INFO, "read-failed",
 	       RR_FIELD_STRING("reason",
 			       forgotten ? "history-forgotten" : "no-answer"),
-	       RR_FIELD_STRING("from", feed->asked ? feed->asked : "store"),
-	       RR_FIELD_BOOL("range", feed->ranging),
+	       RR_FIELD_STRING("from",
+			       feed->read_peer ? feed->read_peer : "store"),
+	       RR_FIELD_BOOL("range", feed->range_active),
 	       RR_FIELD_U64("revision", feed->revision));
 }
 
 static void take_reading(struct rr_context *ctx, struct rr_feed *feed,
 			 const struct rr_feed_reply *reply)
 {
-	bool forgotten = reply->status == RR_FEED_FORGOTTEN;
+	bool forgotten = reply->status == RR_FEED_COMPACTED;
 
-	feed->reading.call = 0;
+	feed->reading.call_id = 0;
 	feed->reading.due_us = feed->now_us;
 	if (reply->status == RR_FEED_OK && !is_behind(feed, reply)) {
 		take_good_reading(ctx, feed, reply);
 		return;
 	}
-	if (rr_feed_passes_on(feed))
-		feed->passed_on_us = feed->now_us;
-	feed->heard = false;
-	feed->doubted = true;
+	if (rr_feed_can_serve_changes(feed))
+		feed->last_serving_us = feed->now_us;
+	feed->last_read_ok = false;
+	feed->needs_short_watch = true;
 	log_failed_reading(ctx, feed, forgotten);
 	/* Who no longer has the changes has the whole. */
 	if (forgotten) {
 		rr_start_feed_range(feed);
-		feed->from_asked = feed->asked != NULL;
+		feed->range_from_peer = feed->read_peer != NULL;
 		return;
 	}
-	rr_source_failed(ctx, feed->sources, feed->asked ? feed->asked : "",
-			 feed->now_us);
-	if (feed->ranging)
-		rr_take_failed_feed_range(ctx, feed);
+	rr_mark_source_failed(ctx, feed->sources,
+			      feed->read_peer ? feed->read_peer : "",
+			      feed->now_us);
+	if (feed->range_active)
+		rr_handle_feed_range_failure(ctx, feed);
 }
 
 static void ask_anew(struct rr_feed *feed)
 {
-	if (feed->reading.call)
-		feed->actions.cancel(feed->actions.data, feed->reading.call);
-	feed->reading.call = 0;
+	if (feed->reading.call_id)
+		feed->actions.cancel(feed->actions.data, feed->reading.call_id);
+	feed->reading.call_id = 0;
 	feed->reading.due_us = feed->now_us;
 }
 
@@ -378,31 +382,31 @@
 	int64_t due_us;
 	const char *better;
 
-	if (!feed->reading.call || feed->reading.kind != RR_FEED_WATCH)
+	if (!feed->reading.call_id || feed->reading.kind != RR_FEED_WATCH)
 		return;
 	/* One that has just begun is not worth breaking off. */
-	if (feed->now_us - feed->reading.since_us <
+	if (feed->now_us - feed->reading.started_us <
 	    news_bound_us(feed) / PEER_WAIT_PART)
 		return;
 	better = rr_pick_source(feed->sources, feed->now_us, false, &due_us);
-	if (better && strcmp(better, feed->asked ? feed->asked : ""))
+	if (better && strcmp(better, feed->read_peer ? feed->read_peer : ""))
 		ask_anew(feed);
 }
 
-void rr_end_feed_suspicion(struct rr_context *ctx, struct rr_feed *feed)
+void rr_end_watch_suspicion(struct rr_context *ctx, struct rr_feed *feed)
 {
-	rr_note_feed_reached(ctx, feed, true);
-	rr_source_answered(feed->sources, "");
-	if (!feed->suspect)
+	rr_set_store_reachable(ctx, feed, true);
+	rr_mark_source_healthy(feed->sources, "");
+	if (!feed->watch_suspected)
 		return;
-	feed->suspect = false;
+	feed->watch_suspected = false;
 	/* What it did meanwhile is not known: see watch_ms(). */
-	feed->doubted = true;
+	feed->needs_short_watch = true;
 #ifdef RR_MUTANT_FEED_TRUSTS_WATCH
 	return;
 #endif
-	if (!feed->asked &&
-	    (!feed->reading.call || feed->reading.kind == RR_FEED_WATCH))
+	if (!feed->read_peer &&
+	    (!feed->reading.call_id || feed->reading.kind == RR_FEED_WATCH))
 		ask_anew(feed);
 }
 
@@ -410,14 +414,16 @@
 		   const struct rr_feed_reply *reply)
 {
 	feed->now_us = now_us;
-	if (reply->call && reply->call == feed->reading.call) {
-		rr_log_feed_call(ctx, feed, &feed->reading, feed->asked, reply);
+	if (reply->call_id && reply->call_id == feed->reading.call_id) {
+		rr_log_feed_call(ctx, feed, &feed->reading, feed->read_peer,
+				 reply);
 		take_reading(ctx, feed, reply);
-	} else if (reply->call && reply->call == feed->entry.call) {
-		rr_log_feed_call(ctx, feed, &feed->entry, feed->enterer, reply);
-		rr_take_feed_entry(ctx, feed, reply);
+	} else if (reply->call_id && reply->call_id == feed->entry.call_id) {
+		rr_log_feed_call(ctx, feed, &feed->entry, feed->registrar,
+				 reply);
+		rr_handle_feed_entry_reply(ctx, feed, reply);
 	} else {
-		rr_take_report_reply(ctx, feed, reply);
+		rr_handle_report_reply(ctx, feed, reply);
 	}
 }
 
@@ -425,50 +431,52 @@
 {
 	feed->now_us = now_us;
 	turn_to_better(feed);
-	if (!feed->reading.call && feed->reading.due_us <= now_us)
+	if (!feed->reading.call_id && feed->reading.due_us <= now_us)
 		read_on(ctx, feed);
-	rr_look_at_count(feed);
+	rr_update_instance_count(feed);
 	rr_tick_feed_entry(ctx, feed);
-	rr_tick_reports(ctx, feed);
+	rr_tick_report_queue(ctx, feed);
 }
 
 int64_t rr_feed_wake_us(const struct rr_feed *feed)
 {
 	int64_t wake_us = INT64_MAX;
 
-	if (!feed->reading.call)
+	if (!feed->reading.call_id)
 		wake_us = feed->reading.due_us;
 	wake_us = MIN(wake_us, rr_feed_entry_wake_us(feed));
-	wake_us = MIN(wake_us, rr_reports_wake_us(feed));
-	if (feed->has_read && !feed->told)
-		wake_us = MIN(wake_us,
-			      MAX(feed->count_from_us, feed->now_us + 1));
-	if (feed->shrink_us)
-		wake_us = MIN(wake_us, feed->shrink_us);
+	wake_us = MIN(wake_us, rr_report_queue_wake_us(feed));
+	if (feed->has_synced && !feed->reported_count)
+		wake_us =
+			MIN(wake_us, MAX(feed->count_due_us, feed->now_us + 1));
+	if (feed->shrink_due_us)
+		wake_us = MIN(wake_us, feed->shrink_due_us);
 	return wake_us;
 }
 
-bool rr_feed_has_read(const struct rr_feed *feed)
+bool rr_feed_has_synced(const struct rr_feed *feed)
 {
-	return feed->has_read;
+	return feed->has_synced;
 }
 
-bool rr_feed_is_reached(const struct rr_feed *feed)
+bool rr_feed_is_store_reachable(const struct rr_feed *feed)
 {
-	return feed->reached;
+	return feed->store_reachable;
 }
 
-bool rr_feed_passes_on(const struct rr_feed *feed)
+bool rr_feed_can_serve_changes(const struct rr_feed *feed)
 {
 #ifdef RR_MUTANT_FEED_PASSES_ON_HEARSAY
 	return feed->has_read;
 #endif
-	if (!feed->has_read || feed->ranging || feed->leaving)
+	if (!feed->has_synced || feed->range_active || feed->leaving)
 		return false;
-	if (!feed->asked)
-		return feed->reached &&
-		       (feed->heard || !rr_sources_follow(feed->sources));
-	return feed->heard && rr_source_may_be_told(feed->sources, feed->asked);
+	if (!feed->read_peer)
+		return feed->store_reachable &&
+		       (feed->last_read_ok ||
+			!rr_prefers_peer_source(feed->sources));
+	return feed->last_read_ok &&
+	       rr_may_serve_changes_from(feed->sources, feed->read_peer);
 }
 
 /*
@@ -476,18 +484,18 @@
  * that ask these, and the standbys that are about to take its place, would be
  * refused at the same moment, and each would go to the store.
  */
-int64_t rr_feed_soon_until_us(const struct rr_feed *feed)
+int64_t rr_feed_serve_grace_end_us(const struct rr_feed *feed)
 {
 	int64_t soon_us = news_bound_us(feed) / SOON_PART;
 
-	if (!feed->passed_on_us || rr_feed_passes_on(feed))
+	if (!feed->last_serving_us || rr_feed_can_serve_changes(feed))
 		return INT64_MAX;
-	return feed->passed_on_us + soon_us;
+	return feed->last_serving_us + soon_us;
 }
 
-bool rr_feed_passes_on_soon(const struct rr_feed *feed, int64_t now_us)
+bool rr_feed_is_in_serve_grace(const struct rr_feed *feed, int64_t now_us)
 {
-	int64_t until_us = rr_feed_soon_until_us(feed);
+	int64_t until_us = rr_feed_serve_grace_end_us(feed);
 
 #ifdef RR_MUTANT_FEED_REFUSES_AT_ONCE
 	return false;
@@ -503,8 +511,9 @@
 GArray *rr_feed_changes(const struct rr_feed *feed, uint64_t after,
 			uint64_t *revision)
 {
-	GArray *items = rr_news_after(feed->news, after);
-	uint64_t cut = items && after ? rr_cut_news(items, SOME_CHANGES) : 0;
+	GArray *items = rr_list_changes_after(feed->change_log, after);
+	uint64_t cut =
+		items && after ? rr_truncate_changes(items, SOME_CHANGES) : 0;
 
 	*revision = cut ? cut : feed->revision;
 	return items;
--- a/source/core/poll.c
+++ b/source/core/health-poll.c
@@ -1,5 +1,5 @@
 /*
- * poll.c - owners ask their replicas for their health, about each second.
+ * health-poll.c - owners ask their replicas for their health, about each second.
  *
  * Only owners poll, so the load on a replica is bounded by the number of
  * owners and not by the number of instances.
@@ -67,8 +67,8 @@
 	count_failure(ctx, core, replica, "health-timeout");
 }
 
-void rr_take_health(struct rr_context *ctx, struct rr_core *core,
-		    const struct rr_health *health)
+void rr_handle_health_reply(struct rr_context *ctx, struct rr_core *core,
+			    const struct rr_health *health)
 {
 	struct rr_replica *replica = rr_find_replica(core, health->replica);
 
@@ -87,7 +87,7 @@
 	rr_want_pump(core, replica);
 }
 
-void rr_poll_owned(struct rr_context *ctx, struct rr_core *core)
+void rr_poll_owned_replicas(struct rr_context *ctx, struct rr_core *core)
 {
 	for (guint i = 0; i < core->replica_list->len; i++) {
 		struct rr_replica *replica =
--- a/source/core/query.c
+++ b/source/core/query.c
@@ -247,16 +247,16 @@
 	if (config->answer != RR_ANSWER_LATENCY || query->kind != RR_SEARCH ||
 	    query->guarded || query->enough_set)
 		return;
-	needed = (uint32_t)ceil(config->enough * (double)query->n_tasks);
+	needed = (uint32_t)ceil(config->min_coverage * (double)query->n_tasks);
 	if (query->n_covered < MAX(1, needed))
 		return;
 	query->enough_set = true;
-	if (!config->wait_ms) {
+	if (!config->straggler_wait_ms) {
 		rr_end_query_at_enough(ctx, core, query);
 		return;
 	}
 	rr_set_timer(core->timers,
-		     core->now_us + (int64_t)config->wait_ms * 1000,
+		     core->now_us + (int64_t)config->straggler_wait_ms * 1000,
 		     RR_TIMER_COVERAGE_WAIT, query->id, 0);
 }
 
--- a/source/core/replica-private.h
+++ b/source/core/replica-private.h
@@ -146,17 +146,17 @@
 /* Bring `owners` and `owned` up to the present view of the members. */
 void rr_refresh_owners(struct rr_core *core, struct rr_replica *replica);
 
-/* poll.c */
+/* health-poll.c */
 void rr_schedule_poll(struct rr_context *ctx, struct rr_core *core,
 		      struct rr_replica *replica, bool at_once);
 void rr_fire_poll(struct rr_context *ctx, struct rr_core *core,
 		  struct rr_replica *replica);
 void rr_fire_poll_timeout(struct rr_context *ctx, struct rr_core *core,
 			  struct rr_replica *replica);
-void rr_take_health(struct rr_context *ctx, struct rr_core *core,
-		    const struct rr_health *health);
+void rr_handle_health_reply(struct rr_context *ctx, struct rr_core *core,
+			    const struct rr_health *health);
 /* The owners may have changed: take up polling what is now owned. */
-void rr_poll_owned(struct rr_context *ctx, struct rr_core *core);
+void rr_poll_owned_replicas(struct rr_context *ctx, struct rr_core *core);
 
 /* service.c */
 struct rr_service *rr_find_service_state(struct rr_core *core,
--- a/source/core/snapshot.c
+++ b/source/core/snapshot.c
@@ -118,7 +118,7 @@
 	for (size_t c = 0; c < all->n; c++)
 		most = MAX(most, all->shards[c]);
 	if (config->answer == RR_ANSWER_LATENCY)
-		most = (size_t)(config->enough * (double)most);
+		most = (size_t)(config->min_coverage * (double)most);
 	return MAX(1, most);
 }
 
--- a/source/core/status.c
+++ b/source/core/status.c
@@ -149,7 +149,7 @@
 	g_string_append(out, ",\"shard\":");
 	rr_append_json_string(out, shard->config->name);
 	g_string_append(out, ",\"yard\":");
-	rr_append_json_string(out, shard->config->yard);
+	rr_append_json_string(out, shard->config->public_name);
 	g_string_append_printf(out, ",\"reason\":\"%s\"}",
 			       rr_lack_reason_name(RR_LACK_NO_REPLICA));
 }
--- a/source/gateway/gateway-news.c
+++ b/source/gateway/gateway-news.c
@@ -52,14 +52,15 @@
 		       const struct rr_news_call *call, bool is_late)
 {
 	if (call->everything) {
-		if (rr_feed_has_read(gateway->feed))
+		if (rr_feed_has_synced(gateway->feed))
 			tell(gateway, caller, call);
 		else
 			refuse(gateway, caller, 503);
 		return true;
 	}
-	if (!rr_feed_passes_on(gateway->feed)) {
-		if (rr_feed_passes_on_soon(gateway->feed, rr_gateway_now_us()))
+	if (!rr_feed_can_serve_changes(gateway->feed)) {
+		if (rr_feed_is_in_serve_grace(gateway->feed,
+					      rr_gateway_now_us()))
 			return false;
 		refuse(gateway, caller, 503);
 		return true;
@@ -90,11 +91,13 @@
 	int64_t now_us = rr_gateway_now_us();
 
 	for (guint i = 0; i < call->removed->len; i++)
-		rr_feed_strike_off(gateway->feed, now_us,
-				   g_ptr_array_index(call->removed, i));
+		rr_feed_deregister_instance(
+			gateway->feed, now_us,
+			g_ptr_array_index(call->removed, i));
 	for (guint i = 0; i < call->entered->len; i++) {
-		if (!rr_feed_enroll(gateway->ctx, gateway->feed, now_us,
-				    g_ptr_array_index(call->entered, i)))
+		if (!rr_feed_register_instance(
+			    gateway->ctx, gateway->feed, now_us,
+			    g_ptr_array_index(call->entered, i)))
 			return false;
 	}
 	return true;
@@ -162,8 +165,8 @@
 				      .until_us);
 	if (!gateway->askers->len)
 		return wake_us;
-	if (!rr_feed_passes_on(gateway->feed))
-		return rr_feed_soon_until_us(gateway->feed);
+	if (!rr_feed_can_serve_changes(gateway->feed))
+		return rr_feed_serve_grace_end_us(gateway->feed);
 	return wake_us;
 }
 
--- a/source/gateway/gateway-store.c
+++ b/source/gateway/gateway-store.c
@@ -69,7 +69,7 @@
 	if (reply->message && rr_http_value(reply->message, CUT_OFF_HEADER))
 		rr_gate_suspect_zones(gateway->ctx, gateway->gate,
 				      rr_gateway_now_us());
-	decoded.call = open->id;
+	decoded.call_id = open->id;
 	g_hash_table_remove(gateway->calls, &reply->attempt);
 	rr_feed_reply(gateway->ctx, gateway->feed, rr_gateway_now_us(),
 		      &decoded);
@@ -114,7 +114,7 @@
 		told.zone = instance->zone;
 		told.address = instance->address;
 		told.strength = instance->strength;
-		told.started_ms = instance->born_ms;
+		told.started_ms = instance->started_ms;
 	}
 	rr_gate_update_instance(gateway->ctx, gateway->gate,
 				rr_gateway_now_us(), &told);
@@ -161,13 +161,13 @@
 		.call = make_call,
 		.cancel = cancel_call,
 		.routes = take_routes,
-		.listed = take_listing,
-		.unlisted = take_unlisted,
-		.instances = take_instances,
+		.replica_listed = take_listing,
+		.replica_unlisted = take_unlisted,
+		.instance_count = take_instances,
 		.instance = take_instance,
 		.evacuation = take_evacuation,
 		.quarantine = take_quarantine,
-		.claimed = take_claimed,
+		.claim_decided = take_claimed,
 		.data = gateway,
 	};
 }
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -35,7 +35,7 @@
 {
 	bool serves = rr_gate_is_ready(gateway->gate, reason);
 
-	if (serves && !rr_feed_has_read(gateway->feed)) {
+	if (serves && !rr_feed_has_synced(gateway->feed)) {
 		*reason = "store-not-read";
 		serves = false;
 	}
@@ -284,10 +284,10 @@
 			.zone = gateway->settings->zone,
 			.address = gateway->settings->peer_address,
 			.strength = gateway->settings->strength,
-			.born_ms = gateway->born_ms,
+			.started_ms = gateway->born_ms,
 		},
 		.seeds = (const char *const *)gateway->settings->seed_peers,
-		.news_bound_ms = news_bound_ms(gateway->settings),
+		.max_staleness_ms = news_bound_ms(gateway->settings),
 	};
 
 	gateway->gate = rr_new_gate(gateway->ctx, &gate);
--- a/source/net/platform-entry.c
+++ b/source/net/platform-entry.c
@@ -19,8 +19,8 @@
 static enum rr_feed_call_kind next_call(const struct rr_platform_port *port)
 {
 	if (!port->lease)
-		return RR_FEED_GRANT;
-	return port->entered ? RR_FEED_KEEP : RR_FEED_ENTER;
+		return RR_FEED_LEASE_GRANT;
+	return port->entered ? RR_FEED_LEASE_RENEW : RR_FEED_WRITE_ENTRIES;
 }
 
 static void take_entry_reply(void *data,
@@ -33,9 +33,9 @@
 	rr_read_platform_reply(kind, result, &reply);
 	switch (reply.status) {
 	case RR_FEED_OK:
-		if (kind == RR_FEED_GRANT)
+		if (kind == RR_FEED_LEASE_GRANT)
 			port->lease = reply.lease;
-		port->entered = kind != RR_FEED_GRANT;
+		port->entered = kind != RR_FEED_LEASE_GRANT;
 		renew_after(port, port->entered ?
 					  port->options.lease_ms / RENEWALS :
 					  0);
@@ -47,7 +47,7 @@
 		port->entered = false;
 		renew_after(port, 0);
 		return;
-	case RR_FEED_FORGOTTEN:
+	case RR_FEED_COMPACTED:
 	case RR_FEED_CONFLICT:
 	case RR_FEED_FAILED:
 		rr_note_platform_failure(port, "entry-not-renewed", result);
@@ -64,7 +64,7 @@
 		.zone = (char *)port->options.zone,
 		.address = (char *)port->options.peer_address,
 		.strength = 1,
-		.born_ms = port->born_ms,
+		.started_ms = port->born_ms,
 	};
 	gpointer entries[] = { &self };
 	GPtrArray entered = { .pdata = entries, .len = 1 };
@@ -72,7 +72,7 @@
 		.kind = next_call(port),
 		.ttl_ms = port->options.lease_ms,
 		.lease = port->lease,
-		.entered = &entered,
+		.added = &entered,
 	};
 	struct rr_store_call call;
 
--- a/source/net/platform-watch.c
+++ b/source/net/platform-watch.c
@@ -68,7 +68,7 @@
 		port->record_revision = reply.revision;
 		tell_record(port, reply.items);
 		watch_after(port, 0);
-	} else if (reply.status == RR_FEED_FORGOTTEN) {
+	} else if (reply.status == RR_FEED_COMPACTED) {
 		/* What has changed is no longer told: it is read anew. */
 		port->record_read = false;
 		watch_after(port, 0);
@@ -136,7 +136,7 @@
 		else
 			rr_log(port->ctx, RR_LOG_WARNING, "item-unreadable",
 			       RR_FIELD_STRING("key", item->key),
-			       RR_FIELD_STRING("reason", item->fault));
+			       RR_FIELD_STRING("reason", item->decode_error));
 	}
 }
 
--- a/source/settings/settings-table.c
+++ b/source/settings/settings-table.c
@@ -81,11 +81,11 @@
 	  .offset = IN_SERVICE(deadline_ms), .unit = "ms",
 	  .help = "Longest time to an answer; a caller may ask for less." },
 	{ "enough", RR_IN_SERVICE, RR_SET_NUMBER, 0, 1,
-	  .offset = IN_SERVICE(enough), .unit = "share of shards",
+	  .offset = IN_SERVICE(min_coverage), .unit = "share of shards",
 	  .help = "With `answer: latency`: the share of shards that is "
 		  "enough." },
 	{ "wait_ms", RR_IN_SERVICE, RR_SET_INTEGER, 0, LONGEST_MS,
-	  .offset = IN_SERVICE(wait_ms), .unit = "ms",
+	  .offset = IN_SERVICE(straggler_wait_ms), .unit = "ms",
 	  .help = "With `answer: latency`: how long to wait for the other "
 		  "shards once there is enough." },
 	{ "idempotent", RR_IN_SERVICE, RR_SET_BOOL,
@@ -142,7 +142,7 @@
 	{ "remove", RR_IN_SHARD, RR_SET_BOOL, .overlay_only = true,
 	  .unstored = true,
 	  .help = "`true` takes the base's shard away from this site." },
-	{ "yard", RR_IN_SHARD, RR_SET_NAME, .offset = IN_SHARD(yard),
+	{ "yard", RR_IN_SHARD, RR_SET_NAME, .offset = IN_SHARD(public_name),
 	  .help = "What answers call this part where it is lacking; the "
 		  "shard's name if left out." },
 	{ "keys", RR_IN_SHARD, RR_SET_KEY_RANGE, .required = true,
--- a/source/settings/site-config.c
+++ b/source/settings/site-config.c
@@ -189,12 +189,12 @@
 			     "than connections, which is %u",
 			     service->connection_reserve, service->connections);
 	}
-	if (service->wait_ms > service->deadline_ms) {
+	if (service->straggler_wait_ms > service->deadline_ms) {
 		place = value_place(root, node, "wait_ms");
 		rr_add_fault(faults, place->file, place->line,
 			     "wait_ms: found %u, allowed is at most "
 			     "deadline_ms, which is %u",
-			     service->wait_ms, service->deadline_ms);
+			     service->straggler_wait_ms, service->deadline_ms);
 	}
 }
 
@@ -221,8 +221,8 @@
 	if (node->kind != RR_YAML_MAPPING)
 		return;
 	rr_store_mapping(RR_IN_SHARD, node, shard);
-	if (!shard->yard)
-		shard->yard = g_strdup(shard->name);
+	if (!shard->public_name)
+		shard->public_name = g_strdup(shard->name);
 	if (keys)
 		rr_read_key_range(keys, &shard->key_from, &shard->key_to);
 	if (replicas)
--- a/source/tool/platform.c
+++ b/source/tool/platform.c
@@ -151,8 +151,8 @@
 	struct rr_feed_call removal = {
 		.kind = RR_FEED_REPORT,
 		.entry = &named,
-		.entry_goes = true,
-		.revision = item->revision,
+		.remove_entry = true,
+		.expected_revision = item->revision,
 	};
 	static char *nobody[] = { NULL };
 	enum rr_store_status status;
--- a/source/tool/quarantine.c
+++ b/source/tool/quarantine.c
@@ -19,7 +19,8 @@
 	char *crashed;
 
 	if (!entry) {
-		printf("%s  cannot be read: %s\n", item->id, item->fault);
+		printf("%s  cannot be read: %s\n", item->id,
+		       item->decode_error);
 		return;
 	}
 	crashed = g_strjoinv(" ", entry->crashed);
--- a/tests/support/fake-carrier.c
+++ b/tests/support/fake-carrier.c
@@ -79,7 +79,7 @@
 		       size_t n_zones)
 {
 	shard->name = g_strdup_printf("s%zu", i);
-	shard->yard = g_strdup(zones[i % n_zones]);
+	shard->public_name = g_strdup(zones[i % n_zones]);
 	shard->key_from = i * KEYS_PER_SHARD;
 	shard->key_to = (i + 1) * KEYS_PER_SHARD;
 	shard->n_replicas = n_replicas;
--- a/tests/support/feed-scene.c
+++ b/tests/support/feed-fixture.c
@@ -1,7 +1,7 @@
 /*
- * feed-scene.c - calls, answers and news of a feed under test.
+ * feed-fixture.c - calls, answers and news of a feed under test.
  */
-#include "support/feed-scene.h"
+#include "support/feed-fixture.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,7 +14,7 @@
 
 static void free_call(gpointer data)
 {
-	struct feed_call *call = data;
+	struct recorded_call *call = data;
 
 	g_string_free(call->entries, TRUE);
 	g_free(call->after_key);
@@ -23,13 +23,13 @@
 	g_free(call);
 }
 
-static void note_entries(struct feed_call *kept,
+static void note_entries(struct recorded_call *kept,
 			 const struct rr_feed_call *call)
 {
 	kept->entries = g_string_new(NULL);
-	for (guint i = 0; call->entered && i < call->entered->len; i++) {
+	for (guint i = 0; call->added && i < call->added->len; i++) {
 		const struct rr_instance *instance =
-			g_ptr_array_index(call->entered, i);
+			g_ptr_array_index(call->added, i);
 
 		g_string_append_printf(kept->entries, "+%s ", instance->id);
 	}
@@ -50,8 +50,8 @@
 
 static void note_call(void *data, const struct rr_feed_call *call)
 {
-	struct feed_scene *scene = data;
-	struct feed_call *kept = g_new0(struct feed_call, 1);
+	struct feed_fixture *scene = data;
+	struct recorded_call *kept = g_new0(struct recorded_call, 1);
 
 	kept->id = call->id;
 	kept->kind = call->kind;
@@ -60,70 +60,70 @@
 	kept->after_revision = call->after_revision;
 	kept->wait_ms = call->wait_ms;
 	kept->lease = call->lease;
-	kept->may_be_old = call->may_be_old;
+	kept->allow_stale = call->allow_stale;
 	if (call->entry)
-		kept->report = name_entry(call->entry, call->entry_goes);
-	kept->revision = call->revision;
+		kept->report = name_entry(call->entry, call->remove_entry);
+	kept->expected_revision = call->expected_revision;
 	note_entries(kept, call);
 	g_ptr_array_add(scene->calls, kept);
 }
 
 static void note_cancel(void *data, uint64_t id)
 {
-	struct feed_scene *scene = data;
+	struct feed_fixture *scene = data;
 
 	for (guint i = 0; i < scene->calls->len; i++) {
-		struct feed_call *call = g_ptr_array_index(scene->calls, i);
+		struct recorded_call *call = g_ptr_array_index(scene->calls, i);
 
 		if (call->id == id)
-			call->over = true;
+			call->done = true;
 	}
 }
 
 static void note_routes(void *data, struct rr_route_table *table)
 {
-	struct feed_scene *scene = data;
+	struct feed_fixture *scene = data;
 
-	g_string_append_printf(scene->news, "routes %u ",
+	g_string_append_printf(scene->events, "routes %u ",
 			       (unsigned)rr_route_table_version(table));
 }
 
 static void note_listed(void *data, const struct rr_endpoint_info *listing)
 {
-	struct feed_scene *scene = data;
+	struct feed_fixture *scene = data;
 
-	g_string_append_printf(scene->news, "+%s ", listing->id);
+	g_string_append_printf(scene->events, "+%s ", listing->id);
 }
 
 static void note_unlisted(void *data, const char *id)
 {
-	struct feed_scene *scene = data;
+	struct feed_fixture *scene = data;
 
-	g_string_append_printf(scene->news, "-%s ", id);
+	g_string_append_printf(scene->events, "-%s ", id);
 }
 
 static void note_instances(void *data, uint32_t instances)
 {
-	struct feed_scene *scene = data;
+	struct feed_fixture *scene = data;
 
-	g_string_append_printf(scene->news, "instances %u ", instances);
+	g_string_append_printf(scene->events, "instances %u ", instances);
 }
 
 static void note_instance(void *data, const char *id,
 			  const struct rr_instance *instance)
 {
-	struct feed_scene *scene = data;
+	struct feed_fixture *scene = data;
 
-	g_string_append_printf(scene->places, "%c%s ", instance ? '+' : '-',
-			       id);
+	g_string_append_printf(scene->instance_events, "%c%s ",
+			       instance ? '+' : '-', id);
 }
 
 static void note_evacuation(void *data, const char *zone, uint64_t revision,
 			    bool in_force)
 {
-	struct feed_scene *scene = data;
+	struct feed_fixture *scene = data;
 
-	g_string_append_printf(scene->news, "%s %s %u ",
+	g_string_append_printf(scene->events, "%s %s %u ",
 			       in_force ? "evacuate" : "take-back", zone,
 			       (unsigned)revision);
 }
@@ -132,85 +132,86 @@
 			    const struct rr_fingerprint *fingerprint,
 			    const struct rr_quarantine_entry *entry)
 {
-	struct feed_scene *scene = data;
+	struct feed_fixture *scene = data;
 	char *name = entry ? name_entry(entry, false) :
 			     g_strdup_printf("released %" G_GUINT64_FORMAT,
 					     fingerprint->low);
 
-	g_string_append_printf(scene->news, "%s ", name);
+	g_string_append_printf(scene->events, "%s ", name);
 	g_free(name);
 }
 
 static void note_claimed(void *data, const struct rr_quarantine_entry *entry,
 			 bool granted)
 {
-	struct feed_scene *scene = data;
+	struct feed_fixture *scene = data;
 
-	g_string_append_printf(scene->news, "%s %" G_GUINT64_FORMAT " ",
+	g_string_append_printf(scene->events, "%s %" G_GUINT64_FORMAT " ",
 			       granted ? "granted" : "not-granted",
 			       entry->fingerprint.low);
 }
 
-static struct feed_scene *make_scene(const char *const *seeds, double strength)
+static struct feed_fixture *make_scene(const char *const *seeds,
+				       double strength)
 {
-	struct feed_scene *scene = g_new0(struct feed_scene, 1);
+	struct feed_fixture *scene = g_new0(struct feed_fixture, 1);
 	struct rr_feed_options options = {
 		.actions = {
 			.call = note_call,
 			.cancel = note_cancel,
 			.routes = note_routes,
-			.listed = note_listed,
-			.unlisted = note_unlisted,
-			.instances = note_instances,
+			.replica_listed = note_listed,
+			.replica_unlisted = note_unlisted,
+			.instance_count = note_instances,
 			.instance = note_instance,
 			.evacuation = note_evacuation,
 			.quarantine = note_quarantine,
-			.claimed = note_claimed,
+			.claim_decided = note_claimed,
 			.data = scene,
 		},
 		.self = { .id = (char *)"inst0",
 			  .zone = (char *)"z",
 			  .strength = strength },
 		.seeds = seeds,
-		.news_bound_ms = 3000,
+		.max_staleness_ms = 3000,
 	};
 
 	scene->now_us = 50000 * MS;
 	scene->ctx = rr_new_context(NULL);
 	scene->calls = g_ptr_array_new_with_free_func(free_call);
-	scene->news = g_string_new(NULL);
-	scene->places = g_string_new(NULL);
+	scene->events = g_string_new(NULL);
+	scene->instance_events = g_string_new(NULL);
 	scene->feed = rr_new_feed(scene->ctx, &options, scene->now_us);
 	rr_feed_tick(scene->ctx, scene->feed, scene->now_us);
 	return scene;
 }
 
-struct feed_scene *feed_new_scene_from(const char *const *seeds)
+struct feed_fixture *feed_new_fixture_with_seeds(const char *const *seeds)
 {
 	return make_scene(seeds, 0);
 }
 
-struct feed_scene *feed_new_scene_of(double strength)
+struct feed_fixture *feed_new_fixture_with_strength(double strength)
 {
 	return make_scene(NULL, strength);
 }
 
-struct feed_scene *feed_new_scene(void)
+struct feed_fixture *feed_new_fixture(void)
 {
-	return feed_new_scene_from(NULL);
+	return feed_new_fixture_with_seeds(NULL);
 }
 
-void feed_drop_scene(struct feed_scene *scene)
+void feed_drop_fixture(struct feed_fixture *scene)
 {
 	rr_drop_feed(scene->feed);
 	rr_drop_context(scene->ctx);
 	g_ptr_array_unref(scene->calls);
-	g_string_free(scene->news, TRUE);
-	g_string_free(scene->places, TRUE);
+	g_string_free(scene->events, TRUE);
+	g_string_free(scene->instance_events, TRUE);
 	g_free(scene);
 }
 
-void feed_pass(struct feed_scene *scene, int64_t us)
+void feed_advance(struct feed_fixture *scene, int64_t us)
 {
 	int64_t end_us = scene->now_us + us;
 
@@ -222,36 +223,36 @@
 	scene->now_us = end_us;
 }
 
-struct feed_call *feed_find_call(struct feed_scene *scene,
-				 enum rr_feed_call_kind kind)
+struct recorded_call *feed_find_call(struct feed_fixture *scene,
+				     enum rr_feed_call_kind kind)
 {
 	for (guint i = 0; i < scene->calls->len; i++) {
-		struct feed_call *call = g_ptr_array_index(scene->calls, i);
+		struct recorded_call *call = g_ptr_array_index(scene->calls, i);
 
-		if (!call->over && call->kind == kind)
+		if (!call->done && call->kind == kind)
 			return call;
 	}
 	return NULL;
 }
 
-guint feed_count_store_calls(struct feed_scene *scene)
+guint feed_count_store_calls(struct feed_fixture *scene)
 {
 	guint n = 0;
 
 	for (guint i = 0; i < scene->calls->len; i++) {
-		struct feed_call *call = g_ptr_array_index(scene->calls, i);
+		struct recorded_call *call = g_ptr_array_index(scene->calls, i);
 
 		n += !call->peer;
 	}
 	return n;
 }
 
-guint feed_count_calls(struct feed_scene *scene, enum rr_feed_call_kind kind)
+guint feed_count_calls(struct feed_fixture *scene, enum rr_feed_call_kind kind)
 {
 	guint n = 0;
 
 	for (guint i = 0; i < scene->calls->len; i++) {
-		struct feed_call *call = g_ptr_array_index(scene->calls, i);
+		struct recorded_call *call = g_ptr_array_index(scene->calls, i);
 
 		n += call->kind == kind;
 	}
@@ -284,7 +285,7 @@
 	};
 }
 
-static void tell(struct feed_scene *scene, uint64_t n, bool in_force,
+static void tell(struct feed_fixture *scene, uint64_t n, bool in_force,
 		 bool released, bool claim)
 {
 	struct rr_quarantine_entry entry = make_quarantine(n, in_force);
@@ -298,17 +299,17 @@
 	rr_feed_tick(scene->ctx, scene->feed, scene->now_us);
 }
 
-void feed_report(struct feed_scene *scene, uint64_t n, bool in_force)
+void feed_report(struct feed_fixture *scene, uint64_t n, bool in_force)
 {
 	tell(scene, n, in_force, false, false);
 }
 
-void feed_claim(struct feed_scene *scene, uint64_t n)
+void feed_claim(struct feed_fixture *scene, uint64_t n)
 {
 	tell(scene, n, true, false, true);
 }
 
-void feed_release(struct feed_scene *scene, uint64_t n)
+void feed_release(struct feed_fixture *scene, uint64_t n)
 {
 	tell(scene, n, true, true, false);
 }
@@ -324,7 +325,7 @@
 	item->id = g_strdup(rr_format_fingerprint(&entry.fingerprint, text));
 	g_free(item->key);
 	item->key = g_strdup(item->id);
-	if (!item->removed && !item->fault)
+	if (!item->removed && !item->decode_error)
 		item->quarantine = rr_copy_quarantine_entry(&entry);
 }
 
@@ -334,21 +335,21 @@
 
 	item->removed = what[0] == '-';
 	if (what[0] == '?')
-		item->fault = "no JSON";
-	if (item->removed || item->fault)
+		item->decode_error = "no JSON";
+	if (item->removed || item->decode_error)
 		what++;
 	item->key = g_strdup(what);
 	item->revision = revision;
 	if (g_str_has_prefix(what, "routes")) {
 		item->kind = RR_FEED_ROUTES;
 		item->key[6] = '\0';
-		if (!item->fault)
+		if (!item->decode_error)
 			item->routes = rr_new_route_table(
 				g_ascii_strtoull(what + 6, NULL, 10));
 	} else if (g_str_has_prefix(what, "inst")) {
 		item->kind = RR_FEED_INSTANCE;
 		item->id = g_strdup(what);
-		if (!item->removed && !item->fault)
+		if (!item->removed && !item->decode_error)
 			item->instance = make_instance(what);
 	} else if (g_str_has_prefix(what, "suspected/") ||
 		   g_str_has_prefix(what, "quarantined/")) {
@@ -362,19 +363,20 @@
 	}
 	if (!item->removed)
 		item->value = g_strdup("dmFsdWU=");
-	if (item->kind == RR_FEED_REPLICA && !item->removed && !item->fault) {
+	if (item->kind == RR_FEED_REPLICA && !item->removed &&
+	    !item->decode_error) {
 		item->replica = g_new0(struct rr_endpoint_info, 1);
 		item->replica->id = g_strdup(what);
 	}
 	return item;
 }
 
-void feed_answer(struct feed_scene *scene, struct feed_call *call,
+void feed_answer(struct feed_fixture *scene, struct recorded_call *call,
 		 enum rr_feed_status status, const char *items,
 		 uint64_t revision, bool more)
 {
 	struct rr_feed_reply reply = {
-		.call = call->id,
+		.call_id = call->id,
 		.status = status,
 		.items = g_ptr_array_new_with_free_func(rr_free_feed_item),
 		.revision = revision,
@@ -394,36 +396,36 @@
 			feed_make_item(words[i],
 				       g_ascii_strtoull(at + 1, NULL, 10)));
 	}
-	call->over = true;
+	call->done = true;
 	rr_feed_reply(scene->ctx, scene->feed, scene->now_us, &reply);
 	rr_feed_tick(scene->ctx, scene->feed, scene->now_us);
 	g_ptr_array_unref(reply.items);
 	g_strfreev(words);
 }
 
-void feed_answer_ok(struct feed_scene *scene, enum rr_feed_call_kind kind,
+void feed_answer_ok(struct feed_fixture *scene, enum rr_feed_call_kind kind,
 		    const char *items, uint64_t revision)
 {
-	struct feed_call *call = feed_find_call(scene, kind);
+	struct recorded_call *call = feed_find_call(scene, kind);
 
 	assert_non_null(call);
 	feed_answer(scene, call, RR_FEED_OK, items, revision, false);
 }
 
-void feed_assert_news(struct feed_scene *scene, const char *news)
+void feed_assert_events(struct feed_fixture *scene, const char *news)
 {
-	assert_string_equal(scene->news->str, news);
-	g_string_truncate(scene->news, 0);
+	assert_string_equal(scene->events->str, news);
+	g_string_truncate(scene->events, 0);
 }
 
-struct feed_scene *feed_settled_scene(void)
+struct feed_fixture *feed_new_synced_fixture(void)
 {
-	struct feed_scene *scene = feed_new_scene();
+	struct feed_fixture *scene = feed_new_fixture();
 
 	feed_answer_ok(scene, RR_FEED_RANGE,
 		       "routes3@10 r1@11 r2@12 inst1@13 inst2@14 inst3@15", 20);
-	feed_answer_ok(scene, RR_FEED_GRANT, NULL, 0);
-	feed_answer_ok(scene, RR_FEED_ENTER, NULL, 0);
-	feed_assert_news(scene, "routes 3 +r1 +r2 instances 3 ");
+	feed_answer_ok(scene, RR_FEED_LEASE_GRANT, NULL, 0);
+	feed_answer_ok(scene, RR_FEED_WRITE_ENTRIES, NULL, 0);
+	feed_assert_events(scene, "routes 3 +r1 +r2 instances 3 ");
 	return scene;
 }
--- a/tests/support/feed-fleet-private.h
+++ b/tests/support/feed-fleet-private.h
@@ -7,11 +7,11 @@
 #include "support/feed-fleet.h"
 
 /* One way, to the store and among instances. */
-#define WAY_US (2 * FLEET_MS)
+#define ONE_WAY_DELAY_US (2 * FLEET_MS)
 /* How old a copy is that may be old. */
-#define OLD_US (1 * FLEET_S)
+#define STALE_COPY_AGE_US (1 * FLEET_S)
 #define PAGE_ITEMS 500
-#define NEWS_BOUND_MS 6000
+#define MAX_STALENESS_MS 6000
 #define ROUTES_KEY "routes"
 
 struct fleet_change {
@@ -26,13 +26,13 @@
 struct fleet_call {
 	struct fleet_node *node;
 	struct fleet_node *peer; /* NULL: the store */
-	uint32_t lifetime;
+	uint32_t incarnation;
 	struct rr_feed_call call;
 	char *after_key;
 	GPtrArray *entered; /* struct rr_instance */
 	GPtrArray *removed; /* char */
-	int64_t until_us;
-	bool over;
+	int64_t deadline_us;
+	bool done;
 	guint refs;
 };
 
@@ -54,7 +54,7 @@
 void fleet_free_change(gpointer data);
 struct rr_feed_item *fleet_make_item(const char *key, const char *value,
 				     uint64_t revision);
-void fleet_take_at_store(struct fleet *fleet, struct fleet_call *call);
+void fleet_handle_at_store(struct fleet *fleet, struct fleet_call *call);
 /* Answer those that wait, where there is something to tell or time is over. */
 void fleet_answer_watches(struct fleet *fleet);
 /* End leases, again and again. */
--- a/tests/support/feed-fleet-store.c
+++ b/tests/support/feed-fleet-store.c
@@ -20,7 +20,7 @@
 {
 	return g_strdup_printf("%s|%s|%.3f|%" G_GINT64_FORMAT, instance->zone,
 			       instance->address, instance->strength,
-			       instance->born_ms);
+			       instance->started_ms);
 }
 
 static struct rr_instance *decode_instance(const char *id, const char *value)
@@ -32,7 +32,7 @@
 	instance->zone = g_strdup(words[0]);
 	instance->address = g_strdup(words[1]);
 	instance->strength = g_ascii_strtod(words[2], NULL);
-	instance->born_ms = g_ascii_strtoll(words[3], NULL, 10);
+	instance->started_ms = g_ascii_strtoll(words[3], NULL, 10);
 	g_strfreev(words);
 	return instance;
 }
@@ -140,7 +140,8 @@
 static void answer_range(struct fleet *fleet, const struct fleet_call *call,
 			 struct rr_feed_reply *reply)
 {
-	int64_t at_us = fleet->now_us - (call->call.may_be_old ? OLD_US : 0);
+	int64_t at_us = fleet->now_us -
+			(call->call.allow_stale ? STALE_COPY_AGE_US : 0);
 	GPtrArray *items = items_at(fleet, at_us, &reply->revision);
 
 	for (guint i = 0; i < items->len; i++) {
@@ -233,15 +234,16 @@
 static void count_call(struct fleet *fleet, const struct fleet_call *call)
 {
 	bool cheap =
-		call->call.kind == RR_FEED_KEEP ||
-		(call->call.kind == RR_FEED_RANGE && call->call.may_be_old);
-
-	fleet->priced += cheap ? 0.1 : 1;
-	if (fleet->second != fleet->now_us / FLEET_S)
-		fleet->in_second = 0;
-	fleet->second = fleet->now_us / FLEET_S;
-	fleet->in_second += !cheap;
-	fleet->busiest = MAX(fleet->busiest, fleet->in_second);
+		call->call.kind == RR_FEED_LEASE_RENEW ||
+		(call->call.kind == RR_FEED_RANGE && call->call.allow_stale);
+
+	fleet->billed_calls += cheap ? 0.1 : 1;
+	if (fleet->current_second != fleet->now_us / FLEET_S)
+		fleet->calls_this_second = 0;
+	fleet->current_second = fleet->now_us / FLEET_S;
+	fleet->calls_this_second += !cheap;
+	fleet->peak_calls_per_s =
+		MAX(fleet->peak_calls_per_s, fleet->calls_this_second);
 }
 
 static void answer_watch(struct fleet *fleet, struct fleet_call *call)
@@ -259,27 +261,27 @@
 	while (i < fleet->watches->len) {
 		struct fleet_call *call = g_ptr_array_index(fleet->watches, i);
 
-		if (!call->over && !call->node->turned_away &&
-		    !fleet->store_away &&
+		if (!call->done && !call->node->rejected_by_store &&
+		    !fleet->store_down &&
 		    fleet->revision <= call->call.after_revision &&
-		    call->until_us > fleet->now_us) {
+		    call->deadline_us > fleet->now_us) {
 			i++;
 			continue;
 		}
-		if (fleet->store_away || call->node->turned_away)
+		if (fleet->store_down || call->node->rejected_by_store)
 			fleet_fail(fleet, call);
-		else if (!call->over)
+		else if (!call->done)
 			answer_watch(fleet, call);
 		g_ptr_array_remove_index(fleet->watches, i);
 	}
 }
 
-void fleet_take_at_store(struct fleet *fleet, struct fleet_call *call)
+void fleet_handle_at_store(struct fleet *fleet, struct fleet_call *call)
 {
 	struct delivery *delivery;
 
 	count_call(fleet, call);
-	if (fleet->store_away || call->node->turned_away) {
+	if (fleet->store_down || call->node->rejected_by_store) {
 		fleet_fail(fleet, call);
 		return;
 	}
@@ -291,11 +293,11 @@
 	delivery = fleet_new_delivery(call, RR_FEED_OK);
 	if (call->call.kind == RR_FEED_RANGE)
 		answer_range(fleet, call, &delivery->reply);
-	else if (call->call.kind == RR_FEED_GRANT)
+	else if (call->call.kind == RR_FEED_LEASE_GRANT)
 		grant(fleet, call, &delivery->reply);
-	else if (call->call.kind == RR_FEED_KEEP)
+	else if (call->call.kind == RR_FEED_LEASE_RENEW)
 		keep_lease(fleet, call, &delivery->reply);
-	else if (call->call.kind == RR_FEED_ENTER)
+	else if (call->call.kind == RR_FEED_WRITE_ENTRIES)
 		write_entries(fleet, call, &delivery->reply);
 	fleet_answer(fleet, delivery);
 }
@@ -304,7 +306,7 @@
 {
 	struct fleet *fleet = context;
 
-	if (fleet->over)
+	if (fleet->stopping)
 		return;
 	end_leases(fleet);
 	fleet_answer_watches(fleet);
--- a/tests/support/feed-fleet.c
+++ b/tests/support/feed-fleet.c
@@ -40,10 +40,10 @@
 	struct fleet_call *call = delivery->call;
 	struct fleet_node *node = call->node;
 
-	if (!call->over && node->feed && node->lifetime == call->lifetime &&
-	    !node->fleet->over) {
-		call->over = true;
-		delivery->reply.call = call->call.id;
+	if (!call->done && node->feed &&
+	    node->incarnation == call->incarnation && !node->fleet->stopping) {
+		call->done = true;
+		delivery->reply.call_id = call->call.id;
 		rr_feed_reply(node->ctx, node->feed, node->fleet->now_us,
 			      &delivery->reply);
 		run_node(node);
@@ -65,7 +65,8 @@
 
 void fleet_answer(struct fleet *fleet, struct delivery *delivery)
 {
-	push_event(fleet->events, fleet->now_us + WAY_US, deliver, delivery);
+	push_event(fleet->events, fleet->now_us + ONE_WAY_DELAY_US, deliver,
+		   delivery);
 }
 
 void fleet_fail(struct fleet *fleet, struct fleet_call *call)
@@ -83,12 +84,12 @@
 		peer->feed, everything ? 0 : call->call.after_revision,
 		&revision);
 	struct delivery *delivery = fleet_new_delivery(
-		call, items ? RR_FEED_OK : RR_FEED_FORGOTTEN);
+		call, items ? RR_FEED_OK : RR_FEED_COMPACTED);
 
 	delivery->reply.revision = revision;
 	for (guint i = 0; items && i < items->len; i++) {
-		const struct rr_news_item *item =
-			&g_array_index(items, struct rr_news_item, i);
+		const struct rr_feed_change *item =
+			&g_array_index(items, struct rr_feed_change, i);
 
 		g_ptr_array_add(delivery->reply.items,
 				fleet_make_item(item->key, item->value,
@@ -104,13 +105,13 @@
 {
 	int64_t now_us = peer->fleet->now_us;
 
-	if (!rr_feed_passes_on(peer->feed)) {
-		if (rr_feed_passes_on_soon(peer->feed, now_us))
+	if (!rr_feed_can_serve_changes(peer->feed)) {
+		if (rr_feed_is_in_serve_grace(peer->feed, now_us))
 			return false;
 		fleet_fail(peer->fleet, call);
 		return true;
 	}
-	if (call->until_us > now_us &&
+	if (call->deadline_us > now_us &&
 	    rr_feed_revision(peer->feed) <= call->call.after_revision)
 		return false;
 	tell(peer, call);
@@ -121,9 +122,10 @@
 {
 	guint i = 0;
 
-	while (i < node->askers->len) {
-		if (answer_asker(node, g_ptr_array_index(node->askers, i)))
-			g_ptr_array_remove_index(node->askers, i);
+	while (i < node->waiting_calls->len) {
+		if (answer_asker(node,
+				 g_ptr_array_index(node->waiting_calls, i)))
+			g_ptr_array_remove_index(node->waiting_calls, i);
 		else
 			i++;
 	}
@@ -134,12 +136,13 @@
 	bool taken = true;
 
 	for (guint i = 0; i < call->removed->len; i++)
-		rr_feed_strike_off(peer->feed, peer->fleet->now_us,
-				   g_ptr_array_index(call->removed, i));
+		rr_feed_deregister_instance(
+			peer->feed, peer->fleet->now_us,
+			g_ptr_array_index(call->removed, i));
 	for (guint i = 0; i < call->entered->len && taken; i++)
-		taken = rr_feed_enroll(peer->ctx, peer->feed,
-				       peer->fleet->now_us,
-				       g_ptr_array_index(call->entered, i));
+		taken = rr_feed_register_instance(
+			peer->ctx, peer->feed, peer->fleet->now_us,
+			g_ptr_array_index(call->entered, i));
 	fleet_answer(
 		peer->fleet,
 		fleet_new_delivery(call, taken ? RR_FEED_OK : RR_FEED_FAILED));
@@ -149,12 +152,12 @@
 {
 	if (!peer->feed)
 		fleet_fail(peer->fleet, call);
-	else if (call->call.kind == RR_FEED_ENTER)
+	else if (call->call.kind == RR_FEED_WRITE_ENTRIES)
 		enter_for(peer, call);
 	else if (call->call.kind == RR_FEED_RANGE)
 		tell(peer, call);
 	else
-		g_ptr_array_add(peer->askers, fleet_keep_call(call));
+		g_ptr_array_add(peer->waiting_calls, fleet_keep_call(call));
 	if (peer->feed)
 		run_node(peer);
 }
@@ -164,13 +167,13 @@
 	struct fleet *fleet = context;
 	struct fleet_call *call = data;
 
-	call->until_us = fleet->now_us + (int64_t)call->call.wait_ms * 1000;
-	if (fleet->over)
-		call->over = true;
+	call->deadline_us = fleet->now_us + (int64_t)call->call.wait_ms * 1000;
+	if (fleet->stopping)
+		call->done = true;
 	else if (call->peer)
 		take_at_peer(call->peer, call);
 	else
-		fleet_take_at_store(fleet, call);
+		fleet_handle_at_store(fleet, call);
 	fleet_drop_call(call);
 }
 
@@ -179,7 +182,7 @@
 	struct fleet *fleet = context;
 	struct fleet_call *call = data;
 
-	if (!call->over && !fleet->over)
+	if (!call->done && !fleet->stopping)
 		fleet_fail(fleet, call);
 	fleet_drop_call(call);
 }
@@ -205,20 +208,21 @@
 
 	call->refs = 2;
 	call->node = node;
-	call->lifetime = node->lifetime;
+	call->incarnation = node->incarnation;
 	call->call = *made;
 	call->peer = made->peer ? find_peer(fleet, made->peer) : NULL;
 	call->after_key = g_strdup(made->after_key);
 	call->entered = g_ptr_array_new_with_free_func(free_instance);
 	call->removed = g_ptr_array_new_with_free_func(g_free);
-	for (guint i = 0; made->entered && i < made->entered->len; i++)
+	for (guint i = 0; made->added && i < made->added->len; i++)
 		g_ptr_array_add(
 			call->entered,
-			rr_copy_instance(g_ptr_array_index(made->entered, i)));
+			rr_copy_instance(g_ptr_array_index(made->added, i)));
 	for (guint i = 0; made->removed && i < made->removed->len; i++)
 		g_ptr_array_add(call->removed,
 				g_strdup(g_ptr_array_index(made->removed, i)));
-	push_event(fleet->events, fleet->now_us + WAY_US, arrive, call);
+	push_event(fleet->events, fleet->now_us + ONE_WAY_DELAY_US, arrive,
+		   call);
 	push_event(fleet->events,
 		   fleet->now_us + (int64_t)made->timeout_ms * 1000, time_out,
 		   call);
@@ -233,10 +237,10 @@
 {
 	struct fleet_node *node = data;
 
-	if (rr_route_table_version(table) <= node->routes)
+	if (rr_route_table_version(table) <= node->routes_version)
 		return;
-	node->routes = rr_route_table_version(table);
-	node->routes_us = node->fleet->now_us;
+	node->routes_version = rr_route_table_version(table);
+	node->routes_applied_us = node->fleet->now_us;
 }
 
 static void ignore_listed(void *data, const struct rr_endpoint_info *listing)
@@ -260,9 +264,9 @@
 {
 	struct fleet_node *node = data;
 
-	if (node->tick_us > node->fleet->now_us || node->fleet->over)
+	if (node->next_tick_us > node->fleet->now_us || node->fleet->stopping)
 		return;
-	node->tick_us = INT64_MAX;
+	node->next_tick_us = INT64_MAX;
 	if (node->feed)
 		run_node(node);
 }
@@ -274,21 +278,21 @@
 
 	rr_feed_tick(node->ctx, node->feed, fleet->now_us);
 	answer_askers(node);
-	if (!node->read_us && rr_feed_has_read(node->feed))
-		node->read_us = fleet->now_us;
+	if (!node->synced_us && rr_feed_has_synced(node->feed))
+		node->synced_us = fleet->now_us;
 	wake_us = rr_feed_wake_us(node->feed);
-	for (guint i = 0; i < node->askers->len; i++) {
+	for (guint i = 0; i < node->waiting_calls->len; i++) {
 		const struct fleet_call *call =
-			g_ptr_array_index(node->askers, i);
+			g_ptr_array_index(node->waiting_calls, i);
 
-		wake_us = MIN(wake_us, call->until_us);
+		wake_us = MIN(wake_us, call->deadline_us);
 	}
-	if (node->askers->len)
-		wake_us = MIN(wake_us, rr_feed_soon_until_us(node->feed));
+	if (node->waiting_calls->len)
+		wake_us = MIN(wake_us, rr_feed_serve_grace_end_us(node->feed));
 	wake_us = MAX(wake_us, fleet->now_us + FLEET_MS);
-	if (wake_us >= node->tick_us)
+	if (wake_us >= node->next_tick_us)
 		return;
-	node->tick_us = wake_us;
+	node->next_tick_us = wake_us;
 	push_event(fleet->events, wake_us, tick, node);
 }
 
@@ -300,22 +304,22 @@
 			.call = make_call,
 			.cancel = ignore_cancel,
 			.routes = take_routes,
-			.listed = ignore_listed,
-			.unlisted = ignore_unlisted,
-			.instances = ignore_instances,
+			.replica_listed = ignore_listed,
+			.replica_unlisted = ignore_unlisted,
+			.instance_count = ignore_instances,
 			.instance = ignore_instance,
 			.data = node,
 		},
 		.self = node->self,
-		.news_bound_ms = NEWS_BOUND_MS,
+		.max_staleness_ms = MAX_STALENESS_MS,
 	};
 
-	if (node->fleet->over)
+	if (node->fleet->stopping)
 		return;
 	node->started_us = node->fleet->now_us;
-	node->read_us = 0;
-	node->routes = 0;
-	node->tick_us = INT64_MAX;
+	node->synced_us = 0;
+	node->routes_version = 0;
+	node->next_tick_us = INT64_MAX;
 	node->feed = rr_new_feed(node->ctx, &options, node->fleet->now_us);
 	run_node(node);
 }
@@ -332,7 +336,7 @@
 	node->self.address = g_strdup_printf("%u", index);
 	node->self.strength = index < 3 * zones ? 0.5 : 0.12;
 	node->ctx = rr_new_context(&options);
-	node->askers = g_ptr_array_new_with_free_func(fleet_drop_call);
+	node->waiting_calls = g_ptr_array_new_with_free_func(fleet_drop_call);
 	g_ptr_array_add(fleet->nodes, node);
 }
 
@@ -361,7 +365,7 @@
 
 void fleet_drop(struct fleet *fleet)
 {
-	fleet->over = true;
+	fleet->stopping = true;
 	while (run_next_event(fleet->events, &fleet->now_us, fleet))
 		;
 	drop_event_queue(fleet->events, NULL);
@@ -370,7 +374,7 @@
 
 		rr_drop_feed(node->feed);
 		rr_drop_context(node->ctx);
-		g_ptr_array_unref(node->askers);
+		g_ptr_array_unref(node->waiting_calls);
 		g_free(node->self.id);
 		g_free(node->self.zone);
 		g_free(node->self.address);
@@ -399,9 +403,9 @@
 
 		rr_drop_feed(node->feed);
 		node->feed = NULL;
-		node->lifetime++;
-		node->self.born_ms++;
-		g_ptr_array_set_size(node->askers, 0);
+		node->incarnation++;
+		node->self.started_ms++;
+		g_ptr_array_set_size(node->waiting_calls, 0);
 	}
 }
 
@@ -414,7 +418,7 @@
 	fleet->now_us = end_us;
 }
 
-int64_t fleet_slowest_read_us(const struct fleet *fleet)
+int64_t fleet_slowest_sync_us(const struct fleet *fleet)
 {
 	int64_t slowest_us = 0;
 
@@ -422,14 +426,15 @@
 		const struct fleet_node *node =
 			g_ptr_array_index(fleet->nodes, i);
 
-		if (!node->read_us)
+		if (!node->synced_us)
 			return INT64_MAX;
-		slowest_us = MAX(slowest_us, node->read_us - node->started_us);
+		slowest_us =
+			MAX(slowest_us, node->synced_us - node->started_us);
 	}
 	return slowest_us;
 }
 
-int64_t fleet_in_force_us(const struct fleet *fleet, uint64_t version)
+int64_t fleet_applied_us(const struct fleet *fleet, uint64_t version)
 {
 	int64_t last_us = 0;
 
@@ -437,9 +442,9 @@
 		const struct fleet_node *node =
 			g_ptr_array_index(fleet->nodes, i);
 
-		if (node->feed && node->routes < version)
+		if (node->feed && node->routes_version < version)
 			return INT64_MAX;
-		last_us = MAX(last_us, node->routes_us);
+		last_us = MAX(last_us, node->routes_applied_us);
 	}
 	return last_us;
 }
--- a/tests/support/feed-fleet.h
+++ b/tests/support/feed-fleet.h
@@ -18,15 +18,16 @@
 	guint index;
 	struct rr_instance self;
 	struct rr_context *ctx;
-	struct rr_feed *feed; /* NULL: it does not run */
-	uint32_t lifetime;    /* answers to an earlier one are dropped */
-	bool turned_away;     /* by the store, at once */
+	struct rr_feed *feed;	/* NULL: it does not run */
+	uint32_t incarnation;	/* answers to an earlier one are dropped */
+	bool rejected_by_store; /* by the store, at once */
 	int64_t started_us;
-	int64_t read_us; /* when everything was first read; 0: not yet */
-	int64_t tick_us; /* the next one in the queue */
-	uint64_t routes; /* version in force */
-	int64_t routes_us;
-	GPtrArray *askers; /* struct fleet_call that wait here for changes */
+	int64_t synced_us;    /* when everything was first read; 0: not yet */
+	int64_t next_tick_us; /* the next one in the queue */
+	uint64_t routes_version; /* version in force */
+	int64_t routes_applied_us;
+	GPtrArray *
+		waiting_calls; /* struct fleet_call that wait here for changes */
 };
 
 struct fleet {
@@ -39,13 +40,14 @@
 	GPtrArray *watches; /* struct fleet_call that wait at the store */
 	uint64_t revision;
 	uint64_t next_lease;
-	bool store_away;
-	bool over; /* events on their way are let go */
+	bool store_down;
+	bool stopping; /* events on their way are let go */
 	/* Calls as they are paid for: old copies and renewals a tenth. */
-	double priced;
-	uint32_t busiest; /* calls in a second that count toward its rates */
-	uint32_t in_second;
-	int64_t second;
+	double billed_calls;
+	uint32_t
+		peak_calls_per_s; /* calls in a second that count toward its rates */
+	uint32_t calls_this_second;
+	int64_t current_second;
 };
 
 /* `n` instances in `zones` zones, the first few of each four times as strong. */
@@ -61,8 +63,8 @@
 /* How many instances have an entry. */
 guint fleet_count_entries(struct fleet *fleet);
 /* The longest that it took one from its start to have read everything. */
-int64_t fleet_slowest_read_us(const struct fleet *fleet);
+int64_t fleet_slowest_sync_us(const struct fleet *fleet);
 /* When the last one had a version in force; INT64_MAX: not all have it. */
-int64_t fleet_in_force_us(const struct fleet *fleet, uint64_t version);
+int64_t fleet_applied_us(const struct fleet *fleet, uint64_t version);
 
 #endif
--- a/tests/test-news.c
+++ b/tests/test-change-log.c
@@ -1,5 +1,5 @@
 /*
- * test-news.c - what one instance passes on to another.
+ * test-change-log.c - what one instance passes on to another.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -9,31 +9,31 @@
 #include <cmocka.h>
 #include <glib.h>
 
-#include "core/news.h"
+#include "core/change-log.h"
 #include "ragwort/feed.h"
 
-static void keep(struct rr_news *news, const char *key, uint64_t revision,
+static void keep(struct rr_change_log *news, const char *key, uint64_t revision,
 		 const char *value)
 {
-	struct rr_news_item item = {
+	struct rr_feed_change item = {
 		.key = key,
 		.value = value,
 		.revision = revision,
 	};
 
-	rr_keep_news(news, &item);
+	rr_put_change(news, &item);
 }
 
-static void assert_after(const struct rr_news *news, uint64_t after,
+static void assert_after(const struct rr_change_log *news, uint64_t after,
 			 const char *expected)
 {
-	GArray *items = rr_news_after(news, after);
+	GArray *items = rr_list_changes_after(news, after);
 	GString *told = g_string_new(NULL);
 
 	assert_non_null(items);
 	for (guint i = 0; i < items->len; i++) {
-		const struct rr_news_item *item =
-			&g_array_index(items, struct rr_news_item, i);
+		const struct rr_feed_change *item =
+			&g_array_index(items, struct rr_feed_change, i);
 
 		g_string_append_printf(told, "%s=%s@%u ", item->key,
 				       item->value ? item->value : "-",
@@ -46,7 +46,7 @@
 
 static void test_changes_in_order(void **state)
 {
-	struct rr_news *news = rr_new_news();
+	struct rr_change_log *news = rr_new_change_log();
 
 	keep(news, "b", 5, "B");
 	keep(news, "a", 3, "A");
@@ -60,7 +60,7 @@
 	assert_after(news, 0, "b=B@5 a=A2@9 ");
 	keep(news, "c", 12, "C3");
 	assert_after(news, 8, "a=A2@9 c=C3@12 ");
-	rr_drop_news(news);
+	rr_drop_change_log(news);
 }
 
 /*
@@ -70,7 +70,7 @@
  */
 static void test_removed_keys_are_bounded(void **state)
 {
-	struct rr_news *news = rr_new_news();
+	struct rr_change_log *news = rr_new_change_log();
 	uint64_t revision = 10;
 	GArray *recent;
 
@@ -82,13 +82,13 @@
 		keep(news, key, ++revision, NULL);
 		g_free(key);
 	}
-	assert_null(rr_news_after(news, 100));
-	recent = rr_news_after(news, revision - 20);
+	assert_null(rr_list_changes_after(news, 100));
+	recent = rr_list_changes_after(news, revision - 20);
 	assert_non_null(recent);
 	assert_int_equal(recent->len, 10);
 	assert_after(news, 0, "stays=S@5 ");
 	g_array_unref(recent);
-	rr_drop_news(news);
+	rr_drop_change_log(news);
 }
 
 /*
@@ -98,17 +98,17 @@
  */
 static void test_removals_before_the_beginning(void **state)
 {
-	struct rr_news *news = rr_new_news();
+	struct rr_change_log *news = rr_new_change_log();
 
 	(void)state;
 	keep(news, "a", 3, "A");
-	rr_begin_news(news, 50);
-	assert_null(rr_news_after(news, 40));
+	rr_start_change_log(news, 50);
+	assert_null(rr_list_changes_after(news, 40));
 	assert_after(news, 50, "");
 	assert_after(news, 0, "a=A@3 ");
 	keep(news, "a", 51, NULL);
 	assert_after(news, 50, "a=-@51 ");
-	rr_drop_news(news);
+	rr_drop_change_log(news);
 }
 
 /*
@@ -119,7 +119,7 @@
  */
 static void test_told_in_parts(void **state)
 {
-	struct rr_news *news = rr_new_news();
+	struct rr_change_log *news = rr_new_change_log();
 	GArray *items;
 
 	(void)state;
@@ -129,17 +129,17 @@
 		keep(news, key, 10 + i / 4, "v");
 		g_free(key);
 	}
-	items = rr_news_after(news, 1);
+	items = rr_list_changes_after(news, 1);
 	assert_int_equal(items->len, 9);
-	assert_int_equal(rr_cut_news(items, 5), 11);
+	assert_int_equal(rr_truncate_changes(items, 5), 11);
 	assert_int_equal(items->len, 7);
-	assert_int_equal(rr_cut_news(items, 7), 0);
+	assert_int_equal(rr_truncate_changes(items, 7), 0);
 	g_array_unref(items);
-	items = rr_news_after(news, 11);
-	assert_int_equal(rr_cut_news(items, 1), 0);
+	items = rr_list_changes_after(news, 11);
+	assert_int_equal(rr_truncate_changes(items, 1), 0);
 	assert_int_equal(items->len, 2);
 	g_array_unref(items);
-	rr_drop_news(news);
+	rr_drop_change_log(news);
 }
 
 int main(void)
--- a/tests/test-core-search.c
+++ b/tests/test-core-search.c
@@ -313,8 +313,8 @@
 
 	(void)state;
 	service->answer = RR_ANSWER_LATENCY;
-	service->enough = 0.9;
-	service->wait_ms = 5;
+	service->min_coverage = 0.9;
+	service->straggler_wait_ms = 5;
 	start(&scene);
 	fake_replica(scene.world, "s3a")->mode = FAKE_HANG;
 	before_us = scene.world->now_us;
--- a/tests/test-feed-fleet.c
+++ b/tests/test-feed-fleet.c
@@ -41,13 +41,13 @@
 	struct fleet *fleet = started_fleet();
 
 	(void)state;
-	assert_true(fleet_slowest_read_us(fleet) < FLEET_S);
+	assert_true(fleet_slowest_sync_us(fleet) < FLEET_S);
 	assert_int_equal(fleet_count_entries(fleet), INSTANCES);
 	print_message("start: %.0f calls, %u in a second at most\n",
-		      fleet->priced, fleet->busiest);
+		      fleet->billed_calls, fleet->peak_calls_per_s);
 	/* Two for each of three instances, what they all may cost together. */
-	assert_true(fleet->priced < INSTANCES * 2);
-	assert_true(fleet->busiest < STORE_RATE);
+	assert_true(fleet->billed_calls < INSTANCES * 2);
+	assert_true(fleet->peak_calls_per_s < STORE_RATE);
 	fleet_drop(fleet);
 }
 
@@ -62,12 +62,12 @@
 	(void)state;
 	fleet_kill_all(fleet);
 	fleet_run(fleet, 2 * FLEET_S);
-	fleet->priced = 0;
+	fleet->billed_calls = 0;
 	fleet_start_all(fleet, 300 * FLEET_MS);
 	fleet_run(fleet, 10 * FLEET_S);
-	assert_true(fleet_slowest_read_us(fleet) < FLEET_S);
-	print_message("killed: %.0f calls\n", fleet->priced);
-	assert_true(fleet->priced < INSTANCES);
+	assert_true(fleet_slowest_sync_us(fleet) < FLEET_S);
+	print_message("killed: %.0f calls\n", fleet->billed_calls);
+	assert_true(fleet->billed_calls < INSTANCES);
 	/* Those of before have ended by now, and nobody is missing. */
 	fleet_run(fleet, 10 * FLEET_S);
 	assert_int_equal(fleet_count_entries(fleet), INSTANCES);
@@ -80,10 +80,10 @@
 	struct fleet *fleet = started_fleet();
 
 	(void)state;
-	fleet->priced = 0;
+	fleet->billed_calls = 0;
 	fleet_run(fleet, 60 * FLEET_S);
-	print_message("calm minute: %.0f calls\n", fleet->priced);
-	assert_true(fleet->priced < INSTANCES / 3.0);
+	print_message("calm minute: %.0f calls\n", fleet->billed_calls);
+	assert_true(fleet->billed_calls < INSTANCES / 3.0);
 	assert_int_equal(fleet_count_entries(fleet), INSTANCES);
 	fleet_drop(fleet);
 }
@@ -103,7 +103,7 @@
 	for (guint i = 0; i < fleet->nodes->len; i++) {
 		struct fleet_node *node = g_ptr_array_index(fleet->nodes, i);
 
-		node->turned_away =
+		node->rejected_by_store =
 			turned_away && (i < 2 * ZONES || i % 3 == 0);
 	}
 }
@@ -121,18 +121,17 @@
 	int64_t from_us;
 
 	(void)state;
-	fleet->priced = 0;
+	fleet->billed_calls = 0;
 	turn_away(fleet, true);
 	change_replicas(fleet, 3 * FLEET_S);
 	fleet_write_routes(fleet, 2);
 	from_us = fleet->now_us;
 	change_replicas(fleet, 6 * FLEET_S);
 	print_message("turned away: %.0f calls, in force after %.2f s\n",
-		      fleet->priced,
-		      (double)(fleet_in_force_us(fleet, 2) - from_us) /
-			      FLEET_S);
-	assert_true(fleet_in_force_us(fleet, 2) - from_us < BOUND_US);
-	assert_true(fleet->priced < INSTANCES * 2);
+		      fleet->billed_calls,
+		      (double)(fleet_applied_us(fleet, 2) - from_us) / FLEET_S);
+	assert_true(fleet_applied_us(fleet, 2) - from_us < BOUND_US);
+	assert_true(fleet->billed_calls < INSTANCES * 2);
 	turn_away(fleet, false);
 	fleet_run(fleet, 10 * FLEET_S);
 	assert_int_equal(fleet_count_entries(fleet), INSTANCES);
@@ -149,19 +148,18 @@
 	int64_t from_us;
 
 	(void)state;
-	fleet->priced = 0;
-	fleet->store_away = true;
+	fleet->billed_calls = 0;
+	fleet->store_down = true;
 	fleet_run(fleet, 5 * FLEET_S);
-	print_message("away: %.0f calls\n", fleet->priced);
-	assert_true(fleet->priced < INSTANCES * 2);
-	fleet->store_away = false;
+	print_message("away: %.0f calls\n", fleet->billed_calls);
+	assert_true(fleet->billed_calls < INSTANCES * 2);
+	fleet->store_down = false;
 	fleet_write_routes(fleet, 3);
 	from_us = fleet->now_us;
 	fleet_run(fleet, 10 * FLEET_S);
 	print_message("in force %.2f s after it is back\n",
-		      (double)(fleet_in_force_us(fleet, 3) - from_us) /
-			      FLEET_S);
-	assert_true(fleet_in_force_us(fleet, 3) - from_us < BOUND_US);
+		      (double)(fleet_applied_us(fleet, 3) - from_us) / FLEET_S);
+	assert_true(fleet_applied_us(fleet, 3) - from_us < BOUND_US);
 	fleet_drop(fleet);
 }
 
@@ -175,7 +173,7 @@
 	fleet_write_routes(fleet, 2);
 	from_us = fleet->now_us;
 	fleet_run(fleet, 5 * FLEET_S);
-	assert_true(fleet_in_force_us(fleet, 2) - from_us < BOUND_US / 6);
+	assert_true(fleet_applied_us(fleet, 2) - from_us < BOUND_US / 6);
 	fleet_drop(fleet);
 }
 
--- a/tests/test-feed-peers.c
+++ b/tests/test-feed-peers.c
@@ -10,24 +10,24 @@
 #include <glib.h>
 #include <string.h>
 
-#include "support/feed-scene.h"
+#include "support/feed-fixture.h"
 
 /* Read everything in a zone with two stronger ones, and ask the first. */
-static struct feed_scene *following_scene(void)
+static struct feed_fixture *following_scene(void)
 {
-	struct feed_scene *scene = feed_new_scene();
+	struct feed_fixture *scene = feed_new_fixture();
 
 	feed_answer_ok(scene, RR_FEED_RANGE,
 		       "routes3@10 r1@11 inst1/z/4@12 inst2/z/3@13 "
 		       "inst3/z/1@14 inst9/y/9@15",
 		       20);
-	feed_assert_news(scene, "routes 3 +r1 instances 4 ");
+	feed_assert_events(scene, "routes 3 +r1 instances 4 ");
 	return scene;
 }
 
-static bool asks_peer(struct feed_scene *scene)
+static bool asks_peer(struct feed_fixture *scene)
 {
-	struct feed_call *watch = feed_find_call(scene, RR_FEED_WATCH);
+	struct recorded_call *watch = feed_find_call(scene, RR_FEED_WATCH);
 
 	return watch && watch->peer;
 }
@@ -40,7 +40,7 @@
  */
 static void test_others_tell(void **state)
 {
-	struct feed_scene *scene = following_scene();
+	struct feed_fixture *scene = following_scene();
 
 	(void)state;
 	assert_true(asks_peer(scene));
@@ -48,23 +48,24 @@
 			 20);
 	assert_int_equal(feed_find_call(scene, RR_FEED_WATCH)->wait_ms, 750);
 	feed_answer_ok(scene, RR_FEED_WATCH, "r2@21", 21);
-	feed_assert_news(scene, "+r2 ");
+	feed_assert_events(scene, "+r2 ");
 	assert_true(asks_peer(scene));
 	for (int i = 0; i < 16; i++) {
-		struct feed_call *enter = feed_find_call(scene, RR_FEED_ENTER);
+		struct recorded_call *enter =
+			feed_find_call(scene, RR_FEED_WRITE_ENTRIES);
 
 		if (enter) {
 			assert_string_equal(enter->entries->str, "+inst0 ");
 			assert_non_null(enter->peer);
-			feed_answer_ok(scene, RR_FEED_ENTER, NULL, 0);
+			feed_answer_ok(scene, RR_FEED_WRITE_ENTRIES, NULL, 0);
 		}
-		feed_pass(scene, 750 * MS);
+		feed_advance(scene, 750 * MS);
 		feed_answer_ok(scene, RR_FEED_WATCH, NULL, 21);
 		assert_true(asks_peer(scene));
 	}
-	assert_in_range(feed_count_calls(scene, RR_FEED_ENTER), 3, 4);
+	assert_in_range(feed_count_calls(scene, RR_FEED_WRITE_ENTRIES), 3, 4);
 	assert_int_equal(feed_count_store_calls(scene), 1);
-	feed_drop_scene(scene);
+	feed_drop_fixture(scene);
 }
 
 /*
@@ -74,28 +75,28 @@
  */
 static void test_others_fall_silent(void **state)
 {
-	struct feed_scene *scene = following_scene();
-	struct feed_call *first = feed_find_call(scene, RR_FEED_WATCH);
+	struct feed_fixture *scene = following_scene();
+	struct recorded_call *first = feed_find_call(scene, RR_FEED_WATCH);
 
 	(void)state;
 	assert_string_equal(first->peer, "inst1/z/4:1");
-	feed_pass(scene, 1125 * MS);
+	feed_advance(scene, 1125 * MS);
 	feed_answer(scene, first, RR_FEED_FAILED, NULL, 0, false);
 	assert_string_equal(feed_find_call(scene, RR_FEED_WATCH)->peer,
 			    "inst2/z/3:1");
 	assert_int_equal(feed_find_call(scene, RR_FEED_WATCH)->wait_ms, 0);
-	feed_pass(scene, 375 * MS);
+	feed_advance(scene, 375 * MS);
 	feed_answer(scene, feed_find_call(scene, RR_FEED_WATCH), RR_FEED_FAILED,
 		    NULL, 0, false);
 	assert_non_null(feed_find_call(scene, RR_FEED_WATCH));
 	assert_false(asks_peer(scene));
 	feed_answer_ok(scene, RR_FEED_WATCH, "-r1@30", 30);
-	feed_assert_news(scene, "-r1 ");
+	feed_assert_events(scene, "-r1 ");
 	/* When it answers again, it is asked again. */
-	feed_pass(scene, 2100 * MS);
+	feed_advance(scene, 2100 * MS);
 	feed_answer_ok(scene, RR_FEED_WATCH, NULL, 30);
 	assert_true(asks_peer(scene));
-	feed_drop_scene(scene);
+	feed_drop_fixture(scene);
 }
 
 /*
@@ -104,34 +105,34 @@
  */
 static void test_others_have_forgotten(void **state)
 {
-	struct feed_scene *scene = following_scene();
+	struct feed_fixture *scene = following_scene();
 
 	(void)state;
 	feed_answer(scene, feed_find_call(scene, RR_FEED_WATCH),
-		    RR_FEED_FORGOTTEN, NULL, 0, false);
+		    RR_FEED_COMPACTED, NULL, 0, false);
 	assert_string_equal(feed_find_call(scene, RR_FEED_RANGE)->peer,
 			    "inst1/z/4:1");
 	feed_answer_ok(scene, RR_FEED_RANGE,
 		       "routes3@10 inst1/z/4@12 inst2/z/3@13 inst3/z/1@14 "
 		       "inst9/y/9@15 r5@24",
 		       25);
-	feed_assert_news(scene, "+r5 -r1 ");
+	feed_assert_events(scene, "+r5 -r1 ");
 	assert_int_equal(feed_find_call(scene, RR_FEED_WATCH)->after_revision,
 			 25);
 	feed_answer(scene, feed_find_call(scene, RR_FEED_WATCH),
-		    RR_FEED_FORGOTTEN, NULL, 0, false);
+		    RR_FEED_COMPACTED, NULL, 0, false);
 	feed_answer_ok(scene, RR_FEED_RANGE, "routes3@10", 22);
-	feed_assert_news(scene, "");
+	feed_assert_events(scene, "");
 	assert_string_equal(feed_find_call(scene, RR_FEED_WATCH)->peer,
 			    "inst2/z/3:1");
 	while (feed_find_call(scene, RR_FEED_WATCH)->peer)
 		feed_answer(scene, feed_find_call(scene, RR_FEED_WATCH),
 			    RR_FEED_FAILED, NULL, 0, false);
 	feed_answer(scene, feed_find_call(scene, RR_FEED_WATCH),
-		    RR_FEED_FORGOTTEN, NULL, 0, false);
+		    RR_FEED_COMPACTED, NULL, 0, false);
 	assert_null(feed_find_call(scene, RR_FEED_RANGE)->peer);
-	assert_false(feed_find_call(scene, RR_FEED_RANGE)->may_be_old);
-	feed_drop_scene(scene);
+	assert_false(feed_find_call(scene, RR_FEED_RANGE)->allow_stale);
+	feed_drop_fixture(scene);
 }
 
 /*
@@ -140,20 +141,21 @@
  */
 static void test_enterer_dies(void **state)
 {
-	struct feed_scene *scene = following_scene();
-	struct feed_call *enter = feed_find_call(scene, RR_FEED_ENTER);
+	struct feed_fixture *scene = following_scene();
+	struct recorded_call *enter =
+		feed_find_call(scene, RR_FEED_WRITE_ENTRIES);
 	char *first = g_strdup(enter->peer);
 
 	(void)state;
-	feed_answer_ok(scene, RR_FEED_ENTER, NULL, 0);
-	feed_pass(scene, 4100 * MS);
-	feed_answer(scene, feed_find_call(scene, RR_FEED_ENTER), RR_FEED_FAILED,
-		    NULL, 0, false);
-	feed_pass(scene, 300 * MS);
-	assert_string_not_equal(feed_find_call(scene, RR_FEED_ENTER)->peer,
-				first);
+	feed_answer_ok(scene, RR_FEED_WRITE_ENTRIES, NULL, 0);
+	feed_advance(scene, 4100 * MS);
+	feed_answer(scene, feed_find_call(scene, RR_FEED_WRITE_ENTRIES),
+		    RR_FEED_FAILED, NULL, 0, false);
+	feed_advance(scene, 300 * MS);
+	assert_string_not_equal(
+		feed_find_call(scene, RR_FEED_WRITE_ENTRIES)->peer, first);
 	g_free(first);
-	feed_drop_scene(scene);
+	feed_drop_fixture(scene);
 }
 
 /*
@@ -162,31 +164,34 @@
  */
 static void test_nobody_enters_it(void **state)
 {
-	struct feed_scene *scene = following_scene();
+	struct feed_fixture *scene = following_scene();
 
 	(void)state;
-	for (int i = 0; i < 40 && !feed_find_call(scene, RR_FEED_GRANT); i++) {
-		if (feed_find_call(scene, RR_FEED_ENTER))
-			feed_answer(scene, feed_find_call(scene, RR_FEED_ENTER),
-				    RR_FEED_FAILED, NULL, 0, false);
-		feed_pass(scene, 500 * MS);
+	for (int i = 0; i < 40 && !feed_find_call(scene, RR_FEED_LEASE_GRANT);
+	     i++) {
+		if (feed_find_call(scene, RR_FEED_WRITE_ENTRIES))
+			feed_answer(
+				scene,
+				feed_find_call(scene, RR_FEED_WRITE_ENTRIES),
+				RR_FEED_FAILED, NULL, 0, false);
+		feed_advance(scene, 500 * MS);
 	}
-	feed_answer_ok(scene, RR_FEED_GRANT, NULL, 0);
-	assert_null(feed_find_call(scene, RR_FEED_ENTER)->peer);
-	feed_answer_ok(scene, RR_FEED_ENTER, NULL, 0);
-	feed_pass(scene, 5000 * MS);
-	assert_non_null(feed_find_call(scene, RR_FEED_KEEP));
-	feed_drop_scene(scene);
+	feed_answer_ok(scene, RR_FEED_LEASE_GRANT, NULL, 0);
+	assert_null(feed_find_call(scene, RR_FEED_WRITE_ENTRIES)->peer);
+	feed_answer_ok(scene, RR_FEED_WRITE_ENTRIES, NULL, 0);
+	feed_advance(scene, 5000 * MS);
+	assert_non_null(feed_find_call(scene, RR_FEED_LEASE_RENEW));
+	feed_drop_fixture(scene);
 }
 
-static bool enroll(struct feed_scene *scene, const char *id, const char *zone)
+static bool enroll(struct feed_fixture *scene, const char *id, const char *zone)
 {
 	struct rr_instance instance = { .id = (char *)id,
 					.zone = (char *)zone,
 					.address = (char *)"10.0.0.1:7" };
 
-	return rr_feed_enroll(scene->ctx, scene->feed, scene->now_us,
-			      &instance);
+	return rr_feed_register_instance(scene->ctx, scene->feed, scene->now_us,
+					 &instance);
 }
 
 /*
@@ -195,8 +200,8 @@
  */
 static void test_it_enters_others(void **state)
 {
-	struct feed_scene *scene = feed_settled_scene();
-	guint before = feed_count_calls(scene, RR_FEED_ENTER);
+	struct feed_fixture *scene = feed_new_synced_fixture();
+	guint before = feed_count_calls(scene, RR_FEED_WRITE_ENTRIES);
 
 	(void)state;
 	assert_false(enroll(scene, "inst50", "another"));
@@ -206,15 +211,18 @@
 		assert_true(enroll(scene, id, "z"));
 		g_free(id);
 	}
-	feed_pass(scene, 500 * MS);
-	assert_int_equal(feed_count_calls(scene, RR_FEED_ENTER), before + 1);
-	assert_int_equal(feed_find_call(scene, RR_FEED_ENTER)->lease, 77);
-	feed_answer_ok(scene, RR_FEED_ENTER, NULL, 30);
-	rr_feed_strike_off(scene->feed, scene->now_us, "inst10");
-	feed_pass(scene, 500 * MS);
-	assert_string_equal(feed_find_call(scene, RR_FEED_ENTER)->entries->str,
-			    "-inst10 ");
-	feed_drop_scene(scene);
+	feed_advance(scene, 500 * MS);
+	assert_int_equal(feed_count_calls(scene, RR_FEED_WRITE_ENTRIES),
+			 before + 1);
+	assert_int_equal(feed_find_call(scene, RR_FEED_WRITE_ENTRIES)->lease,
+			 77);
+	feed_answer_ok(scene, RR_FEED_WRITE_ENTRIES, NULL, 30);
+	rr_feed_deregister_instance(scene->feed, scene->now_us, "inst10");
+	feed_advance(scene, 500 * MS);
+	assert_string_equal(
+		feed_find_call(scene, RR_FEED_WRITE_ENTRIES)->entries->str,
+		"-inst10 ");
+	feed_drop_fixture(scene);
 }
 
 /*
@@ -224,24 +232,25 @@
  */
 static void test_entries_of_others_lapse(void **state)
 {
-	struct feed_scene *scene = feed_settled_scene();
+	struct feed_fixture *scene = feed_new_synced_fixture();
 
 	(void)state;
 	enroll(scene, "inst10", "z");
-	feed_pass(scene, 500 * MS);
-	feed_answer_ok(scene, RR_FEED_ENTER, NULL, 30);
-	feed_pass(scene, 1600 * MS);
-	feed_answer(scene, feed_find_call(scene, RR_FEED_KEEP), RR_FEED_FAILED,
-		    NULL, 0, false);
+	feed_advance(scene, 500 * MS);
+	feed_answer_ok(scene, RR_FEED_WRITE_ENTRIES, NULL, 30);
+	feed_advance(scene, 1600 * MS);
+	feed_answer(scene, feed_find_call(scene, RR_FEED_LEASE_RENEW),
+		    RR_FEED_FAILED, NULL, 0, false);
 	assert_false(enroll(scene, "inst11", "z"));
-	feed_pass(scene, 300 * MS);
-	feed_answer(scene, feed_find_call(scene, RR_FEED_KEEP),
+	feed_advance(scene, 300 * MS);
+	feed_answer(scene, feed_find_call(scene, RR_FEED_LEASE_RENEW),
 		    RR_FEED_NO_LEASE, NULL, 0, false);
-	feed_pass(scene, 500 * MS);
-	feed_answer_ok(scene, RR_FEED_GRANT, NULL, 0);
-	assert_string_equal(feed_find_call(scene, RR_FEED_ENTER)->entries->str,
-			    "+inst0 +inst10 ");
-	feed_drop_scene(scene);
+	feed_advance(scene, 500 * MS);
+	feed_answer_ok(scene, RR_FEED_LEASE_GRANT, NULL, 0);
+	assert_string_equal(
+		feed_find_call(scene, RR_FEED_WRITE_ENTRIES)->entries->str,
+		"+inst0 +inst10 ");
+	feed_drop_fixture(scene);
 }
 
 /*
@@ -250,18 +259,19 @@
  */
 static void test_it_leaves_others_in_place(void **state)
 {
-	struct feed_scene *scene = feed_settled_scene();
+	struct feed_fixture *scene = feed_new_synced_fixture();
 
 	(void)state;
 	enroll(scene, "inst10", "z");
-	feed_pass(scene, 500 * MS);
-	feed_answer_ok(scene, RR_FEED_ENTER, NULL, 30);
+	feed_advance(scene, 500 * MS);
+	feed_answer_ok(scene, RR_FEED_WRITE_ENTRIES, NULL, 30);
 	rr_feed_leave(scene->ctx, scene->feed, scene->now_us);
-	assert_null(feed_find_call(scene, RR_FEED_LEAVE));
-	assert_string_equal(feed_find_call(scene, RR_FEED_ENTER)->entries->str,
-			    "-inst0 ");
+	assert_null(feed_find_call(scene, RR_FEED_LEASE_REVOKE));
+	assert_string_equal(
+		feed_find_call(scene, RR_FEED_WRITE_ENTRIES)->entries->str,
+		"-inst0 ");
 	assert_false(enroll(scene, "inst10", "z"));
-	feed_drop_scene(scene);
+	feed_drop_fixture(scene);
 }
 
 /*
@@ -270,42 +280,42 @@
  */
 static void test_passing_on(void **state)
 {
-	struct feed_scene *scene = following_scene();
-	struct feed_scene *watcher;
+	struct feed_fixture *scene = following_scene();
+	struct feed_fixture *watcher;
 	GArray *changes;
 	uint64_t told;
 
-	assert_false(rr_feed_passes_on(scene->feed));
-	feed_drop_scene(scene);
-	watcher = feed_settled_scene();
-	assert_true(rr_feed_passes_on(watcher->feed));
+	assert_false(rr_feed_can_serve_changes(scene->feed));
+	feed_drop_fixture(scene);
+	watcher = feed_new_synced_fixture();
+	assert_true(rr_feed_can_serve_changes(watcher->feed));
 	feed_answer_ok(watcher, RR_FEED_WATCH, "-r1@21 r3@22", 22);
 	assert_int_equal(rr_feed_revision(watcher->feed), 22);
 	changes = rr_feed_changes(watcher->feed, 20, &told);
 	assert_int_equal(told, 22);
 	assert_int_equal(changes->len, 2);
-	assert_null(g_array_index(changes, struct rr_news_item, 0).value);
-	assert_string_equal(g_array_index(changes, struct rr_news_item, 1).key,
-			    "r3");
+	assert_null(g_array_index(changes, struct rr_feed_change, 0).value);
+	assert_string_equal(
+		g_array_index(changes, struct rr_feed_change, 1).key, "r3");
 	g_array_unref(changes);
-	feed_pass(watcher, 1600 * MS);
-	feed_answer(watcher, feed_find_call(watcher, RR_FEED_KEEP),
+	feed_advance(watcher, 1600 * MS);
+	feed_answer(watcher, feed_find_call(watcher, RR_FEED_LEASE_RENEW),
 		    RR_FEED_FAILED, NULL, 0, false);
-	assert_false(rr_feed_passes_on(watcher->feed));
-	feed_drop_scene(watcher);
+	assert_false(rr_feed_can_serve_changes(watcher->feed));
+	feed_drop_fixture(watcher);
 }
 
 /* Of a zone of sixty, one of the second level, and what it read. */
-static struct feed_scene *middle_scene(void)
+static struct feed_fixture *middle_scene(void)
 {
-	struct feed_scene *scene = feed_new_scene();
+	struct feed_fixture *scene = feed_new_fixture();
 	GString *items = g_string_new("routes3@10 r1@11");
 
 	for (int i = 1; i < 60; i++)
 		g_string_append_printf(items, " inst%d/z/%d@%d", i,
 				       i < 10 ? 4 : -1, 11 + i);
 	feed_answer_ok(scene, RR_FEED_RANGE, items->str, 100);
-	feed_assert_news(scene, "routes 3 +r1 instances 59 ");
+	feed_assert_events(scene, "routes 3 +r1 instances 59 ");
 	g_string_free(items, TRUE);
 	return scene;
 }
@@ -317,26 +327,26 @@
  */
 static void test_middle_level_passes_on(void **state)
 {
-	struct feed_scene *scene = middle_scene();
+	struct feed_fixture *scene = middle_scene();
 	GArray *changes;
 	uint64_t told;
 
 	(void)state;
 	assert_true(asks_peer(scene));
 	feed_answer_ok(scene, RR_FEED_WATCH, "r2@101", 101);
-	assert_true(rr_feed_passes_on(scene->feed));
+	assert_true(rr_feed_can_serve_changes(scene->feed));
 	changes = rr_feed_changes(scene->feed, 100, &told);
 	assert_int_equal(changes->len, 1);
 	g_array_unref(changes);
 	feed_answer(scene, feed_find_call(scene, RR_FEED_WATCH), RR_FEED_FAILED,
 		    NULL, 0, false);
-	assert_false(rr_feed_passes_on(scene->feed));
-	feed_pass(scene, 1100 * MS);
+	assert_false(rr_feed_can_serve_changes(scene->feed));
+	feed_advance(scene, 1100 * MS);
 	feed_answer_ok(scene, RR_FEED_WATCH, NULL, 101);
 	assert_true(asks_peer(scene));
 	feed_answer_ok(scene, RR_FEED_WATCH, NULL, 101);
-	assert_true(rr_feed_passes_on(scene->feed));
-	feed_drop_scene(scene);
+	assert_true(rr_feed_can_serve_changes(scene->feed));
+	feed_drop_fixture(scene);
 }
 
 /*
@@ -347,20 +357,20 @@
  */
 static void test_who_asks_waits_for_a_standby(void **state)
 {
-	struct feed_scene *scene = middle_scene();
+	struct feed_fixture *scene = middle_scene();
 
 	(void)state;
 	feed_answer_ok(scene, RR_FEED_WATCH, NULL, 101);
-	assert_true(rr_feed_passes_on(scene->feed));
+	assert_true(rr_feed_can_serve_changes(scene->feed));
 	feed_answer(scene, feed_find_call(scene, RR_FEED_WATCH), RR_FEED_FAILED,
 		    NULL, 0, false);
-	assert_false(rr_feed_passes_on(scene->feed));
-	assert_true(rr_feed_passes_on_soon(scene->feed, scene->now_us));
-	assert_false(
-		rr_feed_passes_on_soon(scene->feed, scene->now_us + 200 * MS));
+	assert_false(rr_feed_can_serve_changes(scene->feed));
+	assert_true(rr_feed_is_in_serve_grace(scene->feed, scene->now_us));
+	assert_false(rr_feed_is_in_serve_grace(scene->feed,
+					       scene->now_us + 200 * MS));
 	feed_answer_ok(scene, RR_FEED_WATCH, "r9@102", 102);
-	assert_true(rr_feed_passes_on(scene->feed));
-	feed_drop_scene(scene);
+	assert_true(rr_feed_can_serve_changes(scene->feed));
+	feed_drop_fixture(scene);
 }
 
 /*
@@ -370,7 +380,7 @@
  */
 static void test_far_news_are_not_passed_on(void **state)
 {
-	struct feed_scene *scene = middle_scene();
+	struct feed_fixture *scene = middle_scene();
 
 	(void)state;
 	feed_answer_ok(scene, RR_FEED_WATCH, "inst99/y/9@101", 101);
@@ -381,8 +391,8 @@
 	assert_string_equal(feed_find_call(scene, RR_FEED_WATCH)->peer,
 			    "inst99/y/9:1");
 	feed_answer_ok(scene, RR_FEED_WATCH, NULL, 101);
-	assert_false(rr_feed_passes_on(scene->feed));
-	feed_drop_scene(scene);
+	assert_false(rr_feed_can_serve_changes(scene->feed));
+	feed_drop_fixture(scene);
 }
 
 /*
@@ -393,7 +403,7 @@
 static void test_start_while_the_store_is_away(void **state)
 {
 	static const char *const seeds[] = { "10.0.0.1:7", "10.0.0.2:7", NULL };
-	struct feed_scene *scene = feed_new_scene_from(seeds);
+	struct feed_fixture *scene = feed_new_fixture_with_seeds(seeds);
 
 	feed_answer(scene, feed_find_call(scene, RR_FEED_RANGE), RR_FEED_FAILED,
 		    NULL, 0, false);
@@ -404,35 +414,35 @@
 	assert_string_equal(feed_find_call(scene, RR_FEED_RANGE)->peer,
 			    seeds[1]);
 	feed_answer_ok(scene, RR_FEED_RANGE, "routes3@10 r1@11", 20);
-	assert_true(rr_feed_has_read(scene->feed));
-	feed_assert_news(scene, "routes 3 +r1 ");
+	assert_true(rr_feed_has_synced(scene->feed));
+	feed_assert_events(scene, "routes 3 +r1 ");
 	/* The store is back, with what has changed meanwhile. */
-	feed_pass(scene, 2000 * MS);
+	feed_advance(scene, 2000 * MS);
 	assert_null(feed_find_call(scene, RR_FEED_WATCH)->peer);
 	assert_int_equal(feed_find_call(scene, RR_FEED_WATCH)->after_revision,
 			 20);
-	feed_drop_scene(scene);
+	feed_drop_fixture(scene);
 }
 
 /* One that has fallen behind must not unlist what came after. */
 static void test_an_older_copy_is_left_out(void **state)
 {
 	static const char *const seeds[] = { "10.0.0.1:7", NULL };
-	struct feed_scene *scene = feed_new_scene_from(seeds);
+	struct feed_fixture *scene = feed_new_fixture_with_seeds(seeds);
 
 	feed_answer_ok(scene, RR_FEED_RANGE, "routes3@10 inst1@9 r1@11 r2@19",
 		       20);
-	feed_assert_news(scene, "routes 3 +r1 +r2 ");
+	feed_assert_events(scene, "routes 3 +r1 +r2 ");
 	feed_answer(scene, feed_find_call(scene, RR_FEED_WATCH),
-		    RR_FEED_FORGOTTEN, NULL, 0, false);
+		    RR_FEED_COMPACTED, NULL, 0, false);
 	feed_answer(scene, feed_find_call(scene, RR_FEED_RANGE), RR_FEED_FAILED,
 		    NULL, 0, false);
 	assert_non_null(feed_find_call(scene, RR_FEED_RANGE)->peer);
 	feed_answer_ok(scene, RR_FEED_RANGE, "routes3@10 r1@11", 15);
-	feed_assert_news(scene, "");
-	feed_pass(scene, 300 * MS);
+	feed_assert_events(scene, "");
+	feed_advance(scene, 300 * MS);
 	assert_null(feed_find_call(scene, RR_FEED_RANGE)->peer);
-	feed_drop_scene(scene);
+	feed_drop_fixture(scene);
 }
 
 int main(void)
--- a/tests/test-feed-source.c
+++ b/tests/test-feed-source.c
@@ -50,7 +50,7 @@
 		.strength = strength,
 	};
 
-	rr_note_source(scene->sources, scene->now_us, id, &instance);
+	rr_update_source(scene->sources, scene->now_us, id, &instance);
 }
 
 static const char *pick(struct scene *scene)
@@ -62,7 +62,8 @@
 
 static void give_up_on(struct scene *scene, const char *address)
 {
-	rr_source_failed(scene->ctx, scene->sources, address, scene->now_us);
+	rr_mark_source_failed(scene->ctx, scene->sources, address,
+			      scene->now_us);
 }
 
 /*
@@ -84,13 +85,13 @@
 		note(&scene, "far", "b", 9);
 		note(&scene, "weaker", "a", 0.5);
 		assert_string_equal(pick(&scene), "");
-		rr_allow_following(scene.sources);
-		assert_true(rr_sources_follow(scene.sources));
+		rr_enable_peer_sources(scene.sources);
+		assert_true(rr_prefers_peer_source(scene.sources));
 		assert_string_equal(pick(&scene), "strong1");
 		entered_first +=
-			!strcmp(rr_find_enterer(scene.sources, 0), "strong1");
-		assert_string_not_equal(rr_find_enterer(scene.sources, 0),
-					rr_find_enterer(scene.sources, 1));
+			!strcmp(rr_find_registrar(scene.sources, 0), "strong1");
+		assert_string_not_equal(rr_find_registrar(scene.sources, 0),
+					rr_find_registrar(scene.sources, 1));
 		assert_int_equal(rr_count_watchers(scene.sources), 2);
 		stop(&scene);
 		g_free(name);
@@ -106,19 +107,19 @@
 	note(&scene, "strong2", "a", 3);
 	note(&scene, "strong1", "a", 4); /* its own entry, read back */
 	note(&scene, "weak", "a", 1);
-	rr_allow_following(scene.sources);
-	assert_false(rr_sources_follow(scene.sources));
+	rr_enable_peer_sources(scene.sources);
+	assert_false(rr_prefers_peer_source(scene.sources));
 	assert_string_equal(pick(&scene), "");
-	assert_null(rr_find_enterer(scene.sources, 0));
+	assert_null(rr_find_registrar(scene.sources, 0));
 	stop(&scene);
 	/* The second asks the first for news, and enters itself as well. */
 	start(&scene, "strong2", 3, NULL);
 	note(&scene, "strong1", "a", 4);
 	note(&scene, "weak", "a", 1);
 	note(&scene, "weaker", "a", 0.5);
-	rr_allow_following(scene.sources);
+	rr_enable_peer_sources(scene.sources);
 	assert_string_equal(pick(&scene), "strong1");
-	assert_null(rr_find_enterer(scene.sources, 0));
+	assert_null(rr_find_registrar(scene.sources, 0));
 	stop(&scene);
 }
 
@@ -144,7 +145,7 @@
 	note(&scene, "far1", "b", 9);
 	note(&scene, "far2", "c", 9);
 	note(&scene, "far3", "d", 9);
-	rr_allow_following(scene.sources);
+	rr_enable_peer_sources(scene.sources);
 	for (guint i = 0; i < G_N_ELEMENTS(near); i++) {
 		assert_string_equal(pick(&scene), near[i]);
 		give_up_on(&scene, near[i]);
@@ -180,7 +181,7 @@
 	note(&scene, "fourth", "a", 6);
 	note(&scene, "weak", "a", 1);
 	note(&scene, "far1", "b", 9);
-	rr_allow_following(scene.sources);
+	rr_enable_peer_sources(scene.sources);
 	assert_string_equal(pick(&scene), "first");
 	give_up_on(&scene, "first");
 	assert_string_equal(pick(&scene), "second");
@@ -188,7 +189,7 @@
 	assert_string_equal(pick(&scene), "");
 	give_up_on(&scene, "");
 	assert_string_equal(pick(&scene), "fourth");
-	assert_false(rr_source_may_be_told(scene.sources, "fourth"));
+	assert_false(rr_may_serve_changes_from(scene.sources, "fourth"));
 	give_up_on(&scene, "fourth");
 	assert_string_equal(pick(&scene), "far1");
 	give_up_on(&scene, "far1");
@@ -214,7 +215,7 @@
 		note(scene, other, "a", 1);
 		g_free(other);
 	}
-	rr_allow_following(scene->sources);
+	rr_enable_peer_sources(scene->sources);
 	g_free(name);
 }
 
@@ -283,10 +284,10 @@
 	note(&scene, "c", "a", 0.5);
 	note(&scene, "far1", "b", 1);
 	note(&scene, "far2", "b", 2);
-	rr_allow_following(scene.sources);
+	rr_enable_peer_sources(scene.sources);
 	assert_string_equal(pick(&scene), "a");
 	assert_int_equal(rr_count_watchers(scene.sources), 2);
-	assert_string_equal(rr_find_enterer(scene.sources, 1), "a");
+	assert_string_equal(rr_find_registrar(scene.sources, 1), "a");
 	give_up_on(&scene, "a");
 	assert_string_equal(pick(&scene), "");
 	give_up_on(&scene, "");
@@ -297,9 +298,9 @@
 	start(&scene, "a", 1.5, NULL);
 	note(&scene, "b", "a", 1);
 	note(&scene, "c", "a", 0.5);
-	rr_allow_following(scene.sources);
+	rr_enable_peer_sources(scene.sources);
 	assert_string_equal(pick(&scene), "");
-	assert_false(rr_sources_follow(scene.sources));
+	assert_false(rr_prefers_peer_source(scene.sources));
 	stop(&scene);
 }
 
@@ -314,7 +315,7 @@
 
 		start_in_zone(&scene, i, n);
 		assert_false(
-			rr_source_may_be_told(scene.sources, pick(&scene)));
+			rr_may_serve_changes_from(scene.sources, pick(&scene)));
 		stop(&scene);
 	}
 }
@@ -374,8 +375,8 @@
 			name[0] = (char)('a' + other);
 			note(&scene, name, "a", 0.12);
 		}
-		rr_allow_following(scene.sources);
-		first_of_all += !rr_sources_follow(scene.sources);
+		rr_enable_peer_sources(scene.sources);
+		first_of_all += !rr_prefers_peer_source(scene.sources);
 		stop(&scene);
 	}
 	assert_int_equal(first_of_all, 1);
@@ -396,15 +397,15 @@
 	note(&scene, "strong1", "a", 5);
 	note(&scene, "strong2", "a", 4);
 	note(&scene, "weaker", "a", 0.5);
-	rr_allow_following(scene.sources);
-	rr_note_source(scene.sources, scene.now_us, "strong1", NULL);
+	rr_enable_peer_sources(scene.sources);
+	rr_update_source(scene.sources, scene.now_us, "strong1", NULL);
 	scene.now_us += 11000 * MS;
 	assert_string_equal(pick(&scene), "strong1");
 	/* It enters again; later it goes for good. */
 	note(&scene, "strong1", "a", 5);
 	scene.now_us += 11000 * MS;
 	assert_string_equal(pick(&scene), "strong1");
-	rr_note_source(scene.sources, scene.now_us, "strong1", NULL);
+	rr_update_source(scene.sources, scene.now_us, "strong1", NULL);
 	scene.now_us += 12000 * MS;
 	assert_string_equal(pick(&scene), "strong2");
 	stop(&scene);
@@ -419,14 +420,14 @@
 	note(&scene, "strong1", "a", 5);
 	note(&scene, "strong2", "a", 4);
 	note(&scene, "weaker", "a", 0.5);
-	rr_allow_following(scene.sources);
+	rr_enable_peer_sources(scene.sources);
 	assert_string_equal(pick(&scene), "strong1");
 	give_up_on(&scene, "strong1");
 	note(&scene, "weak2", "a", 1);
 	assert_string_equal(pick(&scene), "strong2");
 	give_up_on(&scene, "strong2");
 	assert_string_not_equal(pick(&scene), "strong1");
-	rr_note_source(scene.sources, scene.now_us, "strong1", NULL);
+	rr_update_source(scene.sources, scene.now_us, "strong1", NULL);
 	scene.now_us += 12000 * MS;
 	assert_string_equal(pick(&scene), "strong2");
 	stop(&scene);
--- a/tests/test-platform-entries.c
+++ b/tests/test-platform-entries.c
@@ -55,8 +55,9 @@
 {
 	struct rr_feed_item *item = g_new0(struct rr_feed_item, 1);
 
-	item->replica = rr_decode_listing(id, text, length, &item->fault);
-	assert_true(!item->replica == !!item->fault);
+	item->replica =
+		rr_decode_listing(id, text, length, &item->decode_error);
+	assert_true(!item->replica == !!item->decode_error);
 	return item;
 }
 
@@ -210,7 +211,7 @@
 		.zone = (char *)"z",
 		.address = (char *)"10.0.0.1:80",
 		.strength = 0.25,
-		.born_ms = 1700000000000,
+		.started_ms = 1700000000000,
 	};
 	char *text = rr_encode_instance(&entry);
 	const char *fault;
@@ -221,7 +222,7 @@
 	assert_string_equal(instance->zone, "z");
 	assert_string_equal(instance->address, "10.0.0.1:80");
 	assert_true(instance->strength == 0.25);
-	assert_int_equal(instance->born_ms, 1700000000000);
+	assert_int_equal(instance->started_ms, 1700000000000);
 	rr_free_instance(instance);
 	g_free(text);
 }
@@ -256,9 +257,10 @@
 				      bool packed, bool takes_packed)
 {
 	struct rr_news_call call = { .after = 1, .packed = takes_packed };
-	GArray *items = g_array_new(FALSE, FALSE, sizeof(struct rr_news_item));
-	struct rr_news_item item = {
-		.key = key, .value = value, .packed = packed, .revision = 2
+	GArray *items =
+		g_array_new(FALSE, FALSE, sizeof(struct rr_feed_change));
+	struct rr_feed_change item = {
+		.key = key, .value = value, .compressed = packed, .revision = 2
 	};
 	struct rr_feed_reply reply = { 0 };
 	GString *body;
@@ -266,7 +268,7 @@
 	g_array_append_val(items, item);
 	item.key = "servers/next";
 	item.value = NULL;
-	item.packed = false;
+	item.compressed = false;
 	item.revision = 3;
 	g_array_append_val(items, item);
 	body = rr_encode_news(&call, items, 3);
@@ -297,7 +299,7 @@
 		assert_int_equal(reply.items->len, 2);
 		item = g_ptr_array_index(reply.items, 0);
 		assert_string_equal(item->key, keys[i]);
-		assert_non_null(item->fault);
+		assert_non_null(item->decode_error);
 		g_ptr_array_unref(reply.items);
 	}
 }
@@ -324,7 +326,7 @@
 		assert_int_equal(reply.status, RR_FEED_OK);
 		item = g_ptr_array_index(reply.items, 0);
 		assert_null(item->replica);
-		assert_non_null(item->fault);
+		assert_non_null(item->decode_error);
 		assert_non_null(item->value);
 		g_ptr_array_unref(reply.items);
 	}
@@ -373,12 +375,12 @@
 	item = g_ptr_array_index(reply.items, 0);
 	assert_int_equal(item->kind, RR_FEED_EVACUATION);
 	assert_string_equal(item->id, "athi");
-	assert_null(item->fault);
+	assert_null(item->decode_error);
 	item = g_ptr_array_index(reply.items, 1);
-	assert_string_equal(item->fault, "its key names no zone");
+	assert_string_equal(item->decode_error, "its key names no zone");
 	item = g_ptr_array_index(reply.items, 2);
 	assert_string_equal(item->id, "ruaraka");
-	assert_string_equal(item->fault, "no object");
+	assert_string_equal(item->decode_error, "no object");
 	g_ptr_array_unref(reply.items);
 }
 
@@ -396,14 +398,14 @@
 				     .zone = (char *)"z",
 				     .address = (char *)"10.0.0.1:7",
 				     .strength = 0.12,
-				     .born_ms = 5 };
+				     .started_ms = 5 };
 	gpointer entries[] = { &entry };
 	gpointer ids[] = { (char *)"front-2" };
 	GPtrArray entered = { .pdata = entries, .len = 1 };
 	GPtrArray removed = { .pdata = ids, .len = 1 };
-	const struct rr_feed_call enter = { .kind = RR_FEED_ENTER,
+	const struct rr_feed_call enter = { .kind = RR_FEED_WRITE_ENTRIES,
 					    .peer = "10.0.0.2:7",
-					    .entered = &entered,
+					    .added = &entered,
 					    .removed = &removed };
 	GString *bytes = rr_encode_feed_call(&enter, "10.0.0.2:7");
 	struct rr_entry_call *call =
@@ -419,7 +421,7 @@
 	assert_string_equal(read->id, "front-1");
 	assert_string_equal(read->address, "10.0.0.1:7");
 	assert_true(read->strength == 0.12);
-	assert_int_equal(read->born_ms, 5);
+	assert_int_equal(read->started_ms, 5);
 	assert_string_equal(g_ptr_array_index(call->removed, 0), "front-2");
 	rr_free_entry_call(call);
 	g_string_free(bytes, TRUE);
--- a/tests/test-platform-formats.c
+++ b/tests/test-platform-formats.c
@@ -39,11 +39,11 @@
 	const struct rr_feed_call watch = { .kind = RR_FEED_WATCH,
 					    .after_revision = 411,
 					    .wait_ms = 20000 };
-	const struct rr_feed_call grant = { .kind = RR_FEED_GRANT,
+	const struct rr_feed_call grant = { .kind = RR_FEED_LEASE_GRANT,
 					    .ttl_ms = 3000 };
-	const struct rr_feed_call keep = { .kind = RR_FEED_KEEP,
+	const struct rr_feed_call keep = { .kind = RR_FEED_LEASE_RENEW,
 					   .lease = 77120 };
-	const struct rr_feed_call leave = { .kind = RR_FEED_LEAVE,
+	const struct rr_feed_call leave = { .kind = RR_FEED_LEASE_REVOKE,
 					    .lease = 77120 };
 
 	assert_call(&range, "GET /v1/kv-range?prefix= HTTP/1.1\r\n", "");
@@ -66,9 +66,9 @@
 				     .zone = (char *)"z" };
 	gpointer entries[] = { &entry };
 	GPtrArray entered = { .pdata = entries, .len = 1 };
-	const struct rr_feed_call enter = { .kind = RR_FEED_ENTER,
+	const struct rr_feed_call enter = { .kind = RR_FEED_WRITE_ENTRIES,
 					    .lease = 5,
-					    .entered = &entered };
+					    .added = &entered };
 	GString *bytes = rr_encode_feed_call(&enter, "s:1");
 
 	assert_true(g_str_has_prefix(bytes->str, "POST /v1/kv-txn HTTP/1.1"));
@@ -82,9 +82,9 @@
 static void test_old_copies(void **state)
 {
 	const struct rr_feed_call old = { .kind = RR_FEED_RANGE,
-					  .may_be_old = true };
+					  .allow_stale = true };
 	const struct rr_feed_call page = { .kind = RR_FEED_RANGE,
-					   .may_be_old = true,
+					   .allow_stale = true,
 					   .after_key = "servers/i" };
 
 	(void)state;
@@ -171,15 +171,16 @@
 {
 	struct rr_feed_reply reply;
 
-	reply = decode(RR_FEED_GRANT, 200, "{\"lease\":77120,\"ttlMs\":3000}");
+	reply = decode(RR_FEED_LEASE_GRANT, 200,
+		       "{\"lease\":77120,\"ttlMs\":3000}");
 	assert_int_equal(reply.status, RR_FEED_OK);
 	assert_int_equal(reply.lease, 77120);
-	reply = decode(RR_FEED_KEEP, 404, "{}");
+	reply = decode(RR_FEED_LEASE_RENEW, 404, "{}");
 	assert_int_equal(reply.status, RR_FEED_NO_LEASE);
-	reply = decode(RR_FEED_ENTER, 404, "{}");
+	reply = decode(RR_FEED_WRITE_ENTRIES, 404, "{}");
 	assert_int_equal(reply.status, RR_FEED_NO_LEASE);
 	reply = decode(RR_FEED_WATCH, 410, "");
-	assert_int_equal(reply.status, RR_FEED_FORGOTTEN);
+	assert_int_equal(reply.status, RR_FEED_COMPACTED);
 }
 
 /* Whatever is no such answer changes nothing and is tried again. */
@@ -197,9 +198,9 @@
 		{ RR_FEED_RANGE, 200, "{\"items\":[3],\"storeRevision\":3}" },
 		{ RR_FEED_WATCH, 200, "{\"items\":[],\"storeRevision\":3}" },
 		{ RR_FEED_WATCH, 404, "" },
-		{ RR_FEED_GRANT, 200, "{}" },
-		{ RR_FEED_KEEP, 429, "" },
-		{ RR_FEED_ENTER, 412, "{}" },
+		{ RR_FEED_LEASE_GRANT, 200, "{}" },
+		{ RR_FEED_LEASE_RENEW, 429, "" },
+		{ RR_FEED_WRITE_ENTRIES, 412, "{}" },
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
@@ -307,11 +308,12 @@
 /* An instance answers another in the store's own words. */
 static void test_news_of_instances(void **state)
 {
-	struct rr_news_item changes[] = {
+	struct rr_feed_change changes[] = {
 		{ .key = "servers/i1", .value = "e30=", .revision = 8 },
 		{ .key = "op/config", .revision = 9 },
 	};
-	GArray *items = g_array_new(FALSE, FALSE, sizeof(struct rr_news_item));
+	GArray *items =
+		g_array_new(FALSE, FALSE, sizeof(struct rr_feed_change));
 	struct rr_feed_call asked = { .kind = RR_FEED_WATCH,
 				      .after_revision = 7,
 				      .wait_ms = 750 };
@@ -372,14 +374,15 @@
 static struct rr_feed_reply pass_on(const struct rr_feed_item *item,
 				    bool packed, size_t *bytes)
 {
-	struct rr_news_item news = {
+	struct rr_feed_change news = {
 		.key = item->key,
 		.value = item->value,
-		.packed = item->packed,
+		.compressed = item->compressed,
 		.revision = item->revision,
 	};
 	struct rr_news_call call = { .packed = packed };
-	GArray *items = g_array_new(FALSE, FALSE, sizeof(struct rr_news_item));
+	GArray *items =
+		g_array_new(FALSE, FALSE, sizeof(struct rr_feed_change));
 	struct rr_feed_reply reply;
 	GString *body;
 
@@ -464,7 +467,7 @@
 
 	(void)state;
 	assert_null(only_item(&reply)->routes);
-	assert_non_null(only_item(&reply)->fault);
+	assert_non_null(only_item(&reply)->decode_error);
 	assert_string_equal(only_item(&reply)->value, "e30=");
 	g_ptr_array_unref(reply.items);
 }
--- a/tests/test-random.c
+++ b/tests/test-random.c
@@ -36,8 +36,8 @@
 	service->retry_budget = 0.2;
 	if (index == 1) {
 		service->answer = RR_ANSWER_LATENCY;
-		service->enough = revision % 2 ? 0.8 : 0.5;
-		service->wait_ms = 10;
+		service->min_coverage = revision % 2 ? 0.8 : 0.5;
+		service->straggler_wait_ms = 10;
 	}
 	if (index == 2)
 		service->idempotent = false;
@@ -47,7 +47,7 @@
 		struct rr_shard_config *shard = &service->shards[s];
 
 		shard->name = g_strdup_printf("shard-%d", s);
-		shard->yard = g_strdup_printf("yard-%d", s / 2);
+		shard->public_name = g_strdup_printf("yard-%d", s / 2);
 		shard->key_from = (uint64_t)s * KEYS_PER_SHARD;
 		shard->key_to = (uint64_t)(s + 1) * KEYS_PER_SHARD;
 		shard->n_replicas = N_REPLICAS;
--- a/tests/test-settings.c
+++ b/tests/test-settings.c
@@ -170,13 +170,14 @@
 	assert_int_equal(desk->slots, 5);
 	assert_int_equal(desk->max_rows, 7);
 	assert_int_equal(desk->n_shards, 1);
-	assert_string_equal(desk->shards[0].yard, "north");
+	assert_string_equal(desk->shards[0].public_name, "north");
 	assert_int_equal(desk->shards[0].n_replicas, 1);
 	assert_string_equal(desk->shards[0].replicas[0].id, "b");
 	assert_string_equal(desk->shards[0].replicas[0].zone, "z2");
 	assert_string_equal(desk->shards[0].replicas[0].address, "10.0.0.9:80");
 	assert_int_equal(config->services[1].deadline_ms, 500);
-	assert_string_equal(config->services[1].shards[0].yard, "load-1");
+	assert_string_equal(config->services[1].shards[0].public_name,
+			    "load-1");
 	assert_true(config->services[1].shards[0].key_to == UINT64_C(1) << 63);
 	rr_drop_config(config);
 	g_ptr_array_unref(faults);
