--- a/bench/ledger.c
+++ b/bench/ledger.c
@@ -123,7 +123,7 @@
 	instance->ctx = rr_new_context(&ctx_options);
 	instance->client =
 		(struct fake_client){ run->store, take_reply, instance };
-	options.store = fake_port(&instance->client);
+	options.store = fake_client_port(&instance->client);
 	instance->ledger = rr_new_ledger(instance->ctx, &options);
 	instance->started = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						  g_free, g_free);
@@ -149,7 +149,7 @@
 static void swap_own_key(struct instance *instance, uint64_t call_id,
 			 uint64_t number, uint64_t revision, const char *value)
 {
-	struct rr_store_port port = fake_port(&instance->client);
+	struct rr_store_port port = fake_client_port(&instance->client);
 	char *key = g_strdup_printf("%p/%" PRIu64, (void *)instance, number);
 
 	port.compare_and_swap(port.data, call_id, key, revision, value,
@@ -217,7 +217,7 @@
 		struct pending *pending;
 
 		if (fake_store_due_us(store) <= wake_us)
-			run_fake_event(store);
+			run_fake_store_event(store);
 		store->now_us = MAX(store->now_us, wake_us);
 		pending = g_queue_peek_head(&run->running);
 		if (pending && pending->due_us <= store->now_us)
--- a/bench/policy/model.c
+++ b/bench/policy/model.c
@@ -69,7 +69,7 @@
 		return;
 	}
 	g_array_append_val(result->latencies_us, latency_us);
-	result->shards_needed += answer->n_covered + answer->n_lacking;
+	result->shards_needed += answer->n_covered + answer->n_missing;
 	result->shards_covered += answer->n_covered;
 	if (answer->outcome == RR_COMPLETE && latency_us <= DEADLINE_MS * MS)
 		result->answered_in_time++;
@@ -133,8 +133,9 @@
 	if (query->measured && !query->list)
 		model->result->asked++;
 	model->asking = query;
-	*query_id = rr_core_request(model->ctx, model->core, model->now_us,
-				    WALL_START_US + model->now_us, request);
+	*query_id =
+		rr_core_handle_request(model->ctx, model->core, model->now_us,
+				       WALL_START_US + model->now_us, request);
 	request->request_id = NULL;
 	if (model->asking) {
 		g_hash_table_insert(model->queries, query_id, query);
--- a/bench/policy/upstream.c
+++ b/bench/policy/upstream.c
@@ -72,7 +72,8 @@
 
 	if (post->reply.n_ranges)
 		post->reply.ranges = &post->range;
-	rr_core_reply(model->ctx, model->core, model->now_us, &post->reply);
+	rr_core_handle_reply(model->ctx, model->core, model->now_us,
+			     &post->reply);
 	rr_drop_rows(post->reply.rows);
 	g_free(post);
 	after_event(model);
@@ -125,13 +126,13 @@
 
 		if (job->limit &&
 		    rr_count_rows(post->reply.rows) == job->limit) {
-			post->reply.more = true;
+			post->reply.has_more = true;
 			break;
 		}
 		rr_append_row(post->reply.rows, key, text, (size_t)length);
 	}
 	post->reply.row_count = (uint32_t)rr_count_rows(post->reply.rows);
-	post->reply.end_mark = true;
+	post->reply.body_complete = true;
 }
 
 static void end_job(struct job *job)
@@ -334,7 +335,7 @@
 		health.state = RR_UPSTREAM_DOWN;
 	else if (upstream->cold_until_us > model->now_us)
 		health.state = RR_UPSTREAM_COLD;
-	rr_core_health(model->ctx, model->core, model->now_us, &health);
+	rr_core_handle_health(model->ctx, model->core, model->now_us, &health);
 	after_event(model);
 }
 
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -165,8 +165,8 @@
 				.map_epoch = 1,
 			};
 
-			rr_core_health(bench->ctx, bench->core, bench->now_us,
-				       &health);
+			rr_core_handle_health(bench->ctx, bench->core,
+					      bench->now_us, &health);
 		}
 	}
 	rr_drop_config(config);
@@ -188,8 +188,8 @@
 		.body = "{\"text\":\"old nairobi red\"}",
 	};
 
-	rr_core_request(bench->ctx, bench->core, bench->now_us,
-			1700000000000000, &request);
+	rr_core_handle_request(bench->ctx, bench->core, bench->now_us,
+			       1700000000000000, &request);
 }
 
 static struct rr_rows *make_rows(uint64_t key_from, uint32_t n)
@@ -219,11 +219,12 @@
 			.n_ranges = 1,
 			.rows = make_rows(sent.key_from, rows_each),
 			.row_count = rows_each,
-			.end_mark = true,
+			.body_complete = true,
 			.state = RR_UPSTREAM_READY,
 		};
 
-		rr_core_reply(bench->ctx, bench->core, bench->now_us, &reply);
+		rr_core_handle_reply(bench->ctx, bench->core, bench->now_us,
+				     &reply);
 		rr_drop_rows(reply.rows);
 	}
 	g_array_set_size(bench->sent, 0);
--- a/fuzz/upstream.c
+++ b/fuzz/upstream.c
@@ -22,7 +22,7 @@
 
 static void check_reply(const struct rr_reply *reply)
 {
-	if (!reply->end_mark || !reply->version ||
+	if (!reply->body_complete || !reply->version ||
 	    reply->row_count != rr_count_rows(reply->rows))
 		abort();
 	for (size_t i = 0; i < rr_count_rows(reply->rows); i++) {
--- a/include/ragwort/attempt.h
+++ b/include/ragwort/attempt.h
@@ -67,8 +67,8 @@
 	size_t n_ranges;
 	struct rr_rows *rows; /* the core keeps a reference if it needs one */
 	uint32_t row_count;   /* as the upstream counted them */
-	bool end_mark;	      /* the body was whole */
-	bool more;	      /* row_limit cut the rows */
+	bool body_complete;   /* the body was whole */
+	bool has_more;	      /* row_limit cut the rows */
 	enum rr_upstream_state state;
 	double load; /* 0 to 1 as reported; negative: not told */
 	uint32_t retry_after_ms;
--- a/include/ragwort/core.h
+++ b/include/ragwort/core.h
@@ -11,7 +11,7 @@
  *   rr_core_wake_us() tells when rr_core_tick() is due.
  * - Callbacks may run inside any event function.  They must not call the core
  *   back; replies are handed in afterwards.
- * - Every attempt sent is answered by exactly one rr_core_reply() unless it
+ * - Every attempt sent is answered by exactly one rr_core_handle_reply() unless it
  *   was cancelled; extra, late or foreign replies are counted and dropped.
  */
 #ifndef RAGWORT_CORE_H
@@ -37,18 +37,20 @@
 	 */
 	void (*cancel_attempt)(void *data, uint64_t attempt_id);
 	/* Answer a caller; exactly once for each query id. */
-	void (*answer)(void *data, const struct rr_answer *answer);
+	void (*send_answer)(void *data, const struct rr_answer *answer);
 	/* Send a message to a peer; the message is the core's. */
-	void (*send_peer)(void *data, const char *instance, const char *address,
-			  const struct rr_peer_message *message);
-	/* Ask a replica for its health; rr_core_health() gives the answer. */
+	void (*send_peer_message)(void *data, const char *instance,
+				  const char *address,
+				  const struct rr_peer_message *message);
+	/* Ask a replica for its health; rr_core_handle_health() gives the answer. */
 	void (*poll_health)(void *data, const char *replica,
 			    const char *address);
 	/*
 	 * A record of a revision higher than any before came from a peer; the
 	 * carrier parses it and calls rr_core_set_config().
 	 */
-	void (*config_record)(void *data, const char *record, size_t length);
+	void (*apply_config_record)(void *data, const char *record,
+				    size_t length);
 	void *data;
 };
 
@@ -97,9 +99,9 @@
  * answer callback, possibly before this returns (the id is then in
  * answer->query_id).  Strings are copied.
  */
-uint64_t rr_core_request(struct rr_context *ctx, struct rr_core *core,
-			 int64_t now_us, int64_t wall_us,
-			 const struct rr_request *request);
+uint64_t rr_core_handle_request(struct rr_context *ctx, struct rr_core *core,
+				int64_t now_us, int64_t wall_us,
+				const struct rr_request *request);
 
 /*
  * The caller left.  Reads are withdrawn everywhere; a reservation that was
@@ -108,15 +110,17 @@
 void rr_core_cancel(struct rr_context *ctx, struct rr_core *core,
 		    int64_t now_us, uint64_t query_id);
 
-void rr_core_reply(struct rr_context *ctx, struct rr_core *core, int64_t now_us,
-		   const struct rr_reply *reply);
-void rr_core_health(struct rr_context *ctx, struct rr_core *core,
-		    int64_t now_us, const struct rr_health *health);
-void rr_core_store_reply(struct rr_context *ctx, struct rr_core *core,
-			 int64_t now_us, const struct rr_store_reply *reply);
+void rr_core_handle_reply(struct rr_context *ctx, struct rr_core *core,
+			  int64_t now_us, const struct rr_reply *reply);
+void rr_core_handle_health(struct rr_context *ctx, struct rr_core *core,
+			   int64_t now_us, const struct rr_health *health);
+void rr_core_handle_store_reply(struct rr_context *ctx, struct rr_core *core,
+				int64_t now_us,
+				const struct rr_store_reply *reply);
 /* A message from a peer; the core copies what it keeps. */
-void rr_core_peer(struct rr_context *ctx, struct rr_core *core, int64_t now_us,
-		  int64_t wall_us, const struct rr_peer_message *message);
+void rr_core_handle_peer_message(struct rr_context *ctx, struct rr_core *core,
+				 int64_t now_us, int64_t wall_us,
+				 const struct rr_peer_message *message);
 /*
  * The platform's list of instances or the seed peers: hints, late and
  * possibly wrong; members are believed live only once they answered.
@@ -141,10 +145,10 @@
 void rr_core_drain(struct rr_context *ctx, struct rr_core *core,
 		   int64_t now_us);
 /* Whether a draining core has nothing left in flight. */
-bool rr_core_drained(const struct rr_core *core);
+bool rr_core_is_drained(const struct rr_core *core);
 
 /* Whether callers may be sent here; else *reason (static) says why not. */
-bool rr_core_ready(const struct rr_core *core, const char **reason);
+bool rr_core_is_ready(const struct rr_core *core, const char **reason);
 
 uint64_t rr_core_config_revision(const struct rr_core *core);
 
@@ -153,7 +157,7 @@
  * configuration record: the first by rendezvous hash over the usable
  * members.  Views differ for a moment; then one more or one less watches.
  */
-bool rr_core_watches_config(const struct rr_core *core, uint32_t per_zone);
+bool rr_core_is_config_watcher(const struct rr_core *core, uint32_t per_zone);
 
 /* Append the state for `ragwort status` as a JSON object. */
 void rr_core_format_status(const struct rr_core *core, int64_t now_us,
--- a/include/ragwort/coverage.h
+++ b/include/ragwort/coverage.h
@@ -33,8 +33,8 @@
  * The first hole in `within`: false when there is none, else true with the
  * hole in *hole.
  */
-bool rr_first_hole(const struct rr_coverage *coverage,
-		   struct rr_key_range within, struct rr_key_range *hole);
+bool rr_find_first_gap(const struct rr_coverage *coverage,
+		       struct rr_key_range within, struct rr_key_range *hole);
 void rr_clear_coverage(struct rr_coverage *coverage);
 
 #endif
--- a/include/ragwort/gather.h
+++ b/include/ragwort/gather.h
@@ -16,7 +16,7 @@
 struct rr_top_records {
 	uint8_t *records; /* room for `most` */
 	size_t n;
-	size_t most;
+	size_t capacity;
 };
 
 void rr_init_top_records(struct rr_top_records *top, size_t most);
@@ -32,16 +32,16 @@
 struct rr_gather_state {
 	int64_t now_us;
 	/* An answer that leaves later misses the latency objective. */
-	int64_t cut_us;
+	int64_t answer_by_us;
 	size_t parts;
-	size_t in;	/* answered well */
-	size_t lacking; /* nothing more can come */
+	size_t answered; /* answered well */
+	size_t failed;	 /* nothing more can come */
 	/*
 	 * Of those that may still come: at replicas that do not answer, so
 	 * that nothing is expected from them.
 	 */
-	size_t hopeless;
-	size_t least; /* parts that an answer must have */
+	size_t unreachable;
+	size_t required; /* parts that an answer must have */
 };
 
 enum rr_gather_step {
@@ -51,7 +51,7 @@
 };
 
 /* Parts that an answer of `parts` must have for this share of them. */
-size_t rr_least_parts(size_t parts, double least_share);
+size_t rr_required_parts(size_t parts, double least_share);
 
 /*
  * Whether to go on waiting.  What an answer is worth grows with the square
--- a/include/ragwort/peer.h
+++ b/include/ragwort/peer.h
@@ -57,7 +57,7 @@
 struct rr_relay_outcome {
 	char *shard;
 	bool covered;
-	enum rr_lack_reason reason; /* where not covered */
+	enum rr_missing_reason reason; /* where not covered */
 	/* Proof that no attempt was made for it, or that all were refused. */
 	bool not_run;
 	uint64_t oldest_version;
--- a/include/ragwort/request.h
+++ b/include/ragwort/request.h
@@ -39,22 +39,22 @@
 };
 
 /* Why a shard is lacking from an answer. */
-enum rr_lack_reason {
-	RR_LACK_NONE,
-	RR_LACK_NO_REPLICA, /* none known, or all known to be down */
-	RR_LACK_DEADLINE,   /* no reply in time */
-	RR_LACK_SHED,	    /* refused by its replicas: too busy */
-	RR_LACK_LOST,	    /* connection lost, no second attempt possible */
-	RR_LACK_VERSION,    /* does not hold the answer's index version */
-	RR_LACK_TRUNCATED,  /* only incomplete replies came */
-	RR_LACK_MOVED,	    /* its keys were moving between shards */
-	RR_LACK_UNREACHABLE_ZONE, /* no way to its availability zone */
-	RR_LACK_ENOUGH,		  /* latency mode: enough others were covered */
-	RR_LACK_REASON_COUNT,
+enum rr_missing_reason {
+	RR_MISSING_NONE,
+	RR_MISSING_NO_REPLICA, /* none known, or all known to be down */
+	RR_MISSING_DEADLINE,   /* no reply in time */
+	RR_MISSING_SHED,       /* refused by its replicas: too busy */
+	RR_MISSING_LOST,       /* connection lost, no second attempt possible */
+	RR_MISSING_VERSION,    /* does not hold the answer's index version */
+	RR_MISSING_TRUNCATED,  /* only incomplete replies came */
+	RR_MISSING_MOVED,      /* its keys were moving between shards */
+	RR_MISSING_UNREACHABLE_ZONE, /* no way to its availability zone */
+	RR_MISSING_MIN_COVERAGE, /* latency mode: enough others were covered */
+	RR_MISSING_REASON_COUNT,
 };
 
 /* The word for a reason in answers and logs, such as "deadline". */
-const char *rr_lack_reason_name(enum rr_lack_reason reason);
+const char *rr_missing_reason_name(enum rr_missing_reason reason);
 
 enum rr_outcome {
 	RR_COMPLETE, /* all shards covered; a reservation ran */
@@ -70,10 +70,10 @@
 /* The reason of RR_INVALID that callers get as 404. */
 #define RR_REASON_UNKNOWN_SERVICE "unknown-service"
 
-struct rr_lacking {
+struct rr_missing_shard {
 	const char *shard;
-	const char *yard;
-	enum rr_lack_reason reason;
+	const char *public_name;
+	enum rr_missing_reason reason;
 };
 
 /* One block of rows and which of them the answer takes. */
@@ -93,11 +93,11 @@
 	uint64_t map_epoch;
 	const struct rr_answer_row *rows; /* in key order */
 	size_t n_rows;
-	bool rows_cut;		    /* more rows matched than max_rows */
+	bool has_more;		    /* more rows matched than max_rows */
 	const char *const *covered; /* names of shards */
 	size_t n_covered;
-	const struct rr_lacking *lacking;
-	size_t n_lacking;
+	const struct rr_missing_shard *missing;
+	size_t n_missing;
 	const char *result; /* RR_RESERVE: the upstream's JSON */
 	bool replayed;	    /* RR_RESERVE: recorded by an earlier request */
 	const char *next_cursor; /* RR_LIST: NULL after the last page */
--- a/include/ragwort/store.h
+++ b/include/ragwort/store.h
@@ -2,7 +2,7 @@
  * store.h - the platform's key-value service as the core sees it: a port of
  * callbacks, so that an adapter or a fake can stand behind it.
  *
- * Every call is answered exactly once by rr_core_store_reply(), also when the
+ * Every call is answered exactly once by rr_core_handle_store_reply(), also when the
  * service is down (RR_STORE_UNAVAILABLE or RR_STORE_UNKNOWN).
  */
 #ifndef RAGWORT_STORE_H
--- a/source/base/error.c
+++ b/source/base/error.c
@@ -9,22 +9,22 @@
 	return g_quark_from_static_string("ragwort-error");
 }
 
-const char *rr_lack_reason_name(enum rr_lack_reason reason)
+const char *rr_missing_reason_name(enum rr_missing_reason reason)
 {
-	static const char *const names[RR_LACK_REASON_COUNT] = {
-		[RR_LACK_NONE] = "none",
-		[RR_LACK_NO_REPLICA] = "no-replica",
-		[RR_LACK_DEADLINE] = "deadline",
-		[RR_LACK_SHED] = "shed",
-		[RR_LACK_LOST] = "lost",
-		[RR_LACK_VERSION] = "version-not-held",
-		[RR_LACK_TRUNCATED] = "truncated",
-		[RR_LACK_MOVED] = "moved",
-		[RR_LACK_UNREACHABLE_ZONE] = "zone-unreachable",
-		[RR_LACK_ENOUGH] = "enough",
+	static const char *const names[RR_MISSING_REASON_COUNT] = {
+		[RR_MISSING_NONE] = "none",
+		[RR_MISSING_NO_REPLICA] = "no-replica",
+		[RR_MISSING_DEADLINE] = "deadline",
+		[RR_MISSING_SHED] = "shed",
+		[RR_MISSING_LOST] = "lost",
+		[RR_MISSING_VERSION] = "version-not-held",
+		[RR_MISSING_TRUNCATED] = "truncated",
+		[RR_MISSING_MOVED] = "moved",
+		[RR_MISSING_UNREACHABLE_ZONE] = "zone-unreachable",
+		[RR_MISSING_MIN_COVERAGE] = "enough",
 	};
 
-	if ((unsigned int)reason >= RR_LACK_REASON_COUNT)
+	if ((unsigned int)reason >= RR_MISSING_REASON_COUNT)
 		return "invalid";
 	return names[reason];
 }
--- a/source/core/admission.c
+++ b/source/core/admission.c
@@ -20,10 +20,10 @@
 				const struct rr_service *service)
 {
 	const struct rr_service_map *map = service->map;
-	int64_t typical_us = rr_sketch_quantile_us(&service->times, 0.5);
+	int64_t typical_us = rr_sketch_quantile_us(&service->latencies, 0.5);
 	uint64_t lanes = 0;
 
-	if (!service->n_waiting)
+	if (!service->n_queued)
 		return 0;
 	if (!typical_us)
 		typical_us = GUESSED_ATTEMPT_US;
@@ -31,11 +31,12 @@
 		for (size_t j = 0; j < map->shards[i].n_replicas; j++) {
 			struct rr_replica *replica = map->shards[i].replicas[j];
 
-			if (replica->owned && rr_replica_usable(core, replica))
+			if (replica->owned &&
+			    rr_is_replica_usable(core, replica))
 				lanes += rr_replica_limit(core, replica);
 		}
 	}
-	return (int64_t)(service->n_waiting / MAX(1, lanes)) * typical_us;
+	return (int64_t)(service->n_queued / MAX(1, lanes)) * typical_us;
 }
 
 static uint32_t whole_ms(int64_t us)
@@ -43,9 +44,11 @@
 	return (uint32_t)MAX(1, us / 1000);
 }
 
-const char *rr_refuse_request(struct rr_core *core, struct rr_service *service,
-			      enum rr_priority priority, uint32_t deadline_ms,
-			      uint32_t *retry_after_ms)
+const char *rr_check_query_admission(struct rr_core *core,
+				     struct rr_service *service,
+				     enum rr_priority priority,
+				     uint32_t deadline_ms,
+				     uint32_t *retry_after_ms)
 {
 	const struct rr_service_config *config = service->map->service;
 	uint32_t most_batch = MAX(
@@ -53,11 +56,11 @@
 	int64_t bound_us = (int64_t)deadline_ms * 1000 / QUEUE_PART;
 	int64_t wait_us;
 
-	*retry_after_ms = RR_DEFAULT_RETRY_MS;
+	*retry_after_ms = RR_DEFAULT_RETRY_AFTER_MS;
 	if (core->switches.no_admission)
 		return NULL;
 	if (service->n_open >= config->max_open_requests) {
-		wait_us = rr_sketch_quantile_us(&service->times, 0.5);
+		wait_us = rr_sketch_quantile_us(&service->latencies, 0.5);
 		*retry_after_ms = whole_ms(MAX(wait_us * 4, 20000));
 		return "overloaded";
 	}
--- a/source/core/answer.c
+++ b/source/core/answer.c
@@ -11,15 +11,16 @@
 static void list_shards(const struct rr_query *query, struct shard_lists *lists)
 {
 	lists->covered = g_ptr_array_new();
-	lists->lacking = g_array_new(FALSE, FALSE, sizeof(struct rr_lacking));
+	lists->lacking =
+		g_array_new(FALSE, FALSE, sizeof(struct rr_missing_shard));
 	for (size_t i = 0; i < query->n_tasks; i++) {
 		const struct rr_task *task = &query->tasks[i];
 		const struct rr_shard_config *shard =
 			query->map->shards[task->shard].config;
-		struct rr_lacking lacking = {
+		struct rr_missing_shard lacking = {
 			.shard = shard->name,
-			.yard = shard->public_name ? shard->public_name :
-						     shard->name,
+			.public_name = shard->public_name ? shard->public_name :
+							    shard->name,
 			.reason = task->reason,
 		};
 
@@ -56,9 +57,9 @@
 {
 	/* A caller who hears "not run" sends again, or sells elsewhere. */
 	rr_invariant("not-run",
-		     answer->outcome != RR_NOT_RUN || !query->n_unproven);
+		     answer->outcome != RR_NOT_RUN || !query->n_maybe_run);
 	rr_invariant("true-coverage",
-		     answer->outcome != RR_COMPLETE || !answer->n_lacking);
+		     answer->outcome != RR_COMPLETE || !answer->n_missing);
 	rr_invariant("right-answer", !query->answered);
 }
 
@@ -69,7 +70,7 @@
 	       RR_FIELD_U64("query", answer->query_id),
 	       RR_FIELD_STRING("outcome", rr_outcome_name(answer->outcome)),
 	       RR_FIELD_U64("covered", answer->n_covered),
-	       RR_FIELD_U64("lacking", answer->n_lacking),
+	       RR_FIELD_U64("lacking", answer->n_missing),
 	       RR_FIELD_U64("attempts", answer->attempts),
 	       RR_FIELD_I64("elapsed_us", answer->elapsed_us),
 	       RR_FIELD_STRING("reason", answer->reason));
@@ -80,8 +81,8 @@
 	return outcome == RR_NOT_RUN || outcome == RR_UNKNOWN;
 }
 
-void rr_hand_answer(struct rr_context *ctx, struct rr_core *core,
-		    struct rr_query *query, struct rr_answer *answer)
+void rr_deliver_answer(struct rr_context *ctx, struct rr_core *core,
+		       struct rr_query *query, struct rr_answer *answer)
 {
 	struct shard_lists lists;
 
@@ -90,22 +91,22 @@
 	answer->request_id = query->request_id;
 	answer->covered = (const char *const *)lists.covered->pdata;
 	answer->n_covered = lists.covered->len;
-	answer->lacking = (const struct rr_lacking *)lists.lacking->data;
-	answer->n_lacking = lists.lacking->len;
+	answer->missing = (const struct rr_missing_shard *)lists.lacking->data;
+	answer->n_missing = lists.lacking->len;
 	answer->elapsed_us = core->now_us - query->started_us;
 	answer->attempts = query->attempts;
 	if (needs_retry_time(answer->outcome) && !answer->retry_after_ms)
 		answer->retry_after_ms = query->retry_after_ms ?
 						 query->retry_after_ms :
-						 RR_DEFAULT_RETRY_MS;
+						 RR_DEFAULT_RETRY_AFTER_MS;
 	check_answer(query, answer);
 	query->answered = true;
-	if (!query->silent) {
+	if (!query->cancelled) {
 		count_outcome(ctx, answer->outcome);
 		rr_observe_latency(ctx, query->service->name,
 				   answer->elapsed_us);
 		log_finish(ctx, answer);
-		core->actions.answer(core->actions.data, answer);
+		core->actions.send_answer(core->actions.data, answer);
 	}
 	g_ptr_array_unref(lists.covered);
 	g_array_unref(lists.lacking);
@@ -124,18 +125,18 @@
 		.map_epoch = answered ? query->pin_epoch : 0,
 		.rows = (const struct rr_answer_row *)rows->data,
 		.n_rows = rows->len,
-		.rows_cut = query->rows_cut || query->n_rows > rows->len,
+		.has_more = query->has_more || query->n_rows > rows->len,
 	};
 
-	rr_hand_answer(ctx, core, query, &answer);
+	rr_deliver_answer(ctx, core, query, &answer);
 	g_array_unref(rows);
 	rr_end_query(ctx, core, query);
 }
 
-void rr_answer_refused(struct rr_context *ctx, struct rr_core *core,
-		       const struct rr_request *request, uint64_t id,
-		       enum rr_outcome outcome, const char *reason,
-		       uint32_t retry_after_ms)
+void rr_answer_rejected(struct rr_context *ctx, struct rr_core *core,
+			const struct rr_request *request, uint64_t id,
+			enum rr_outcome outcome, const char *reason,
+			uint32_t retry_after_ms)
 {
 	struct rr_answer answer = {
 		.query_id = id,
@@ -152,5 +153,5 @@
 	       RR_FIELD_STRING("outcome", rr_outcome_name(outcome)),
 	       RR_FIELD_U64("retry_after_ms", retry_after_ms),
 	       RR_FIELD_STRING("reason", reason));
-	core->actions.answer(core->actions.data, &answer);
+	core->actions.send_answer(core->actions.data, &answer);
 }
--- a/source/core/attempt.c
+++ b/source/core/attempt.c
@@ -3,13 +3,13 @@
  */
 #include "core/core-private.h"
 
-static void add_live(struct rr_task *task, struct rr_attempt_run *attempt)
+static void add_live(struct rr_task *task, struct rr_live_attempt *attempt)
 {
 	g_assert(task->n_live < RR_MAX_LIVE_ATTEMPTS);
 	task->live[task->n_live++] = attempt;
 }
 
-static void remove_live(struct rr_task *task, struct rr_attempt_run *attempt)
+static void remove_live(struct rr_task *task, struct rr_live_attempt *attempt)
 {
 	for (uint32_t i = 0; i < task->n_live; i++) {
 		if (task->live[i] != attempt)
@@ -20,34 +20,34 @@
 }
 
 /* Attempts wait by deadline: the oldest first, as deadlines are alike. */
-static void enqueue(struct rr_attempt_run *attempt)
+static void enqueue(struct rr_live_attempt *attempt)
 {
 	struct rr_replica *replica = attempt->replica;
-	GQueue *queue = &replica->waiting[attempt->query->priority];
+	GQueue *queue = &replica->queues[attempt->query->priority];
 	GList *after = queue->tail;
 
 	while (after &&
-	       ((struct rr_attempt_run *)after->data)->query->deadline_us >
+	       ((struct rr_live_attempt *)after->data)->query->deadline_us >
 		       attempt->query->deadline_us)
 		after = after->prev;
 	if (after) {
 		g_queue_insert_after(queue, after, attempt);
-		attempt->link = after->next;
+		attempt->queue_link = after->next;
 	} else {
 		g_queue_push_head(queue, attempt);
-		attempt->link = queue->head;
+		attempt->queue_link = queue->head;
 	}
-	replica->service->n_waiting++;
+	replica->service->n_queued++;
 }
 
-static void dequeue(struct rr_attempt_run *attempt)
+static void dequeue(struct rr_live_attempt *attempt)
 {
 	struct rr_replica *replica = attempt->replica;
 
-	g_queue_delete_link(&replica->waiting[attempt->query->priority],
-			    attempt->link);
-	attempt->link = NULL;
-	replica->service->n_waiting--;
+	g_queue_delete_link(&replica->queues[attempt->query->priority],
+			    attempt->queue_link);
+	attempt->queue_link = NULL;
+	replica->service->n_queued--;
 }
 
 void rr_queue_attempt(struct rr_context *ctx, struct rr_core *core,
@@ -55,7 +55,7 @@
 		      size_t replica_index, bool hedge)
 {
 	struct rr_task *entry = &query->tasks[task];
-	struct rr_attempt_run *attempt = g_new0(struct rr_attempt_run, 1);
+	struct rr_live_attempt *attempt = g_new0(struct rr_live_attempt, 1);
 
 	attempt->id = rr_next_id(core);
 	attempt->query = query;
@@ -63,21 +63,21 @@
 	attempt->replica_index = replica_index;
 	attempt->replica = rr_keep_replica(
 		query->map->shards[entry->shard].replicas[replica_index]);
-	attempt->status = RR_ATTEMPT_WAITING;
+	attempt->status = RR_ATTEMPT_QUEUED;
 	attempt->hedge = hedge;
-	attempt->made_us = core->now_us;
+	attempt->created_us = core->now_us;
 	add_live(entry, attempt);
 	g_hash_table_insert(core->attempts, &attempt->id, attempt);
 	enqueue(attempt);
-	rr_want_pump(core, attempt->replica);
+	rr_schedule_dispatch(core, attempt->replica);
 }
 
 /* Take an attempt out of all tables and free it. */
-static void end_attempt(struct rr_core *core, struct rr_attempt_run *attempt)
+static void end_attempt(struct rr_core *core, struct rr_live_attempt *attempt)
 {
 	struct rr_replica *replica = attempt->replica;
 
-	if (attempt->status == RR_ATTEMPT_WAITING) {
+	if (attempt->status == RR_ATTEMPT_QUEUED) {
 		dequeue(attempt);
 	} else {
 		replica->in_flight--;
@@ -86,22 +86,22 @@
 	}
 	remove_live(&attempt->query->tasks[attempt->task], attempt);
 	g_hash_table_remove(core->attempts, &attempt->id);
-	rr_want_pump(core, replica);
+	rr_schedule_dispatch(core, replica);
 	rr_drop_replica(replica);
 	g_free(attempt);
 }
 
-void rr_discard_attempt(struct rr_core *core, struct rr_attempt_run *attempt)
+void rr_discard_attempt(struct rr_core *core, struct rr_live_attempt *attempt)
 {
 	end_attempt(core, attempt);
 }
 
-void rr_withdraw_run(struct rr_context *ctx, struct rr_core *core,
-		     struct rr_attempt_run *attempt)
+void rr_cancel_live_attempt(struct rr_context *ctx, struct rr_core *core,
+			    struct rr_live_attempt *attempt)
 {
 	/* A hedge that never left its queue cost nothing. */
-	if (attempt->hedge && attempt->status == RR_ATTEMPT_WAITING)
-		attempt->query->service->hedges.tokens += 1;
+	if (attempt->hedge && attempt->status == RR_ATTEMPT_QUEUED)
+		attempt->query->service->hedge_budget.tokens += 1;
 	if (attempt->status == RR_ATTEMPT_SENT) {
 		rr_count(ctx, RR_N_WITHDRAWN, 1);
 		core->actions.cancel_attempt(core->actions.data, attempt->id);
@@ -109,19 +109,19 @@
 	end_attempt(core, attempt);
 }
 
-void rr_flush_replica(struct rr_context *ctx, struct rr_core *core,
-		      struct rr_replica *replica)
+void rr_return_queued_attempts(struct rr_context *ctx, struct rr_core *core,
+			       struct rr_replica *replica)
 {
-	for (int i = 0; i < RR_CLASSES; i++) {
-		while (replica->waiting[i].length) {
-			struct rr_attempt_run *attempt =
-				g_queue_peek_head(&replica->waiting[i]);
+	for (int i = 0; i < RR_PRIORITY_COUNT; i++) {
+		while (replica->queues[i].length) {
+			struct rr_live_attempt *attempt =
+				g_queue_peek_head(&replica->queues[i]);
 			struct rr_query *query = attempt->query;
 			uint32_t task = attempt->task;
 
 			end_attempt(core, attempt);
-			rr_fail_task(ctx, core, query, task, RR_LACK_NONE,
-				     true);
+			rr_handle_task_failure(ctx, core, query, task,
+					       RR_MISSING_NONE, true);
 		}
 	}
 }
@@ -130,17 +130,18 @@
 {
 	if (query->origin)
 		return query->row_limit;
-	return query->kind == RR_LIST ? rr_list_limit(query) : query->max_rows;
+	return query->kind == RR_LIST ? rr_list_row_limit(query) :
+					query->max_rows;
 }
 
 static void set_attempt_timers(struct rr_core *core,
-			       const struct rr_attempt_run *attempt)
+			       const struct rr_live_attempt *attempt)
 {
 	const struct rr_query *query = attempt->query;
 	const struct rr_service_config *config = query->map->service;
 
 	/* A sent reservation has no time-out: it runs to its outcome. */
-	if (query->guarded)
+	if (query->at_most_once)
 		return;
 	rr_set_timer(core->timers,
 		     core->now_us + (int64_t)config->attempt_timeout_ms * 1000,
@@ -149,26 +150,26 @@
 		rr_set_hedge_timer(core, attempt);
 }
 
-static void count_sent(struct rr_context *ctx, struct rr_attempt_run *attempt)
+static void count_sent(struct rr_context *ctx, struct rr_live_attempt *attempt)
 {
 	struct rr_query *query = attempt->query;
 	struct rr_task *task = &query->tasks[attempt->task];
 
 	rr_count(ctx, RR_N_ATTEMPTS, 1);
 	query->attempts++;
-	query->n_unproven++;
+	query->n_maybe_run++;
 	task->attempts++;
-	task->n_unproven++;
+	task->n_maybe_run++;
 	if (attempt->hedge)
 		rr_count(ctx, RR_N_HEDGES, 1);
 	if (attempt->hedge || task->attempts > 1)
 		return;
-	rr_earn_token(&query->service->hedges);
-	rr_earn_token(&query->service->retries);
+	rr_earn_token(&query->service->hedge_budget);
+	rr_earn_token(&query->service->retry_budget);
 }
 
 static void send_attempt(struct rr_context *ctx, struct rr_core *core,
-			 struct rr_attempt_run *attempt)
+			 struct rr_live_attempt *attempt)
 {
 	struct rr_query *query = attempt->query;
 	struct rr_task *task = &query->tasks[attempt->task];
@@ -200,7 +201,7 @@
 	rr_invariant("drain",
 		     !replica->draining_since_us ||
 			     core->now_us - replica->draining_since_us <=
-				     RR_DRAIN_BOUND_US);
+				     RR_DRAIN_GRACE_US);
 	dequeue(attempt);
 	attempt->status = RR_ATTEMPT_SENT;
 	attempt->sent_us = core->now_us;
@@ -214,16 +215,16 @@
 }
 
 /* The batch class has a share of the slots, and at least one. */
-static struct rr_attempt_run *next_waiting(const struct rr_replica *replica,
-					   uint32_t limit)
+static struct rr_live_attempt *next_waiting(const struct rr_replica *replica,
+					    uint32_t limit)
 {
-	struct rr_attempt_run *attempt =
-		g_queue_peek_head((GQueue *)&replica->waiting[RR_INTERACTIVE]);
+	struct rr_live_attempt *attempt =
+		g_queue_peek_head((GQueue *)&replica->queues[RR_INTERACTIVE]);
 	double share;
 
 	if (attempt)
 		return attempt;
-	attempt = g_queue_peek_head((GQueue *)&replica->waiting[RR_BATCH]);
+	attempt = g_queue_peek_head((GQueue *)&replica->queues[RR_BATCH]);
 	if (!attempt)
 		return NULL;
 	share = attempt->query->map->service->batch_share * limit;
@@ -233,7 +234,7 @@
 
 /* The replica's index in the attempt's shard, if it may take the attempt. */
 static bool may_take(const struct rr_replica *replica,
-		     const struct rr_attempt_run *attempt, size_t *index)
+		     const struct rr_live_attempt *attempt, size_t *index)
 {
 	const struct rr_query *query = attempt->query;
 	const struct rr_task *task = &query->tasks[attempt->task];
@@ -251,8 +252,8 @@
 		if (shard->replicas[i] != replica)
 			continue;
 		*index = i;
-		return !(task->tried >> i & 1) &&
-		       !(task->without_version >> i & 1);
+		return !(task->tried_mask >> i & 1) &&
+		       !(task->no_version_mask >> i & 1);
 	}
 	return false;
 }
@@ -268,16 +269,17 @@
 
 	for (size_t i = 0; i < shard->n_replicas; i++) {
 		struct rr_replica *other = shard->replicas[i];
-		struct rr_attempt_run *attempt =
-			g_queue_peek_head(&other->waiting[RR_INTERACTIVE]);
+		struct rr_live_attempt *attempt =
+			g_queue_peek_head(&other->queues[RR_INTERACTIVE]);
 		size_t index;
 
 		if (other == replica || !attempt ||
 		    other->in_flight < rr_replica_limit(core, other) ||
 		    !may_take(replica, attempt, &index) ||
-		    (replica->set_aside_until_us > core->now_us &&
-		     !rr_is_slow_time(replica, (double)(core->now_us -
-							attempt->made_us))))
+		    (replica->ejected_until_us > core->now_us &&
+		     !rr_is_outlier_latency(
+			     replica,
+			     (double)(core->now_us - attempt->created_us))))
 			continue;
 		dequeue(attempt);
 		rr_drop_replica(other);
@@ -292,38 +294,38 @@
 static bool may_send(const struct rr_core *core,
 		     const struct rr_replica *replica)
 {
-	return rr_replica_usable(core, replica) &&
+	return rr_is_replica_usable(core, replica) &&
 	       !replica->draining_since_us &&
 	       replica->shed_until_us <= core->now_us;
 }
 
-void rr_pump_replica(struct rr_context *ctx, struct rr_core *core,
-		     struct rr_replica *replica)
+void rr_dispatch_queued_attempts(struct rr_context *ctx, struct rr_core *core,
+				 struct rr_replica *replica)
 {
 	uint32_t limit;
 
 	if (!may_send(core, replica)) {
-		rr_flush_replica(ctx, core, replica);
+		rr_return_queued_attempts(ctx, core, replica);
 		return;
 	}
 	limit = rr_replica_limit(core, replica);
 	while (replica->in_flight < limit) {
-		struct rr_attempt_run *attempt = next_waiting(replica, limit);
+		struct rr_live_attempt *attempt = next_waiting(replica, limit);
 
 		if (attempt) {
 			send_attempt(ctx, core, attempt);
 			continue;
 		}
-		if (!replica->owned || replica->waiting[RR_BATCH].length ||
+		if (!replica->owned || replica->queues[RR_BATCH].length ||
 		    !take_from_sibling(core, replica))
 			return;
 	}
 }
 
-void rr_time_out_attempt(struct rr_context *ctx, struct rr_core *core,
-			 uint64_t attempt_id)
+void rr_handle_attempt_timeout(struct rr_context *ctx, struct rr_core *core,
+			       uint64_t attempt_id)
 {
-	struct rr_attempt_run *attempt =
+	struct rr_live_attempt *attempt =
 		g_hash_table_lookup(core->attempts, &attempt_id);
 	struct rr_query *query;
 	uint32_t task;
@@ -333,8 +335,8 @@
 	query = attempt->query;
 	task = attempt->task;
 	rr_count(ctx, RR_N_LOST, 1);
-	query->tasks[task].tried |= 1ull << (attempt->replica_index & 63);
-	rr_note_loss(ctx, core, attempt->replica);
-	rr_withdraw_run(ctx, core, attempt);
-	rr_fail_task(ctx, core, query, task, RR_LACK_LOST, false);
+	query->tasks[task].tried_mask |= 1ull << (attempt->replica_index & 63);
+	rr_record_loss(ctx, core, attempt->replica);
+	rr_cancel_live_attempt(ctx, core, attempt);
+	rr_handle_task_failure(ctx, core, query, task, RR_MISSING_LOST, false);
 }
--- a/source/core/choose.c
+++ b/source/core/choose.c
@@ -65,7 +65,7 @@
 static bool is_set_aside(const struct rr_core *core,
 			 const struct rr_replica *replica)
 {
-	return replica->set_aside_until_us > core->now_us &&
+	return replica->ejected_until_us > core->now_us &&
 	       !core->switches.no_outliers;
 }
 
@@ -79,7 +79,7 @@
 {
 	return query->pin_version && replica->newest_version &&
 	       replica->newest_version < query->pin_version &&
-	       core->now_us - replica->versions_told_us < BEHIND_US;
+	       core->now_us - replica->versions_updated_us < BEHIND_US;
 }
 
 static uint32_t tier_of(const struct rr_core *core,
@@ -104,26 +104,26 @@
 			 struct rr_task *task, size_t i,
 			 struct rr_replica *replica, struct choice *choice)
 {
-	if (!rr_replica_usable(core, replica) || is_live_on(task, replica))
+	if (!rr_is_replica_usable(core, replica) || is_live_on(task, replica))
 		return false;
 	/* What is sent from here goes by all that is known here. */
 	if (replica->draining_since_us && (replica->owned || query->origin))
 		return false;
 	if (query->pin_version &&
-	    (task->without_version >> i & 1 ||
+	    (task->no_version_mask >> i & 1 ||
 	     replica->oldest_version > query->pin_version)) {
 		choice->saw_version = true;
 		return false;
 	}
-	if (task->tried >> i & 1) {
+	if (task->tried_mask >> i & 1) {
 		choice->saw_tried = true;
 		return false;
 	}
 	rr_refresh_owners(core, replica);
 	/* A relay is not passed on: only own replicas, or the one named. */
-	if (query->origin && !replica->owned && i != task->named_replica)
+	if (query->origin && !replica->owned && i != task->requested_replica)
 		return false;
-	if (!rr_replica_reachable(core, query, replica)) {
+	if (!rr_is_replica_reachable(core, query, replica)) {
 		choice->saw_unreachable = true;
 		return false;
 	}
@@ -188,18 +188,18 @@
 	keep_best_tier(core, query, shard, choice, near_is_free);
 }
 
-static enum rr_lack_reason why_none(const struct rr_task *task,
-				    const struct choice *choice)
+static enum rr_missing_reason why_none(const struct rr_task *task,
+				       const struct choice *choice)
 {
 	if (choice->saw_shed)
-		return RR_LACK_SHED;
+		return RR_MISSING_SHED;
 	if (choice->saw_version)
-		return RR_LACK_VERSION;
-	if (choice->saw_tried && task->reason != RR_LACK_NONE)
+		return RR_MISSING_VERSION;
+	if (choice->saw_tried && task->reason != RR_MISSING_NONE)
 		return task->reason;
 	if (choice->saw_unreachable)
-		return RR_LACK_UNREACHABLE_ZONE;
-	return RR_LACK_NO_REPLICA;
+		return RR_MISSING_UNREACHABLE_ZONE;
+	return RR_MISSING_NO_REPLICA;
 }
 
 /* An estimate that is old says little: the replica may be well again. */
@@ -209,7 +209,7 @@
 {
 	if (!replica->samples)
 		return typical_us;
-	if (core->now_us - replica->last_good_us < FRESH_US)
+	if (core->now_us - replica->last_success_us < FRESH_US)
 		return replica->latency_us;
 	return MIN(replica->latency_us, NEW_FACTOR * typical_us);
 }
@@ -236,8 +236,8 @@
 	uint32_t outstanding = replica->in_flight;
 	double wait_us;
 
-	for (int i = 0; i < RR_CLASSES; i++)
-		outstanding += replica->waiting[i].length;
+	for (int i = 0; i < RR_PRIORITY_COUNT; i++)
+		outstanding += replica->queues[i].length;
 	wait_us = latency_us * queue_factor(replica, outstanding);
 	if (replica->state == RR_UPSTREAM_COLD)
 		wait_us *= COLD_FACTOR;
@@ -261,7 +261,7 @@
 	const struct rr_replica *x = shard->replicas[a];
 	const struct rr_replica *y = shard->replicas[b];
 	double typical_us =
-		(double)rr_sketch_quantile_us(&query->service->times, 0.5);
+		(double)rr_sketch_quantile_us(&query->service->latencies, 0.5);
 	double wait_x;
 	double wait_y;
 
@@ -278,7 +278,7 @@
 
 size_t rr_choose_replica(struct rr_context *ctx, struct rr_core *core,
 			 struct rr_query *query, uint32_t index,
-			 enum rr_lack_reason *reason, int64_t *retry_us)
+			 enum rr_missing_reason *reason, int64_t *retry_us)
 {
 	struct rr_task *task = &query->tasks[index];
 	const struct rr_shard_map *shard = &query->map->shards[task->shard];
@@ -306,14 +306,14 @@
 /* The estimate over which a replica is an outlier; 0 while none is known. */
 static double outlier_border_us(const struct rr_replica *replica)
 {
-	double median_us =
-		(double)rr_sketch_quantile_us(&replica->service->times, 0.5);
+	double median_us = (double)rr_sketch_quantile_us(
+		&replica->service->latencies, 0.5);
 
 	return median_us > 0 ? OUTLIER_FACTOR * median_us + OUTLIER_MARGIN_US :
 			       0;
 }
 
-bool rr_is_slow_time(const struct rr_replica *replica, double took_us)
+bool rr_is_outlier_latency(const struct rr_replica *replica, double took_us)
 {
 	return took_us > outlier_border_us(replica);
 }
@@ -322,9 +322,9 @@
 {
 	double border_us = outlier_border_us(replica);
 	uint32_t samples =
-		replica->times_set_aside ? RETURNED_SAMPLES : OUTLIER_SAMPLES;
+		replica->ejection_count ? RETURNED_SAMPLES : OUTLIER_SAMPLES;
 
-	if (replica->losses_in_row >= OUTLIER_LOSSES)
+	if (replica->consecutive_losses >= OUTLIER_LOSSES)
 		return true;
 	return border_us > 0 && replica->samples >= samples &&
 	       replica->latency_us > border_us;
@@ -347,37 +347,37 @@
 				map->shards[i].replicas[j];
 
 			n++;
-			if (other->set_aside_until_us > core->now_us)
+			if (other->ejected_until_us > core->now_us)
 				aside++;
 		}
 	}
 	return aside < MAX(1, n / SET_ASIDE_PART);
 }
 
-void rr_judge_outlier(struct rr_context *ctx, struct rr_core *core,
-		      struct rr_replica *replica)
+void rr_update_outlier_ejection(struct rr_context *ctx, struct rr_core *core,
+				struct rr_replica *replica)
 {
 	if (core->switches.no_outliers || !replica->shard ||
-	    replica->set_aside_until_us > core->now_us)
+	    replica->ejected_until_us > core->now_us)
 		return;
 	if (!is_outlier(replica)) {
 		if (replica->samples % OUTLIER_SAMPLES == 0)
-			replica->times_set_aside = 0;
+			replica->ejection_count = 0;
 		return;
 	}
 	if (!may_set_aside(core, replica))
 		return;
-	replica->times_set_aside =
-		MIN(replica->times_set_aside + 1, MOST_TIMES_SET_ASIDE);
-	replica->set_aside_until_us =
-		core->now_us + SET_ASIDE_US * replica->times_set_aside;
+	replica->ejection_count =
+		MIN(replica->ejection_count + 1, MOST_TIMES_SET_ASIDE);
+	replica->ejected_until_us =
+		core->now_us + SET_ASIDE_US * replica->ejection_count;
 	rr_log(ctx, RR_LOG_DECISION, "set-aside",
 	       RR_FIELD_STRING("replica", replica->id),
 	       RR_FIELD_DOUBLE("latency_us", replica->latency_us),
 	       RR_FIELD_STRING("reason", "outlier"));
 	/* Judged anew when it is back, from the border, by what it does then. */
 	replica->samples = 0;
-	replica->losses_in_row = 0;
+	replica->consecutive_losses = 0;
 	if (outlier_border_us(replica) > 0)
 		replica->latency_us =
 			MIN(replica->latency_us, outlier_border_us(replica));
--- a/source/core/config-apply.c
+++ b/source/core/config-apply.c
@@ -45,7 +45,7 @@
 static void fill_shard(struct rr_context *ctx, struct rr_core *core,
 		       struct rr_service *service, struct rr_shard_map *shard)
 {
-	shard->path =
+	shard->owner_key =
 		g_strdup_printf("%s/%s", service->name, shard->config->name);
 	shard->n_replicas = shard->config->n_replicas;
 	shard->replicas =
@@ -87,7 +87,7 @@
 		return service;
 	service = g_new0(struct rr_service, 1);
 	service->name = g_strdup(name);
-	service->news = 1;
+	service->change_count = 1;
 	g_hash_table_insert(core->services, service->name, service);
 	g_ptr_array_add(core->service_list, service);
 	return service;
@@ -106,7 +106,7 @@
 				g_ptr_array_add(core->replica_list,
 						rr_keep_replica(replica));
 			replica->shard = shard;
-			replica->owners_view = 0;
+			replica->owners_generation = 0;
 			if (replica->limit.value < 1)
 				rr_reset_limit(&replica->limit,
 					       rr_slot_share(replica));
@@ -124,9 +124,10 @@
 {
 	double room = MAX(SMALLEST_ROOM, (double)entry->n_shards);
 
-	rr_set_token_budget(&service->hedges, entry->hedge_budget,
+	rr_set_token_budget(&service->hedge_budget, entry->hedge_budget,
 			    SMALLEST_ROOM, FIRST_HEDGES);
-	rr_set_token_budget(&service->retries, entry->retry_budget, room, room);
+	rr_set_token_budget(&service->retry_budget, entry->retry_budget, room,
+			    room);
 }
 
 static void put_service(struct rr_context *ctx, struct rr_core *core,
@@ -136,7 +137,7 @@
 	struct rr_service *service = take_service(core, entry->name);
 
 	service->map = make_map(ctx, core, service, config, entry);
-	service->news++;
+	service->change_count++;
 	set_budgets(service, entry);
 	adopt_replicas(core, service->map);
 }
@@ -170,7 +171,7 @@
 		struct rr_replica *replica = g_ptr_array_index(old, i);
 
 		if (!replica->shard) {
-			rr_flush_replica(ctx, core, replica);
+			rr_return_queued_attempts(ctx, core, replica);
 			rr_retire_replica(core, replica);
 		}
 		rr_drop_replica(replica);
@@ -215,9 +216,9 @@
 	 */
 	rr_invariant("config", core->config->revision > before ||
 				       (!before && !core->config->revision));
-	g_free(core->record);
-	core->record = g_memdup2(record, length);
-	core->record_length = record ? length : 0;
+	g_free(core->config_record);
+	core->config_record = g_memdup2(record, length);
+	core->config_record_length = record ? length : 0;
 	rr_start_ledger(ctx, core);
 	rr_refresh_members(core);
 	rr_poll_owned_replicas(ctx, core);
@@ -226,7 +227,7 @@
 	rr_log(ctx, RR_LOG_INFO, "config",
 	       RR_FIELD_U64("revision", config->revision),
 	       RR_FIELD_U64("before", before));
-	rr_settle_core(ctx, core);
+	rr_run_scheduled_work(ctx, core);
 	return true;
 }
 
@@ -246,10 +247,10 @@
 		return;
 	message = rr_start_message(core, RR_PEER_CONFIG_GET);
 	message->to_incarnation = incarnation;
-	core->asking = true;
-	core->ask_number++;
+	core->awaiting_config = true;
+	core->config_request_id++;
 	rr_set_timer(core->timers, core->now_us + ASK_PERIOD_US,
-		     RR_TIMER_CONFIG_REQUEST, core->ask_number, 0);
+		     RR_TIMER_CONFIG_REQUEST, core->config_request_id, 0);
 	rr_send_message(ctx, core, instance, address, message);
 }
 
@@ -260,7 +261,7 @@
 	    message->kind == RR_PEER_CONFIG)
 		return;
 	/* One ask at a time: news of a change comes from everyone at once. */
-	if (core->asking)
+	if (core->awaiting_config)
 		return;
 	ask_for_record(ctx, core, message->from);
 }
@@ -268,8 +269,8 @@
 void rr_fire_config_request(struct rr_context *ctx, struct rr_core *core,
 			    uint64_t number)
 {
-	if (core->asking && number == core->ask_number)
-		core->asking = false;
+	if (core->awaiting_config && number == core->config_request_id)
+		core->awaiting_config = false;
 }
 
 void rr_answer_config_get(struct rr_context *ctx, struct rr_core *core,
@@ -279,13 +280,15 @@
 	uint64_t incarnation;
 	struct rr_peer_message *reply;
 
-	if (!core->record || !rr_find_member(core->members, message->from,
-					     &address, &incarnation))
+	if (!core->config_record ||
+	    !rr_find_member(core->members, message->from, &address,
+			    &incarnation))
 		return;
 	reply = rr_start_message(core, RR_PEER_CONFIG);
 	reply->to_incarnation = message->from_incarnation;
-	reply->config_record = g_memdup2(core->record, core->record_length);
-	reply->config_length = core->record_length;
+	reply->config_record =
+		g_memdup2(core->config_record, core->config_record_length);
+	reply->config_length = core->config_record_length;
 	rr_send_message(ctx, core, message->from, address, reply);
 }
 
@@ -296,6 +299,7 @@
 		return;
 	if (message->config_revision <= rr_core_config_revision(core))
 		return;
-	core->actions.config_record(core->actions.data, message->config_record,
-				    message->config_length);
+	core->actions.apply_config_record(core->actions.data,
+					  message->config_record,
+					  message->config_length);
 }
--- a/source/core/config-watch.c
+++ b/source/core/config-watch.c
@@ -6,7 +6,7 @@
 
 #define WATCH_NAME "config-watch"
 
-bool rr_core_watches_config(const struct rr_core *core, uint32_t per_zone)
+bool rr_core_is_config_watcher(const struct rr_core *core, uint32_t per_zone)
 {
 	uint64_t weight = rr_rendezvous_weight(WATCH_NAME, core->instance);
 	uint32_t ahead = 0;
--- a/source/core/core-private.h
+++ b/source/core/core-private.h
@@ -16,18 +16,18 @@
 #include "ragwort/log.h"
 #include "ragwort/member.h"
 
-#define RR_DRAIN_BOUND_US (3 * G_USEC_PER_SEC)
+#define RR_DRAIN_GRACE_US (3 * G_USEC_PER_SEC)
 /* What an answer advises where nothing better is known. */
-#define RR_DEFAULT_RETRY_MS 1000
+#define RR_DEFAULT_RETRY_AFTER_MS 1000
 
 /* A peer as the relay path sees it. */
 struct rr_peer {
 	char *instance;
 	uint64_t highest_revision; /* it ever told */
-	int64_t heard_us;	   /* last message */
-	int64_t silent_until_us;   /* a relay timed out: left alone */
-	int64_t silence_us;	   /* of the last time */
-	uint32_t relays_out;
+	int64_t last_contact_us;   /* last message */
+	int64_t backoff_until_us;  /* a relay timed out: left alone */
+	int64_t backoff_us;	   /* of the last time */
+	uint32_t relays_in_flight;
 };
 
 /* A member in the core's own copy of the usable ones. */
@@ -49,45 +49,45 @@
 	struct rr_core_actions actions;
 	struct rr_store_port store;
 	struct rr_policy_switches switches;
-	uint64_t first_id;
-	uint64_t ids_given;
+	uint64_t id_base;
+	uint64_t ids_issued;
 	uint64_t next_call_id;
 	bool draining;
 
 	struct rr_timers *timers;
-	GHashTable *queries;  /* uint64_t -> struct rr_query */
-	GHashTable *attempts; /* uint64_t -> struct rr_attempt_run */
-	GHashTable *relays;   /* uint64_t -> struct rr_relay_run */
-	GPtrArray *touched;   /* struct rr_query to look at */
-	GPtrArray *to_pump;   /* struct rr_replica, referenced */
+	GHashTable *queries;	      /* uint64_t -> struct rr_query */
+	GHashTable *attempts;	      /* uint64_t -> struct rr_live_attempt */
+	GHashTable *relays;	      /* uint64_t -> struct rr_outgoing_relay */
+	GPtrArray *scheduled_queries; /* struct rr_query to look at */
+	GPtrArray *replicas_to_dispatch; /* struct rr_replica, referenced */
 
 	/* Configuration in force. */
 	struct rr_config *config;
 	int64_t config_set_us; /* when it was put in force */
-	char *record;
-	size_t record_length;
-	uint64_t ask_number;
-	bool asking;
-
-	GHashTable *services;	   /* name -> struct rr_service */
-	GPtrArray *service_list;   /* the same, in order */
-	GHashTable *replicas;	   /* id -> struct rr_replica */
-	GHashTable *replica_by_no; /* number -> struct rr_replica */
-	GPtrArray *replica_list;   /* in the order of the configuration */
+	char *config_record;
+	size_t config_record_length;
+	uint64_t config_request_id;
+	bool awaiting_config;
+
+	GHashTable *services;		/* name -> struct rr_service */
+	GPtrArray *service_list;	/* the same, in order */
+	GHashTable *replicas;		/* id -> struct rr_replica */
+	GHashTable *replicas_by_number; /* number -> struct rr_replica */
+	GPtrArray *replica_list;	/* in the order of the configuration */
 	uint64_t next_replica_number;
 
 	struct rr_members *members;
 	bool members_changed;
-	uint64_t members_view; /* grows with each new copy */
+	uint64_t members_generation; /* grows with each new copy */
 	struct rr_member_copy *member_copies;
 	struct rr_member_ref *member_refs;
 	size_t n_members;
 	GHashTable *peers; /* instance -> struct rr_peer */
 
 	/* Relays taken from peers, by name "instance/incarnation/id". */
-	GHashTable *origins; /* name -> query id, of those under way */
-	GHashTable *served;  /* names of guarded ones, kept for a while */
-	GQueue served_order; /* struct served_relay, oldest first */
+	GHashTable *relay_origins; /* name -> query id, of those under way */
+	GHashTable *served_relays; /* names of guarded ones, kept for a while */
+	GQueue served_relay_order; /* struct served_relay, oldest first */
 
 	struct rr_ledger *ledger;
 	GHashTable *claims;	 /* claim -> query id */
@@ -96,11 +96,11 @@
 
 /* core.c */
 /* End an event: advance what it touched, send what may go. */
-void rr_settle_core(struct rr_context *ctx, struct rr_core *core);
+void rr_run_scheduled_work(struct rr_context *ctx, struct rr_core *core);
 /* An id that no earlier run of this instance gave. */
 uint64_t rr_next_id(struct rr_core *core);
 /* Look at a replica's queue when the event ends. */
-void rr_want_pump(struct rr_core *core, struct rr_replica *replica);
+void rr_schedule_dispatch(struct rr_core *core, struct rr_replica *replica);
 
 /* members-view.c */
 void rr_clear_members(struct rr_core *core);
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -18,15 +18,15 @@
 #ifdef RR_MUTANT_IDS_REPEAT
 	return ++core->ids_given;
 #endif
-	return core->first_id + ++core->ids_given;
+	return core->id_base + ++core->ids_issued;
 }
 
-void rr_want_pump(struct rr_core *core, struct rr_replica *replica)
+void rr_schedule_dispatch(struct rr_core *core, struct rr_replica *replica)
 {
-	if (replica->pump_wanted)
+	if (replica->dispatch_scheduled)
 		return;
-	replica->pump_wanted = true;
-	g_ptr_array_add(core->to_pump, rr_keep_replica(replica));
+	replica->dispatch_scheduled = true;
+	g_ptr_array_add(core->replicas_to_dispatch, rr_keep_replica(replica));
 }
 
 static void send_member_message(void *data, const char *instance,
@@ -37,7 +37,8 @@
 
 	message->config_revision = rr_core_config_revision(core);
 	rr_count(core->ctx, RR_N_PEER_MESSAGES_SENT, 1);
-	core->actions.send_peer(core->actions.data, instance, address, message);
+	core->actions.send_peer_message(core->actions.data, instance, address,
+					message);
 }
 
 static void note_members_changed(void *data)
@@ -71,19 +72,20 @@
 	core->relays = g_hash_table_new(g_int64_hash, g_int64_equal);
 	core->claims = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 					     g_free, NULL);
-	core->touched = g_ptr_array_new();
-	core->to_pump = g_ptr_array_new();
+	core->scheduled_queries = g_ptr_array_new();
+	core->replicas_to_dispatch = g_ptr_array_new();
 	core->services = g_hash_table_new(g_str_hash, g_str_equal);
 	core->service_list = g_ptr_array_new();
 	core->replicas = g_hash_table_new(g_str_hash, g_str_equal);
-	core->replica_by_no = g_hash_table_new(g_int64_hash, g_int64_equal);
+	core->replicas_by_number =
+		g_hash_table_new(g_int64_hash, g_int64_equal);
 	core->replica_list = g_ptr_array_new();
 	core->peers = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					    rr_free_peer);
-	core->origins =
+	core->relay_origins =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	core->served = g_hash_table_new(g_str_hash, g_str_equal);
-	g_queue_init(&core->served_order);
+	core->served_relays = g_hash_table_new(g_str_hash, g_str_equal);
+	g_queue_init(&core->served_relay_order);
 }
 
 struct rr_core *rr_new_core(struct rr_context *ctx,
@@ -101,7 +103,7 @@
 	core->actions = options->actions;
 	core->store = options->store;
 	core->switches = options->switches;
-	core->first_id = options->incarnation << ID_COUNTER_BITS;
+	core->id_base = options->incarnation << ID_COUNTER_BITS;
 	core->members_changed = true;
 	make_tables(core);
 	core->members = make_members(ctx, core);
@@ -127,8 +129,9 @@
 		rr_retire_replica(core, replica);
 		rr_drop_replica(replica);
 	}
-	for (guint i = 0; i < core->to_pump->len; i++)
-		rr_drop_replica(g_ptr_array_index(core->to_pump, i));
+	for (guint i = 0; i < core->replicas_to_dispatch->len; i++)
+		rr_drop_replica(
+			g_ptr_array_index(core->replicas_to_dispatch, i));
 	for (guint i = 0; i < core->service_list->len; i++) {
 		struct rr_service *service =
 			g_ptr_array_index(core->service_list, i);
@@ -150,7 +153,7 @@
 	rr_clear_members(core);
 	rr_drop_timers(core->timers);
 	rr_drop_served(core);
-	g_hash_table_destroy(core->origins);
+	g_hash_table_destroy(core->relay_origins);
 	g_hash_table_destroy(core->peers);
 	g_hash_table_destroy(core->queries);
 	g_hash_table_destroy(core->attempts);
@@ -158,13 +161,13 @@
 	g_hash_table_destroy(core->claims);
 	g_hash_table_destroy(core->services);
 	g_hash_table_destroy(core->replicas);
-	g_hash_table_destroy(core->replica_by_no);
-	g_ptr_array_unref(core->touched);
-	g_ptr_array_unref(core->to_pump);
+	g_hash_table_destroy(core->replicas_by_number);
+	g_ptr_array_unref(core->scheduled_queries);
+	g_ptr_array_unref(core->replicas_to_dispatch);
 	g_ptr_array_unref(core->service_list);
 	g_ptr_array_unref(core->replica_list);
 	rr_drop_config(core->config);
-	g_free(core->record);
+	g_free(core->config_record);
 	g_free(core->instance);
 	g_free(core->zone);
 	g_free(core->peer_address);
@@ -173,28 +176,29 @@
 
 static void advance_touched(struct rr_context *ctx, struct rr_core *core)
 {
-	for (guint i = 0; i < core->touched->len; i++) {
-		struct rr_query *query = g_ptr_array_index(core->touched, i);
+	for (guint i = 0; i < core->scheduled_queries->len; i++) {
+		struct rr_query *query =
+			g_ptr_array_index(core->scheduled_queries, i);
 
-		query->queued = false;
+		query->scheduled = false;
 		rr_advance_query(ctx, core, query);
-		if (query->stage == RR_QUERY_DONE && !query->queued)
+		if (query->stage == RR_QUERY_DONE && !query->scheduled)
 			rr_free_query(core, query);
 	}
-	g_ptr_array_set_size(core->touched, 0);
+	g_ptr_array_set_size(core->scheduled_queries, 0);
 }
 
 static void pump_wanted(struct rr_context *ctx, struct rr_core *core)
 {
-	for (guint i = 0; i < core->to_pump->len; i++) {
+	for (guint i = 0; i < core->replicas_to_dispatch->len; i++) {
 		struct rr_replica *replica =
-			g_ptr_array_index(core->to_pump, i);
+			g_ptr_array_index(core->replicas_to_dispatch, i);
 
-		replica->pump_wanted = false;
-		rr_pump_replica(ctx, core, replica);
+		replica->dispatch_scheduled = false;
+		rr_dispatch_queued_attempts(ctx, core, replica);
 		rr_drop_replica(replica);
 	}
-	g_ptr_array_set_size(core->to_pump, 0);
+	g_ptr_array_set_size(core->replicas_to_dispatch, 0);
 }
 
 static void follow_members(struct rr_context *ctx, struct rr_core *core)
@@ -215,17 +219,17 @@
 		rr_tick_ledger(ctx, core->ledger, core->now_us);
 }
 
-void rr_settle_core(struct rr_context *ctx, struct rr_core *core)
+void rr_run_scheduled_work(struct rr_context *ctx, struct rr_core *core)
 {
 	do {
 		tick_due_ledger(ctx, core);
 		follow_members(ctx, core);
 		advance_touched(ctx, core);
 		pump_wanted(ctx, core);
-	} while (core->touched->len || core->to_pump->len ||
-		 core->members_changed);
+	} while (core->scheduled_queries->len ||
+		 core->replicas_to_dispatch->len || core->members_changed);
 	rr_set_gauge(ctx, RR_G_OPEN_QUERIES, g_hash_table_size(core->queries));
-	rr_set_gauge(ctx, RR_G_READY, rr_core_ready(core, NULL));
+	rr_set_gauge(ctx, RR_G_READY, rr_core_is_ready(core, NULL));
 }
 
 /* Time never goes back, whatever a carrier's clock did. */
@@ -238,11 +242,11 @@
 static void fire_attempt_timer(struct rr_context *ctx, struct rr_core *core,
 			       const struct rr_timer *timer)
 {
-	struct rr_attempt_run *attempt =
+	struct rr_live_attempt *attempt =
 		g_hash_table_lookup(core->attempts, &timer->id);
 
 	if (timer->kind == RR_TIMER_ATTEMPT_TIMEOUT)
-		rr_time_out_attempt(ctx, core, timer->id);
+		rr_handle_attempt_timeout(ctx, core, timer->id);
 	else if (attempt)
 		rr_hedge_attempt(ctx, core, attempt);
 }
@@ -250,26 +254,26 @@
 static void fire_replica_timer(struct rr_context *ctx, struct rr_core *core,
 			       const struct rr_timer *timer)
 {
-	struct rr_replica *replica = rr_find_replica_number(core, timer->id);
+	struct rr_replica *replica = rr_find_replica_by_number(core, timer->id);
 
 	if (!replica)
 		return;
 	if (timer->kind == RR_TIMER_POLL)
-		rr_fire_poll(ctx, core, replica);
+		rr_handle_poll_timer(ctx, core, replica);
 	else if (timer->kind == RR_TIMER_POLL_TIMEOUT)
-		rr_fire_poll_timeout(ctx, core, replica);
+		rr_handle_poll_timeout(ctx, core, replica);
 	else
-		rr_want_pump(core, replica);
+		rr_schedule_dispatch(core, replica);
 }
 
 static void fire_retry(struct rr_core *core, struct rr_query *query,
 		       uint32_t index)
 {
 	if (index >= query->n_tasks ||
-	    query->tasks[index].status != RR_TASK_PAUSED)
+	    query->tasks[index].status != RR_TASK_BACKOFF)
 		return;
-	rr_idle_task(query, index);
-	rr_touch_query(core, query);
+	rr_enqueue_task(query, index);
+	rr_schedule_query(core, query);
 }
 
 static void fire_query_timer(struct rr_context *ctx, struct rr_core *core,
@@ -284,13 +288,13 @@
 		rr_end_query_at_deadline(ctx, core, query);
 		return;
 	case RR_TIMER_COVERAGE_WAIT:
-		rr_end_query_at_enough(ctx, core, query);
+		rr_end_query_at_min_coverage(ctx, core, query);
 		return;
 	case RR_TIMER_PROGRESS:
 		rr_tell_progress(ctx, core, query);
 		return;
 	case RR_TIMER_LINGER:
-		rr_end_lingering(ctx, core, query);
+		rr_end_lingering_query(ctx, core, query);
 		return;
 	default:
 		fire_retry(core, query, timer->index);
@@ -345,7 +349,7 @@
 	if (core->ledger)
 		rr_tick_ledger(ctx, core->ledger, core->now_us);
 	rr_tick_members(ctx, core->members, core->now_us);
-	rr_settle_core(ctx, core);
+	rr_run_scheduled_work(ctx, core);
 }
 
 int64_t rr_core_wake_us(const struct rr_core *core)
@@ -357,29 +361,30 @@
 	return MIN(wake_us, rr_members_wake_us(core->members));
 }
 
-void rr_core_reply(struct rr_context *ctx, struct rr_core *core, int64_t now_us,
-		   const struct rr_reply *reply)
+void rr_core_handle_reply(struct rr_context *ctx, struct rr_core *core,
+			  int64_t now_us, const struct rr_reply *reply)
 {
 	enter(ctx, core, now_us);
-	rr_take_reply(ctx, core, reply);
-	rr_settle_core(ctx, core);
+	rr_handle_reply(ctx, core, reply);
+	rr_run_scheduled_work(ctx, core);
 }
 
-void rr_core_health(struct rr_context *ctx, struct rr_core *core,
-		    int64_t now_us, const struct rr_health *health)
+void rr_core_handle_health(struct rr_context *ctx, struct rr_core *core,
+			   int64_t now_us, const struct rr_health *health)
 {
 	enter(ctx, core, now_us);
 	rr_handle_health_reply(ctx, core, health);
-	rr_settle_core(ctx, core);
+	rr_run_scheduled_work(ctx, core);
 }
 
-void rr_core_store_reply(struct rr_context *ctx, struct rr_core *core,
-			 int64_t now_us, const struct rr_store_reply *reply)
+void rr_core_handle_store_reply(struct rr_context *ctx, struct rr_core *core,
+				int64_t now_us,
+				const struct rr_store_reply *reply)
 {
 	enter(ctx, core, now_us);
 	if (core->ledger)
 		rr_handle_ledger_reply(ctx, core->ledger, core->now_us, reply);
-	rr_settle_core(ctx, core);
+	rr_run_scheduled_work(ctx, core);
 }
 
 static void take_message(struct rr_context *ctx, struct rr_core *core,
@@ -412,13 +417,14 @@
 {
 	struct rr_peer *peer = rr_find_peer(core, instance);
 
-	peer->heard_us = core->now_us;
-	peer->silent_until_us = 0;
-	peer->silence_us = 0;
+	peer->last_contact_us = core->now_us;
+	peer->backoff_until_us = 0;
+	peer->backoff_us = 0;
 }
 
-void rr_core_peer(struct rr_context *ctx, struct rr_core *core, int64_t now_us,
-		  int64_t wall_us, const struct rr_peer_message *message)
+void rr_core_handle_peer_message(struct rr_context *ctx, struct rr_core *core,
+				 int64_t now_us, int64_t wall_us,
+				 const struct rr_peer_message *message)
 {
 	enter(ctx, core, now_us);
 	if (!message->from || !strcmp(message->from, core->instance))
@@ -437,7 +443,7 @@
 	rr_handle_member_message(ctx, core->members, core->now_us, message);
 	rr_check_peer_config_revision(ctx, core, message);
 	take_message(ctx, core, message);
-	rr_settle_core(ctx, core);
+	rr_run_scheduled_work(ctx, core);
 }
 
 void rr_core_hint_member(struct rr_context *ctx, struct rr_core *core,
@@ -447,7 +453,7 @@
 	enter(ctx, core, now_us);
 	rr_hint_member(ctx, core->members, core->now_us, instance, zone,
 		       address);
-	rr_settle_core(ctx, core);
+	rr_run_scheduled_work(ctx, core);
 }
 
 void rr_core_hint_replica(struct rr_context *ctx, struct rr_core *core,
@@ -459,9 +465,9 @@
 	enter(ctx, core, now_us);
 	/* Only an owner would see it come back by its polls. */
 	if (entry && (entry->owned || state != RR_UPSTREAM_DOWN) &&
-	    rr_note_replica_born(ctx, entry, born_ms))
-		rr_note_state(ctx, core, entry, state, "list");
-	rr_settle_core(ctx, core);
+	    rr_update_replica_start_time(ctx, entry, born_ms))
+		rr_update_replica_state(ctx, core, entry, state, "list");
+	rr_run_scheduled_work(ctx, core);
 }
 
 void rr_core_drain(struct rr_context *ctx, struct rr_core *core, int64_t now_us)
@@ -473,10 +479,10 @@
 		       RR_FIELD_U64("open", g_hash_table_size(core->queries)));
 		rr_leave_members(ctx, core->members, core->now_us);
 	}
-	rr_settle_core(ctx, core);
+	rr_run_scheduled_work(ctx, core);
 }
 
-bool rr_core_drained(const struct rr_core *core)
+bool rr_core_is_drained(const struct rr_core *core)
 {
 #ifdef RR_MUTANT_STOP_AT_ONCE
 	return core->draining;
@@ -486,7 +492,7 @@
 	return !core->ledger || rr_ledger_idle(core->ledger);
 }
 
-bool rr_core_ready(const struct rr_core *core, const char **reason)
+bool rr_core_is_ready(const struct rr_core *core, const char **reason)
 {
 	const char *why = NULL;
 
--- a/source/core/coverage.c
+++ b/source/core/coverage.c
@@ -69,8 +69,8 @@
 	g_array_insert_val(coverage->ranges, first, range);
 }
 
-bool rr_first_hole(const struct rr_coverage *coverage,
-		   struct rr_key_range within, struct rr_key_range *hole)
+bool rr_find_first_gap(const struct rr_coverage *coverage,
+		       struct rr_key_range within, struct rr_key_range *hole)
 {
 	uint64_t key = within.from;
 	guint i = first_reaching(coverage, key);
@@ -96,7 +96,7 @@
 {
 	struct rr_key_range hole;
 
-	return !rr_first_hole(coverage, range, &hole);
+	return !rr_find_first_gap(coverage, range, &hole);
 }
 
 bool rr_covers_key(const struct rr_coverage *coverage, uint64_t key)
--- a/source/core/gate-request.c
+++ b/source/core/gate-request.c
@@ -204,11 +204,11 @@
 {
 	struct rr_gather_state state = {
 		.now_us = gate->now_us,
-		.cut_us = run->answer_by_us,
+		.answer_by_us = run->answer_by_us,
 		.parts = run->n_parts,
-		.in = run->n_answered,
-		.lacking = run->n_failed,
-		.least = run->n_required,
+		.answered = run->n_answered,
+		.failed = run->n_failed,
+		.required = run->n_required,
 	};
 
 	if (gate->now_us >= run->expires_us) {
@@ -219,7 +219,7 @@
 		return;
 	}
 	if (run->n_answered >= run->n_required)
-		state.hopeless = count_hopeless(gate, run);
+		state.unreachable = count_hopeless(gate, run);
 	switch (rr_decide_gather(&state)) {
 	case RR_GATHER_WAIT:
 		return;
@@ -323,7 +323,7 @@
 	run->parts = g_new0(struct rr_gate_part, route->n_parts);
 	for (size_t i = 0; i < route->n_parts; i++)
 		add_part(gate, run, route->parts[i].service);
-	run->n_required = rr_least_parts(route->n_parts, route->min_share);
+	run->n_required = rr_required_parts(route->n_parts, route->min_share);
 	run->signatures = g_string_new(NULL);
 	rr_init_top_records(&run->top_records, route->top_k);
 }
--- a/source/core/gate-zone.c
+++ b/source/core/gate-zone.c
@@ -447,7 +447,7 @@
 {
 	size_t least =
 		route->mode == RR_ROUTE_GATHER ?
-			rr_least_parts(route->n_parts, route->min_share) :
+			rr_required_parts(route->n_parts, route->min_share) :
 			1;
 	size_t reachable = 0;
 
--- a/source/core/gather.c
+++ b/source/core/gather.c
@@ -14,7 +14,7 @@
 {
 	top->records = g_malloc(MAX(most, 1) * RR_RECORD_BYTES);
 	top->n = 0;
-	top->most = most;
+	top->capacity = most;
 }
 
 void rr_clear_top_records(struct rr_top_records *top)
@@ -51,9 +51,9 @@
 	size_t place = place_of(top, record);
 	size_t behind;
 
-	if (place >= top->most)
+	if (place >= top->capacity)
 		return;
-	if (top->n < top->most)
+	if (top->n < top->capacity)
 		top->n++;
 	behind = top->n - 1 - place;
 	memmove(record_at(top, place + 1), record_at(top, place),
@@ -70,7 +70,7 @@
 	}
 }
 
-size_t rr_least_parts(size_t parts, double least_share)
+size_t rr_required_parts(size_t parts, double least_share)
 {
 	double least = ceil(least_share * (double)parts - SHARE_EPSILON);
 
@@ -81,15 +81,15 @@
 
 enum rr_gather_step rr_decide_gather(const struct rr_gather_state *state)
 {
-	size_t open = state->parts - state->in - state->lacking;
+	size_t open = state->parts - state->answered - state->failed;
 
-	if (state->in + open < state->least)
+	if (state->answered + open < state->required)
 		return RR_GATHER_FAIL;
 	if (!open)
 		return RR_GATHER_ANSWER;
-	if (state->in < state->least)
+	if (state->answered < state->required)
 		return RR_GATHER_WAIT;
-	if (state->now_us >= state->cut_us)
+	if (state->now_us >= state->answer_by_us)
 		return RR_GATHER_ANSWER;
-	return open > state->hopeless ? RR_GATHER_WAIT : RR_GATHER_ANSWER;
+	return open > state->unreachable ? RR_GATHER_WAIT : RR_GATHER_ANSWER;
 }
--- a/source/core/health-poll.c
+++ b/source/core/health-poll.c
@@ -18,9 +18,9 @@
 {
 	int64_t delay_us = POLL_PERIOD_US - POLL_SPREAD_US;
 
-	if (replica->polling)
+	if (replica->poll_scheduled)
 		return;
-	replica->polling = true;
+	replica->poll_scheduled = true;
 	if (at_once)
 		delay_us = 0;
 	delay_us += rr_random_below(ctx, POLL_SPREAD_US);
@@ -28,10 +28,10 @@
 		     replica->number, 0);
 }
 
-void rr_fire_poll(struct rr_context *ctx, struct rr_core *core,
-		  struct rr_replica *replica)
+void rr_handle_poll_timer(struct rr_context *ctx, struct rr_core *core,
+			  struct rr_replica *replica)
 {
-	replica->polling = false;
+	replica->poll_scheduled = false;
 	rr_refresh_owners(core, replica);
 	if (!replica->shard || !replica->owned)
 		return;
@@ -50,15 +50,16 @@
 			  struct rr_replica *replica, const char *source)
 {
 	if (++replica->poll_failures >= POLLS_UNTIL_DOWN)
-		rr_note_state(ctx, core, replica, RR_UPSTREAM_DOWN, source);
+		rr_update_replica_state(ctx, core, replica, RR_UPSTREAM_DOWN,
+					source);
 }
 
 /*
  * A poll that never comes back must not stop the polling for good: the
  * replica would be thought as it was then, for ever.
  */
-void rr_fire_poll_timeout(struct rr_context *ctx, struct rr_core *core,
-			  struct rr_replica *replica)
+void rr_handle_poll_timeout(struct rr_context *ctx, struct rr_core *core,
+			    struct rr_replica *replica)
 {
 	if (!replica->poll_pending ||
 	    core->now_us - replica->poll_sent_us < POLL_TIMEOUT_US)
@@ -81,10 +82,10 @@
 	}
 	replica->poll_failures = 0;
 	replica->reported_load = health->load;
-	rr_note_versions(core, replica, health->oldest_version,
-			 health->newest_version, health->map_epoch);
-	rr_note_state(ctx, core, replica, health->state, "health");
-	rr_want_pump(core, replica);
+	rr_update_replica_versions(core, replica, health->oldest_version,
+				   health->newest_version, health->map_epoch);
+	rr_update_replica_state(ctx, core, replica, health->state, "health");
+	rr_schedule_dispatch(core, replica);
 }
 
 void rr_poll_owned_replicas(struct rr_context *ctx, struct rr_core *core)
--- a/source/core/hedge.c
+++ b/source/core/hedge.c
@@ -16,17 +16,17 @@
 #define DEAR_MEDIANS 8.0
 
 static void look_again(struct rr_core *core,
-		       const struct rr_attempt_run *attempt, int64_t after_us)
+		       const struct rr_live_attempt *attempt, int64_t after_us)
 {
 	rr_set_timer(core->timers, core->now_us + MAX(after_us, LEAST_HEDGE_US),
 		     RR_TIMER_HEDGE, attempt->id, 0);
 }
 
 void rr_set_hedge_timer(struct rr_core *core,
-			const struct rr_attempt_run *attempt)
+			const struct rr_live_attempt *attempt)
 {
 	int64_t after_us = rr_sketch_quantile_us(
-		&attempt->query->service->times, HEDGE_QUANTILE);
+		&attempt->query->service->latencies, HEDGE_QUANTILE);
 
 	if (after_us)
 		look_again(core, attempt, after_us);
@@ -40,17 +40,17 @@
 static int64_t price_us(const struct rr_service *service)
 {
 	double dear = DEAR_MEDIANS *
-		      (double)rr_sketch_quantile_us(&service->times, 0.5);
+		      (double)rr_sketch_quantile_us(&service->latencies, 0.5);
 
 	return rr_hedge_threshold_us(
-		rr_budget_used_fraction(&service->hedges),
-		rr_sketch_quantile_us(&service->times, HEDGE_QUANTILE),
+		rr_budget_used_fraction(&service->hedge_budget),
+		rr_sketch_quantile_us(&service->latencies, HEDGE_QUANTILE),
 		(int64_t)dear);
 }
 
 static bool may_hedge(const struct rr_query *query, const struct rr_task *task)
 {
-	if (query->guarded || query->stage != RR_QUERY_RUNNING)
+	if (query->at_most_once || query->stage != RR_QUERY_RUNNING)
 		return false;
 	return task->status == RR_TASK_RUNNING && task->n_live == 1 &&
 	       !task->relay;
@@ -63,7 +63,7 @@
 	const struct rr_shard_map *shard =
 		&query->map->shards[query->tasks[index].shard];
 	const struct rr_replica *replica;
-	enum rr_lack_reason reason;
+	enum rr_missing_reason reason;
 	int64_t retry_us;
 	size_t chosen;
 
@@ -77,7 +77,7 @@
 }
 
 static void log_hedge(struct rr_context *ctx,
-		      const struct rr_attempt_run *attempt, size_t chosen)
+		      const struct rr_live_attempt *attempt, size_t chosen)
 {
 	const struct rr_query *query = attempt->query;
 	const struct rr_shard_map *shard =
@@ -93,7 +93,7 @@
 }
 
 void rr_hedge_attempt(struct rr_context *ctx, struct rr_core *core,
-		      struct rr_attempt_run *attempt)
+		      struct rr_live_attempt *attempt)
 {
 	struct rr_query *query = attempt->query;
 	size_t chosen;
@@ -106,7 +106,7 @@
 	}
 	chosen = find_other_replica(ctx, core, query, attempt->task);
 	if (chosen == RR_NO_REPLICA ||
-	    !rr_take_tokens(&query->service->hedges, 1)) {
+	    !rr_take_tokens(&query->service->hedge_budget, 1)) {
 		look_again(core, attempt, HEDGE_CHECK_US);
 		return;
 	}
--- a/source/core/list.c
+++ b/source/core/list.c
@@ -29,7 +29,7 @@
 	return true;
 }
 
-uint32_t rr_list_limit(const struct rr_query *query)
+uint32_t rr_list_row_limit(const struct rr_query *query)
 {
 	uint64_t wanted = (uint64_t)query->max_rows + query->cursor.skip;
 
@@ -120,7 +120,7 @@
 		};
 		struct rr_key_range hole;
 
-		if (!rr_first_hole(query->coverage, within, &hole))
+		if (!rr_find_first_gap(query->coverage, within, &hole))
 			continue;
 		*key = hole.from;
 		return true;
@@ -164,9 +164,9 @@
 		g_array_set_size(page->rows, query->max_rows);
 	page->next.version = query->pin_version;
 	page->next.map_epoch = query->pin_epoch;
-	if ((over || query->rows_cut) && page->rows->len) {
+	if ((over || query->has_more) && page->rows->len) {
 		set_cursor_after_row(query, page);
-	} else if (query->rows_cut) {
+	} else if (query->has_more) {
 		/* All that came was given before: the same place again. */
 		page->next = query->cursor;
 		page->next.version = query->pin_version;
@@ -194,11 +194,11 @@
 		cursor = rr_encode_cursor(query->service->name, &page.next);
 	answer.rows = (const struct rr_answer_row *)page.rows->data;
 	answer.n_rows = page.rows->len;
-	answer.rows_cut = page.has_next;
+	answer.has_more = page.has_next;
 	answer.index_version = query->pin_version;
 	answer.map_epoch = query->pin_epoch;
 	answer.next_cursor = cursor;
-	rr_hand_answer(ctx, core, query, &answer);
+	rr_deliver_answer(ctx, core, query, &answer);
 	g_free(cursor);
 	g_array_unref(page.rows);
 	rr_end_query(ctx, core, query);
@@ -206,7 +206,7 @@
 
 static bool is_page_full(const struct rr_query *query)
 {
-	return query->rows_cut ||
+	return query->has_more ||
 	       query->n_rows >= (uint64_t)query->max_rows + query->cursor.skip;
 }
 
@@ -215,16 +215,16 @@
 			       struct rr_query *query, struct rr_task *task)
 {
 	if (!query->n_covered && query->cursor.version &&
-	    task->reason == RR_LACK_VERSION) {
+	    task->reason == RR_MISSING_VERSION) {
 		answer_page(ctx, core, query, RR_GONE, "version-not-held");
 		return;
 	}
-	if (!query->n_covered && !query->n_unproven) {
+	if (!query->n_covered && !query->n_maybe_run) {
 		answer_page(ctx, core, query, RR_NOT_RUN,
-			    rr_lack_reason_name(task->reason));
+			    rr_missing_reason_name(task->reason));
 		return;
 	}
-	if (query->n_covered && task->reason == RR_LACK_DEADLINE) {
+	if (query->n_covered && task->reason == RR_MISSING_DEADLINE) {
 		/* Time is up for this page only: nothing is lacking of it. */
 		query->n_tasks--;
 		answer_page(ctx, core, query, RR_COMPLETE, NULL);
@@ -240,7 +240,7 @@
 		query->n_tasks ? &query->tasks[query->n_tasks - 1] : NULL;
 	size_t next = next_shard(query, task ? task->shard + 1 : 0);
 
-	if (task && task->status == RR_TASK_LACKING) {
+	if (task && task->status == RR_TASK_FAILED) {
 		end_before_lacking(ctx, core, query, task);
 		return;
 	}
@@ -249,5 +249,5 @@
 		return;
 	}
 	rr_add_tasks(query, next, 1);
-	rr_touch_query(core, query);
+	rr_schedule_query(core, query);
 }
--- a/source/core/members-view.c
+++ b/source/core/members-view.c
@@ -59,7 +59,7 @@
 	core->n_members = n;
 	for (size_t i = 0; i < n; i++)
 		find_address(core, &core->member_copies[i]);
-	core->members_view++;
+	core->members_generation++;
 }
 
 struct rr_peer *rr_find_peer(struct rr_core *core, const char *instance)
@@ -98,7 +98,8 @@
 		     struct rr_peer_message *message)
 {
 	rr_count(ctx, RR_N_PEER_MESSAGES_SENT, 1);
-	core->actions.send_peer(core->actions.data, instance, address, message);
+	core->actions.send_peer_message(core->actions.data, instance, address,
+					message);
 	rr_drop_peer_message(message);
 }
 
@@ -107,8 +108,8 @@
 	const struct rr_core *core = data;
 	const struct rr_peer *peer = value;
 
-	return !peer->relays_out &&
-	       core->now_us - peer->heard_us > FORGET_PEER_US;
+	return !peer->relays_in_flight &&
+	       core->now_us - peer->last_contact_us > FORGET_PEER_US;
 }
 
 void rr_forget_peers(struct rr_core *core)
--- a/source/core/merge.c
+++ b/source/core/merge.c
@@ -35,7 +35,7 @@
 
 	if (range.from >= range.to)
 		return false;
-	if (!rr_first_hole(coverage, range, &hole))
+	if (!rr_find_first_gap(coverage, range, &hole))
 		return true;
 	return hole.from != range.from || hole.to != range.to;
 }
@@ -45,19 +45,20 @@
  * counted twice while a split or join is under way, when the old and the new
  * holder both answer for the same keys.
  */
-static void keep_uncovered(const struct rr_query *query, struct rr_block *block,
+static void keep_uncovered(const struct rr_query *query,
+			   struct rr_row_block *block,
 			   const struct rr_key_range *ranges, size_t n_ranges)
 {
 	size_t n = rr_count_rows(block->rows);
 
-	block->kept = g_new(uint32_t, MAX(1, n));
-	block->n_kept = 0;
+	block->row_indices = g_new(uint32_t, MAX(1, n));
+	block->n_rows = 0;
 	for (size_t i = 0; i < n; i++) {
 		uint64_t key = rr_row_key(block->rows, i);
 
 		if (key_within(key, ranges, n_ranges) &&
 		    !rr_covers_key(query->coverage, key))
-			block->kept[block->n_kept++] = (uint32_t)i;
+			block->row_indices[block->n_rows++] = (uint32_t)i;
 	}
 }
 
@@ -75,19 +76,19 @@
 		   const struct rr_key_range *ranges, size_t n_ranges,
 		   bool all_within, uint64_t version)
 {
-	struct rr_block block = { .n_kept = rr_count_rows(rows) };
+	struct rr_row_block block = { .n_rows = rr_count_rows(rows) };
 
 	/*
 	 * A mix of versions would show as an answer with a pallet both here
 	 * and gone; only replies of exactly the pin come as far as this.
 	 */
 	rr_invariant("one-snapshot", version && version == query->pin_version);
-	if (block.n_kept) {
+	if (block.n_rows) {
 		block.rows = rr_keep_rows(rows);
 		if (!all_within || any_covered(query, ranges, n_ranges))
 			keep_uncovered(query, &block, ranges, n_ranges);
-		query->n_rows += block.n_kept;
-		g_array_append_val(query->blocks, block);
+		query->n_rows += block.n_rows;
+		g_array_append_val(query->row_blocks, block);
 	}
 	for (size_t i = 0; i < n_ranges; i++)
 		rr_add_range(query->coverage, ranges[i]);
@@ -138,13 +139,14 @@
 {
 	size_t n = 0;
 
-	for (guint b = 0; b < query->blocks->len; b++) {
-		struct rr_block *block =
-			&g_array_index(query->blocks, struct rr_block, b);
+	for (guint b = 0; b < query->row_blocks->len; b++) {
+		struct rr_row_block *block = &g_array_index(
+			query->row_blocks, struct rr_row_block, b);
 
-		for (size_t i = 0; i < block->n_kept; i++) {
-			uint32_t row =
-				block->kept ? block->kept[i] : (uint32_t)i;
+		for (size_t i = 0; i < block->n_rows; i++) {
+			uint32_t row = block->row_indices ?
+					       block->row_indices[i] :
+					       (uint32_t)i;
 
 			entries[n].key = rr_row_key(block->rows, row);
 			entries[n].block = b;
@@ -164,8 +166,9 @@
 
 	qsort(entries, n, sizeof(*entries), compare_entries);
 	for (size_t i = 0; i < MIN(n, limit); i++) {
-		struct rr_block *block = &g_array_index(
-			query->blocks, struct rr_block, entries[i].block);
+		struct rr_row_block *block =
+			&g_array_index(query->row_blocks, struct rr_row_block,
+				       entries[i].block);
 		struct rr_answer_row row = {
 			.rows = block->rows,
 			.index = entries[i].index,
@@ -177,22 +180,22 @@
 	return rows;
 }
 
-void rr_clear_blocks(struct rr_query *query)
+void rr_clear_row_blocks(struct rr_query *query)
 {
-	for (guint b = 0; b < query->blocks->len; b++) {
-		struct rr_block *block =
-			&g_array_index(query->blocks, struct rr_block, b);
+	for (guint b = 0; b < query->row_blocks->len; b++) {
+		struct rr_row_block *block = &g_array_index(
+			query->row_blocks, struct rr_row_block, b);
 
 		rr_drop_rows(block->rows);
-		g_free(block->kept);
+		g_free(block->row_indices);
 	}
-	g_array_set_size(query->blocks, 0);
+	g_array_set_size(query->row_blocks, 0);
 	query->n_rows = 0;
 }
 
 void rr_clear_merge(struct rr_query *query)
 {
-	rr_clear_blocks(query);
-	query->rows_cut = false;
+	rr_clear_row_blocks(query);
+	query->has_more = false;
 	rr_clear_coverage(query->coverage);
 }
--- a/source/core/query.c
+++ b/source/core/query.c
@@ -7,7 +7,7 @@
 
 static void free_relay_run(gpointer data)
 {
-	struct rr_relay_run *relay = data;
+	struct rr_outgoing_relay *relay = data;
 
 	g_free(relay->instance);
 	g_free(relay->address);
@@ -67,19 +67,20 @@
 	query->id = rr_next_id(core);
 	query->stage = RR_QUERY_RUNNING;
 	copy_request(query, request);
-	query->guarded = is_guarded(config, request->kind);
+	query->at_most_once = is_guarded(config, request->kind);
 	query->max_rows = row_bound(config, request->max_rows);
 	query->service = service;
 	query->map = rr_keep_service_map(service->map);
 	query->started_us = core->now_us;
 	query->deadline_us = deadline_of(core, config, request->deadline_ms);
-	query->scout = RR_NO_TASK;
-	query->idle = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+	query->pin_task = RR_NO_TASK;
+	query->pending_tasks = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	query->coverage = rr_new_coverage();
-	query->blocks = g_array_new(FALSE, FALSE, sizeof(struct rr_block));
+	query->row_blocks =
+		g_array_new(FALSE, FALSE, sizeof(struct rr_row_block));
 	query->relays = g_ptr_array_new_with_free_func(free_relay_run);
-	query->relay_batch = g_ptr_array_new_with_free_func(free_relay_run);
-	query->bad_owners = g_ptr_array_new_with_free_func(g_free);
+	query->unsent_relays = g_ptr_array_new_with_free_func(free_relay_run);
+	query->excluded_owners = g_ptr_array_new_with_free_func(g_free);
 	service->n_open++;
 	if (query->priority == RR_BATCH)
 		service->n_open_batch++;
@@ -105,17 +106,17 @@
 	for (size_t i = 0; i < n; i++) {
 		query->tasks[before + i] =
 			(struct rr_task){ .shard = (uint32_t)(first + i) };
-		rr_idle_task(query, (uint32_t)(before + i));
+		rr_enqueue_task(query, (uint32_t)(before + i));
 		query->n_open++;
 	}
 }
 
-void rr_touch_query(struct rr_core *core, struct rr_query *query)
+void rr_schedule_query(struct rr_core *core, struct rr_query *query)
 {
-	if (query->queued)
+	if (query->scheduled)
 		return;
-	query->queued = true;
-	g_ptr_array_add(core->touched, query);
+	query->scheduled = true;
+	g_ptr_array_add(core->scheduled_queries, query);
 }
 
 void rr_begin_query(struct rr_context *ctx, struct rr_core *core,
@@ -124,11 +125,11 @@
 	if (query->kind == RR_SEARCH) {
 		rr_add_tasks(query, 0, query->map->n_shards);
 	} else if (query->kind != RR_LIST) {
-		size_t shard = rr_shard_of_key(query->map, query->key);
+		size_t shard = rr_find_shard_by_key(query->map, query->key);
 
 		rr_add_tasks(query, shard, 1);
 	}
-	rr_touch_query(core, query);
+	rr_schedule_query(core, query);
 }
 
 /* A look-up takes what its one replica holds; the rest agree on one first. */
@@ -139,7 +140,7 @@
 	uint64_t version;
 	size_t n_shards;
 
-	if (query->pin_version || query->origin || query->blocks->len)
+	if (query->pin_version || query->origin || query->row_blocks->len)
 		return;
 	if (query->kind != RR_SEARCH && query->kind != RR_LIST)
 		return;
@@ -159,30 +160,31 @@
 {
 	const struct rr_task *task;
 
-	if (query->pin_version || query->scout == RR_NO_TASK)
+	if (query->pin_version || query->pin_task == RR_NO_TASK)
 		return false;
-	task = &query->tasks[query->scout];
+	task = &query->tasks[query->pin_task];
 	return task->status == RR_TASK_RUNNING ||
-	       task->status == RR_TASK_PAUSED;
+	       task->status == RR_TASK_BACKOFF;
 }
 
 static void start_idle_tasks(struct rr_context *ctx, struct rr_core *core,
 			     struct rr_query *query)
 {
-	while (query->idle_head < query->idle->len && !scout_is_out(query)) {
-		uint32_t index = g_array_index(query->idle, uint32_t,
-					       query->idle_head++);
+	while (query->pending_head < query->pending_tasks->len &&
+	       !scout_is_out(query)) {
+		uint32_t index = g_array_index(query->pending_tasks, uint32_t,
+					       query->pending_head++);
 
-		if (query->tasks[index].status != RR_TASK_IDLE)
+		if (query->tasks[index].status != RR_TASK_PENDING)
 			continue;
 		if (!query->pin_version)
-			query->scout = index;
+			query->pin_task = index;
 		rr_start_task(ctx, core, query, index);
 	}
-	if (query->idle_head < query->idle->len)
+	if (query->pending_head < query->pending_tasks->len)
 		return;
-	g_array_set_size(query->idle, 0);
-	query->idle_head = 0;
+	g_array_set_size(query->pending_tasks, 0);
+	query->pending_head = 0;
 }
 
 /* What lacked on its own may be covered by the ranges of other replies. */
@@ -192,17 +194,17 @@
 		struct rr_task *task = &query->tasks[i];
 		struct rr_key_range range = rr_task_range(query, task);
 
-		if (task->status == RR_TASK_LACKING && range.from < range.to &&
+		if (task->status == RR_TASK_FAILED && range.from < range.to &&
 		    rr_covers_range(query->coverage, range))
-			rr_cover_task(core, query, i);
+			rr_mark_task_covered(core, query, i);
 	}
 }
 
 static const char *first_reason(const struct rr_query *query)
 {
 	for (size_t i = 0; i < query->n_tasks; i++) {
-		if (query->tasks[i].status == RR_TASK_LACKING)
-			return rr_lack_reason_name(query->tasks[i].reason);
+		if (query->tasks[i].status == RR_TASK_FAILED)
+			return rr_missing_reason_name(query->tasks[i].reason);
 	}
 	return NULL;
 }
@@ -214,7 +216,7 @@
 		rr_answer_query(ctx, core, query, RR_COMPLETE, NULL);
 		return;
 	}
-	if (!query->n_covered && !query->n_unproven) {
+	if (!query->n_covered && !query->n_maybe_run) {
 		rr_answer_query(ctx, core, query, RR_NOT_RUN,
 				first_reason(query));
 		return;
@@ -229,8 +231,8 @@
 		cover_by_union(core, query);
 	if (query->origin)
 		rr_answer_relay(ctx, core, query);
-	else if (query->guarded)
-		rr_finish_guarded(ctx, core, query);
+	else if (query->at_most_once)
+		rr_finish_at_most_once(ctx, core, query);
 	else if (query->kind == RR_LIST)
 		rr_advance_list(ctx, core, query);
 	else
@@ -245,14 +247,14 @@
 	uint32_t needed;
 
 	if (config->answer != RR_ANSWER_LATENCY || query->kind != RR_SEARCH ||
-	    query->guarded || query->enough_set)
+	    query->at_most_once || query->coverage_reached)
 		return;
 	needed = (uint32_t)ceil(config->min_coverage * (double)query->n_tasks);
 	if (query->n_covered < MAX(1, needed))
 		return;
-	query->enough_set = true;
+	query->coverage_reached = true;
 	if (!config->straggler_wait_ms) {
-		rr_end_query_at_enough(ctx, core, query);
+		rr_end_query_at_min_coverage(ctx, core, query);
 		return;
 	}
 	rr_set_timer(core->timers,
@@ -279,31 +281,31 @@
 		check_enough(ctx, core, query);
 }
 
-static enum rr_lack_reason reason_in_time(const struct rr_core *core,
-					  const struct rr_task *task,
-					  enum rr_lack_reason reason)
+static enum rr_missing_reason reason_in_time(const struct rr_core *core,
+					     const struct rr_task *task,
+					     enum rr_missing_reason reason)
 {
-	if (reason != RR_LACK_DEADLINE)
+	if (reason != RR_MISSING_DEADLINE)
 		return reason;
 	if (task->relay)
 		return rr_silent_relay_reason(core, task->relay);
-	if (task->status == RR_TASK_PAUSED && task->reason != RR_LACK_NONE)
+	if (task->status == RR_TASK_BACKOFF && task->reason != RR_MISSING_NONE)
 		return task->reason;
 	return reason;
 }
 
 /* Give up what is open, for one reason, and finish. */
 static void give_up_open(struct rr_context *ctx, struct rr_core *core,
-			 struct rr_query *query, enum rr_lack_reason reason)
+			 struct rr_query *query, enum rr_missing_reason reason)
 {
 	for (uint32_t i = 0; i < query->n_tasks; i++) {
 		struct rr_task *task = &query->tasks[i];
 
 		if (task->status == RR_TASK_COVERED ||
-		    task->status == RR_TASK_LACKING)
+		    task->status == RR_TASK_FAILED)
 			continue;
-		rr_lack_task(ctx, core, query, i,
-			     reason_in_time(core, task, reason));
+		rr_mark_task_failed(ctx, core, query, i,
+				    reason_in_time(core, task, reason));
 	}
 	query->wants_restart = false;
 	finish_query(ctx, core, query);
@@ -314,26 +316,26 @@
 {
 	if (query->stage == RR_QUERY_DONE || query->stage == RR_QUERY_LINGERING)
 		return;
-	if (query->guarded) {
-		rr_end_guarded_at_deadline(ctx, core, query);
+	if (query->at_most_once) {
+		rr_end_at_most_once_at_deadline(ctx, core, query);
 		return;
 	}
-	give_up_open(ctx, core, query, RR_LACK_DEADLINE);
+	give_up_open(ctx, core, query, RR_MISSING_DEADLINE);
 }
 
-void rr_end_query_at_enough(struct rr_context *ctx, struct rr_core *core,
-			    struct rr_query *query)
+void rr_end_query_at_min_coverage(struct rr_context *ctx, struct rr_core *core,
+				  struct rr_query *query)
 {
 	if (query->stage != RR_QUERY_RUNNING || !query->n_open)
 		return;
-	give_up_open(ctx, core, query, RR_LACK_ENOUGH);
+	give_up_open(ctx, core, query, RR_MISSING_MIN_COVERAGE);
 }
 
 static void free_tasks(struct rr_query *query)
 {
 	for (size_t i = 0; i < query->n_tasks; i++) {
-		if (query->tasks[i].ranges)
-			g_array_unref(query->tasks[i].ranges);
+		if (query->tasks[i].covered_ranges)
+			g_array_unref(query->tasks[i].covered_ranges);
 	}
 	g_free(query->tasks);
 }
@@ -344,7 +346,7 @@
 	if (query->stage == RR_QUERY_DONE)
 		return;
 	for (uint32_t i = 0; i < query->n_tasks; i++)
-		rr_withdraw_task(ctx, core, query, i);
+		rr_cancel_task_attempts(ctx, core, query, i);
 	rr_cancel_relays(ctx, core, query);
 	query->stage = RR_QUERY_DONE;
 	if (query->origin)
@@ -352,20 +354,20 @@
 	query->service->n_open--;
 	if (query->priority == RR_BATCH)
 		query->service->n_open_batch--;
-	rr_touch_query(core, query);
+	rr_schedule_query(core, query);
 }
 
 void rr_free_query(struct rr_core *core, struct rr_query *query)
 {
 	g_hash_table_remove(core->queries, &query->id);
 	free_tasks(query);
-	g_array_unref(query->idle);
+	g_array_unref(query->pending_tasks);
 	rr_clear_merge(query);
-	g_array_unref(query->blocks);
+	g_array_unref(query->row_blocks);
 	rr_drop_coverage(query->coverage);
 	g_ptr_array_unref(query->relays);
-	g_ptr_array_unref(query->relay_batch);
-	g_ptr_array_unref(query->bad_owners);
+	g_ptr_array_unref(query->unsent_relays);
+	g_ptr_array_unref(query->excluded_owners);
 	if (query->unknown_shards)
 		g_ptr_array_unref(query->unknown_shards);
 	rr_drop_service_map(query->map);
--- a/source/core/relay-reply.c
+++ b/source/core/relay-reply.c
@@ -7,7 +7,7 @@
 
 /* The place of a shard's outcome in the relay; outcomes keep the order. */
 static guint find_place(const struct rr_query *query,
-			const struct rr_relay_run *run, const char *shard,
+			const struct rr_outgoing_relay *run, const char *shard,
 			guint guess)
 {
 	for (guint i = 0; i < run->tasks->len; i++) {
@@ -23,7 +23,7 @@
 }
 
 static struct rr_replica *named_replica(const struct rr_query *query,
-					const struct rr_relay_run *run,
+					const struct rr_outgoing_relay *run,
 					guint place)
 {
 	uint32_t task = g_array_index(run->tasks, uint32_t, place);
@@ -59,7 +59,8 @@
 
 /* Merge the reply's rows; false if they are not of the pin. */
 static bool merge_reply(struct rr_context *ctx, struct rr_core *core,
-			struct rr_query *query, const struct rr_relay_run *run,
+			struct rr_query *query,
+			const struct rr_outgoing_relay *run,
 			const struct rr_relay_reply *reply)
 {
 	GArray *ranges = gather_ranges(reply);
@@ -80,7 +81,7 @@
 	if (good) {
 		bool cut = rr_count_rows(reply->rows) > run->row_limit;
 
-		query->rows_cut |= cut;
+		query->has_more |= cut;
 		if (cut && query->kind == RR_LIST)
 			rr_end_list_page(query, reply->rows);
 		rr_merge_rows(query, reply->rows,
@@ -99,7 +100,7 @@
 
 	for (size_t i = 0; i < shard->n_replicas && i < 64; i++) {
 		if (!strcmp(shard->replicas[i]->zone, zone))
-			task->tried |= 1ull << i;
+			task->tried_mask |= 1ull << i;
 	}
 }
 
@@ -109,17 +110,17 @@
 {
 	struct rr_task *task = &query->tasks[index];
 	bool other_owner =
-		outcome->not_run && outcome->reason == RR_LACK_NO_REPLICA;
+		outcome->not_run && outcome->reason == RR_MISSING_NO_REPLICA;
 
 	if (!other_owner)
 		mark_zone_tried(query, task, zone);
-	if (outcome->reason == RR_LACK_DEADLINE ||
-	    outcome->reason == RR_LACK_ENOUGH ||
-	    outcome->reason == RR_LACK_VERSION)
-		rr_lack_task(ctx, core, query, index, outcome->reason);
+	if (outcome->reason == RR_MISSING_DEADLINE ||
+	    outcome->reason == RR_MISSING_MIN_COVERAGE ||
+	    outcome->reason == RR_MISSING_VERSION)
+		rr_mark_task_failed(ctx, core, query, index, outcome->reason);
 	else
-		rr_fail_task(ctx, core, query, index, outcome->reason,
-			     outcome->not_run);
+		rr_handle_task_failure(ctx, core, query, index, outcome->reason,
+				       outcome->not_run);
 }
 
 static void take_outcome(struct rr_context *ctx, struct rr_core *core,
@@ -133,8 +134,8 @@
 	task->attempts += outcome->attempts;
 	query->attempts += outcome->attempts;
 	if (outcome->not_run) {
-		task->n_unproven--;
-		query->n_unproven--;
+		task->n_maybe_run--;
+		query->n_maybe_run--;
 	}
 	if (!outcome->covered) {
 		take_lacking(ctx, core, query, zone, index, outcome);
@@ -142,21 +143,23 @@
 	}
 	if (!good) {
 		mark_zone_tried(query, task, zone);
-		rr_fail_task(ctx, core, query, index, RR_LACK_VERSION, false);
+		rr_handle_task_failure(ctx, core, query, index,
+				       RR_MISSING_VERSION, false);
 		return;
 	}
 	if (query->kind != RR_RESERVE &&
 	    !rr_covers_range(query->coverage, rr_task_range(query, task))) {
 		mark_zone_tried(query, task, zone);
-		rr_fail_task(ctx, core, query, index, RR_LACK_MOVED, false);
+		rr_handle_task_failure(ctx, core, query, index,
+				       RR_MISSING_MOVED, false);
 		return;
 	}
-	rr_withdraw_task(ctx, core, query, index);
-	rr_cover_task(core, query, index);
+	rr_cancel_task_attempts(ctx, core, query, index);
+	rr_mark_task_covered(core, query, index);
 }
 
 static void take_outcomes(struct rr_context *ctx, struct rr_core *core,
-			  struct rr_query *query, struct rr_relay_run *run,
+			  struct rr_query *query, struct rr_outgoing_relay *run,
 			  const struct rr_relay_reply *reply, bool good)
 {
 	for (size_t i = 0; i < reply->n_outcomes; i++) {
@@ -167,12 +170,14 @@
 		if (place == run->tasks->len)
 			continue;
 		task = g_array_index(run->tasks, uint32_t, place);
-		rr_note_versions(core, named_replica(query, run, place),
-				 outcome->oldest_version,
-				 outcome->newest_version, query->pin_epoch);
+		rr_update_replica_versions(
+			core, named_replica(query, run, place),
+			outcome->oldest_version, outcome->newest_version,
+			query->pin_epoch);
 		if (query->tasks[task].relay != run)
 			continue;
-		if (outcome->not_run && outcome->reason == RR_LACK_NO_REPLICA)
+		if (outcome->not_run &&
+		    outcome->reason == RR_MISSING_NO_REPLICA)
 			rr_avoid_owner(query, run->instance);
 		take_outcome(ctx, core, query, run->zone, task, outcome, good);
 	}
@@ -192,10 +197,10 @@
 	return true;
 }
 
-static struct rr_relay_run *match_relay(struct rr_core *core,
-					const struct rr_peer_message *message)
+static struct rr_outgoing_relay *
+match_relay(struct rr_core *core, const struct rr_peer_message *message)
 {
-	struct rr_relay_run *run = g_hash_table_lookup(
+	struct rr_outgoing_relay *run = g_hash_table_lookup(
 		core->relays, &message->relay_reply->query_id);
 
 	if (!run || strcmp(run->instance, message->from) ||
@@ -208,7 +213,8 @@
 			 const struct rr_peer_message *message)
 {
 	const struct rr_relay_reply *reply = message->relay_reply;
-	struct rr_relay_run *run = reply ? match_relay(core, message) : NULL;
+	struct rr_outgoing_relay *run =
+		reply ? match_relay(core, message) : NULL;
 	struct rr_query *query;
 	bool good;
 
@@ -228,5 +234,5 @@
 		rr_count(ctx, RR_N_BAD_REPLIES, 1);
 	take_outcomes(ctx, core, query, run, reply, good);
 	rr_finish_relay(core, run);
-	rr_touch_query(core, query);
+	rr_schedule_query(core, query);
 }
--- a/source/core/relay-serve.c
+++ b/source/core/relay-serve.c
@@ -29,10 +29,10 @@
 {
 	struct served_relay *oldest;
 
-	while ((oldest = g_queue_peek_head(&core->served_order)) &&
+	while ((oldest = g_queue_peek_head(&core->served_relay_order)) &&
 	       core->now_us - oldest->at_us > REMEMBER_US) {
-		g_queue_pop_head(&core->served_order);
-		g_hash_table_remove(core->served, oldest->name);
+		g_queue_pop_head(&core->served_relay_order);
+		g_hash_table_remove(core->served_relays, oldest->name);
 		g_free(oldest->name);
 		g_free(oldest);
 	}
@@ -42,11 +42,11 @@
 {
 	struct served_relay *entry;
 
-	while ((entry = g_queue_pop_head(&core->served_order))) {
+	while ((entry = g_queue_pop_head(&core->served_relay_order))) {
 		g_free(entry->name);
 		g_free(entry);
 	}
-	g_hash_table_destroy(core->served);
+	g_hash_table_destroy(core->served_relays);
 }
 
 /* It may run once only: the peer holds the claim for it. */
@@ -71,8 +71,8 @@
 	g_hash_table_remove_all(core->served);
 	g_hash_table_remove_all(core->origins);
 #endif
-	if (g_hash_table_contains(core->served, name) ||
-	    g_hash_table_contains(core->origins, name)) {
+	if (g_hash_table_contains(core->served_relays, name) ||
+	    g_hash_table_contains(core->relay_origins, name)) {
 		g_free(name);
 		return true;
 	}
@@ -83,8 +83,8 @@
 	entry = g_new(struct served_relay, 1);
 	entry->name = name;
 	entry->at_us = core->now_us;
-	g_queue_push_tail(&core->served_order, entry);
-	g_hash_table_add(core->served, name);
+	g_queue_push_tail(&core->served_relay_order, entry);
+	g_hash_table_add(core->served_relays, name);
 	return false;
 }
 
@@ -107,7 +107,7 @@
 /* Nothing was sent for any shard, and the peer is told so at once. */
 static void refuse_relay(struct rr_context *ctx, struct rr_core *core,
 			 const struct rr_peer_message *message,
-			 const char *address, enum rr_lack_reason reason,
+			 const char *address, enum rr_missing_reason reason,
 			 uint32_t retry_after_ms, const char *why)
 {
 	const struct rr_relay *relay = message->relay;
@@ -139,8 +139,8 @@
 	size_t guess = 0;
 
 	for (size_t i = 0; i < relay->n_shards; i++) {
-		size_t shard = rr_shard_by_name(query->map,
-						relay->shards[i].shard, guess);
+		size_t shard = rr_find_shard_by_name(
+			query->map, relay->shards[i].shard, guess);
 		const struct rr_shard_map *map;
 		struct rr_task *task;
 
@@ -153,11 +153,11 @@
 		rr_add_tasks(query, shard, 1);
 		map = &query->map->shards[shard];
 		task = &query->tasks[query->n_tasks - 1];
-		task->named_replica = RR_NO_REPLICA;
+		task->requested_replica = RR_NO_REPLICA;
 		for (size_t j = 0; j < map->n_replicas; j++) {
 			if (!g_strcmp0(map->replicas[j]->id,
 				       relay->shards[i].replica))
-				task->named_replica = j;
+				task->requested_replica = j;
 		}
 	}
 }
@@ -168,7 +168,8 @@
 	const struct rr_service_config *config = query->map->service;
 	int64_t latest_us =
 		(int64_t)config->attempt_timeout_ms * (1000 / PROGRESS_PART);
-	int64_t usual_us = rr_sketch_quantile_us(&query->service->times, 0.95);
+	int64_t usual_us =
+		rr_sketch_quantile_us(&query->service->latencies, 0.95);
 
 	if (usual_us)
 		latest_us = MIN(latest_us, 2 * usual_us);
@@ -204,13 +205,13 @@
 	query->pin_epoch = relay->map_epoch;
 	query->unknown_shards = g_ptr_array_new_with_free_func(g_free);
 	add_known_shards(query, relay);
-	if (!query->guarded)
+	if (!query->at_most_once)
 		rr_set_timer(core->timers,
 			     core->now_us + progress_after_us(query),
 			     RR_TIMER_PROGRESS, query->id, 0);
-	g_hash_table_insert(core->origins, relay_name(message, relay->query_id),
-			    &query->id);
-	rr_touch_query(core, query);
+	g_hash_table_insert(core->relay_origins,
+			    relay_name(message, relay->query_id), &query->id);
+	rr_schedule_query(core, query);
 }
 
 static const char *refuse_outright(const struct rr_core *core,
@@ -251,15 +252,15 @@
 	service = rr_find_service_state(core, relay->service);
 	why = refuse_outright(core, message, service);
 	if (why) {
-		refuse_relay(ctx, core, message, address, RR_LACK_NO_REPLICA, 0,
-			     why);
+		refuse_relay(ctx, core, message, address, RR_MISSING_NO_REPLICA,
+			     0, why);
 		return;
 	}
-	why = rr_refuse_request(core, service,
-				relay->batch ? RR_BATCH : RR_INTERACTIVE,
-				relay->remaining_ms, &retry_after_ms);
+	why = rr_check_query_admission(core, service,
+				       relay->batch ? RR_BATCH : RR_INTERACTIVE,
+				       relay->remaining_ms, &retry_after_ms);
 	if (why) {
-		refuse_relay(ctx, core, message, address, RR_LACK_SHED,
+		refuse_relay(ctx, core, message, address, RR_MISSING_SHED,
 			     retry_after_ms, why);
 		return;
 	}
@@ -270,14 +271,14 @@
 			  const struct rr_peer_message *message)
 {
 	char *name = relay_name(message, message->cancel_query_id);
-	uint64_t *id = g_hash_table_lookup(core->origins, name);
+	uint64_t *id = g_hash_table_lookup(core->relay_origins, name);
 	struct rr_query *query = id ? rr_find_query(core, *id) : NULL;
 
 	g_free(name);
 	if (!query)
 		return;
-	if (query->guarded)
-		rr_leave_guarded(ctx, core, query);
+	if (query->at_most_once)
+		rr_cancel_at_most_once(ctx, core, query);
 	else
 		rr_end_query(ctx, core, query);
 }
@@ -290,7 +291,7 @@
 	};
 	char *name = relay_name(&sender, query->origin_query_id);
 
-	g_hash_table_remove(core->origins, name);
+	g_hash_table_remove(core->relay_origins, name);
 	g_free(name);
 }
 
@@ -301,7 +302,7 @@
 	for (size_t i = 0; i < shard->n_replicas; i++) {
 		const struct rr_replica *replica = shard->replicas[i];
 
-		if (!rr_replica_usable(core, replica) ||
+		if (!rr_is_replica_usable(core, replica) ||
 		    replica->newest_version <= outcome->newest_version)
 			continue;
 		outcome->newest_version = replica->newest_version;
@@ -316,9 +317,10 @@
 {
 	GArray *ranges = g_array_new(FALSE, FALSE, sizeof(struct rr_key_range));
 
-	for (guint i = 0; task->ranges && i < task->ranges->len; i++) {
-		struct rr_key_range range =
-			g_array_index(task->ranges, struct rr_key_range, i);
+	for (guint i = 0; task->covered_ranges && i < task->covered_ranges->len;
+	     i++) {
+		struct rr_key_range range = g_array_index(
+			task->covered_ranges, struct rr_key_range, i);
 
 		range.from = MAX(range.from, query->key_from);
 		range.to = MIN(range.to, query->key_to);
@@ -343,8 +345,8 @@
 
 	outcome->shard = g_strdup(shard->config->name);
 	outcome->covered = task->status == RR_TASK_COVERED;
-	outcome->reason = outcome->covered ? RR_LACK_NONE : task->reason;
-	outcome->not_run = !task->n_unproven && !outcome->covered;
+	outcome->reason = outcome->covered ? RR_MISSING_NONE : task->reason;
+	outcome->not_run = !task->n_maybe_run && !outcome->covered;
 	outcome->attempts = task->attempts;
 	fill_versions(core, shard, outcome);
 	fill_ranges(query, task, outcome);
@@ -374,7 +376,7 @@
 	for (guint i = 0; i < query->unknown_shards->len; i++) {
 		outcomes[i].shard =
 			g_strdup(g_ptr_array_index(query->unknown_shards, i));
-		outcomes[i].reason = RR_LACK_NO_REPLICA;
+		outcomes[i].reason = RR_MISSING_NO_REPLICA;
 		outcomes[i].not_run = true;
 	}
 }
@@ -388,10 +390,11 @@
 	for (size_t i = 0; i < query->n_tasks; i++) {
 		struct rr_task *task = &query->tasks[i];
 
-		if (task->told || (!last && task->status != RR_TASK_COVERED))
+		if (task->outcome_sent ||
+		    (!last && task->status != RR_TASK_COVERED))
 			continue;
 		fill_outcome(core, query, task, &reply->outcomes[n++]);
-		task->told = true;
+		task->outcome_sent = true;
 	}
 	if (last) {
 		fill_unknown(query, &reply->outcomes[n]);
@@ -422,7 +425,7 @@
 {
 	for (size_t i = 0; i < query->n_tasks; i++) {
 		if (query->tasks[i].status != RR_TASK_COVERED &&
-		    query->tasks[i].ranges)
+		    query->tasks[i].covered_ranges)
 			return true;
 	}
 	return false;
@@ -445,7 +448,7 @@
 				      query->origin_query_id, 0);
 	} else {
 		message = make_reply(core, query, false);
-		rr_clear_blocks(query);
+		rr_clear_row_blocks(query);
 	}
 	rr_send_message(ctx, core, query->origin, query->origin_address,
 			message);
--- a/source/core/relay.c
+++ b/source/core/relay.c
@@ -19,19 +19,20 @@
 
 static bool is_bad_owner(const struct rr_query *query, const char *instance)
 {
-	for (guint i = 0; i < query->bad_owners->len; i++) {
-		if (!strcmp(g_ptr_array_index(query->bad_owners, i), instance))
+	for (guint i = 0; i < query->excluded_owners->len; i++) {
+		if (!strcmp(g_ptr_array_index(query->excluded_owners, i),
+			    instance))
 			return true;
 	}
 	return false;
 }
 
-static struct rr_relay_run *find_batch(const struct rr_query *query,
-				       const char *instance)
+static struct rr_outgoing_relay *find_batch(const struct rr_query *query,
+					    const char *instance)
 {
-	for (guint i = 0; i < query->relay_batch->len; i++) {
-		struct rr_relay_run *run =
-			g_ptr_array_index(query->relay_batch, i);
+	for (guint i = 0; i < query->unsent_relays->len; i++) {
+		struct rr_outgoing_relay *run =
+			g_ptr_array_index(query->unsent_relays, i);
 
 		if (!strcmp(run->instance, instance))
 			return run;
@@ -55,32 +56,32 @@
 		    is_bad_owner(query, instance))
 			continue;
 		peer = rr_find_peer(core, instance);
-		if (core->now_us < peer->silent_until_us)
+		if (core->now_us < peer->backoff_until_us)
 			continue;
 		if (find_batch(query, instance))
 			return index;
-		if (peer->relays_out < fewest) {
-			fewest = peer->relays_out;
+		if (peer->relays_in_flight < fewest) {
+			fewest = peer->relays_in_flight;
 			best = index;
 		}
 	}
 	return best;
 }
 
-bool rr_replica_reachable(struct rr_core *core, const struct rr_query *query,
-			  struct rr_replica *replica)
+bool rr_is_replica_reachable(struct rr_core *core, const struct rr_query *query,
+			     struct rr_replica *replica)
 {
 	if (replica->owned || query->origin)
 		return true;
 	return pick_owner(core, query, replica) != NO_OWNER;
 }
 
-static struct rr_relay_run *start_batch(struct rr_core *core,
-					struct rr_query *query, size_t owner,
-					const char *zone)
+static struct rr_outgoing_relay *start_batch(struct rr_core *core,
+					     struct rr_query *query,
+					     size_t owner, const char *zone)
 {
 	const struct rr_member_copy *member = &core->member_copies[owner];
-	struct rr_relay_run *run = g_new0(struct rr_relay_run, 1);
+	struct rr_outgoing_relay *run = g_new0(struct rr_outgoing_relay, 1);
 
 	run->id = rr_next_id(core);
 	run->query = query;
@@ -90,7 +91,7 @@
 	run->zone = g_strdup(zone);
 	run->tasks = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	run->replicas = g_array_new(FALSE, FALSE, sizeof(size_t));
-	g_ptr_array_add(query->relay_batch, run);
+	g_ptr_array_add(query->unsent_relays, run);
 	return run;
 }
 
@@ -102,10 +103,11 @@
 	struct rr_replica *replica =
 		query->map->shards[entry->shard].replicas[replica_index];
 	size_t owner = pick_owner(core, query, replica);
-	struct rr_relay_run *run;
+	struct rr_outgoing_relay *run;
 
 	if (owner == NO_OWNER) {
-		rr_lack_task(ctx, core, query, task, RR_LACK_UNREACHABLE_ZONE);
+		rr_mark_task_failed(ctx, core, query, task,
+				    RR_MISSING_UNREACHABLE_ZONE);
 		return;
 	}
 	run = find_batch(query, core->member_copies[owner].instance);
@@ -117,7 +119,7 @@
 }
 
 static void fill_shard(const struct rr_query *query,
-		       const struct rr_relay_run *run, guint i,
+		       const struct rr_outgoing_relay *run, guint i,
 		       struct rr_relay_shard *shard)
 {
 	uint32_t task = g_array_index(run->tasks, uint32_t, i);
@@ -144,12 +146,13 @@
 /* One more than is needed tells whether rows were cut. */
 static uint32_t rows_needed(const struct rr_query *query)
 {
-	return query->kind == RR_LIST ? rr_list_limit(query) : query->max_rows;
+	return query->kind == RR_LIST ? rr_list_row_limit(query) :
+					query->max_rows;
 }
 
 static struct rr_relay *make_relay(struct rr_core *core,
 				   const struct rr_query *query,
-				   const struct rr_relay_run *run)
+				   const struct rr_outgoing_relay *run)
 {
 	struct rr_relay *relay = g_new0(struct rr_relay, 1);
 
@@ -175,16 +178,17 @@
 }
 
 static void count_relay_sent(struct rr_context *ctx, struct rr_core *core,
-			     struct rr_query *query, struct rr_relay_run *run)
+			     struct rr_query *query,
+			     struct rr_outgoing_relay *run)
 {
 	rr_count(ctx, RR_N_RELAYS_SENT, 1);
-	rr_find_peer(core, run->instance)->relays_out++;
+	rr_find_peer(core, run->instance)->relays_in_flight++;
 	/* A message handed over counts as sent, never as "not run". */
 	for (guint i = 0; i < run->tasks->len; i++) {
 		uint32_t task = g_array_index(run->tasks, uint32_t, i);
 
-		query->tasks[task].n_unproven++;
-		query->n_unproven++;
+		query->tasks[task].n_maybe_run++;
+		query->n_maybe_run++;
 	}
 	rr_log(ctx, RR_LOG_DECISION, "relay",
 	       RR_FIELD_STRING("request", query->request_id),
@@ -195,7 +199,7 @@
 }
 
 static void set_relay_timer(struct rr_core *core,
-			    const struct rr_relay_run *run)
+			    const struct rr_outgoing_relay *run)
 {
 	int64_t timeout_ms = run->query->map->service->attempt_timeout_ms;
 
@@ -205,7 +209,7 @@
 }
 
 static void send_relay(struct rr_context *ctx, struct rr_core *core,
-		       struct rr_query *query, struct rr_relay_run *run)
+		       struct rr_query *query, struct rr_outgoing_relay *run)
 {
 	struct rr_peer_message *message = rr_start_message(core, RR_PEER_RELAY);
 
@@ -216,7 +220,7 @@
 	message->relay = make_relay(core, query, run);
 	g_ptr_array_add(query->relays, run);
 	g_hash_table_insert(core->relays, &run->id, run);
-	if (!query->guarded)
+	if (!query->at_most_once)
 		set_relay_timer(core, run);
 	count_relay_sent(ctx, core, query, run);
 	rr_send_message(ctx, core, run->instance, run->address, message);
@@ -225,16 +229,16 @@
 void rr_flush_relays(struct rr_context *ctx, struct rr_core *core,
 		     struct rr_query *query)
 {
-	while (query->relay_batch->len) {
-		struct rr_relay_run *run =
-			g_ptr_array_steal_index(query->relay_batch, 0);
+	while (query->unsent_relays->len) {
+		struct rr_outgoing_relay *run =
+			g_ptr_array_steal_index(query->unsent_relays, 0);
 
 		send_relay(ctx, core, query, run);
 	}
 }
 
 /* Take a relay out of all tables; its tasks wait for it no more. */
-static void end_relay(struct rr_core *core, struct rr_relay_run *run)
+static void end_relay(struct rr_core *core, struct rr_outgoing_relay *run)
 {
 	struct rr_query *query = run->query;
 
@@ -244,42 +248,43 @@
 		if (query->tasks[task].relay == run)
 			query->tasks[task].relay = NULL;
 	}
-	rr_find_peer(core, run->instance)->relays_out--;
+	rr_find_peer(core, run->instance)->relays_in_flight--;
 	g_hash_table_remove(core->relays, &run->id);
 	g_ptr_array_remove(query->relays, run);
 }
 
 /* Whether the task still waits for this relay. */
-static bool awaits(const struct rr_query *query, const struct rr_relay_run *run,
-		   uint32_t task)
+static bool awaits(const struct rr_query *query,
+		   const struct rr_outgoing_relay *run, uint32_t task)
 {
 	return query->tasks[task].relay == run;
 }
 
-static void note_silence(struct rr_core *core, const struct rr_relay_run *run)
+static void note_silence(struct rr_core *core,
+			 const struct rr_outgoing_relay *run)
 {
 	struct rr_peer *peer = rr_find_peer(core, run->instance);
 
-	if (peer->heard_us > run->sent_us)
+	if (peer->last_contact_us > run->sent_us)
 		return;
-	peer->silence_us = MIN(MAX(2 * peer->silence_us, FIRST_SILENCE_US),
+	peer->backoff_us = MIN(MAX(2 * peer->backoff_us, FIRST_SILENCE_US),
 			       LONGEST_SILENCE_US);
-	peer->silent_until_us = core->now_us + peer->silence_us;
+	peer->backoff_until_us = core->now_us + peer->backoff_us;
 }
 
-static enum rr_lack_reason loss_reason(const struct rr_core *core,
-				       const struct rr_relay_run *run)
+static enum rr_missing_reason loss_reason(const struct rr_core *core,
+					  const struct rr_outgoing_relay *run)
 {
-	return strcmp(run->zone, core->zone) ? RR_LACK_UNREACHABLE_ZONE :
-					       RR_LACK_LOST;
+	return strcmp(run->zone, core->zone) ? RR_MISSING_UNREACHABLE_ZONE :
+					       RR_MISSING_LOST;
 }
 
 void rr_lose_relay(struct rr_context *ctx, struct rr_core *core, uint64_t id,
 		   const char *why)
 {
-	struct rr_relay_run *run = g_hash_table_lookup(core->relays, &id);
+	struct rr_outgoing_relay *run = g_hash_table_lookup(core->relays, &id);
 	struct rr_query *query;
-	enum rr_lack_reason reason;
+	enum rr_missing_reason reason;
 	GArray *tasks;
 
 	if (!run)
@@ -287,7 +292,7 @@
 	query = run->query;
 	reason = loss_reason(core, run);
 	note_silence(core, run);
-	g_ptr_array_add(query->bad_owners, g_strdup(run->instance));
+	g_ptr_array_add(query->excluded_owners, g_strdup(run->instance));
 	rr_log(ctx, RR_LOG_DECISION, "relay-lost",
 	       RR_FIELD_STRING("request", query->request_id),
 	       RR_FIELD_U64("query", query->id), RR_FIELD_U64("relay", id),
@@ -302,8 +307,9 @@
 	}
 	end_relay(core, run);
 	for (guint i = 0; i < tasks->len; i++)
-		rr_fail_task(ctx, core, query,
-			     g_array_index(tasks, uint32_t, i), reason, false);
+		rr_handle_task_failure(ctx, core, query,
+				       g_array_index(tasks, uint32_t, i),
+				       reason, false);
 	g_array_unref(tasks);
 }
 
@@ -315,11 +321,11 @@
 void rr_time_out_relay(struct rr_context *ctx, struct rr_core *core,
 		       uint64_t id)
 {
-	struct rr_relay_run *run = g_hash_table_lookup(core->relays, &id);
+	struct rr_outgoing_relay *run = g_hash_table_lookup(core->relays, &id);
 
 	if (!run)
 		return;
-	if (rr_find_peer(core, run->instance)->heard_us > run->sent_us)
+	if (rr_find_peer(core, run->instance)->last_contact_us > run->sent_us)
 		set_relay_timer(core, run);
 	else
 		rr_lose_relay(ctx, core, id, "timeout");
@@ -337,7 +343,7 @@
  * Whether the owner will not answer any more: dead, forgotten, or replaced.
  * One that is leaving ends what it has, so its replies are waited for.
  */
-static bool is_gone(const struct rr_relay_run *run,
+static bool is_gone(const struct rr_outgoing_relay *run,
 		    const struct rr_member_update *members, size_t n_members)
 {
 	for (size_t i = 0; i < n_members; i++) {
@@ -360,7 +366,7 @@
 
 	g_hash_table_iter_init(&iter, core->relays);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct rr_relay_run *run = value;
+		struct rr_outgoing_relay *run = value;
 
 		if (is_gone(run, members, n_members))
 			g_array_append_val(gone, run->id);
@@ -378,9 +384,10 @@
 void rr_cancel_relays(struct rr_context *ctx, struct rr_core *core,
 		      struct rr_query *query)
 {
-	g_ptr_array_set_size(query->relay_batch, 0);
+	g_ptr_array_set_size(query->unsent_relays, 0);
 	while (query->relays->len) {
-		struct rr_relay_run *run = g_ptr_array_index(query->relays, 0);
+		struct rr_outgoing_relay *run =
+			g_ptr_array_index(query->relays, 0);
 		struct rr_peer_message *message =
 			rr_start_message(core, RR_PEER_RELAY_CANCEL);
 
@@ -397,10 +404,10 @@
 void rr_avoid_owner(struct rr_query *query, const char *instance)
 {
 	if (!is_bad_owner(query, instance))
-		g_ptr_array_add(query->bad_owners, g_strdup(instance));
+		g_ptr_array_add(query->excluded_owners, g_strdup(instance));
 }
 
-void rr_finish_relay(struct rr_core *core, struct rr_relay_run *run)
+void rr_finish_relay(struct rr_core *core, struct rr_outgoing_relay *run)
 {
 	for (guint i = 0; i < run->tasks->len; i++) {
 		if (awaits(run->query, run,
@@ -414,14 +421,15 @@
  * An owner stops before we do and says what it lacks; one that said nothing
  * by our deadline, and was not heard since, is out of reach.
  */
-enum rr_lack_reason rr_silent_relay_reason(const struct rr_core *core,
-					   const struct rr_relay_run *run)
+enum rr_missing_reason
+rr_silent_relay_reason(const struct rr_core *core,
+		       const struct rr_outgoing_relay *run)
 {
 	const struct rr_peer *peer =
 		g_hash_table_lookup(core->peers, run->instance);
 
 	if (!strcmp(run->zone, core->zone) ||
-	    (peer && peer->heard_us > run->sent_us))
-		return RR_LACK_DEADLINE;
-	return RR_LACK_UNREACHABLE_ZONE;
+	    (peer && peer->last_contact_us > run->sent_us))
+		return RR_MISSING_DEADLINE;
+	return RR_MISSING_UNREACHABLE_ZONE;
 }
--- a/source/core/replica.c
+++ b/source/core/replica.c
@@ -41,9 +41,10 @@
 	return id ? g_hash_table_lookup(core->replicas, id) : NULL;
 }
 
-struct rr_replica *rr_find_replica_number(struct rr_core *core, uint64_t number)
+struct rr_replica *rr_find_replica_by_number(struct rr_core *core,
+					     uint64_t number)
 {
-	return g_hash_table_lookup(core->replica_by_no, &number);
+	return g_hash_table_lookup(core->replicas_by_number, &number);
 }
 
 struct rr_replica *rr_add_replica(struct rr_context *ctx, struct rr_core *core,
@@ -59,10 +60,11 @@
 	replica->address = g_strdup(config->address);
 	replica->service = service;
 	replica->reported_load = -1;
-	for (int i = 0; i < RR_CLASSES; i++)
-		g_queue_init(&replica->waiting[i]);
+	for (int i = 0; i < RR_PRIORITY_COUNT; i++)
+		g_queue_init(&replica->queues[i]);
 	g_hash_table_insert(core->replicas, replica->id, replica);
-	g_hash_table_insert(core->replica_by_no, &replica->number, replica);
+	g_hash_table_insert(core->replicas_by_number, &replica->number,
+			    replica);
 	return replica;
 }
 
@@ -72,23 +74,24 @@
 	replica->owned = false;
 	if (g_hash_table_lookup(core->replicas, replica->id) == replica)
 		g_hash_table_remove(core->replicas, replica->id);
-	g_hash_table_remove(core->replica_by_no, &replica->number);
+	g_hash_table_remove(core->replicas_by_number, &replica->number);
 	rr_drop_replica(replica);
 }
 
-void rr_note_versions(const struct rr_core *core, struct rr_replica *replica,
-		      uint64_t oldest, uint64_t newest, uint64_t epoch)
+void rr_update_replica_versions(const struct rr_core *core,
+				struct rr_replica *replica, uint64_t oldest,
+				uint64_t newest, uint64_t epoch)
 {
 	if (!newest || oldest > newest)
 		return;
-	replica->versions_told_us = core->now_us;
+	replica->versions_updated_us = core->now_us;
 	if (replica->oldest_version == oldest &&
 	    replica->newest_version == newest && replica->map_epoch == epoch)
 		return;
 	replica->oldest_version = oldest;
 	replica->newest_version = newest;
 	replica->map_epoch = epoch;
-	replica->service->news++;
+	replica->service->change_count++;
 }
 
 static void begin_drain(struct rr_context *ctx, struct rr_core *core,
@@ -105,7 +108,7 @@
 	rr_log(ctx, RR_LOG_DECISION, "replica-draining",
 	       RR_FIELD_STRING("replica", replica->id),
 	       RR_FIELD_STRING("reason", source));
-	rr_flush_replica(ctx, core, replica);
+	rr_return_queued_attempts(ctx, core, replica);
 }
 
 static void set_down(struct rr_context *ctx, struct rr_core *core,
@@ -117,34 +120,34 @@
 	 * Reports lag or mislead: one that calls a replica down while it
 	 * answers attempts would take away a healthy copy.
 	 */
-	if (replica->last_good_us &&
-	    core->now_us - replica->last_good_us < TRUST_REPLY_US)
+	if (replica->last_success_us &&
+	    core->now_us - replica->last_success_us < TRUST_REPLY_US)
 		return;
 	replica->state = RR_UPSTREAM_DOWN;
 	rr_log(ctx, RR_LOG_DECISION, "replica-down",
 	       RR_FIELD_STRING("replica", replica->id),
 	       RR_FIELD_STRING("reason", source));
-	rr_flush_replica(ctx, core, replica);
+	rr_return_queued_attempts(ctx, core, replica);
 }
 
 /* It starts slowly: what it did before says nothing of what it can now. */
 static void start_warming(struct rr_replica *replica)
 {
 	replica->samples = 0;
-	replica->losses_in_row = 0;
-	replica->set_aside_until_us = 0;
+	replica->consecutive_losses = 0;
+	replica->ejected_until_us = 0;
 	rr_reset_limit(&replica->limit, rr_slot_share(replica));
 }
 
-bool rr_note_replica_born(struct rr_context *ctx, struct rr_replica *replica,
-			  int64_t born_ms)
+bool rr_update_replica_start_time(struct rr_context *ctx,
+				  struct rr_replica *replica, int64_t born_ms)
 {
-	bool is_later = born_ms > replica->born_ms;
+	bool is_later = born_ms > replica->started_ms;
 
-	if (born_ms < replica->born_ms)
+	if (born_ms < replica->started_ms)
 		return false;
 	/* The first time that it is told may be of the lifetime that is known. */
-	if (is_later && replica->born_ms) {
+	if (is_later && replica->started_ms) {
 		start_warming(replica);
 		replica->draining_since_us = 0;
 		replica->ready_polls = 0;
@@ -155,9 +158,9 @@
 		rr_log(ctx, RR_LOG_DECISION, "replica-born",
 		       RR_FIELD_STRING("replica", replica->id),
 		       RR_FIELD_I64("born_ms", born_ms),
-		       RR_FIELD_I64("before_ms", replica->born_ms));
+		       RR_FIELD_I64("before_ms", replica->started_ms));
 	}
-	replica->born_ms = born_ms;
+	replica->started_ms = born_ms;
 	return true;
 }
 
@@ -189,9 +192,9 @@
 	       RR_FIELD_STRING("reason", source));
 }
 
-void rr_note_state(struct rr_context *ctx, struct rr_core *core,
-		   struct rr_replica *replica, enum rr_upstream_state state,
-		   const char *source)
+void rr_update_replica_state(struct rr_context *ctx, struct rr_core *core,
+			     struct rr_replica *replica,
+			     enum rr_upstream_state state, const char *source)
 {
 	enum rr_upstream_state before = replica->state;
 
@@ -211,7 +214,7 @@
 		break;
 	}
 	if (replica->state != before)
-		replica->service->news++;
+		replica->service->change_count++;
 }
 
 /*
@@ -221,8 +224,8 @@
  */
 static void mix_latency(struct rr_replica *replica, double took)
 {
-	double median_us =
-		(double)rr_sketch_quantile_us(&replica->service->times, 0.5);
+	double median_us = (double)rr_sketch_quantile_us(
+		&replica->service->latencies, 0.5);
 
 	if (median_us > 0)
 		took = MIN(took, MOST_MEDIANS * median_us);
@@ -231,41 +234,41 @@
 	replica->latency_us += LATENCY_WEIGHT * (took - replica->latency_us);
 }
 
-void rr_note_success(struct rr_context *ctx, struct rr_core *core,
-		     struct rr_replica *replica, int64_t took_us,
-		     uint32_t in_flight)
+void rr_record_success(struct rr_context *ctx, struct rr_core *core,
+		       struct rr_replica *replica, int64_t took_us,
+		       uint32_t in_flight)
 {
-	replica->last_good_us = core->now_us;
-	replica->losses_in_row = 0;
+	replica->last_success_us = core->now_us;
+	replica->consecutive_losses = 0;
 	mix_latency(replica, (double)MAX(1, took_us));
 	rr_adapt_replica_limit(replica, took_us, in_flight);
-	rr_add_latency(&replica->service->times, took_us);
-	rr_judge_outlier(ctx, core, replica);
+	rr_add_latency(&replica->service->latencies, took_us);
+	rr_update_outlier_ejection(ctx, core, replica);
 }
 
 /*
  * Guards against a slow replica that looks well: its slow attempts lose to
  * their hedges, and only its quick ones are ever counted.
  */
-void rr_note_withdrawn(struct rr_context *ctx, struct rr_core *core,
-		       struct rr_replica *replica, int64_t took_us)
+void rr_record_cancelled_attempt(struct rr_context *ctx, struct rr_core *core,
+				 struct rr_replica *replica, int64_t took_us)
 {
 	if ((double)took_us <= replica->latency_us)
 		return;
 	mix_latency(replica, (double)took_us);
-	rr_judge_outlier(ctx, core, replica);
+	rr_update_outlier_ejection(ctx, core, replica);
 }
 
-void rr_note_loss(struct rr_context *ctx, struct rr_core *core,
-		  struct rr_replica *replica)
+void rr_record_loss(struct rr_context *ctx, struct rr_core *core,
+		    struct rr_replica *replica)
 {
-	replica->losses_in_row++;
+	replica->consecutive_losses++;
 	rr_shrink_limit(&replica->limit, SHED_SHRINK);
-	rr_judge_outlier(ctx, core, replica);
+	rr_update_outlier_ejection(ctx, core, replica);
 }
 
-void rr_note_shed(struct rr_core *core, struct rr_replica *replica,
-		  uint32_t retry_after_ms)
+void rr_record_shed(struct rr_core *core, struct rr_replica *replica,
+		    uint32_t retry_after_ms)
 {
 	if (!retry_after_ms)
 		retry_after_ms = DEFAULT_SHED_MS;
@@ -277,8 +280,8 @@
 		     replica->number, 0);
 }
 
-bool rr_replica_usable(const struct rr_core *core,
-		       const struct rr_replica *replica)
+bool rr_is_replica_usable(const struct rr_core *core,
+			  const struct rr_replica *replica)
 {
 	if (!replica->shard || replica->state == RR_UPSTREAM_DOWN)
 		return false;
@@ -305,11 +308,12 @@
 {
 	bool was_owned = replica->owned;
 
-	if (replica->owners_view == core->members_view || !replica->shard)
+	if (replica->owners_generation == core->members_generation ||
+	    !replica->shard)
 		return;
-	replica->owners_view = core->members_view;
+	replica->owners_generation = core->members_generation;
 	replica->n_owners = rr_find_owners(
-		replica->shard->path, replica->zone, core->member_refs,
+		replica->shard->owner_key, replica->zone, core->member_refs,
 		core->n_members,
 		core->config ? core->config->owners_per_replica : 1,
 		replica->owners);
--- a/source/core/reply.c
+++ b/source/core/reply.c
@@ -4,25 +4,26 @@
 #include "core/core-private.h"
 
 /* A reply that is whole, of the pin, and whose rows are in its ranges. */
-static enum rr_lack_reason check_reply(const struct rr_query *query,
-				       const struct rr_reply *reply)
+static enum rr_missing_reason check_reply(const struct rr_query *query,
+					  const struct rr_reply *reply)
 {
 #ifndef RR_MUTANT_COVERAGE_CUT
-	if (!reply->end_mark || reply->row_count != rr_count_rows(reply->rows))
-		return RR_LACK_TRUNCATED;
+	if (!reply->body_complete ||
+	    reply->row_count != rr_count_rows(reply->rows))
+		return RR_MISSING_TRUNCATED;
 #endif
 	if (query->kind == RR_RESERVE)
-		return reply->result ? RR_LACK_NONE : RR_LACK_TRUNCATED;
+		return reply->result ? RR_MISSING_NONE : RR_MISSING_TRUNCATED;
 #ifndef RR_MUTANT_SNAPSHOT_MIX
 	if (!reply->version ||
 	    (query->pin_version && reply->version != query->pin_version))
-		return RR_LACK_VERSION;
+		return RR_MISSING_VERSION;
 #endif
 	if (!rr_rows_within(reply->rows, reply->ranges, reply->n_ranges))
-		return RR_LACK_TRUNCATED;
-	if (reply->more && !rr_count_rows(reply->rows))
-		return RR_LACK_TRUNCATED;
-	return RR_LACK_NONE;
+		return RR_MISSING_TRUNCATED;
+	if (reply->has_more && !rr_count_rows(reply->rows))
+		return RR_MISSING_TRUNCATED;
+	return RR_MISSING_NONE;
 }
 
 /* Take rows and ranges of a reply, as far as they were asked for. */
@@ -42,10 +43,11 @@
 	rr_merge_rows(query, reply->rows, ranges, asked->len,
 		      rr_rows_within(reply->rows, ranges, asked->len),
 		      reply->version);
-	if (query->origin && !task->ranges)
-		task->ranges = g_array_ref(asked);
+	if (query->origin && !task->covered_ranges)
+		task->covered_ranges = g_array_ref(asked);
 	else if (query->origin)
-		g_array_append_vals(task->ranges, asked->data, asked->len);
+		g_array_append_vals(task->covered_ranges, asked->data,
+				    asked->len);
 	g_array_unref(asked);
 }
 
@@ -59,62 +61,63 @@
 	if (query->kind == RR_RESERVE) {
 		query->result = g_strndup(reply->result, reply->result_length);
 		query->result_version = reply->version;
-		rr_withdraw_task(ctx, core, query, index);
-		rr_cover_task(core, query, index);
+		rr_cancel_task_attempts(ctx, core, query, index);
+		rr_mark_task_covered(core, query, index);
 		return;
 	}
 	if (!query->pin_version)
 		rr_pin_query(ctx, core, query, reply->version, reply->map_epoch,
 			     "first-reply");
-	query->rows_cut |= reply->more;
-	if (query->kind == RR_LIST && reply->more)
+	query->has_more |= reply->has_more;
+	if (query->kind == RR_LIST && reply->has_more)
 		rr_end_list_page(query, reply->rows);
 	merge_reply(query, task, reply);
 	if (rr_covers_range(query->coverage, rr_task_range(query, task))) {
-		rr_withdraw_task(ctx, core, query, index);
-		rr_cover_task(core, query, index);
+		rr_cancel_task_attempts(ctx, core, query, index);
+		rr_mark_task_covered(core, query, index);
 		return;
 	}
-	task->tried |= replica_bit;
-	rr_fail_task(ctx, core, query, index, RR_LACK_MOVED, false);
+	task->tried_mask |= replica_bit;
+	rr_handle_task_failure(ctx, core, query, index, RR_MISSING_MOVED,
+			       false);
 }
 
 /* What a reply tells of its replica, whatever it is worth to the query. */
 static void note_reply(struct rr_context *ctx, struct rr_core *core,
-		       const struct rr_attempt_run *attempt,
+		       const struct rr_live_attempt *attempt,
 		       const struct rr_reply *reply)
 {
 	struct rr_replica *replica = attempt->replica;
 
-	rr_note_versions(core, replica, reply->oldest_version,
-			 reply->newest_version, reply->map_epoch);
+	rr_update_replica_versions(core, replica, reply->oldest_version,
+				   reply->newest_version, reply->map_epoch);
 	if (reply->load >= 0)
 		replica->reported_load = reply->load;
-	rr_note_state(ctx, core, replica, reply->state, "reply");
+	rr_update_replica_state(ctx, core, replica, reply->state, "reply");
 	switch (reply->status) {
 	case RR_REPLY_OK:
 		/*
 		 * Guards against a replica that draws the work because it
 		 * cuts its bodies short and so is quickest.
 		 */
-		if (!reply->end_mark) {
-			rr_note_loss(ctx, core, replica);
+		if (!reply->body_complete) {
+			rr_record_loss(ctx, core, replica);
 			return;
 		}
-		rr_note_success(ctx, core, replica,
-				core->now_us - attempt->sent_us,
-				attempt->in_flight);
+		rr_record_success(ctx, core, replica,
+				  core->now_us - attempt->sent_us,
+				  attempt->in_flight);
 		return;
 	case RR_REPLY_SHED:
-		rr_note_shed(core, replica, reply->retry_after_ms);
+		rr_record_shed(core, replica, reply->retry_after_ms);
 		return;
 	case RR_REPLY_DRAINING:
-		rr_note_state(ctx, core, replica, RR_UPSTREAM_DRAINING,
-			      "refusal");
+		rr_update_replica_state(ctx, core, replica,
+					RR_UPSTREAM_DRAINING, "refusal");
 		return;
 	case RR_REPLY_REFUSED:
 	case RR_REPLY_LOST:
-		rr_note_loss(ctx, core, replica);
+		rr_record_loss(ctx, core, replica);
 		return;
 	case RR_REPLY_NO_VERSION:
 		return;
@@ -123,8 +126,8 @@
 
 static void prove_not_run(struct rr_query *query, struct rr_task *task)
 {
-	query->n_unproven--;
-	task->n_unproven--;
+	query->n_maybe_run--;
+	task->n_maybe_run--;
 }
 
 static void take_failure(struct rr_context *ctx, struct rr_core *core,
@@ -132,7 +135,7 @@
 			 const struct rr_reply *reply, uint64_t replica_bit)
 {
 	struct rr_task *task = &query->tasks[index];
-	enum rr_lack_reason reason = RR_LACK_LOST;
+	enum rr_missing_reason reason = RR_MISSING_LOST;
 	bool proven = reply->status != RR_REPLY_LOST;
 
 #ifdef RR_MUTANT_NOT_RUN_LOST
@@ -146,24 +149,24 @@
 	}
 	switch (reply->status) {
 	case RR_REPLY_SHED:
-		reason = RR_LACK_SHED;
+		reason = RR_MISSING_SHED;
 		break;
 	case RR_REPLY_NO_VERSION:
-		reason = RR_LACK_VERSION;
-		task->without_version |= replica_bit;
+		reason = RR_MISSING_VERSION;
+		task->no_version_mask |= replica_bit;
 		break;
 	case RR_REPLY_DRAINING:
-		reason = RR_LACK_NONE;
+		reason = RR_MISSING_NONE;
 		break;
 	case RR_REPLY_REFUSED:
-		reason = RR_LACK_NO_REPLICA;
-		task->tried |= replica_bit;
+		reason = RR_MISSING_NO_REPLICA;
+		task->tried_mask |= replica_bit;
 		break;
 	default:
-		task->tried |= replica_bit;
+		task->tried_mask |= replica_bit;
 		break;
 	}
-	rr_fail_task(ctx, core, query, index, reason, proven);
+	rr_handle_task_failure(ctx, core, query, index, reason, proven);
 }
 
 static void take_ok(struct rr_context *ctx, struct rr_core *core,
@@ -171,23 +174,23 @@
 		    const struct rr_reply *reply, uint64_t replica_bit)
 {
 	struct rr_task *task = &query->tasks[index];
-	enum rr_lack_reason fault = check_reply(query, reply);
+	enum rr_missing_reason fault = check_reply(query, reply);
 
-	if (fault == RR_LACK_NONE) {
+	if (fault == RR_MISSING_NONE) {
 		accept_reply(ctx, core, query, index, reply, replica_bit);
 		return;
 	}
 	rr_count(ctx, RR_N_BAD_REPLIES, 1);
-	if (fault == RR_LACK_VERSION)
-		task->without_version |= replica_bit;
-	task->tried |= replica_bit;
-	rr_fail_task(ctx, core, query, index, fault, false);
+	if (fault == RR_MISSING_VERSION)
+		task->no_version_mask |= replica_bit;
+	task->tried_mask |= replica_bit;
+	rr_handle_task_failure(ctx, core, query, index, fault, false);
 }
 
-void rr_take_reply(struct rr_context *ctx, struct rr_core *core,
-		   const struct rr_reply *reply)
+void rr_handle_reply(struct rr_context *ctx, struct rr_core *core,
+		     const struct rr_reply *reply)
 {
-	struct rr_attempt_run *attempt =
+	struct rr_live_attempt *attempt =
 		g_hash_table_lookup(core->attempts, &reply->attempt_id);
 	struct rr_query *query;
 	uint64_t replica_bit;
--- a/source/core/request.c
+++ b/source/core/request.c
@@ -29,7 +29,7 @@
 			      STOPPING_RETRY_MS);
 	if (!core->config)
 		return refuse(refusal, RR_NOT_RUN, "no-configuration",
-			      RR_DEFAULT_RETRY_MS);
+			      RR_DEFAULT_RETRY_AFTER_MS);
 	return true;
 }
 
@@ -68,7 +68,7 @@
 		break;
 	case RR_LOOKUP:
 	case RR_RESERVE:
-		if (rr_shard_of_key(service->map, request->key) ==
+		if (rr_find_shard_by_key(service->map, request->key) ==
 		    service->map->n_shards)
 			return refuse(refusal, RR_INVALID, "key-in-no-shard",
 				      0);
@@ -90,8 +90,8 @@
 
 	if (request->deadline_ms && request->deadline_ms < deadline_ms)
 		deadline_ms = request->deadline_ms;
-	why = rr_refuse_request(core, service, request->priority, deadline_ms,
-				&refusal->retry_after_ms);
+	why = rr_check_query_admission(core, service, request->priority,
+				       deadline_ms, &refusal->retry_after_ms);
 	return !why ||
 	       refuse(refusal, RR_NOT_RUN, why, refusal->retry_after_ms);
 }
@@ -119,7 +119,7 @@
 {
 	char *fault = NULL;
 
-	if (query->guarded) {
+	if (query->at_most_once) {
 		rr_claim_query(ctx, core, query, core->wall_us);
 		return;
 	}
@@ -132,9 +132,9 @@
 	rr_begin_query(ctx, core, query);
 }
 
-uint64_t rr_core_request(struct rr_context *ctx, struct rr_core *core,
-			 int64_t now_us, int64_t wall_us,
-			 const struct rr_request *request)
+uint64_t rr_core_handle_request(struct rr_context *ctx, struct rr_core *core,
+				int64_t now_us, int64_t wall_us,
+				const struct rr_request *request)
 {
 	struct refusal refusal = { .what = NULL };
 	struct rr_service *service = NULL;
@@ -147,15 +147,15 @@
 	rr_count(ctx, RR_N_REQUESTS, 1);
 	if (!check_request(ctx, core, request, &service, &refusal)) {
 		id = rr_next_id(core);
-		rr_answer_refused(ctx, core, request, id, refusal.outcome,
-				  refusal.what, refusal.retry_after_ms);
+		rr_answer_rejected(ctx, core, request, id, refusal.outcome,
+				   refusal.what, refusal.retry_after_ms);
 		g_free(refusal.detail);
 		return id;
 	}
 	query = rr_new_query(core, service, request);
 	id = query->id;
 	begin(ctx, core, query, request);
-	rr_settle_core(ctx, core);
+	rr_run_scheduled_work(ctx, core);
 	return id;
 }
 
@@ -171,11 +171,11 @@
 		rr_log(ctx, RR_LOG_DECISION, "cancel",
 		       RR_FIELD_STRING("request", query->request_id),
 		       RR_FIELD_U64("query", query->id));
-		query->silent = true;
-		if (query->guarded)
-			rr_leave_guarded(ctx, core, query);
+		query->cancelled = true;
+		if (query->at_most_once)
+			rr_cancel_at_most_once(ctx, core, query);
 		else
 			rr_end_query(ctx, core, query);
 	}
-	rr_settle_core(ctx, core);
+	rr_run_scheduled_work(ctx, core);
 }
--- a/source/core/reserve.c
+++ b/source/core/reserve.c
@@ -61,32 +61,32 @@
 		    struct rr_query *query, int64_t wall_us)
 {
 	query->stage = RR_QUERY_CLAIMING;
-	query->claim = rr_claim_id(ctx, core->ledger, core->now_us, wall_us,
-				   query->service->name, query->idempotency_key,
-				   fingerprint(query));
-	g_hash_table_insert(core->claims,
-			    g_memdup2(&query->claim, sizeof(query->claim)),
-			    query);
+	query->claim_id = rr_claim_id(
+		ctx, core->ledger, core->now_us, wall_us, query->service->name,
+		query->idempotency_key, fingerprint(query));
+	g_hash_table_insert(
+		core->claims,
+		g_memdup2(&query->claim_id, sizeof(query->claim_id)), query);
 }
 
 static void release_claim(struct rr_context *ctx, struct rr_core *core,
 			  struct rr_query *query)
 {
-	if (!query->claim_ours)
+	if (!query->claim_acquired)
 		return;
 	/* Given back only with proof: else a second run could follow. */
-	rr_invariant("at-most-once", !query->n_unproven);
-	query->claim_ours = false;
-	rr_release_claim(ctx, core->ledger, core->now_us, query->claim);
+	rr_invariant("at-most-once", !query->n_maybe_run);
+	query->claim_acquired = false;
+	rr_release_claim(ctx, core->ledger, core->now_us, query->claim_id);
 }
 
 static void abandon_claim(struct rr_context *ctx, struct rr_core *core,
 			  struct rr_query *query)
 {
-	if (!query->claim_ours)
+	if (!query->claim_acquired)
 		return;
-	query->claim_ours = false;
-	rr_abandon_claim(ctx, core->ledger, query->claim);
+	query->claim_acquired = false;
+	rr_abandon_claim(ctx, core->ledger, query->claim_id);
 }
 
 /* End a guarded query whose claim was not had. */
@@ -115,7 +115,7 @@
 						  result->result_length) :
 					g_strdup("null");
 		answer.result = query->result;
-		rr_hand_answer(ctx, core, query, &answer);
+		rr_deliver_answer(ctx, core, query, &answer);
 	}
 	rr_end_query(ctx, core, query);
 }
@@ -124,8 +124,8 @@
 static void run_claimed(struct rr_context *ctx, struct rr_core *core,
 			struct rr_query *query)
 {
-	query->claim_ours = true;
-	if (query->answered || query->silent) {
+	query->claim_acquired = true;
+	if (query->answered || query->cancelled) {
 		release_claim(ctx, core, query);
 		rr_end_query(ctx, core, query);
 		return;
@@ -237,14 +237,14 @@
 static void record_result(struct rr_context *ctx, struct rr_core *core,
 			  struct rr_query *query)
 {
-	if (!query->claim_ours)
+	if (!query->claim_acquired)
 		return;
 	if (query->kind != RR_RESERVE) {
 		g_free(query->result);
 		query->result = format_rows(query);
 	}
-	query->claim_ours = false;
-	rr_record_claim(ctx, core->ledger, core->now_us, query->claim,
+	query->claim_acquired = false;
+	rr_record_claim(ctx, core->ledger, core->now_us, query->claim_id,
 			query->result, strlen(query->result));
 }
 
@@ -261,21 +261,21 @@
 		rr_answer_query(ctx, core, query, RR_COMPLETE, NULL);
 		return;
 	}
-	rr_hand_answer(ctx, core, query, &answer);
+	rr_deliver_answer(ctx, core, query, &answer);
 	rr_end_query(ctx, core, query);
 }
 
 static const char *lack_word(const struct rr_query *query)
 {
 	for (size_t i = 0; i < query->n_tasks; i++) {
-		if (query->tasks[i].status == RR_TASK_LACKING)
-			return rr_lack_reason_name(query->tasks[i].reason);
+		if (query->tasks[i].status == RR_TASK_FAILED)
+			return rr_missing_reason_name(query->tasks[i].reason);
 	}
 	return NULL;
 }
 
-void rr_finish_guarded(struct rr_context *ctx, struct rr_core *core,
-		       struct rr_query *query)
+void rr_finish_at_most_once(struct rr_context *ctx, struct rr_core *core,
+			    struct rr_query *query)
 {
 	enum rr_outcome outcome;
 
@@ -287,7 +287,7 @@
 			answer_done(ctx, core, query);
 		return;
 	}
-	if (!query->n_unproven) {
+	if (!query->n_maybe_run) {
 		release_claim(ctx, core, query);
 		outcome = RR_NOT_RUN;
 	} else {
@@ -308,11 +308,12 @@
 			     task->live[0]->status == RR_ATTEMPT_SENT);
 
 		if (task->status == RR_TASK_COVERED ||
-		    task->status == RR_TASK_LACKING || sent)
+		    task->status == RR_TASK_FAILED || sent)
 			continue;
-		rr_lack_task(ctx, core, query, i,
-			     task->status == RR_TASK_PAUSED ? task->reason :
-							      RR_LACK_DEADLINE);
+		rr_mark_task_failed(ctx, core, query, i,
+				    task->status == RR_TASK_BACKOFF ?
+					    task->reason :
+					    RR_MISSING_DEADLINE);
 	}
 }
 
@@ -332,11 +333,12 @@
 	};
 
 	if (!query->origin && !query->answered)
-		rr_hand_answer(ctx, core, query, &answer);
+		rr_deliver_answer(ctx, core, query, &answer);
 }
 
-void rr_end_guarded_at_deadline(struct rr_context *ctx, struct rr_core *core,
-				struct rr_query *query)
+void rr_end_at_most_once_at_deadline(struct rr_context *ctx,
+				     struct rr_core *core,
+				     struct rr_query *query)
 {
 	if (query->stage == RR_QUERY_CLAIMING) {
 		/* The claim may yet come; it is given back then. */
@@ -345,34 +347,35 @@
 	}
 	give_up_unsent(ctx, core, query);
 	if (!query->n_open) {
-		rr_touch_query(core, query);
+		rr_schedule_query(core, query);
 		return;
 	}
 	answer_unknown(ctx, core, query, "deadline");
 	linger(core, query);
 }
 
-void rr_leave_guarded(struct rr_context *ctx, struct rr_core *core,
-		      struct rr_query *query)
+void rr_cancel_at_most_once(struct rr_context *ctx, struct rr_core *core,
+			    struct rr_query *query)
 {
-	query->silent = true;
+	query->cancelled = true;
 	if (query->stage != RR_QUERY_RUNNING)
 		return;
 	give_up_unsent(ctx, core, query);
-	rr_touch_query(core, query);
+	rr_schedule_query(core, query);
 	if (query->n_open)
 		linger(core, query);
 }
 
-void rr_end_lingering(struct rr_context *ctx, struct rr_core *core,
-		      struct rr_query *query)
+void rr_end_lingering_query(struct rr_context *ctx, struct rr_core *core,
+			    struct rr_query *query)
 {
 	for (uint32_t i = 0; i < query->n_tasks; i++) {
 		struct rr_task *task = &query->tasks[i];
 
 		if (task->status != RR_TASK_COVERED &&
-		    task->status != RR_TASK_LACKING)
-			rr_lack_task(ctx, core, query, i, RR_LACK_LOST);
+		    task->status != RR_TASK_FAILED)
+			rr_mark_task_failed(ctx, core, query, i,
+					    RR_MISSING_LOST);
 	}
-	rr_touch_query(core, query);
+	rr_schedule_query(core, query);
 }
--- a/source/core/service.c
+++ b/source/core/service.c
@@ -27,14 +27,14 @@
 		for (size_t j = 0; j < map->shards[i].n_replicas; j++)
 			rr_drop_replica(map->shards[i].replicas[j]);
 		g_free(map->shards[i].replicas);
-		g_free(map->shards[i].path);
+		g_free(map->shards[i].owner_key);
 	}
 	g_free(map->shards);
 	rr_drop_config(map->config);
 	g_free(map);
 }
 
-size_t rr_shard_of_key(const struct rr_service_map *map, uint64_t key)
+size_t rr_find_shard_by_key(const struct rr_service_map *map, uint64_t key)
 {
 	for (size_t i = 0; i < map->n_shards; i++) {
 		const struct rr_shard_config *shard = map->shards[i].config;
@@ -45,8 +45,8 @@
 	return map->n_shards;
 }
 
-size_t rr_shard_by_name(const struct rr_service_map *map, const char *name,
-			size_t guess)
+size_t rr_find_shard_by_name(const struct rr_service_map *map, const char *name,
+			     size_t guess)
 {
 	for (size_t i = 0; name && i < map->n_shards; i++) {
 		size_t at = (guess + i) % map->n_shards;
--- a/source/core/snapshot.c
+++ b/source/core/snapshot.c
@@ -38,7 +38,7 @@
 static bool knows_versions(const struct rr_core *core,
 			   const struct rr_replica *replica)
 {
-	return replica->newest_version && rr_replica_usable(core, replica);
+	return replica->newest_version && rr_is_replica_usable(core, replica);
 }
 
 static bool holds(const struct rr_replica *replica, uint64_t version)
@@ -154,7 +154,7 @@
 
 	count_candidates(core, service->map, fast, &all);
 	chosen = pick_candidate(config, &all);
-	service->pin_news = service->news;
+	service->pin_change_count = service->change_count;
 	service->pin_until_us = core->now_us + FAST_PIN_US;
 	service->pin_version = 0;
 	service->pin_epoch = 0;
@@ -170,7 +170,7 @@
 		       struct rr_service *service, uint64_t *epoch,
 		       size_t *n_shards)
 {
-	if (service->pin_news != service->news ||
+	if (service->pin_change_count != service->change_count ||
 	    core->now_us >= service->pin_until_us)
 		refresh_pin(core, service);
 	*epoch = service->pin_epoch;
@@ -183,7 +183,7 @@
 		  const char *reason)
 {
 	rr_invariant("one-snapshot",
-		     !query->pin_version && !query->blocks->len);
+		     !query->pin_version && !query->row_blocks->len);
 	query->pin_version = version;
 	query->pin_epoch = epoch;
 	rr_log(ctx, RR_LOG_DECISION, "pin",
@@ -195,9 +195,10 @@
 
 static bool may_restart(struct rr_core *core, const struct rr_query *query)
 {
-	int64_t typical_us = rr_sketch_quantile_us(&query->service->times, 0.5);
+	int64_t typical_us =
+		rr_sketch_quantile_us(&query->service->latencies, 0.5);
 
-	if (query->kind != RR_SEARCH || query->guarded || query->origin)
+	if (query->kind != RR_SEARCH || query->at_most_once || query->origin)
 		return false;
 	if (query->restarts || query->map != query->service->map)
 		return false;
@@ -216,7 +217,8 @@
 	version = rr_choose_pin(ctx, core, query->service, &epoch, &n_shards);
 	if (version <= query->pin_version || n_shards <= query->n_covered)
 		return false;
-	if (!rr_take_tokens(&query->service->retries, (double)query->n_covered))
+	if (!rr_take_tokens(&query->service->retry_budget,
+			    (double)query->n_covered))
 		return false;
 	rr_log(ctx, RR_LOG_DECISION, "restart",
 	       RR_FIELD_STRING("request", query->request_id),
@@ -229,18 +231,18 @@
 	rr_clear_merge(query);
 	query->n_covered = 0;
 	query->n_open = 0;
-	g_array_set_size(query->idle, 0);
-	query->idle_head = 0;
+	g_array_set_size(query->pending_tasks, 0);
+	query->pending_head = 0;
 	for (uint32_t i = 0; i < query->n_tasks; i++) {
 		struct rr_task *task = &query->tasks[i];
 
-		rr_withdraw_task(ctx, core, query, i);
-		task->tried = 0;
-		task->without_version = 0;
+		rr_cancel_task_attempts(ctx, core, query, i);
+		task->tried_mask = 0;
+		task->no_version_mask = 0;
 		task->needs_token = false;
 		task->n_starts = 0;
-		task->reason = RR_LACK_NONE;
-		rr_idle_task(query, i);
+		task->reason = RR_MISSING_NONE;
+		rr_enqueue_task(query, i);
 		query->n_open++;
 	}
 	query->pin_version = 0;
--- a/source/core/status.c
+++ b/source/core/status.c
@@ -41,10 +41,10 @@
 		",\"set_aside\":%s}",
 		state_name(replica), replica->owned ? "true" : "false",
 		replica->in_flight,
-		replica->waiting[0].length + replica->waiting[1].length,
+		replica->queues[0].length + replica->queues[1].length,
 		rr_replica_limit(core, replica), replica->latency_us,
 		replica->oldest_version, replica->newest_version,
-		replica->set_aside_until_us > core->now_us ? "true" : "false");
+		replica->ejected_until_us > core->now_us ? "true" : "false");
 }
 
 static void format_replicas(const struct rr_core *core,
@@ -71,8 +71,8 @@
 		out,
 		",\"open\":%u,\"waiting\":%u,\"pin\":%" G_GUINT64_FORMAT
 		",\"hedge_tokens\":%.1f,\"retry_tokens\":%.1f,\"replicas\":[",
-		service->n_open, service->n_waiting, service->pin_version,
-		service->hedges.tokens, service->retries.tokens);
+		service->n_open, service->n_queued, service->pin_version,
+		service->hedge_budget.tokens, service->retry_budget.tokens);
 	format_replicas(core, service->map, out);
 	g_string_append(out, "]}");
 }
@@ -151,7 +151,7 @@
 	g_string_append(out, ",\"yard\":");
 	rr_append_json_string(out, shard->config->public_name);
 	g_string_append_printf(out, ",\"reason\":\"%s\"}",
-			       rr_lack_reason_name(RR_LACK_NO_REPLICA));
+			       rr_missing_reason_name(RR_MISSING_NO_REPLICA));
 }
 
 static void format_lacking(const struct rr_core *core, GString *out)
@@ -178,7 +178,7 @@
 			   GString *out)
 {
 	const char *reason;
-	bool ready = rr_core_ready(core, &reason);
+	bool ready = rr_core_is_ready(core, &reason);
 
 	g_string_append(out, "{\"instance\":");
 	rr_append_json_string(out, core->instance);
--- a/source/core/task.c
+++ b/source/core/task.c
@@ -20,13 +20,14 @@
 	return range;
 }
 
-void rr_idle_task(struct rr_query *query, uint32_t index)
+void rr_enqueue_task(struct rr_query *query, uint32_t index)
 {
-	query->tasks[index].status = RR_TASK_IDLE;
-	g_array_append_val(query->idle, index);
+	query->tasks[index].status = RR_TASK_PENDING;
+	g_array_append_val(query->pending_tasks, index);
 }
 
-void rr_cover_task(struct rr_core *core, struct rr_query *query, uint32_t index)
+void rr_mark_task_covered(struct rr_core *core, struct rr_query *query,
+			  uint32_t index)
 {
 	struct rr_task *task = &query->tasks[index];
 
@@ -38,12 +39,12 @@
 		     query->kind == RR_RESERVE ||
 			     rr_covers_range(query->coverage,
 					     rr_task_range(query, task)));
-	if (task->status != RR_TASK_LACKING)
+	if (task->status != RR_TASK_FAILED)
 		query->n_open--;
 	task->status = RR_TASK_COVERED;
-	task->reason = RR_LACK_NONE;
+	task->reason = RR_MISSING_NONE;
 	query->n_covered++;
-	rr_touch_query(core, query);
+	rr_schedule_query(core, query);
 }
 
 static void log_lack(struct rr_context *ctx, const struct rr_query *query,
@@ -54,37 +55,39 @@
 	       RR_FIELD_U64("query", query->id),
 	       RR_FIELD_STRING("shard",
 			       query->map->shards[task->shard].config->name),
-	       RR_FIELD_STRING("reason", rr_lack_reason_name(task->reason)));
+	       RR_FIELD_STRING("reason", rr_missing_reason_name(task->reason)));
 }
 
-void rr_lack_task(struct rr_context *ctx, struct rr_core *core,
-		  struct rr_query *query, uint32_t index,
-		  enum rr_lack_reason reason)
+void rr_mark_task_failed(struct rr_context *ctx, struct rr_core *core,
+			 struct rr_query *query, uint32_t index,
+			 enum rr_missing_reason reason)
 {
 	struct rr_task *task = &query->tasks[index];
 
-	rr_withdraw_task(ctx, core, query, index);
-	task->status = RR_TASK_LACKING;
-	task->reason = reason != RR_LACK_NONE ? reason : RR_LACK_NO_REPLICA;
+	rr_cancel_task_attempts(ctx, core, query, index);
+	task->status = RR_TASK_FAILED;
+	task->reason =
+		reason != RR_MISSING_NONE ? reason : RR_MISSING_NO_REPLICA;
 	query->n_open--;
-	if (reason == RR_LACK_VERSION)
+	if (reason == RR_MISSING_VERSION)
 		query->wants_restart = true;
 	log_lack(ctx, query, task);
-	rr_touch_query(core, query);
+	rr_schedule_query(core, query);
 }
 
-void rr_withdraw_task(struct rr_context *ctx, struct rr_core *core,
-		      struct rr_query *query, uint32_t index)
+void rr_cancel_task_attempts(struct rr_context *ctx, struct rr_core *core,
+			     struct rr_query *query, uint32_t index)
 {
 	struct rr_task *task = &query->tasks[index];
 
 	while (task->n_live) {
-		struct rr_attempt_run *attempt = task->live[task->n_live - 1];
+		struct rr_live_attempt *attempt = task->live[task->n_live - 1];
 
 		if (attempt->status == RR_ATTEMPT_SENT && !attempt->hedge)
-			rr_note_withdrawn(ctx, core, attempt->replica,
-					  core->now_us - attempt->sent_us);
-		rr_withdraw_run(ctx, core, attempt);
+			rr_record_cancelled_attempt(ctx, core, attempt->replica,
+						    core->now_us -
+							    attempt->sent_us);
+		rr_cancel_live_attempt(ctx, core, attempt);
 	}
 	task->relay = NULL;
 }
@@ -92,7 +95,7 @@
 static void pause_task(struct rr_core *core, struct rr_query *query,
 		       uint32_t index, int64_t until_us)
 {
-	query->tasks[index].status = RR_TASK_PAUSED;
+	query->tasks[index].status = RR_TASK_BACKOFF;
 	rr_set_timer(core->timers, until_us, RR_TIMER_RETRY, query->id, index);
 }
 
@@ -104,12 +107,12 @@
 /* Nothing to try now: wait for a shed to pass, go round again, or give up. */
 static void stall_task(struct rr_context *ctx, struct rr_core *core,
 		       struct rr_query *query, uint32_t index,
-		       enum rr_lack_reason reason, int64_t retry_us)
+		       enum rr_missing_reason reason, int64_t retry_us)
 {
 	struct rr_task *task = &query->tasks[index];
 	int64_t again_us = core->now_us + SECOND_ROUND_US;
 
-	if (reason == RR_LACK_SHED) {
+	if (reason == RR_MISSING_SHED) {
 		int64_t wait_us = retry_us - core->now_us;
 
 		query->retry_after_ms = MAX(query->retry_after_ms,
@@ -120,15 +123,15 @@
 			return;
 		}
 	}
-	if ((reason == RR_LACK_LOST || reason == RR_LACK_TRUNCATED) &&
-	    !task->second_round && !query->guarded &&
+	if ((reason == RR_MISSING_LOST || reason == RR_MISSING_TRUNCATED) &&
+	    !task->second_round && !query->at_most_once &&
 	    in_time(query, again_us)) {
 		task->second_round = true;
-		task->tried = 0;
+		task->tried_mask = 0;
 		pause_task(core, query, index, again_us);
 		return;
 	}
-	rr_lack_task(ctx, core, query, index, reason);
+	rr_mark_task_failed(ctx, core, query, index, reason);
 }
 
 static void log_route(struct rr_context *ctx, const struct rr_query *query,
@@ -151,7 +154,7 @@
 {
 	if (!task->needs_token)
 		return true;
-	if (!rr_take_tokens(&query->service->retries, 1))
+	if (!rr_take_tokens(&query->service->retry_budget, 1))
 		return false;
 	task->needs_token = false;
 	rr_count(ctx, RR_N_RETRIES, 1);
@@ -162,7 +165,7 @@
 		   struct rr_query *query, uint32_t index)
 {
 	struct rr_task *task = &query->tasks[index];
-	enum rr_lack_reason reason = RR_LACK_NO_REPLICA;
+	enum rr_missing_reason reason = RR_MISSING_NO_REPLICA;
 	const char *why = task->n_starts ? "retry" : "first";
 	struct rr_replica *replica;
 	int64_t retry_us;
@@ -170,7 +173,7 @@
 
 	/* The caller was told "unknown" or left: nothing more is sent. */
 	if (query->stage == RR_QUERY_LINGERING) {
-		rr_lack_task(ctx, core, query, index, task->reason);
+		rr_mark_task_failed(ctx, core, query, index, task->reason);
 		return;
 	}
 	chosen = rr_choose_replica(ctx, core, query, index, &reason, &retry_us);
@@ -179,7 +182,7 @@
 		return;
 	}
 	if (task->n_starts >= MOST_STARTS || !pay_start(ctx, query, task)) {
-		rr_lack_task(ctx, core, query, index, task->reason);
+		rr_mark_task_failed(ctx, core, query, index, task->reason);
 		return;
 	}
 	task->n_starts++;
@@ -194,19 +197,19 @@
 
 /* Whether a failure costs a retry token: a replica that is leaving or behind
  * did no work for us, and each is tried once only. */
-static bool costs_token(enum rr_lack_reason reason)
+static bool costs_token(enum rr_missing_reason reason)
 {
-	return reason != RR_LACK_VERSION && reason != RR_LACK_NONE;
+	return reason != RR_MISSING_VERSION && reason != RR_MISSING_NONE;
 }
 
-void rr_fail_task(struct rr_context *ctx, struct rr_core *core,
-		  struct rr_query *query, uint32_t index,
-		  enum rr_lack_reason reason, bool proven)
+void rr_handle_task_failure(struct rr_context *ctx, struct rr_core *core,
+			    struct rr_query *query, uint32_t index,
+			    enum rr_missing_reason reason, bool proven)
 {
 	struct rr_task *task = &query->tasks[index];
 
-	rr_touch_query(core, query);
-	if (reason != RR_LACK_NONE)
+	rr_schedule_query(core, query);
+	if (reason != RR_MISSING_NONE)
 		task->reason = reason;
 	if (task->status != RR_TASK_RUNNING || task->n_live || task->relay)
 		return;
@@ -217,10 +220,10 @@
 #ifdef RR_MUTANT_RESERVE_AGAIN
 	proven = true;
 #endif
-	if (query->guarded && !proven) {
-		rr_lack_task(ctx, core, query, index, reason);
+	if (query->at_most_once && !proven) {
+		rr_mark_task_failed(ctx, core, query, index, reason);
 		return;
 	}
 	task->needs_token = costs_token(reason);
-	rr_idle_task(query, index);
+	rr_enqueue_task(query, index);
 }
--- a/source/daemon/daemon.c
+++ b/source/daemon/daemon.c
@@ -58,7 +58,7 @@
 
 	g_source_set_ready_time(&daemon->ticker->source,
 				rr_core_wake_us(daemon->core));
-	ready = rr_core_ready(daemon->core, NULL);
+	ready = rr_core_is_ready(daemon->core, NULL);
 	if (ready == daemon->was_ready)
 		return;
 	daemon->was_ready = ready;
@@ -190,8 +190,9 @@
 	uint64_t query_id;
 
 	daemon->busy_us = g_get_monotonic_time();
-	query_id = rr_core_request(daemon->ctx, daemon->core, daemon->busy_us,
-				   g_get_real_time(), request);
+	query_id = rr_core_handle_request(daemon->ctx, daemon->core,
+					  daemon->busy_us, g_get_real_time(),
+					  request);
 	settle(daemon);
 	return query_id;
 }
@@ -209,7 +210,7 @@
 {
 	struct rr_daemon *daemon = data;
 
-	return rr_core_ready(daemon->core, reason);
+	return rr_core_is_ready(daemon->core, reason);
 }
 
 static void tell_status(void *data, GString *out)
@@ -223,7 +224,8 @@
 {
 	struct rr_daemon *daemon = data;
 
-	rr_core_reply(daemon->ctx, daemon->core, g_get_monotonic_time(), reply);
+	rr_core_handle_reply(daemon->ctx, daemon->core, g_get_monotonic_time(),
+			     reply);
 	settle(daemon);
 }
 
@@ -231,8 +233,8 @@
 {
 	struct rr_daemon *daemon = data;
 
-	rr_core_health(daemon->ctx, daemon->core, g_get_monotonic_time(),
-		       health);
+	rr_core_handle_health(daemon->ctx, daemon->core, g_get_monotonic_time(),
+			      health);
 	settle(daemon);
 }
 
@@ -240,8 +242,8 @@
 {
 	struct rr_daemon *daemon = data;
 
-	rr_core_store_reply(daemon->ctx, daemon->core, g_get_monotonic_time(),
-			    reply);
+	rr_core_handle_store_reply(daemon->ctx, daemon->core,
+				   g_get_monotonic_time(), reply);
 	settle(daemon);
 }
 
@@ -274,15 +276,16 @@
 {
 	struct rr_daemon *daemon = data;
 
-	return rr_core_watches_config(daemon->core, WATCHERS_PER_ZONE);
+	return rr_core_is_config_watcher(daemon->core, WATCHERS_PER_ZONE);
 }
 
 static void take_peer_message(void *data, const struct rr_peer_message *message)
 {
 	struct rr_daemon *daemon = data;
 
-	rr_core_peer(daemon->ctx, daemon->core, g_get_monotonic_time(),
-		     g_get_real_time(), message);
+	rr_core_handle_peer_message(daemon->ctx, daemon->core,
+				    g_get_monotonic_time(), g_get_real_time(),
+				    message);
 	settle(daemon);
 }
 
@@ -298,7 +301,8 @@
 	struct rr_daemon *daemon = data;
 	int64_t now_us = g_get_monotonic_time();
 
-	if (!rr_core_drained(daemon->core) || rr_count_calls(daemon->callers))
+	if (!rr_core_is_drained(daemon->core) ||
+	    rr_count_calls(daemon->callers))
 		daemon->busy_us = now_us;
 	if (now_us - daemon->drain_began_us >
 	    (int64_t)daemon->drain_timeout_ms * 1000) {
@@ -357,10 +361,10 @@
 		.actions = {
 			.send_attempt = send_attempt,
 			.cancel_attempt = cancel_attempt,
-			.answer = give_answer,
-			.send_peer = send_peer,
+			.send_answer = give_answer,
+			.send_peer_message = send_peer,
 			.poll_health = poll_health,
-			.config_record = keep_record,
+			.apply_config_record = keep_record,
 			.data = daemon,
 		},
 		.store = rr_store_port_of(daemon->platform),
--- a/source/net/caller-answer.c
+++ b/source/net/caller-answer.c
@@ -45,14 +45,14 @@
 		rr_append_json_string(out, answer->covered[i]);
 	}
 	g_string_append(out, "],\"lacking\":[");
-	for (size_t i = 0; i < answer->n_lacking; i++) {
-		const struct rr_lacking *lacking = &answer->lacking[i];
+	for (size_t i = 0; i < answer->n_missing; i++) {
+		const struct rr_missing_shard *lacking = &answer->missing[i];
 
 		g_string_append(out, i ? ",{\"shard\":" : "{\"shard\":");
 		rr_append_json_string(out, lacking->shard);
-		append_member(out, "yard", lacking->yard);
+		append_member(out, "yard", lacking->public_name);
 		append_member(out, "reason",
-			      rr_lack_reason_name(lacking->reason));
+			      rr_missing_reason_name(lacking->reason));
 		g_string_append_c(out, '}');
 	}
 	g_string_append(out, "]}");
@@ -72,7 +72,7 @@
 	g_string_append(out, ",\"rows\":[");
 	append_rows(out, answer);
 	g_string_append_printf(out, "],\"rows_cut\":%s",
-			       answer->rows_cut ? "true" : "false");
+			       answer->has_more ? "true" : "false");
 	append_coverage(out, answer);
 	if (answer->result) {
 		g_string_append(out, ",\"result\":");
--- a/source/wire/wire-peer.c
+++ b/source/wire/wire-peer.c
@@ -200,10 +200,10 @@
 {
 	if (!check_name(from->shard, "outcome's shard", error))
 		return false;
-	if (from->reason >= RR_LACK_REASON_COUNT)
+	if (from->reason >= RR_MISSING_REASON_COUNT)
 		return fail(error, "reason %u, allowed 0 to %d", from->reason,
-			    RR_LACK_REASON_COUNT - 1);
-	if (from->covered == (from->reason != RR_LACK_NONE))
+			    RR_MISSING_REASON_COUNT - 1);
+	if (from->covered == (from->reason != RR_MISSING_NONE))
 		return fail(error, "an outcome's reason and cover disagree");
 	if (from->oldest_version > from->newest_version)
 		return fail(error, "outcome's versions are reversed");
@@ -212,7 +212,7 @@
 			    from->n_ranges, 2 * RR_MAX_RANGES);
 	outcome->shard = g_strdup(from->shard);
 	outcome->covered = from->covered;
-	outcome->reason = (enum rr_lack_reason)from->reason;
+	outcome->reason = (enum rr_missing_reason)from->reason;
 	outcome->not_run = from->not_run;
 	outcome->oldest_version = from->oldest_version;
 	outcome->newest_version = from->newest_version;
--- a/source/wire/wire-upstream.c
+++ b/source/wire/wire-upstream.c
@@ -371,9 +371,9 @@
 	if (d->depth > 0 && is_verbatim(d))
 		take_verbatim(d);
 	else if (d->depth == DEPTH_BODY && d->field == FIELD_MORE)
-		d->body->reply.more = value;
+		d->body->reply.has_more = value;
 	else if (d->depth == DEPTH_BODY && d->field == FIELD_END && value)
-		d->body->reply.end_mark = true;
+		d->body->reply.body_complete = true;
 	else
 		return wrong_kind(d, "a boolean");
 	return 1;
@@ -467,7 +467,7 @@
 		FIELD_ROW_COUNT,
 	};
 
-	if (!reply->end_mark)
+	if (!reply->body_complete)
 		return fail(d, "cut short: no end mark");
 	for (size_t i = 0; i < G_N_ELEMENTS(required); i++) {
 		if (!(d->seen & 1u << required[i]))
--- a/tests/random/callers.c
+++ b/tests/random/callers.c
@@ -56,8 +56,9 @@
 		 "r%" G_GUINT64_FORMAT, issued->number);
 	asking->request.request_id = asking->request_id;
 	asking->request.cursor = asking->cursor;
-	query_id = rr_core_request(instance->ctx, instance->core, world->now_us,
-				   wall_us(world), &asking->request);
+	query_id = rr_core_handle_request(instance->ctx, instance->core,
+					  world->now_us, wall_us(world),
+					  &asking->request);
 	check(world, query_id != 0, "query id 0");
 	check(world, !issued->query_id || issued->query_id == query_id,
 	      "answered under another query id");
--- a/tests/random/check.c
+++ b/tests/random/check.c
@@ -76,32 +76,33 @@
 
 		check(world, !named[shard], "shard %d named twice", shard);
 		named[shard] = true;
-		if (issued->kind != RR_SEARCH || answer->rows_cut)
+		if (issued->kind != RR_SEARCH || answer->has_more)
 			continue;
 		check(world, shard_whole(seen, shard),
 		      "true-coverage: shard %d is said to be covered and lacks "
 		      "rows (request %" G_GUINT64_FORMAT ")",
 		      shard, issued->number);
 	}
-	for (size_t i = 0; i < answer->n_lacking; i++) {
-		int shard = shard_of_name(world, answer->lacking[i].shard);
+	for (size_t i = 0; i < answer->n_missing; i++) {
+		int shard = shard_of_name(world, answer->missing[i].shard);
 
 		check(world, !named[shard], "shard %d named twice", shard);
 		named[shard] = true;
 		check(world,
-		      answer->lacking[i].reason > RR_LACK_NONE &&
-			      answer->lacking[i].reason < RR_LACK_REASON_COUNT,
+		      answer->missing[i].reason > RR_MISSING_NONE &&
+			      answer->missing[i].reason <
+				      RR_MISSING_REASON_COUNT,
 		      "shard %d is lacking without a reason", shard);
-		check(world, answer->lacking[i].yard != NULL, "no yard");
+		check(world, answer->missing[i].public_name != NULL, "no yard");
 	}
-	check(world, (answer->outcome == RR_COMPLETE) == !answer->n_lacking,
+	check(world, (answer->outcome == RR_COMPLETE) == !answer->n_missing,
 	      "outcome %s with %d lacking", rr_outcome_name(answer->outcome),
-	      (int)answer->n_lacking);
+	      (int)answer->n_missing);
 	if (issued->kind == RR_LIST)
 		return;
-	check(world, answer->n_covered + answer->n_lacking == n_asked,
+	check(world, answer->n_covered + answer->n_missing == n_asked,
 	      "%d shards named of %d",
-	      (int)(answer->n_covered + answer->n_lacking), (int)n_asked);
+	      (int)(answer->n_covered + answer->n_missing), (int)n_asked);
 }
 
 static void check_list(struct world *world, struct issued *issued,
@@ -304,7 +305,7 @@
 		if (outcome->not_run && issued->kind == RR_RESERVE)
 			check_not_run(world, issued);
 		if (!outcome->covered)
-			check(world, outcome->reason != RR_LACK_NONE,
+			check(world, outcome->reason != RR_MISSING_NONE,
 			      "relayed shard lacking without a reason");
 		for (size_t j = 0; outcome->covered && j < outcome->n_ranges;
 		     j++) {
--- a/tests/random/peer.c
+++ b/tests/random/peer.c
@@ -51,9 +51,9 @@
 {
 	struct world *world = instance->world;
 
-	rr_core_peer(instance->ctx, instance->core, world->now_us,
-		     WALL_START_US + world->now_us + world->wall_offset_us,
-		     data);
+	rr_core_handle_peer_message(
+		instance->ctx, instance->core, world->now_us,
+		WALL_START_US + world->now_us + world->wall_offset_us, data);
 }
 
 static void drop_message(void *data)
@@ -154,7 +154,7 @@
 
 	outcome->shard = g_strdup(relay->shards[i].shard);
 	outcome->not_run = true;
-	outcome->reason = RR_LACK_NO_REPLICA;
+	outcome->reason = RR_MISSING_NO_REPLICA;
 	sscanf(outcome->shard, "shard-%d", &shard);
 	replica =
 		&world->replicas[shard * N_REPLICAS +
@@ -166,7 +166,7 @@
 	if (!reply->version)
 		reply->version = replica->newest;
 	if (!holds_version(replica, reply->version)) {
-		outcome->reason = RR_LACK_VERSION;
+		outcome->reason = RR_MISSING_VERSION;
 		return;
 	}
 	outcome->not_run = false;
@@ -174,10 +174,10 @@
 	count_run(world, number_of_id(relay->request_id), relay->service,
 		  relay->kind == RR_RESERVE ? relay->idempotency_key : NULL);
 	if (!world->calm && once_in(world, 20)) {
-		outcome->reason = RR_LACK_LOST;
+		outcome->reason = RR_MISSING_LOST;
 		return;
 	}
-	outcome->reason = RR_LACK_NONE;
+	outcome->reason = RR_MISSING_NONE;
 	outcome->covered = true;
 	held = replica_range(world, replica);
 	held.from = MAX(held.from, relay->key_from);
--- a/tests/random/platform.c
+++ b/tests/random/platform.c
@@ -54,8 +54,8 @@
 	struct answer *answer = data;
 
 	answer->reply.value = answer->value;
-	rr_core_store_reply(instance->ctx, instance->core,
-			    instance->world->now_us, &answer->reply);
+	rr_core_handle_store_reply(instance->ctx, instance->core,
+				   instance->world->now_us, &answer->reply);
 }
 
 static void answer_call(struct world *world, int instance, uint64_t id,
--- a/tests/random/upstream.c
+++ b/tests/random/upstream.c
@@ -171,8 +171,8 @@
 				   &back->reply.attempt_id) &&
 	    !*told_us)
 		*told_us = world->now_us;
-	rr_core_reply(instance->ctx, instance->core, world->now_us,
-		      &back->reply);
+	rr_core_handle_reply(instance->ctx, instance->core, world->now_us,
+			     &back->reply);
 }
 
 static struct returning *copy_returning(struct returning *back)
@@ -268,12 +268,12 @@
 	if (back->range.from < back->range.to) {
 		back->reply.ranges = &back->range;
 		back->reply.n_ranges = 1;
-		back->reply.more =
+		back->reply.has_more =
 			fill_rows(world, back->reply.rows, back->range, version,
 				  journey->number, journey->limit);
 	}
 	back->reply.row_count = (uint32_t)rr_count_rows(back->reply.rows);
-	back->reply.end_mark = true;
+	back->reply.body_complete = true;
 	if (back->reply.state == RR_UPSTREAM_UNKNOWN)
 		back->reply.state = RR_UPSTREAM_READY;
 	back->reply.load = g_rand_double(world->random); /* means nothing */
@@ -290,7 +290,7 @@
 {
 	switch (g_rand_int_range(world->random, 0, 3)) {
 	case 0:
-		back->reply.end_mark = false;
+		back->reply.body_complete = false;
 		break;
 	case 1:
 		back->reply.row_count++;
@@ -432,8 +432,8 @@
 	if (news->health.reachable &&
 	    news->health.state != RR_UPSTREAM_DRAINING)
 		*told_us = 0;
-	rr_core_health(instance->ctx, instance->core, instance->world->now_us,
-		       &news->health);
+	rr_core_handle_health(instance->ctx, instance->core,
+			      instance->world->now_us, &news->health);
 }
 
 void poll_replica(struct world *world, struct instance *instance,
--- a/tests/support/fake-actions.c
+++ b/tests/support/fake-cluster-actions.c
@@ -1,8 +1,8 @@
 /*
- * fake-actions.c - what the core's actions lead to: replies of replicas, of
+ * fake-cluster-actions.c - what the core's actions lead to: replies of replicas, of
  * the store and of other instances.
  */
-#include "support/fake-private.h"
+#include "support/fake-cluster-private.h"
 
 #include <string.h>
 
@@ -38,48 +38,50 @@
 
 static void run_reply(void *context, void *data)
 {
-	struct fake_world *world = context;
+	struct fake_cluster *world = context;
 	struct event *event = data;
 	struct fake_instance *to = event->instance;
 
 	if (to->core)
-		rr_core_reply(to->ctx, to->core, world->now_us, &event->reply);
+		rr_core_handle_reply(to->ctx, to->core, world->now_us,
+				     &event->reply);
 	fake_free_event(event);
 }
 
 static void run_health(void *context, void *data)
 {
-	struct fake_world *world = context;
+	struct fake_cluster *world = context;
 	struct event *event = data;
 	struct fake_instance *to = event->instance;
 
 	if (to->core)
-		rr_core_health(to->ctx, to->core, world->now_us,
-			       &event->health);
+		rr_core_handle_health(to->ctx, to->core, world->now_us,
+				      &event->health);
 	fake_free_event(event);
 }
 
 static void run_store_reply(void *context, void *data)
 {
-	struct fake_world *world = context;
+	struct fake_cluster *world = context;
 	struct event *event = data;
 	struct fake_instance *to = event->instance;
 
 	if (to->core)
-		rr_core_store_reply(to->ctx, to->core, world->now_us,
-				    &event->store);
+		rr_core_handle_store_reply(to->ctx, to->core, world->now_us,
+					   &event->store);
 	fake_free_event(event);
 }
 
 static void run_message(void *context, void *data)
 {
-	struct fake_world *world = context;
+	struct fake_cluster *world = context;
 	struct event *event = data;
 	struct fake_instance *to = event->instance;
 
 	if (to->core)
-		rr_core_peer(to->ctx, to->core, world->now_us,
-			     fake_wall_us(world), event->message);
+		rr_core_handle_peer_message(to->ctx, to->core, world->now_us,
+					    fake_wall_us(world),
+					    event->message);
 	fake_free_event(event);
 }
 
@@ -87,7 +89,7 @@
 			       void (*run)(void *context, void *data),
 			       int64_t delay_us)
 {
-	struct fake_world *world = instance->world;
+	struct fake_cluster *world = instance->cluster;
 	struct event *event = g_new0(struct event, 1);
 
 	event->instance = instance;
@@ -124,9 +126,10 @@
 			    const struct rr_attempt *attempt)
 {
 	const char *id = attempt->idempotency_key;
-	int runs = GPOINTER_TO_INT(g_hash_table_lookup(replica->runs, id));
+	int runs =
+		GPOINTER_TO_INT(g_hash_table_lookup(replica->run_counts, id));
 
-	g_hash_table_insert(replica->runs, g_strdup(id),
+	g_hash_table_insert(replica->run_counts, g_strdup(id),
 			    GINT_TO_POINTER(runs + 1));
 }
 
@@ -157,12 +160,12 @@
 	event->reply.version = version;
 	event->reply.state = replica->state;
 	event->reply.rows =
-		make_rows(replica, attempt, version, &event->reply.more);
+		make_rows(replica, attempt, version, &event->reply.has_more);
 	event->reply.row_count = (uint32_t)rr_count_rows(event->reply.rows);
 	event->range = replica->range;
 	event->reply.ranges = &event->range;
 	event->reply.n_ranges = 1;
-	event->reply.end_mark = replica->mode != FAKE_CUT;
+	event->reply.body_complete = replica->mode != FAKE_TRUNCATE;
 	if (attempt->kind != RR_RESERVE)
 		return;
 	run_reservation(replica, attempt);
@@ -175,7 +178,7 @@
 {
 	struct fake_instance *instance = data;
 	struct fake_replica *replica =
-		fake_replica(instance->world, attempt->replica);
+		fake_replica(instance->cluster, attempt->replica);
 	struct event *event;
 
 	replica->attempts++;
@@ -194,7 +197,7 @@
 		   (replica->mode == FAKE_OK &&
 		    !holds_version(replica, attempt->version))) {
 		event->reply.status = RR_REPLY_NO_VERSION;
-	} else if (replica->mode == FAKE_LOSE) {
+	} else if (replica->mode == FAKE_LOSE_REPLY) {
 		event->reply.status = RR_REPLY_LOST;
 		if (attempt->kind == RR_RESERVE)
 			run_reservation(replica, attempt);
@@ -210,7 +213,7 @@
 	gpointer value;
 
 	(void)attempt_id;
-	g_hash_table_iter_init(&iter, instance->world->replicas);
+	g_hash_table_iter_init(&iter, instance->cluster->replicas);
 	if (g_hash_table_iter_next(&iter, NULL, &value))
 		((struct fake_replica *)value)->cancelled++;
 }
@@ -235,13 +238,13 @@
 {
 	for (size_t i = 0; i < answer->n_covered; i++)
 		g_ptr_array_add(copy->covered, g_strdup(answer->covered[i]));
-	for (size_t i = 0; i < answer->n_lacking; i++) {
-		const struct rr_lacking *lacking = &answer->lacking[i];
+	for (size_t i = 0; i < answer->n_missing; i++) {
+		const struct rr_missing_shard *lacking = &answer->missing[i];
 
-		g_ptr_array_add(
-			copy->lacking,
-			g_strdup_printf("%s:%s", lacking->shard,
-					rr_lack_reason_name(lacking->reason)));
+		g_ptr_array_add(copy->missing,
+				g_strdup_printf("%s:%s", lacking->shard,
+						rr_missing_reason_name(
+							lacking->reason)));
 	}
 }
 
@@ -257,20 +260,20 @@
 	copy->keys = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	copy->versions = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	copy->covered = g_ptr_array_new_with_free_func(g_free);
-	copy->lacking = g_ptr_array_new_with_free_func(g_free);
+	copy->missing = g_ptr_array_new_with_free_func(g_free);
 	copy->result = g_strdup(answer->result);
 	copy->cursor = g_strdup(answer->next_cursor);
 	copy->replayed = answer->replayed;
-	copy->rows_cut = answer->rows_cut;
+	copy->has_more = answer->has_more;
 	copy->retry_after_ms = answer->retry_after_ms;
 	copy->attempts = answer->attempts;
-	copy->at_us = instance->world->now_us;
+	copy->answered_us = instance->cluster->now_us;
 	copy_rows(answer, copy);
 	copy_lists(answer, copy);
 	g_ptr_array_add(instance->answers, copy);
 }
 
-static struct fake_instance *find_instance(struct fake_world *world,
+static struct fake_instance *find_instance(struct fake_cluster *world,
 					   const char *name)
 {
 	for (guint i = 0; name && i < world->instances->len; i++) {
@@ -288,7 +291,7 @@
 		      const struct rr_peer_message *message)
 {
 	struct fake_instance *from = data;
-	struct fake_instance *to = find_instance(from->world, instance);
+	struct fake_instance *to = find_instance(from->cluster, instance);
 	struct event *event;
 	GError *error = NULL;
 	GBytes *bytes;
@@ -296,12 +299,12 @@
 	const uint8_t *raw;
 
 	(void)address;
-	from->messages[message->kind]++;
-	if (!to || to->cut || from->cut)
+	from->sent_by_kind[message->kind]++;
+	if (!to || to->partitioned || from->partitioned)
 		return;
 	bytes = rr_encode_peer_message(message);
 	raw = g_bytes_get_data(bytes, &length);
-	event = add_event(to, run_message, from->world->link_us);
+	event = add_event(to, run_message, from->cluster->link_delay_us);
 	event->message = rr_decode_peer_message(raw, length, &error);
 	if (!event->message)
 		g_error("%s", error->message);
@@ -311,7 +314,7 @@
 static void poll_health(void *data, const char *replica, const char *address)
 {
 	struct fake_instance *instance = data;
-	struct fake_replica *polled = fake_replica(instance->world, replica);
+	struct fake_replica *polled = fake_replica(instance->cluster, replica);
 	struct event *event;
 
 	(void)address;
@@ -335,7 +338,7 @@
 	struct fake_instance *instance = data;
 
 	(void)length;
-	instance->record_wanted = g_ascii_strtoull(record, NULL, 10);
+	instance->offered_revision = g_ascii_strtoull(record, NULL, 10);
 }
 
 void fake_free_value(gpointer data)
@@ -350,14 +353,14 @@
 static struct event *start_store_reply(struct fake_instance *instance,
 				       uint64_t call_id)
 {
-	const struct fake_world *world = instance->world;
-	int64_t delay_us =
-		world->store_silent ? G_USEC_PER_SEC : world->store_us;
+	const struct fake_cluster *world = instance->cluster;
+	int64_t delay_us = world->store_loses_replies ? G_USEC_PER_SEC :
+							world->store_delay_us;
 	struct event *event = add_event(instance, run_store_reply, delay_us);
 
 	event->store.call_id = call_id;
 	event->store.status = RR_STORE_OK;
-	if (world->store_silent)
+	if (world->store_loses_replies)
 		event->store.status = RR_STORE_UNKNOWN;
 	else if (world->store_down)
 		event->store.status = RR_STORE_UNAVAILABLE;
@@ -368,7 +371,7 @@
 {
 	struct fake_instance *instance = data;
 	struct fake_value *value =
-		g_hash_table_lookup(instance->world->values, key);
+		g_hash_table_lookup(instance->cluster->values, key);
 	struct event *event = start_store_reply(instance, call_id);
 
 	if (!value || event->store.status != RR_STORE_OK)
@@ -385,7 +388,7 @@
 		       uint64_t revision, const char *text, size_t length)
 {
 	struct fake_instance *instance = data;
-	struct fake_world *world = instance->world;
+	struct fake_cluster *world = instance->cluster;
 	struct fake_value *value = g_hash_table_lookup(world->values, key);
 	uint64_t present = value ? value->revision : 0;
 	struct event *event = start_store_reply(instance, call_id);
--- a/tests/support/fake-private.h
+++ b/tests/support/fake-cluster-private.h
@@ -1,14 +1,14 @@
 /*
- * fake-private.h - what the parts of the fake carrier share.
+ * fake-cluster-private.h - what the parts of the fake carrier share.
  */
-#ifndef TESTS_SUPPORT_FAKE_PRIVATE_H
-#define TESTS_SUPPORT_FAKE_PRIVATE_H
+#ifndef TESTS_SUPPORT_FAKE_CLUSTER_PRIVATE_H
+#define TESTS_SUPPORT_FAKE_CLUSTER_PRIVATE_H
 
-#include "support/fake-carrier.h"
+#include "support/fake-cluster.h"
 
-int64_t fake_wall_us(const struct fake_world *world);
+int64_t fake_wall_us(const struct fake_cluster *world);
 
-/* fake-actions.c */
+/* fake-cluster-actions.c */
 struct rr_core_actions fake_actions(struct fake_instance *instance);
 struct rr_store_port fake_store_actions(struct fake_instance *instance);
 /* Of the world's queue, and of its store's values. */
--- a/tests/support/fake-carrier.c
+++ b/tests/support/fake-cluster.c
@@ -1,13 +1,13 @@
 /*
- * fake-carrier.c - cores, replicas and their configuration in virtual time.
+ * fake-cluster.c - cores, replicas and their configuration in virtual time.
  */
-#include "support/fake-private.h"
+#include "support/fake-cluster-private.h"
 
 #include <string.h>
 
 #define KEYS_PER_SHARD 100
 
-int64_t fake_wall_us(const struct fake_world *world)
+int64_t fake_wall_us(const struct fake_cluster *world)
 {
 	return FAKE_WALL_S * G_USEC_PER_SEC + world->now_us;
 }
@@ -22,7 +22,7 @@
 	g_array_unref(answer->keys);
 	g_array_unref(answer->versions);
 	g_ptr_array_unref(answer->covered);
-	g_ptr_array_unref(answer->lacking);
+	g_ptr_array_unref(answer->missing);
 	g_free(answer);
 }
 
@@ -30,7 +30,7 @@
 {
 	struct fake_replica *replica = data;
 
-	g_hash_table_destroy(replica->runs);
+	g_hash_table_destroy(replica->run_counts);
 	g_free(replica->id);
 	g_free(replica);
 }
@@ -48,14 +48,14 @@
 	g_free(instance);
 }
 
-struct fake_world *fake_new_world(uint32_t seed)
+struct fake_cluster *fake_new_cluster(uint32_t seed)
 {
-	struct fake_world *world = g_new0(struct fake_world, 1);
+	struct fake_cluster *world = g_new0(struct fake_cluster, 1);
 
 	world->seed = seed;
 	world->now_us = 1000 * FAKE_MS;
-	world->store_us = 2 * FAKE_MS;
-	world->link_us = FAKE_MS;
+	world->store_delay_us = 2 * FAKE_MS;
+	world->link_delay_us = FAKE_MS;
 	world->instances = g_ptr_array_new_with_free_func(free_instance);
 	world->replicas = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						free_replica);
@@ -65,7 +65,7 @@
 	return world;
 }
 
-void fake_drop_world(struct fake_world *world)
+void fake_drop_cluster(struct fake_cluster *world)
 {
 	drop_event_queue(world->events, fake_free_event);
 	g_ptr_array_unref(world->instances);
@@ -118,7 +118,7 @@
 	return config;
 }
 
-static void add_replica(struct fake_world *world,
+static void add_replica(struct fake_cluster *world,
 			const struct rr_shard_config *shard, size_t j)
 {
 	struct fake_replica *replica = g_new0(struct fake_replica, 1);
@@ -130,12 +130,13 @@
 	replica->range.from = shard->key_from;
 	replica->range.to = shard->key_to;
 	replica->latency_us = 3 * FAKE_MS;
-	replica->runs =
+	replica->run_counts =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	g_hash_table_insert(world->replicas, replica->id, replica);
 }
 
-void fake_add_replicas(struct fake_world *world, const struct rr_config *config)
+void fake_add_replicas(struct fake_cluster *world,
+		       const struct rr_config *config)
 {
 	for (size_t s = 0; s < config->n_services; s++) {
 		const struct rr_service_config *service = &config->services[s];
@@ -148,7 +149,7 @@
 	}
 }
 
-struct fake_replica *fake_replica(struct fake_world *world, const char *id)
+struct fake_replica *fake_replica(struct fake_cluster *world, const char *id)
 {
 	struct fake_replica *replica = g_hash_table_lookup(world->replicas, id);
 
@@ -163,7 +164,7 @@
 	g_string_append_printf(data, "%s\n", line);
 }
 
-struct fake_instance *fake_add_instance(struct fake_world *world,
+struct fake_instance *fake_add_instance(struct fake_cluster *world,
 					const char *name, const char *zone,
 					uint64_t incarnation)
 {
@@ -182,7 +183,7 @@
 	char *address =
 		g_strdup_printf("127.0.0.1:%u", 8000 + world->instances->len);
 
-	instance->world = world;
+	instance->cluster = world;
 	instance->name = g_strdup(name);
 	instance->zone = g_strdup(zone);
 	instance->answers = g_ptr_array_new_with_free_func(free_answer);
@@ -207,12 +208,12 @@
 	char *record = g_strdup_printf("%" G_GUINT64_FORMAT, config->revision);
 
 	rr_core_set_config(instance->ctx, instance->core,
-			   instance->world->now_us, config, record,
+			   instance->cluster->now_us, config, record,
 			   strlen(record));
 	g_free(record);
 }
 
-void fake_introduce(struct fake_world *world)
+void fake_hint_all_members(struct fake_cluster *world)
 {
 	for (guint i = 0; i < world->instances->len; i++) {
 		struct fake_instance *to =
@@ -233,7 +234,7 @@
 	}
 }
 
-static int64_t next_wake_us(const struct fake_world *world)
+static int64_t next_wake_us(const struct fake_cluster *world)
 {
 	int64_t wake_us = INT64_MAX;
 
@@ -247,7 +248,7 @@
 	return wake_us;
 }
 
-static void tick_due(struct fake_world *world)
+static void tick_due(struct fake_cluster *world)
 {
 	for (guint i = 0; i < world->instances->len; i++) {
 		struct fake_instance *instance =
@@ -261,7 +262,7 @@
 }
 
 /* One step: the next event, or the ticks that are due before it. */
-static bool step(struct fake_world *world, int64_t until_us)
+static bool step(struct fake_cluster *world, int64_t until_us)
 {
 	int64_t wake_us = next_wake_us(world);
 
@@ -274,7 +275,7 @@
 	return true;
 }
 
-void fake_run(struct fake_world *world, int64_t us)
+void fake_run_for(struct fake_cluster *world, int64_t us)
 {
 	int64_t until_us = world->now_us + us;
 
@@ -283,9 +284,9 @@
 	world->now_us = until_us;
 }
 
-bool fake_await(struct fake_instance *instance, guint n)
+bool fake_wait_for_answers(struct fake_instance *instance, guint n)
 {
-	struct fake_world *world = instance->world;
+	struct fake_cluster *world = instance->cluster;
 	int64_t until_us = world->now_us + 60 * G_USEC_PER_SEC;
 
 	while (instance->answers->len < n) {
@@ -298,9 +299,9 @@
 uint64_t fake_request(struct fake_instance *instance,
 		      const struct rr_request *request)
 {
-	return rr_core_request(instance->ctx, instance->core,
-			       instance->world->now_us,
-			       fake_wall_us(instance->world), request);
+	return rr_core_handle_request(instance->ctx, instance->core,
+				      instance->cluster->now_us,
+				      fake_wall_us(instance->cluster), request);
 }
 
 uint64_t fake_search(struct fake_instance *instance)
@@ -342,22 +343,23 @@
 	return fake_answer_at(instance, instance->answers->len - 1);
 }
 
-bool fake_lacks(const struct fake_answer *answer, const char *shard_reason)
+bool fake_is_missing(const struct fake_answer *answer, const char *shard_reason)
 {
-	for (guint i = 0; i < answer->lacking->len; i++) {
-		if (!strcmp(g_ptr_array_index(answer->lacking, i),
+	for (guint i = 0; i < answer->missing->len; i++) {
+		if (!strcmp(g_ptr_array_index(answer->missing, i),
 			    shard_reason))
 			return true;
 	}
 	return false;
 }
 
-uint64_t fake_count(struct fake_instance *instance, enum rr_counter counter)
+uint64_t fake_counter_value(struct fake_instance *instance,
+			    enum rr_counter counter)
 {
 	return rr_counter_value(instance->ctx, counter);
 }
 
-uint32_t fake_total_attempts(struct fake_world *world)
+uint32_t fake_total_attempts(struct fake_cluster *world)
 {
 	uint32_t n = 0;
 	GHashTableIter iter;
--- a/tests/support/fake-store.c
+++ b/tests/support/fake-store.c
@@ -69,15 +69,16 @@
 				(gint32)store->max_delay_us + 1);
 }
 
-static enum fake_fate draw_fate(struct fake_store *store, bool write)
+static enum fake_call_outcome draw_fate(struct fake_store *store, bool write)
 {
 	uint32_t draw = (uint32_t)g_rand_int_range(store->random, 0, 1000);
 
-	if (write && store->next_fates) {
-		store->next_fates--;
-		return store->next_fate;
+	if (write && store->n_next_outcomes) {
+		store->n_next_outcomes--;
+		return store->next_outcome;
 	}
-	for (int fate = FAKE_UNAVAILABLE; fate < FAKE_FATE_COUNT; fate++) {
+	for (int fate = FAKE_UNAVAILABLE; fate < FAKE_CALL_OUTCOME_COUNT;
+	     fate++) {
 		if (draw < store->per_mille[fate])
 			return fate;
 		draw -= store->per_mille[fate];
@@ -164,9 +165,9 @@
 static void add_call(struct fake_client *client, struct call *call)
 {
 	struct fake_store *store = client->store;
-	enum fake_fate fate = draw_fate(store, call->write);
+	enum fake_call_outcome fate = draw_fate(store, call->write);
 	int64_t arrival_us = store->now_us + draw_delay_us(store);
-	int64_t late_us = store->late_us;
+	int64_t late_us = store->max_late_us;
 
 	call->client = client;
 	call->status = RR_STORE_UNKNOWN;
@@ -217,7 +218,7 @@
 	add_call(client, call);
 }
 
-struct rr_store_port fake_port(struct fake_client *client)
+struct rr_store_port fake_client_port(struct fake_client *client)
 {
 	return (struct rr_store_port){ fake_get, fake_swap, client };
 }
@@ -227,7 +228,7 @@
 	return next_event_us(store->events);
 }
 
-void run_fake_event(struct fake_store *store)
+void run_fake_store_event(struct fake_store *store)
 {
 	run_next_event(store->events, &store->now_us, store);
 }
--- a/tests/support/fake-store.h
+++ b/tests/support/fake-store.h
@@ -15,13 +15,13 @@
 #include "support/event-queue.h"
 
 /* What becomes of a call. */
-enum fake_fate {
+enum fake_call_outcome {
 	FAKE_OK,
 	FAKE_UNAVAILABLE,	  /* proof that it had no effect */
 	FAKE_LOST_AFTER_EFFECT,	  /* took effect, no reply */
 	FAKE_LOST_WITHOUT_EFFECT, /* no effect, no reply */
 	FAKE_LATE_EFFECT,	  /* no reply, takes effect late_us later */
-	FAKE_FATE_COUNT,
+	FAKE_CALL_OUTCOME_COUNT,
 };
 
 struct fake_store {
@@ -29,15 +29,15 @@
 	/* A call arrives after, and its reply after that, min to max. */
 	uint32_t min_delay_us;
 	uint32_t max_delay_us;
-	uint32_t late_us; /* most; the least is a tenth */
+	uint32_t max_late_us; /* most; the least is a tenth */
 	/* Time that each call keeps the service to itself; 0: none. */
 	uint32_t write_busy_us;
 	uint32_t read_busy_us;
 	/* Calls in 1000 that have each fate; the rest is FAKE_OK. */
-	uint32_t per_mille[FAKE_FATE_COUNT];
+	uint32_t per_mille[FAKE_CALL_OUTCOME_COUNT];
 	/* The next writes have this fate, before the odds are asked. */
-	enum fake_fate next_fate;
-	uint32_t next_fates;
+	enum fake_call_outcome next_outcome;
+	uint32_t n_next_outcomes;
 
 	uint64_t reads;
 	uint64_t writes;
@@ -62,12 +62,12 @@
 void drop_fake_store(struct fake_store *store);
 
 /* The client must live as long as the store's events. */
-struct rr_store_port fake_port(struct fake_client *client);
+struct rr_store_port fake_client_port(struct fake_client *client);
 
 /* When the next event is due; INT64_MAX for none. */
 int64_t fake_store_due_us(const struct fake_store *store);
 /* Run one event; now_us moves to its time if that is later. */
-void run_fake_event(struct fake_store *store);
+void run_fake_store_event(struct fake_store *store);
 
 /* Look at a value without a call; NULL if it is not there. */
 const char *peek_fake_value(struct fake_store *store, const char *key,
--- a/tests/support/replica-scene.c
+++ b/tests/support/replica-fixture.c
@@ -1,7 +1,7 @@
 /*
- * replica-scene.c - a port to one replica, driven by raw bytes.
+ * replica-fixture.c - a port to one replica, driven by raw bytes.
  */
-#include "support/replica-scene.h"
+#include "support/replica-fixture.h"
 
 #include <string.h>
 
@@ -9,16 +9,16 @@
 
 static void take_reply(void *data, const struct rr_gate_reply *reply)
 {
-	struct replica_scene *scene = data;
+	struct replica_fixture *scene = data;
 
 	scene->replies++;
 	scene->outcome = reply->outcome;
 	scene->status = reply->status;
 	scene->unreachable = reply->unreachable;
-	scene->other_instance = reply->wrong_incarnation;
+	scene->wrong_incarnation = reply->wrong_incarnation;
 	scene->load = reply->load;
-	g_free(scene->seal);
-	scene->seal = g_strdup(reply->signature);
+	g_free(scene->signature);
+	scene->signature = g_strdup(reply->signature);
 	g_string_truncate(scene->body, 0);
 	if (reply->length)
 		g_string_append_len(scene->body, (const char *)reply->body,
@@ -27,15 +27,15 @@
 
 static void take_probe(void *data, const char *endpoint, bool reached)
 {
-	struct replica_scene *scene = data;
+	struct replica_fixture *scene = data;
 
 	scene->probes++;
-	scene->reached = reached;
+	scene->probe_reached = reached;
 }
 
-struct replica_scene *replica_start(void)
+struct replica_fixture *replica_new_fixture(void)
 {
-	struct replica_scene *scene = g_new0(struct replica_scene, 1);
+	struct replica_fixture *scene = g_new0(struct replica_fixture, 1);
 	struct rr_replica_port_options options = {
 		.request_id = "Id",
 		.seal = "Seal",
@@ -51,23 +51,23 @@
 	scene->poller = rr_new_poller(NULL);
 	scene->body = g_string_new(NULL);
 	options.poller = scene->poller;
-	scene->port = rr_new_replica_port(scene->ctx, &options);
+	scene->client = rr_new_replica_port(scene->ctx, &options);
 	scene->listener = raw_listen();
 	return scene;
 }
 
-void replica_stop(struct replica_scene *scene)
+void replica_drop_fixture(struct replica_fixture *scene)
 {
-	rr_drop_replica_port(scene->port);
+	rr_drop_replica_port(scene->client);
 	rr_drop_poller(scene->poller);
 	rr_drop_context(scene->ctx);
 	raw_drop_listener(scene->listener);
 	g_string_free(scene->body, TRUE);
-	g_free(scene->seal);
+	g_free(scene->signature);
 	g_free(scene);
 }
 
-uint64_t replica_send(struct replica_scene *scene, const char *head,
+uint64_t replica_send(struct replica_fixture *scene, const char *head,
 		      const char *body, bool idempotent, bool no_body)
 {
 	struct rr_gate_attempt_info send = {
@@ -88,31 +88,31 @@
 		.no_body = no_body,
 	};
 
-	rr_send_to_replica(scene->port, g_get_monotonic_time(), &send,
+	rr_send_to_replica(scene->client, g_get_monotonic_time(), &send,
 			   &request);
 	return send.attempt;
 }
 
-uint64_t replica_ask(struct replica_scene *scene)
+uint64_t replica_send_get(struct replica_fixture *scene)
 {
 	return replica_send(scene, REPLICA_GET, NULL, true, false);
 }
 
-struct raw_peer *replica_ask_and_accept(struct replica_scene *scene)
+struct raw_peer *replica_send_and_accept(struct replica_fixture *scene)
 {
 	struct raw_peer *peer;
 
-	replica_ask(scene);
+	replica_send_get(scene);
 	peer = raw_accept(scene->listener);
 	raw_expect(peer, REPLICA_GET);
 	return peer;
 }
 
-struct raw_peer *replica_serve_once(struct replica_scene *scene)
+struct raw_peer *replica_serve_once(struct replica_fixture *scene)
 {
 	struct raw_peer *peer;
 
-	replica_ask(scene);
+	replica_send_get(scene);
 	peer = raw_accept(scene->listener);
 	raw_expect(peer, "\r\n\r\n");
 	raw_send(peer, REPLICA_OK "\r\nab");
--- a/tests/support/replica-scene.h
+++ b/tests/support/replica-fixture.h
@@ -1,8 +1,8 @@
 /*
- * replica-scene.h - a port to one replica whose bytes the test sends itself.
+ * replica-fixture.h - a port to one replica whose bytes the test sends itself.
  */
-#ifndef TESTS_SUPPORT_REPLICA_SCENE_H
-#define TESTS_SUPPORT_REPLICA_SCENE_H
+#ifndef TESTS_SUPPORT_REPLICA_FIXTURE_H
+#define TESTS_SUPPORT_REPLICA_FIXTURE_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -16,39 +16,39 @@
 #define REPLICA_OK \
 	"HTTP/1.1 200 OK\r\nId: one\r\nSeal: s\r\nContent-Length: 2\r\n"
 
-struct replica_scene {
+struct replica_fixture {
 	struct rr_context *ctx;
 	struct rr_poller *poller;
-	struct rr_replica_port *port;
+	struct rr_replica_port *client;
 	struct raw_listener *listener;
 	uint64_t next_attempt;
 	int replies;
 	enum rr_gate_outcome outcome;
 	uint16_t status;
 	bool unreachable;
-	bool other_instance;
+	bool wrong_incarnation;
 	struct rr_gate_load load;
-	char *seal;
+	char *signature;
 	GString *body;
 	int probes;
-	bool reached;
+	bool probe_reached;
 };
 
 /* A listener, and a port that knows headers Id, Seal, Not-Run and Load. */
-struct replica_scene *replica_start(void);
-void replica_stop(struct replica_scene *scene);
+struct replica_fixture *replica_new_fixture(void);
+void replica_drop_fixture(struct replica_fixture *scene);
 
 /* Send a request as one attempt; returns its id. */
-uint64_t replica_send(struct replica_scene *scene, const char *head,
+uint64_t replica_send(struct replica_fixture *scene, const char *head,
 		      const char *body, bool idempotent, bool no_body);
 
 /* Send REPLICA_GET, which may be repeated. */
-uint64_t replica_ask(struct replica_scene *scene);
+uint64_t replica_send_get(struct replica_fixture *scene);
 
 /* Ask, and have the request on a new connection. */
-struct raw_peer *replica_ask_and_accept(struct replica_scene *scene);
+struct raw_peer *replica_send_and_accept(struct replica_fixture *scene);
 
 /* Ask once more on a new connection or a kept one, and answer it well. */
-struct raw_peer *replica_serve_once(struct replica_scene *scene);
+struct raw_peer *replica_serve_once(struct replica_fixture *scene);
 
 #endif
--- a/tests/test-caller.c
+++ b/tests/test-caller.c
@@ -41,8 +41,8 @@
 	static const char *const headers[] = { "X-Deadline-Ms", "250",
 					       "X-Priority", "batch", NULL };
 	static const char *const covered[] = { "desk-01" };
-	static const struct rr_lacking lacking[] = {
-		{ "desk-02", "at\"hi", RR_LACK_DEADLINE },
+	static const struct rr_missing_shard lacking[] = {
+		{ "desk-02", "at\"hi", RR_MISSING_DEADLINE },
 	};
 	struct rr_rows *rows = rr_new_rows();
 	struct rr_answer_row taken[] = { { rows, 0 }, { rows, 1 } };
@@ -58,8 +58,8 @@
 		.n_rows = 2,
 		.covered = covered,
 		.n_covered = 1,
-		.lacking = lacking,
-		.n_lacking = 1,
+		.missing = lacking,
+		.n_missing = 1,
 		.elapsed_us = 12500,
 		.attempts = 3,
 	};
--- a/tests/test-core-config.c
+++ b/tests/test-core-config.c
@@ -10,19 +10,19 @@
 #include <cmocka.h>
 #include <string.h>
 
-#include "support/fake-carrier.h"
+#include "support/fake-cluster.h"
 
 static const char *const one_zone[] = { "ruaraka" };
 
 struct scene {
-	struct fake_world *world;
+	struct fake_cluster *world;
 	struct fake_instance *first;
 	struct fake_instance *second;
 };
 
 static struct scene set_scene(void)
 {
-	struct scene scene = { .world = fake_new_world(41) };
+	struct scene scene = { .world = fake_new_cluster(41) };
 	struct rr_config *config = fake_config(9, 4, 2, one_zone, 1);
 
 	fake_add_replicas(scene.world, config);
@@ -30,7 +30,7 @@
 	scene.first = fake_add_instance(scene.world, "ruaraka-1", "ruaraka", 5);
 	scene.second =
 		fake_add_instance(scene.world, "ruaraka-2", "ruaraka", 6);
-	fake_introduce(scene.world);
+	fake_hint_all_members(scene.world);
 	return scene;
 }
 
@@ -41,7 +41,7 @@
 		fake_config(revision, n_shards, 2, one_zone, 1);
 	char text[] = "record";
 	bool taken = rr_core_set_config(instance->ctx, instance->core,
-					instance->world->now_us, config, text,
+					instance->cluster->now_us, config, text,
 					strlen(text));
 
 	rr_drop_config(config);
@@ -53,7 +53,7 @@
 	guint n = instance->answers->len;
 
 	fake_search(instance);
-	assert_true(fake_await(instance, n + 1));
+	assert_true(fake_wait_for_answers(instance, n + 1));
 	return fake_answer_at(instance, n);
 }
 
@@ -74,7 +74,7 @@
 	assert_int_equal(search(scene.first)->covered->len, 4);
 	assert_true(set_revision(scene.first, 5, 2));
 	assert_int_equal(search(scene.first)->covered->len, 2);
-	fake_drop_world(scene.world);
+	fake_drop_cluster(scene.world);
 }
 
 /* An instance that can't reach the store learns it from a peer. */
@@ -85,15 +85,15 @@
 	const char *reason;
 
 	(void)state;
-	assert_false(rr_core_ready(scene.second->core, &reason));
+	assert_false(rr_core_is_ready(scene.second->core, &reason));
 	assert_string_equal(reason, "no-configuration");
 	fake_set_config(scene.first, config);
-	fake_run(scene.world, 5000 * FAKE_MS);
-	assert_int_equal(scene.second->record_wanted, 3);
+	fake_run_for(scene.world, 5000 * FAKE_MS);
+	assert_int_equal(scene.second->offered_revision, 3);
 	rr_drop_config(config);
 	/* One ask at a time, though every message tells the revision. */
-	assert_in_range(scene.second->messages[RR_PEER_CONFIG_GET], 1, 10);
-	fake_drop_world(scene.world);
+	assert_in_range(scene.second->sent_by_kind[RR_PEER_CONFIG_GET], 1, 10);
+	fake_drop_cluster(scene.world);
 }
 
 /* A search under way keeps the configuration it began with. */
@@ -103,15 +103,15 @@
 
 	(void)state;
 	set_revision(scene.first, 1, 4);
-	fake_run(scene.world, 2000 * FAKE_MS);
+	fake_run_for(scene.world, 2000 * FAKE_MS);
 	fake_search(scene.first);
 	set_revision(scene.first, 2, 1);
-	assert_true(fake_await(scene.first, 1));
+	assert_true(fake_wait_for_answers(scene.first, 1));
 	assert_int_equal(fake_last_answer(scene.first)->covered->len +
-				 fake_last_answer(scene.first)->lacking->len,
+				 fake_last_answer(scene.first)->missing->len,
 			 4);
 	assert_int_equal(search(scene.first)->covered->len, 1);
-	fake_drop_world(scene.world);
+	fake_drop_cluster(scene.world);
 }
 
 /*
@@ -126,20 +126,20 @@
 
 	(void)state;
 	set_revision(scene.first, 1, 4);
-	fake_run(scene.world, 2000 * FAKE_MS);
+	fake_run_for(scene.world, 2000 * FAKE_MS);
 	fake_search(scene.first);
 	rr_core_drain(scene.first->ctx, scene.first->core, scene.world->now_us);
-	assert_false(rr_core_drained(scene.first->core));
-	assert_false(rr_core_ready(scene.first->core, &reason));
+	assert_false(rr_core_is_drained(scene.first->core));
+	assert_false(rr_core_is_ready(scene.first->core, &reason));
 	assert_string_equal(reason, "stopping");
 	fake_search(scene.first);
 	answer = fake_last_answer(scene.first);
 	assert_int_equal(answer->outcome, RR_NOT_RUN);
 	assert_true(answer->retry_after_ms > 0);
-	assert_true(fake_await(scene.first, 2));
+	assert_true(fake_wait_for_answers(scene.first, 2));
 	assert_int_equal(fake_last_answer(scene.first)->outcome, RR_COMPLETE);
-	assert_true(rr_core_drained(scene.first->core));
-	fake_drop_world(scene.world);
+	assert_true(rr_core_is_drained(scene.first->core));
+	fake_drop_cluster(scene.world);
 }
 
 /* A reservation in hand is settled before the instance is drained. */
@@ -149,15 +149,15 @@
 
 	(void)state;
 	set_revision(scene.first, 1, 4);
-	fake_run(scene.world, 2000 * FAKE_MS);
+	fake_run_for(scene.world, 2000 * FAKE_MS);
 	fake_reserve(scene.first, 20, "1700000001-abcdefgh");
 	rr_core_drain(scene.first->ctx, scene.first->core, scene.world->now_us);
-	assert_true(fake_await(scene.first, 1));
+	assert_true(fake_wait_for_answers(scene.first, 1));
 	assert_int_equal(fake_last_answer(scene.first)->outcome, RR_COMPLETE);
-	assert_false(rr_core_drained(scene.first->core));
-	fake_run(scene.world, 100 * FAKE_MS);
-	assert_true(rr_core_drained(scene.first->core));
-	fake_drop_world(scene.world);
+	assert_false(rr_core_is_drained(scene.first->core));
+	fake_run_for(scene.world, 100 * FAKE_MS);
+	assert_true(rr_core_is_drained(scene.first->core));
+	fake_drop_cluster(scene.world);
 }
 
 static void test_status_is_json(void **state)
@@ -173,7 +173,7 @@
 	assert_non_null(strstr(text->str, "\"id\":\"s3b\""));
 	assert_int_equal(text->str[text->len - 1], '}');
 	g_string_free(text, TRUE);
-	fake_drop_world(scene.world);
+	fake_drop_cluster(scene.world);
 }
 
 int main(void)
