--- a/tests/test-core-list.c
+++ b/tests/test-core-list.c
@@ -9,19 +9,19 @@
 #include <cmocka.h>
 #include <string.h>
 
-#include "support/fake-carrier.h"
+#include "support/fake-cluster.h"
 
 static const char *const two_zones[] = { "ruaraka", "athi" };
 
 struct scene {
-	struct fake_world *world;
+	struct fake_cluster *world;
 	struct rr_config *config;
 	struct fake_instance *desk;
 };
 
 static struct scene set_scene(size_t n_zones)
 {
-	struct scene scene = { .world = fake_new_world(31) };
+	struct scene scene = { .world = fake_new_cluster(31) };
 
 	scene.config = fake_config(1, 8, 2, two_zones, n_zones);
 	scene.config->owners_per_replica = 1;
@@ -32,15 +32,15 @@
 	for (guint i = 0; i < scene.world->instances->len; i++)
 		fake_set_config(g_ptr_array_index(scene.world->instances, i),
 				scene.config);
-	fake_introduce(scene.world);
-	fake_run(scene.world, 3000 * FAKE_MS);
+	fake_hint_all_members(scene.world);
+	fake_run_for(scene.world, 3000 * FAKE_MS);
 	return scene;
 }
 
 static void clear_scene(struct scene *scene)
 {
 	rr_drop_config(scene->config);
-	fake_drop_world(scene->world);
+	fake_drop_cluster(scene->world);
 }
 
 static struct fake_answer *get_page(struct scene *scene, const char *cursor,
@@ -56,7 +56,7 @@
 	guint n = scene->desk->answers->len;
 
 	fake_request(scene->desk, &request);
-	assert_true(fake_await(scene->desk, n + 1));
+	assert_true(fake_wait_for_answers(scene->desk, n + 1));
 	return fake_answer_at(scene->desk, n);
 }
 
@@ -134,7 +134,7 @@
 
 	(void)state;
 	hold_versions(&scene, 5, 9);
-	fake_run(scene.world, 3000 * FAKE_MS);
+	fake_run_for(scene.world, 3000 * FAKE_MS);
 	page = get_page(&scene, page->cursor, 25);
 	assert_int_equal(page->outcome, RR_COMPLETE);
 	assert_int_equal(page->version, 7);
@@ -167,12 +167,12 @@
 	struct fake_answer *page;
 
 	(void)state;
-	fake_replica(scene.world, "s2a")->mode = FAKE_LOSE;
-	fake_replica(scene.world, "s2b")->mode = FAKE_LOSE;
+	fake_replica(scene.world, "s2a")->mode = FAKE_LOSE_REPLY;
+	fake_replica(scene.world, "s2b")->mode = FAKE_LOSE_REPLY;
 	page = get_page(&scene, NULL, 500);
 	assert_int_equal(page->outcome, RR_PARTIAL);
 	assert_int_equal(page->keys->len, 20);
-	assert_true(fake_lacks(page, "s2:lost"));
+	assert_true(fake_is_missing(page, "s2:lost"));
 	fake_replica(scene.world, "s2a")->mode = FAKE_OK;
 	fake_replica(scene.world, "s2b")->mode = FAKE_OK;
 	page = get_page(&scene, page->cursor, 500);
@@ -200,7 +200,7 @@
 	page = get_page(&scene, NULL, 500);
 	assert_int_equal(page->outcome, RR_COMPLETE);
 	assert_int_equal(page->keys->len, 40);
-	assert_int_equal(page->lacking->len, 0);
+	assert_int_equal(page->missing->len, 0);
 	page = get_page(&scene, page->cursor, 500);
 	assert_int_equal(g_array_index(page->keys, uint64_t, 0), 400);
 	assert_int_equal(page->keys->len, 40);
--- a/tests/test-core-policy.c
+++ b/tests/test-core-policy.c
@@ -10,13 +10,13 @@
 #include <cmocka.h>
 #include <string.h>
 
-#include "support/fake-carrier.h"
+#include "support/fake-cluster.h"
 
 static const char *const one_zone[] = { "ruaraka" };
 static const char *const two_zones[] = { "ruaraka", "athi" };
 
 struct scene {
-	struct fake_world *world;
+	struct fake_cluster *world;
 	struct rr_config *config;
 	struct rr_service_config *service;
 	struct fake_instance *desk;
@@ -24,7 +24,7 @@
 
 static struct scene set_scene(size_t n_shards, size_t n_replicas)
 {
-	struct scene scene = { .world = fake_new_world(21) };
+	struct scene scene = { .world = fake_new_cluster(21) };
 
 	scene.config = fake_config(1, n_shards, n_replicas, one_zone, 1);
 	scene.service = &scene.config->services[0];
@@ -36,13 +36,13 @@
 static void start(struct scene *scene)
 {
 	fake_set_config(scene->desk, scene->config);
-	fake_run(scene->world, 2500 * FAKE_MS);
+	fake_run_for(scene->world, 2500 * FAKE_MS);
 }
 
 static void clear_scene(struct scene *scene)
 {
 	rr_drop_config(scene->config);
-	fake_drop_world(scene->world);
+	fake_drop_cluster(scene->world);
 }
 
 static struct fake_answer *search(struct scene *scene)
@@ -50,7 +50,7 @@
 	guint n = scene->desk->answers->len;
 
 	fake_search(scene->desk);
-	assert_true(fake_await(scene->desk, n + 1));
+	assert_true(fake_wait_for_answers(scene->desk, n + 1));
 	return fake_answer_at(scene->desk, n);
 }
 
@@ -58,7 +58,7 @@
 {
 	for (int i = 0; i < times; i++) {
 		search(scene);
-		fake_run(scene->world, 5 * FAKE_MS);
+		fake_run_for(scene->world, 5 * FAKE_MS);
 	}
 }
 
@@ -81,12 +81,12 @@
 		before_us = scene.world->now_us;
 		answer = search(&scene);
 		assert_int_equal(answer->outcome, RR_COMPLETE);
-		assert_true(answer->at_us - before_us < 30 * FAKE_MS);
-		fake_run(scene.world, 50 * FAKE_MS);
+		assert_true(answer->answered_us - before_us < 30 * FAKE_MS);
+		fake_run_for(scene.world, 50 * FAKE_MS);
 	}
-	assert_true(fake_count(scene.desk, RR_N_HEDGES) > 0);
-	assert_int_equal(fake_count(scene.desk, RR_N_HEDGES),
-			 fake_count(scene.desk, RR_N_WITHDRAWN));
+	assert_true(fake_counter_value(scene.desk, RR_N_HEDGES) > 0);
+	assert_int_equal(fake_counter_value(scene.desk, RR_N_HEDGES),
+			 fake_counter_value(scene.desk, RR_N_WITHDRAWN));
 	clear_scene(&scene);
 }
 
@@ -113,9 +113,9 @@
 		}
 	}
 	search_often(&scene, 300);
-	extra = fake_count(scene.desk, RR_N_HEDGES) +
-		fake_count(scene.desk, RR_N_RETRIES);
-	needed = fake_count(scene.desk, RR_N_ATTEMPTS) - extra;
+	extra = fake_counter_value(scene.desk, RR_N_HEDGES) +
+		fake_counter_value(scene.desk, RR_N_RETRIES);
+	needed = fake_counter_value(scene.desk, RR_N_ATTEMPTS) - extra;
 	/* 5 % hedges, 10 % retries and what the budgets start with. */
 	assert_true(extra <= needed * 15 / 100 + 13);
 	clear_scene(&scene);
@@ -132,15 +132,15 @@
 		for (int c = 'a'; c <= 'b'; c++) {
 			char *id = g_strdup_printf("s%d%c", i, c);
 
-			fake_replica(scene.world, id)->mode = FAKE_LOSE;
+			fake_replica(scene.world, id)->mode = FAKE_LOSE_REPLY;
 			g_free(id);
 		}
 	}
 	search_often(&scene, 100);
-	assert_in_range(fake_count(scene.desk, RR_N_RETRIES), 10,
+	assert_in_range(fake_counter_value(scene.desk, RR_N_RETRIES), 10,
 			1000 / 10 + 10);
 	assert_int_equal(fake_last_answer(scene.desk)->outcome, RR_PARTIAL);
-	assert_true(fake_lacks(fake_last_answer(scene.desk), "s1:lost"));
+	assert_true(fake_is_missing(fake_last_answer(scene.desk), "s1:lost"));
 	clear_scene(&scene);
 }
 
@@ -160,7 +160,7 @@
 	before = shedding->attempts;
 	assert_in_range(before, 1, 2);
 	shedding->mode = FAKE_OK;
-	fake_run(scene.world, 1500 * FAKE_MS);
+	fake_run_for(scene.world, 1500 * FAKE_MS);
 	search_often(&scene, 20);
 	assert_true(shedding->attempts > before);
 	clear_scene(&scene);
@@ -182,14 +182,14 @@
 	search_often(&scene, 20);
 	leaving = fake_replica(scene.world, "s2a");
 	leaving->state = RR_UPSTREAM_DRAINING;
-	fake_run(scene.world, 3000 * FAKE_MS);
+	fake_run_for(scene.world, 3000 * FAKE_MS);
 	before = leaving->attempts;
 	search_often(&scene, 100);
 	assert_int_equal(leaving->attempts, before);
 	assert_int_equal(fake_last_answer(scene.desk)->outcome, RR_COMPLETE);
 	/* It comes back, and is used again. */
 	leaving->state = RR_UPSTREAM_READY;
-	fake_run(scene.world, 5000 * FAKE_MS);
+	fake_run_for(scene.world, 5000 * FAKE_MS);
 	search_often(&scene, 50);
 	assert_true(leaving->attempts > before);
 	clear_scene(&scene);
@@ -210,7 +210,7 @@
 	start(&scene);
 	search_often(&scene, 20);
 	cutting = fake_replica(scene.world, "s2a");
-	cutting->mode = FAKE_CUT;
+	cutting->mode = FAKE_TRUNCATE;
 	cutting->latency_us = FAKE_MS / 10;
 	search_often(&scene, 20);
 	before = cutting->attempts;
@@ -220,7 +220,7 @@
 	/* Whole bodies again: it is used again. */
 	cutting->mode = FAKE_OK;
 	before = cutting->attempts;
-	fake_run(scene.world, 30000 * FAKE_MS);
+	fake_run_for(scene.world, 30000 * FAKE_MS);
 	search_often(&scene, 100);
 	assert_true(cutting->attempts - before > 10);
 	clear_scene(&scene);
@@ -240,11 +240,11 @@
 	rr_core_hint_replica(scene.desk->ctx, scene.desk->core,
 			     scene.world->now_us, "s0a", 1,
 			     RR_UPSTREAM_DRAINING);
-	assert_true(fake_await(scene.desk, 28));
+	assert_true(fake_wait_for_answers(scene.desk, 28));
 	for (guint i = 20; i < 28; i++)
 		assert_int_equal(fake_answer_at(scene.desk, i)->outcome,
 				 RR_COMPLETE);
-	assert_int_equal(fake_count(scene.desk, RR_N_RETRIES), 0);
+	assert_int_equal(fake_counter_value(scene.desk, RR_N_RETRIES), 0);
 	clear_scene(&scene);
 }
 
@@ -266,7 +266,7 @@
 	for (int i = 0; i < 20; i++)
 		fake_search(scene.desk);
 	assert_int_equal(fake_total_attempts(scene.world) - before, 4);
-	assert_true(fake_await(scene.desk, 60));
+	assert_true(fake_wait_for_answers(scene.desk, 60));
 	assert_int_equal(fake_total_attempts(scene.world) - before, 20);
 	clear_scene(&scene);
 }
@@ -301,12 +301,12 @@
 	start(&scene);
 	dead = fake_replica(scene.world, "s0a");
 	dead->mode = FAKE_DOWN;
-	fake_run(scene.world, 6000 * FAKE_MS);
+	fake_run_for(scene.world, 6000 * FAKE_MS);
 	before = dead->attempts;
 	search_often(&scene, 20);
 	assert_int_equal(dead->attempts, before);
 	dead->mode = FAKE_OK;
-	fake_run(scene.world, 3000 * FAKE_MS);
+	fake_run_for(scene.world, 3000 * FAKE_MS);
 	search_often(&scene, 20);
 	assert_true(dead->attempts > before);
 	clear_scene(&scene);
@@ -336,8 +336,8 @@
 		refused++;
 	}
 	assert_int_equal(refused, 250);
-	assert_true(fake_await(scene.desk, 320));
-	assert_int_equal(fake_count(scene.desk, RR_N_COMPLETE), 70);
+	assert_true(fake_wait_for_answers(scene.desk, 320));
+	assert_int_equal(fake_counter_value(scene.desk, RR_N_COMPLETE), 70);
 	clear_scene(&scene);
 }
 
@@ -364,7 +364,7 @@
 	assert_string_equal(fake_last_answer(scene.desk)->reason,
 			    "batch-share-used");
 	desk_query = fake_search(scene.desk);
-	assert_true(fake_await(scene.desk, 27));
+	assert_true(fake_wait_for_answers(scene.desk, 27));
 	assert_true(fake_answer_at(scene.desk, 25)->query_id == desk_query ||
 		    fake_answer_at(scene.desk, 26)->query_id == desk_query);
 	clear_scene(&scene);
@@ -379,7 +379,7 @@
 	start(&scene);
 	fake_replica(scene.world, "s0a")->no_health = true;
 	fake_replica(scene.world, "s0a")->polls = 0;
-	fake_run(scene.world, 20000 * FAKE_MS);
+	fake_run_for(scene.world, 20000 * FAKE_MS);
 	assert_in_range(fake_replica(scene.world, "s0a")->polls, 8, 24);
 	clear_scene(&scene);
 }
--- a/tests/test-core-relay.c
+++ b/tests/test-core-relay.c
@@ -10,7 +10,7 @@
 #include <cmocka.h>
 #include <string.h>
 
-#include "support/fake-carrier.h"
+#include "support/fake-cluster.h"
 
 #define ID "1700000001-abcdefgh"
 
@@ -18,7 +18,7 @@
 
 /* Two instances a zone; shards take turns between the zones. */
 struct scene {
-	struct fake_world *world;
+	struct fake_cluster *world;
 	struct rr_config *config;
 	struct fake_instance *here;
 	struct fake_instance *here_too;
@@ -28,7 +28,7 @@
 
 static struct scene set_scene(uint32_t owners)
 {
-	struct scene scene = { .world = fake_new_world(11) };
+	struct scene scene = { .world = fake_new_cluster(11) };
 
 	scene.config = fake_config(1, 20, 2, two_zones, 2);
 	scene.config->owners_per_replica = owners;
@@ -41,15 +41,15 @@
 	for (guint i = 0; i < scene.world->instances->len; i++)
 		fake_set_config(g_ptr_array_index(scene.world->instances, i),
 				scene.config);
-	fake_introduce(scene.world);
-	fake_run(scene.world, 5000 * FAKE_MS);
+	fake_hint_all_members(scene.world);
+	fake_run_for(scene.world, 5000 * FAKE_MS);
 	return scene;
 }
 
 static void clear_scene(struct scene *scene)
 {
 	rr_drop_config(scene->config);
-	fake_drop_world(scene->world);
+	fake_drop_cluster(scene->world);
 }
 
 static struct fake_answer *search(struct fake_instance *instance)
@@ -57,7 +57,7 @@
 	guint n = instance->answers->len;
 
 	fake_search(instance);
-	assert_true(fake_await(instance, n + 1));
+	assert_true(fake_wait_for_answers(instance, n + 1));
 	return fake_answer_at(instance, n);
 }
 
@@ -74,7 +74,7 @@
 
 	(void)state;
 	search(scene.here);
-	before = fake_count(scene.here, RR_N_RELAYS_SENT);
+	before = fake_counter_value(scene.here, RR_N_RELAYS_SENT);
 	answer = search(scene.here);
 	assert_int_equal(answer->outcome, RR_COMPLETE);
 	assert_int_equal(answer->keys->len, 200);
@@ -83,8 +83,9 @@
 	for (guint i = 0; i < answer->keys->len; i++)
 		assert_int_equal(g_array_index(answer->keys, uint64_t, i),
 				 i * 10);
-	assert_in_range(fake_count(scene.here, RR_N_RELAYS_SENT) - before, 2,
-			3);
+	assert_in_range(fake_counter_value(scene.here, RR_N_RELAYS_SENT) -
+				before,
+			2, 3);
 	clear_scene(&scene);
 }
 
@@ -96,7 +97,7 @@
 	(void)state;
 	search(scene.here);
 	search(scene.here);
-	assert_int_equal(scene.here_too->messages[RR_PEER_RELAY_REPLY], 0);
+	assert_int_equal(scene.here_too->sent_by_kind[RR_PEER_RELAY_REPLY], 0);
 	clear_scene(&scene);
 }
 
@@ -115,7 +116,7 @@
 	fake_kill_instance(scene.there);
 	for (int i = 0; i < 5; i++)
 		search(scene.here);
-	fake_run(scene.world, 10000 * FAKE_MS);
+	fake_run_for(scene.world, 10000 * FAKE_MS);
 	answer = search(scene.here);
 	assert_int_equal(answer->outcome, RR_COMPLETE);
 	assert_int_equal(answer->keys->len, 200);
@@ -139,7 +140,7 @@
 	rr_drop_config(config);
 	for (int i = 0; i < 10; i++)
 		search(scene.here);
-	scene.there->cut = true;
+	scene.there->partitioned = true;
 	answer = search(scene.here);
 	assert_int_equal(answer->outcome, RR_COMPLETE);
 	clear_scene(&scene);
@@ -157,23 +158,23 @@
 
 	(void)state;
 	search(scene.here);
-	scene.there->cut = true;
-	scene.there_too->cut = true;
+	scene.there->partitioned = true;
+	scene.there_too->partitioned = true;
 	answer = search(scene.here);
 	assert_int_equal(answer->outcome, RR_PARTIAL);
 	assert_int_equal(answer->covered->len, 10);
-	assert_true(fake_lacks(answer, "s1:zone-unreachable"));
+	assert_true(fake_is_missing(answer, "s1:zone-unreachable"));
 	before_us = scene.world->now_us;
 	answer = search(scene.here);
 	assert_int_equal(answer->outcome, RR_PARTIAL);
-	assert_true(fake_lacks(answer, "s1:zone-unreachable"));
-	assert_true(answer->at_us - before_us < 50 * FAKE_MS);
+	assert_true(fake_is_missing(answer, "s1:zone-unreachable"));
+	assert_true(answer->answered_us - before_us < 50 * FAKE_MS);
 	/* The zone itself goes on serving what it has. */
-	scene.here->cut = true;
-	scene.here_too->cut = true;
+	scene.here->partitioned = true;
+	scene.here_too->partitioned = true;
 	answer = search(scene.there);
 	assert_int_equal(answer->covered->len, 10);
-	assert_true(fake_lacks(answer, "s0:zone-unreachable"));
+	assert_true(fake_is_missing(answer, "s0:zone-unreachable"));
 	clear_scene(&scene);
 }
 
@@ -196,8 +197,8 @@
 		before_us = scene.world->now_us;
 		answer = search(scene.here);
 		assert_int_equal(answer->outcome, RR_COMPLETE);
-		assert_true(answer->at_us - before_us < 50 * FAKE_MS);
-		fake_run(scene.world, 50 * FAKE_MS);
+		assert_true(answer->answered_us - before_us < 50 * FAKE_MS);
+		fake_run_for(scene.world, 50 * FAKE_MS);
 	}
 	clear_scene(&scene);
 }
@@ -209,13 +210,13 @@
 
 	(void)state;
 	search(scene.here);
-	scene.there->cut = true;
-	scene.there_too->cut = true;
+	scene.there->partitioned = true;
+	scene.there_too->partitioned = true;
 	search(scene.here);
-	fake_run(scene.world, 3000 * FAKE_MS);
-	scene.there->cut = false;
-	scene.there_too->cut = false;
-	fake_run(scene.world, 10000 * FAKE_MS);
+	fake_run_for(scene.world, 3000 * FAKE_MS);
+	scene.there->partitioned = false;
+	scene.there_too->partitioned = false;
+	fake_run_for(scene.world, 10000 * FAKE_MS);
 	assert_int_equal(search(scene.here)->outcome, RR_COMPLETE);
 	clear_scene(&scene);
 }
@@ -229,17 +230,18 @@
 	(void)state;
 	search(scene.here);
 	query = fake_search(scene.here);
-	fake_run(scene.world, 2 * FAKE_MS);
+	fake_run_for(scene.world, 2 * FAKE_MS);
 	rr_core_cancel(scene.here->ctx, scene.here->core, scene.world->now_us,
 		       query);
-	fake_run(scene.world, 100 * FAKE_MS);
-	assert_int_equal(fake_count(scene.there, RR_N_WITHDRAWN) +
-				 fake_count(scene.there_too, RR_N_WITHDRAWN),
-			 10);
+	fake_run_for(scene.world, 100 * FAKE_MS);
+	assert_int_equal(
+		fake_counter_value(scene.there, RR_N_WITHDRAWN) +
+			fake_counter_value(scene.there_too, RR_N_WITHDRAWN),
+		10);
 	clear_scene(&scene);
 }
 
-static int count_runs(struct fake_world *world, const char *id)
+static int count_runs(struct fake_cluster *world, const char *id)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -248,7 +250,7 @@
 	g_hash_table_iter_init(&iter, world->replicas);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		runs += GPOINTER_TO_INT(g_hash_table_lookup(
-			((struct fake_replica *)value)->runs, id));
+			((struct fake_replica *)value)->run_counts, id));
 	return runs;
 }
 
@@ -260,13 +262,13 @@
 
 	(void)state;
 	fake_reserve(scene.here, 120, ID);
-	assert_true(fake_await(scene.here, 1));
+	assert_true(fake_wait_for_answers(scene.here, 1));
 	answer = fake_last_answer(scene.here);
 	assert_int_equal(answer->outcome, RR_COMPLETE);
 	assert_non_null(answer->result);
-	fake_run(scene.world, 100 * FAKE_MS);
+	fake_run_for(scene.world, 100 * FAKE_MS);
 	fake_reserve(scene.there, 120, ID);
-	assert_true(fake_await(scene.there, 1));
+	assert_true(fake_wait_for_answers(scene.there, 1));
 	assert_true(fake_last_answer(scene.there)->replayed);
 	assert_int_equal(count_runs(scene.world, ID), 1);
 	clear_scene(&scene);
@@ -287,15 +289,15 @@
 	fake_replica(scene.world, "s1b")->latency_us = 50 * FAKE_MS;
 	fake_reserve(scene.here, 120, ID);
 	while (!count_runs(scene.world, ID))
-		fake_run(scene.world, FAKE_MS);
+		fake_run_for(scene.world, FAKE_MS);
 	fake_kill_instance(scene.there);
 	fake_kill_instance(scene.there_too);
-	assert_true(fake_await(scene.here, 1));
+	assert_true(fake_wait_for_answers(scene.here, 1));
 	answer = fake_last_answer(scene.here);
 	assert_int_equal(answer->outcome, RR_UNKNOWN);
-	fake_run(scene.world, 20000 * FAKE_MS);
+	fake_run_for(scene.world, 20000 * FAKE_MS);
 	fake_reserve(scene.here_too, 120, ID);
-	assert_true(fake_await(scene.here_too, 1));
+	assert_true(fake_wait_for_answers(scene.here_too, 1));
 	assert_int_equal(fake_last_answer(scene.here_too)->outcome, RR_UNKNOWN);
 	assert_int_equal(count_runs(scene.world, ID), 1);
 	clear_scene(&scene);
@@ -331,8 +333,9 @@
 {
 	struct rr_peer_message *message = make_relay(to_incarnation);
 
-	rr_core_peer(scene->here->ctx, scene->here->core, scene->world->now_us,
-		     FAKE_WALL_S * G_USEC_PER_SEC, message);
+	rr_core_handle_peer_message(scene->here->ctx, scene->here->core,
+				    scene->world->now_us,
+				    FAKE_WALL_S * G_USEC_PER_SEC, message);
 	rr_drop_peer_message(message);
 }
 
@@ -347,9 +350,9 @@
 	(void)state;
 	hand_relay(&scene, 91);
 	hand_relay(&scene, 91);
-	fake_run(scene.world, 100 * FAKE_MS);
+	fake_run_for(scene.world, 100 * FAKE_MS);
 	hand_relay(&scene, 91);
-	fake_run(scene.world, 100 * FAKE_MS);
+	fake_run_for(scene.world, 100 * FAKE_MS);
 	assert_int_equal(count_runs(scene.world, ID), 1);
 	clear_scene(&scene);
 }
@@ -362,9 +365,9 @@
 	(void)state;
 	hand_relay(&scene, 90);
 	hand_relay(&scene, 0);
-	fake_run(scene.world, 100 * FAKE_MS);
+	fake_run_for(scene.world, 100 * FAKE_MS);
 	assert_int_equal(count_runs(scene.world, ID), 0);
-	assert_int_equal(fake_count(scene.here, RR_N_PEER_STALE), 1);
+	assert_int_equal(fake_counter_value(scene.here, RR_N_PEER_STALE), 1);
 	clear_scene(&scene);
 }
 
@@ -385,13 +388,13 @@
 		if (i == 3)
 			rr_core_drain(scene.there->ctx, scene.there->core,
 				      scene.world->now_us);
-		assert_true(fake_await(scene.here, i + 2));
+		assert_true(fake_wait_for_answers(scene.here, i + 2));
 		answer = fake_last_answer(scene.here);
 		assert_int_equal(answer->outcome, RR_COMPLETE);
 	}
 	fake_search(scene.there);
 	assert_int_equal(fake_last_answer(scene.there)->outcome, RR_NOT_RUN);
-	assert_true(rr_core_drained(scene.there->core));
+	assert_true(rr_core_is_drained(scene.there->core));
 	clear_scene(&scene);
 }
 
--- a/tests/test-core-reserve.c
+++ b/tests/test-core-reserve.c
@@ -10,14 +10,14 @@
 #include <cmocka.h>
 #include <string.h>
 
-#include "support/fake-carrier.h"
+#include "support/fake-cluster.h"
 
 #define ID "1700000001-abcdefgh"
 
 static const char *const one_zone[] = { "ruaraka" };
 
 struct scene {
-	struct fake_world *world;
+	struct fake_cluster *world;
 	struct rr_config *config;
 	struct fake_instance *first;
 	struct fake_instance *second;
@@ -25,7 +25,7 @@
 
 static struct scene set_scene(void)
 {
-	struct scene scene = { .world = fake_new_world(5) };
+	struct scene scene = { .world = fake_new_cluster(5) };
 
 	scene.config = fake_config(1, 2, 2, one_zone, 1);
 	fake_add_replicas(scene.world, scene.config);
@@ -35,15 +35,15 @@
 					 FAKE_WALL_S * 1000000 + 7);
 	fake_set_config(scene.first, scene.config);
 	fake_set_config(scene.second, scene.config);
-	fake_introduce(scene.world);
-	fake_run(scene.world, 3000 * FAKE_MS);
+	fake_hint_all_members(scene.world);
+	fake_run_for(scene.world, 3000 * FAKE_MS);
 	return scene;
 }
 
 static void clear_scene(struct scene *scene)
 {
 	rr_drop_config(scene->config);
-	fake_drop_world(scene->world);
+	fake_drop_cluster(scene->world);
 }
 
 /* How often the id ran, on all replicas together. */
@@ -56,7 +56,8 @@
 		struct fake_replica *replica =
 			fake_replica(scene->world, names[i]);
 
-		runs += GPOINTER_TO_INT(g_hash_table_lookup(replica->runs, id));
+		runs += GPOINTER_TO_INT(
+			g_hash_table_lookup(replica->run_counts, id));
 	}
 	return runs;
 }
@@ -74,7 +75,7 @@
 
 	(void)scene;
 	fake_reserve(instance, 20, ID);
-	assert_true(fake_await(instance, n + 1));
+	assert_true(fake_wait_for_answers(instance, n + 1));
 	return fake_answer_at(instance, n);
 }
 
@@ -90,7 +91,7 @@
 	assert_false(answer->replayed);
 	assert_string_equal(g_ptr_array_index(answer->covered, 0), "s0");
 	result = g_strdup(answer->result);
-	fake_run(scene.world, 100 * FAKE_MS);
+	fake_run_for(scene.world, 100 * FAKE_MS);
 	answer = reserve(&scene, scene.second);
 	assert_int_equal(answer->outcome, RR_COMPLETE);
 	assert_true(answer->replayed);
@@ -111,8 +112,8 @@
 	(void)state;
 	fake_reserve(scene.first, 20, ID);
 	fake_reserve(scene.second, 20, ID);
-	assert_true(fake_await(scene.first, 1));
-	assert_true(fake_await(scene.second, 1));
+	assert_true(fake_wait_for_answers(scene.first, 1));
+	assert_true(fake_wait_for_answers(scene.second, 1));
 	assert_int_equal(count_runs(&scene, ID), 1);
 	assert_int_not_equal(fake_last_answer(scene.first)->outcome,
 			     RR_NOT_RUN);
@@ -132,12 +133,12 @@
 	struct fake_answer *answer;
 
 	(void)state;
-	set_modes(&scene, FAKE_LOSE, FAKE_LOSE);
+	set_modes(&scene, FAKE_LOSE_REPLY, FAKE_LOSE_REPLY);
 	answer = reserve(&scene, scene.first);
 	assert_int_equal(answer->outcome, RR_UNKNOWN);
 	assert_true(answer->retry_after_ms > 0);
 	set_modes(&scene, FAKE_OK, FAKE_OK);
-	fake_run(scene.world, 500 * FAKE_MS);
+	fake_run_for(scene.world, 500 * FAKE_MS);
 	answer = reserve(&scene, scene.second);
 	assert_int_equal(answer->outcome, RR_UNKNOWN);
 	assert_int_equal(count_runs(&scene, ID), 1);
@@ -156,7 +157,7 @@
 
 		set_modes(&scene, i & 1 ? FAKE_REFUSE : FAKE_DRAINING, FAKE_OK);
 		fake_reserve(scene.first, 20, id);
-		assert_true(fake_await(scene.first, n + 1));
+		assert_true(fake_wait_for_answers(scene.first, n + 1));
 		assert_int_equal(fake_last_answer(scene.first)->outcome,
 				 RR_COMPLETE);
 		assert_int_equal(count_runs(&scene, id), 1);
@@ -176,7 +177,7 @@
 	answer = reserve(&scene, scene.first);
 	assert_int_equal(answer->outcome, RR_NOT_RUN);
 	set_modes(&scene, FAKE_OK, FAKE_OK);
-	fake_run(scene.world, 3000 * FAKE_MS);
+	fake_run_for(scene.world, 3000 * FAKE_MS);
 	answer = reserve(&scene, scene.second);
 	assert_int_equal(answer->outcome, RR_COMPLETE);
 	assert_false(answer->replayed);
@@ -196,7 +197,7 @@
 	answer = reserve(&scene, scene.first);
 	assert_int_equal(answer->outcome, RR_NOT_RUN);
 	assert_true(answer->retry_after_ms > 0);
-	assert_true(answer->at_us - before_us < 100 * FAKE_MS);
+	assert_true(answer->answered_us - before_us < 100 * FAKE_MS);
 	assert_int_equal(count_runs(&scene, ID), 0);
 	clear_scene(&scene);
 }
@@ -216,7 +217,7 @@
 	fake_replica(scene.world, "s0b")->latency_us = 2000 * FAKE_MS;
 	answer = reserve(&scene, scene.first);
 	assert_int_equal(answer->outcome, RR_UNKNOWN);
-	fake_run(scene.world, 3000 * FAKE_MS);
+	fake_run_for(scene.world, 3000 * FAKE_MS);
 	answer = reserve(&scene, scene.second);
 	assert_int_equal(answer->outcome, RR_COMPLETE);
 	assert_true(answer->replayed);
@@ -233,11 +234,11 @@
 
 	(void)state;
 	query = fake_reserve(scene.first, 20, ID);
-	fake_run(scene.world, 6 * FAKE_MS);
+	fake_run_for(scene.world, 6 * FAKE_MS);
 	assert_int_equal(fake_total_attempts(scene.world), 1);
 	rr_core_cancel(scene.first->ctx, scene.first->core, scene.world->now_us,
 		       query);
-	fake_run(scene.world, 100 * FAKE_MS);
+	fake_run_for(scene.world, 100 * FAKE_MS);
 	assert_int_equal(scene.first->answers->len, 0);
 	answer = reserve(&scene, scene.second);
 	assert_true(answer->replayed);
@@ -256,7 +257,7 @@
 	query = fake_reserve(scene.first, 20, ID);
 	rr_core_cancel(scene.first->ctx, scene.first->core, scene.world->now_us,
 		       query);
-	fake_run(scene.world, 100 * FAKE_MS);
+	fake_run_for(scene.world, 100 * FAKE_MS);
 	assert_int_equal(count_runs(&scene, ID), 0);
 	answer = reserve(&scene, scene.second);
 	assert_int_equal(answer->outcome, RR_COMPLETE);
@@ -272,7 +273,7 @@
 	(void)state;
 	for (int i = 0; i < 100; i++) {
 		fake_search(scene.first);
-		assert_true(fake_await(scene.first, i + 1));
+		assert_true(fake_wait_for_answers(scene.first, i + 1));
 	}
 	fake_replica(scene.world, "s0a")->latency_us = 300 * FAKE_MS;
 	fake_replica(scene.world, "s0b")->latency_us = 300 * FAKE_MS;
@@ -300,13 +301,13 @@
 	fake_search(scene.first);
 	assert_int_equal(fake_last_answer(scene.first)->outcome, RR_INVALID);
 	fake_request(scene.first, &request);
-	assert_true(fake_await(scene.first, 2));
+	assert_true(fake_wait_for_answers(scene.first, 2));
 	assert_int_equal(fake_last_answer(scene.first)->outcome, RR_COMPLETE);
 	assert_int_equal(fake_last_answer(scene.first)->keys->len, 20);
 	attempts = fake_total_attempts(scene.world);
-	fake_run(scene.world, 100 * FAKE_MS);
+	fake_run_for(scene.world, 100 * FAKE_MS);
 	fake_request(scene.first, &request);
-	assert_true(fake_await(scene.first, 3));
+	assert_true(fake_wait_for_answers(scene.first, 3));
 	assert_true(fake_last_answer(scene.first)->replayed);
 	assert_non_null(strstr(fake_last_answer(scene.first)->result, "110"));
 	assert_int_equal(fake_total_attempts(scene.world), attempts);
@@ -323,9 +324,9 @@
 
 	(void)state;
 	reserve(&scene, scene.first);
-	fake_run(scene.world, 100 * FAKE_MS);
+	fake_run_for(scene.world, 100 * FAKE_MS);
 	fake_reserve(scene.first, 120, ID);
-	assert_true(fake_await(scene.first, 2));
+	assert_true(fake_wait_for_answers(scene.first, 2));
 	assert_int_equal(fake_last_answer(scene.first)->outcome, RR_INVALID);
 	assert_int_equal(count_runs(&scene, ID), 1);
 	clear_scene(&scene);
--- a/tests/test-core-search.c
+++ b/tests/test-core-search.c
@@ -9,19 +9,19 @@
 #include <cmocka.h>
 #include <string.h>
 
-#include "support/fake-carrier.h"
+#include "support/fake-cluster.h"
 
 static const char *const one_zone[] = { "ruaraka" };
 
 struct scene {
-	struct fake_world *world;
+	struct fake_cluster *world;
 	struct rr_config *config;
 	struct fake_instance *desk;
 };
 
 static struct scene set_scene(size_t n_shards, size_t n_replicas)
 {
-	struct scene scene = { .world = fake_new_world(3) };
+	struct scene scene = { .world = fake_new_cluster(3) };
 
 	scene.config = fake_config(1, n_shards, n_replicas, one_zone, 1);
 	fake_add_replicas(scene.world, scene.config);
@@ -32,19 +32,20 @@
 static void start(struct scene *scene)
 {
 	fake_set_config(scene->desk, scene->config);
-	fake_run(scene->world, 2000 * FAKE_MS);
+	fake_run_for(scene->world, 2000 * FAKE_MS);
 }
 
 static void clear_scene(struct scene *scene)
 {
 	rr_drop_config(scene->config);
-	fake_drop_world(scene->world);
+	fake_drop_cluster(scene->world);
 }
 
 static struct fake_answer *search(struct scene *scene)
 {
 	fake_search(scene->desk);
-	assert_true(fake_await(scene->desk, scene->desk->answers->len + 1));
+	assert_true(fake_wait_for_answers(scene->desk,
+					  scene->desk->answers->len + 1));
 	return fake_last_answer(scene->desk);
 }
 
@@ -137,11 +138,11 @@
 	fake_replica(scene.world, "s2a")->mode = FAKE_WRONG_VERSION;
 	answer = search(&scene);
 	assert_int_equal(answer->outcome, RR_PARTIAL);
-	assert_int_equal(answer->lacking->len, 1);
-	assert_true(fake_lacks(answer, "s2:version-not-held"));
+	assert_int_equal(answer->missing->len, 1);
+	assert_true(fake_is_missing(answer, "s2:version-not-held"));
 	assert_one_version(answer);
 	assert_int_equal(answer->keys->len, 50);
-	assert_int_equal(fake_count(scene.desk, RR_N_BAD_REPLIES), 1);
+	assert_int_equal(fake_counter_value(scene.desk, RR_N_BAD_REPLIES), 1);
 	clear_scene(&scene);
 }
 
@@ -169,7 +170,7 @@
 	assert_int_equal(answer->version, 8);
 	assert_one_version(answer);
 	assert_int_equal(answer->keys->len, 40);
-	assert_int_equal(fake_count(scene.desk, RR_N_RESTARTS), 1);
+	assert_int_equal(fake_counter_value(scene.desk, RR_N_RESTARTS), 1);
 	clear_scene(&scene);
 }
 
@@ -192,7 +193,7 @@
 		assert_int_equal(answer->outcome, RR_COMPLETE);
 		assert_int_equal(answer->version, 7);
 	}
-	assert_int_equal(fake_count(scene.desk, RR_N_RETRIES), 0);
+	assert_int_equal(fake_counter_value(scene.desk, RR_N_RETRIES), 0);
 	clear_scene(&scene);
 }
 
@@ -207,10 +208,10 @@
 
 	(void)state;
 	start(&scene);
-	fake_replica(scene.world, "s4a")->mode = FAKE_CUT;
+	fake_replica(scene.world, "s4a")->mode = FAKE_TRUNCATE;
 	answer = search(&scene);
 	assert_int_equal(answer->outcome, RR_PARTIAL);
-	assert_true(fake_lacks(answer, "s4:truncated"));
+	assert_true(fake_is_missing(answer, "s4:truncated"));
 	assert_int_equal(answer->keys->len, 50);
 	clear_scene(&scene);
 }
@@ -230,7 +231,7 @@
 	fake_replica(scene.world, "s1a")->range.to = 150;
 	answer = search(&scene);
 	assert_int_equal(answer->outcome, RR_PARTIAL);
-	assert_true(fake_lacks(answer, "s1:moved"));
+	assert_true(fake_is_missing(answer, "s1:moved"));
 	assert_int_equal(answer->keys->len, 55);
 	clear_scene(&scene);
 }
@@ -251,7 +252,7 @@
 	fake_replica(scene.world, "s2a")->range.from = 120;
 	answer = search(&scene);
 	assert_int_equal(answer->outcome, RR_PARTIAL);
-	assert_true(fake_lacks(answer, "s1:moved"));
+	assert_true(fake_is_missing(answer, "s1:moved"));
 	assert_int_equal(answer->keys->len, 25);
 	clear_scene(&scene);
 }
@@ -294,9 +295,9 @@
 	before_us = scene.world->now_us;
 	answer = search(&scene);
 	assert_int_equal(answer->outcome, RR_PARTIAL);
-	assert_int_equal(answer->lacking->len, 1);
-	assert_true(fake_lacks(answer, "s3:deadline"));
-	assert_int_equal(answer->at_us - before_us, 400 * FAKE_MS);
+	assert_int_equal(answer->missing->len, 1);
+	assert_true(fake_is_missing(answer, "s3:deadline"));
+	assert_int_equal(answer->answered_us - before_us, 400 * FAKE_MS);
 	clear_scene(&scene);
 }
 
@@ -320,9 +321,9 @@
 	before_us = scene.world->now_us;
 	answer = search(&scene);
 	assert_int_equal(answer->outcome, RR_PARTIAL);
-	assert_true(fake_lacks(answer, "s3:enough"));
-	assert_int_equal(answer->at_us - before_us, (3 + 5) * FAKE_MS);
-	assert_int_equal(fake_count(scene.desk, RR_N_WITHDRAWN), 1);
+	assert_true(fake_is_missing(answer, "s3:enough"));
+	assert_int_equal(answer->answered_us - before_us, (3 + 5) * FAKE_MS);
+	assert_int_equal(fake_counter_value(scene.desk, RR_N_WITHDRAWN), 1);
 	clear_scene(&scene);
 }
 
@@ -346,7 +347,7 @@
 	answer = search(&scene);
 	assert_int_equal(answer->outcome, RR_NOT_RUN);
 	assert_true(answer->retry_after_ms >= 4990);
-	assert_int_equal(answer->at_us - before_us, 3 * FAKE_MS);
+	assert_int_equal(answer->answered_us - before_us, 3 * FAKE_MS);
 	clear_scene(&scene);
 }
 
@@ -362,7 +363,7 @@
 	struct rr_reply foreign = {
 		.attempt_id = 12345,
 		.status = RR_REPLY_OK,
-		.end_mark = true,
+		.body_complete = true,
 	};
 
 	(void)state;
@@ -371,10 +372,10 @@
 	scene.config->services[0].attempt_timeout_ms = 100;
 	answer = search(&scene);
 	assert_int_equal(answer->outcome, RR_PARTIAL);
-	fake_run(scene.world, 1000 * FAKE_MS);
-	rr_core_reply(scene.desk->ctx, scene.desk->core, scene.world->now_us,
-		      &foreign);
-	assert_true(fake_count(scene.desk, RR_N_LATE_REPLIES) >= 2);
+	fake_run_for(scene.world, 1000 * FAKE_MS);
+	rr_core_handle_reply(scene.desk->ctx, scene.desk->core,
+			     scene.world->now_us, &foreign);
+	assert_true(fake_counter_value(scene.desk, RR_N_LATE_REPLIES) >= 2);
 	assert_int_equal(scene.desk->answers->len, 1);
 	clear_scene(&scene);
 }
@@ -390,10 +391,10 @@
 	id = fake_search(scene.desk);
 	rr_core_cancel(scene.desk->ctx, scene.desk->core, scene.world->now_us,
 		       id);
-	fake_run(scene.world, 1000 * FAKE_MS);
+	fake_run_for(scene.world, 1000 * FAKE_MS);
 	assert_int_equal(scene.desk->answers->len, 0);
-	assert_int_equal(fake_count(scene.desk, RR_N_WITHDRAWN), 4);
-	assert_int_equal(fake_count(scene.desk, RR_N_LATE_REPLIES), 4);
+	assert_int_equal(fake_counter_value(scene.desk, RR_N_WITHDRAWN), 4);
+	assert_int_equal(fake_counter_value(scene.desk, RR_N_LATE_REPLIES), 4);
 	clear_scene(&scene);
 }
 
@@ -410,7 +411,7 @@
 	(void)state;
 	start(&scene);
 	fake_request(scene.desk, &request);
-	assert_true(fake_await(scene.desk, 1));
+	assert_true(fake_wait_for_answers(scene.desk, 1));
 	answer = fake_last_answer(scene.desk);
 	assert_int_equal(answer->outcome, RR_COMPLETE);
 	assert_int_equal(answer->keys->len, 1);
--- a/tests/test-coverage.c
+++ b/tests/test-coverage.c
@@ -46,8 +46,9 @@
 				k++;
 			assert_int_equal(rr_covers_key(coverage, from),
 					 held[from]);
-			assert_int_equal(rr_first_hole(coverage, within, &hole),
-					 k < KEYS);
+			assert_int_equal(
+				rr_find_first_gap(coverage, within, &hole),
+				k < KEYS);
 			if (k == KEYS)
 				continue;
 			assert_int_equal(hole.from, k);
--- a/tests/test-gather.c
+++ b/tests/test-gather.c
@@ -119,12 +119,12 @@
 
 static void test_least_parts(void **state)
 {
-	assert_int_equal(rr_least_parts(20, 0.89), 18);
-	assert_int_equal(rr_least_parts(20, 0.75), 15);
-	assert_int_equal(rr_least_parts(100, 0.89), 89);
-	assert_int_equal(rr_least_parts(90, 0.95), 86);
-	assert_int_equal(rr_least_parts(30, 1), 30);
-	assert_int_equal(rr_least_parts(3, 0), 1);
+	assert_int_equal(rr_required_parts(20, 0.89), 18);
+	assert_int_equal(rr_required_parts(20, 0.75), 15);
+	assert_int_equal(rr_required_parts(100, 0.89), 89);
+	assert_int_equal(rr_required_parts(90, 0.95), 86);
+	assert_int_equal(rr_required_parts(30, 1), 30);
+	assert_int_equal(rr_required_parts(3, 0), 1);
 }
 
 static enum rr_gather_step decide(size_t in, size_t lacking, size_t hopeless,
@@ -132,12 +132,12 @@
 {
 	struct rr_gather_state state = {
 		.now_us = now_us,
-		.cut_us = 35 * MS,
+		.answer_by_us = 35 * MS,
 		.parts = 20,
-		.in = in,
-		.lacking = lacking,
-		.hopeless = hopeless,
-		.least = 15,
+		.answered = in,
+		.failed = lacking,
+		.unreachable = hopeless,
+		.required = 15,
 	};
 
 	return rr_decide_gather(&state);
--- a/tests/test-ledger-random.c
+++ b/tests/test-ledger-random.c
@@ -160,7 +160,7 @@
 	client->data = instance;
 	g_ptr_array_add(world->clients, client);
 	instance->client = client;
-	options.store = fake_port(client);
+	options.store = fake_client_port(client);
 	instance->ledger = rr_new_ledger(instance->ctx, &options);
 	instance->submissions = g_hash_table_new_full(
 		g_int64_hash, g_int64_equal, NULL, g_free);
@@ -198,7 +198,7 @@
 
 	world->random = g_rand_new_with_seed(seed);
 	world->store = new_fake_store(seed + 1);
-	world->store->late_us = 3000000;
+	world->store->max_late_us = 3000000;
 	world->requests = g_ptr_array_new_with_free_func(free_request);
 	world->clients = g_ptr_array_new_with_free_func(g_free);
 	for (int i = 0; i < INSTANCES; i++) {
@@ -276,7 +276,7 @@
 		int64_t due_us = next_due_us(world);
 
 		if (fake_store_due_us(world->store) <= due_us)
-			run_fake_event(world->store);
+			run_fake_store_event(world->store);
 		world->store->now_us = MAX(world->store->now_us, due_us);
 		for (int i = 0; i < INSTANCES; i++)
 			tick_instance(&world->instances[i]);
--- a/tests/test-ledger.c
+++ b/tests/test-ledger.c
@@ -72,7 +72,7 @@
 		.buckets = 1,
 		.retention_s = RETENTION_S,
 		.call_timeout_ms = TIMEOUT_MS,
-		.store = fake_port(&user->client),
+		.store = fake_client_port(&user->client),
 		.claimed = take_claimed,
 		.data = user,
 		.next_call_id = &user->next_call_id,
@@ -113,7 +113,7 @@
 		if (MIN(wake_us, due_us) > until_us)
 			break;
 		if (due_us <= wake_us)
-			run_fake_event(store);
+			run_fake_store_event(store);
 		store->now_us = MAX(store->now_us, MIN(wake_us, due_us));
 		rr_tick_ledger(a->ctx, a->ledger, store->now_us);
 		if (b)
@@ -170,10 +170,11 @@
 	return 0;
 }
 
-static void set_next_fate(struct scene *scene, enum fake_fate fate, uint32_t n)
+static void set_next_fate(struct scene *scene, enum fake_call_outcome fate,
+			  uint32_t n)
 {
-	scene->store->next_fate = fate;
-	scene->store->next_fates = n;
+	scene->store->next_outcome = fate;
+	scene->store->n_next_outcomes = n;
 }
 
 static void record(struct user *user, uint64_t claim, const char *result)
@@ -236,7 +237,7 @@
 	size_t length;
 	const char *bytes;
 
-	scene->store->late_us = 50000;
+	scene->store->max_late_us = 50000;
 	set_next_fate(scene, FAKE_LATE_EFFECT, 1);
 	first = claim(scene->a, ID, 1);
 	run(scene->a, scene->b, 1000000);
@@ -262,7 +263,7 @@
 	uint64_t first;
 	uint64_t second;
 
-	scene->store->late_us = 300000;
+	scene->store->max_late_us = 300000;
 	set_next_fate(scene, FAKE_LATE_EFFECT, 1);
 	first = claim(scene->a, ID, 1);
 	run(scene->a, NULL, 4000);
--- a/tests/test-push.c
+++ b/tests/test-push.c
@@ -90,7 +90,7 @@
 static bool drive(struct editor *editor)
 {
 	struct fake_store *store = editor->client.store;
-	struct rr_store_port port = fake_port(&editor->client);
+	struct rr_store_port port = fake_client_port(&editor->client);
 	struct rr_push_step step;
 
 	while (!editor->waiting && store->now_us >= editor->wake_us) {
@@ -118,7 +118,7 @@
 
 	while (!drive(editor)) {
 		if (editor->waiting)
-			run_fake_event(store);
+			run_fake_store_event(store);
 		else
 			store->now_us = editor->wake_us;
 	}
@@ -217,8 +217,8 @@
 {
 	struct scene *scene = *state;
 
-	scene->store->next_fate = FAKE_LOST_AFTER_EFFECT;
-	scene->store->next_fates = 1;
+	scene->store->next_outcome = FAKE_LOST_AFTER_EFFECT;
+	scene->store->n_next_outcomes = 1;
 	start_push(&scene->a, "sala", "owners_per_replica: 3\n", 1, "c-2");
 	assert_int_equal(run_push(&scene->a), RR_PUSH_ACCEPTED);
 	assert_int_equal(rr_push_result(scene->a.push)->revision, 2);
@@ -236,22 +236,22 @@
 {
 	struct scene *scene = *state;
 
-	scene->store->late_us = 60000000;
-	scene->store->next_fate = FAKE_LATE_EFFECT;
-	scene->store->next_fates = 1;
+	scene->store->max_late_us = 60000000;
+	scene->store->next_outcome = FAKE_LATE_EFFECT;
+	scene->store->n_next_outcomes = 1;
 	start_push(&scene->a, "sala", "owners_per_replica: 3\n", 1, "c-2");
 	while (scene->store->writes < 2) {
 		drive(&scene->a);
-		run_fake_event(scene->store);
+		run_fake_store_event(scene->store);
 	}
-	scene->store->next_fate = FAKE_UNAVAILABLE;
-	scene->store->next_fates = MAX_TRIES;
+	scene->store->next_outcome = FAKE_UNAVAILABLE;
+	scene->store->n_next_outcomes = MAX_TRIES;
 	assert_int_equal(run_push(&scene->a), RR_PUSH_UNSETTLED);
 	while (fake_store_due_us(scene->store) < INT64_MAX)
-		run_fake_event(scene->store);
+		run_fake_store_event(scene->store);
 	assert_file(scene, "sala", "owners_per_replica: 3\n", 2);
 	/* As the message says: the same change id again finds it accepted. */
-	scene->store->next_fates = 0;
+	scene->store->n_next_outcomes = 0;
 	start_push(&scene->a, "sala", "owners_per_replica: 3\n", 1, "c-2");
 	assert_int_equal(run_push(&scene->a), RR_PUSH_ACCEPTED);
 	assert_file(scene, "sala", "owners_per_replica: 3\n", 2);
@@ -450,7 +450,7 @@
 	memset(store->per_mille, 0, sizeof(store->per_mille));
 	if (draw(world, 2))
 		return;
-	store->late_us = 2000u << draw(world, 8);
+	store->max_late_us = 2000u << draw(world, 8);
 	store->per_mille[FAKE_UNAVAILABLE] = draw(world, 400);
 	store->per_mille[FAKE_LOST_AFTER_EFFECT] = draw(world, 300);
 	store->per_mille[FAKE_LOST_WITHOUT_EFFECT] = draw(world, 200);
@@ -468,7 +468,7 @@
 	if (!draw(world, 200))
 		change_weather(world);
 	if (fake_store_due_us(world->store) <= world->store->now_us) {
-		run_fake_event(world->store);
+		run_fake_store_event(world->store);
 		watch_store(world);
 	} else {
 		world->store->now_us += draw(world, 1500);
@@ -481,7 +481,7 @@
 
 	world.random = g_rand_new_with_seed(seed);
 	world.store = new_fake_store(seed);
-	world.store->late_us = 100000;
+	world.store->max_late_us = 100000;
 	world.changes = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					      free_change);
 	world.last = rr_new_record();
--- a/tests/test-random.c
+++ b/tests/test-random.c
@@ -248,7 +248,7 @@
 	      "config: revision went from %d to %d", (int)instance->revision,
 	      (int)revision);
 	instance->revision = revision;
-	if (instance->draining && rr_core_drained(instance->core)) {
+	if (instance->draining && rr_core_is_drained(instance->core)) {
 		GHashTableIter iter;
 		gpointer value;
 
@@ -456,7 +456,7 @@
 	check(world, !world->issued_order->length, "%d requests left open",
 	      (int)world->issued_order->length);
 	for (int i = 0; i < N_INSTANCES; i++)
-		check(world, rr_core_drained(world->instances[i].core),
+		check(world, rr_core_is_drained(world->instances[i].core),
 		      "graceful: instance %d never drained", i);
 }
 
--- a/tests/test-replica-pool.c
+++ b/tests/test-replica-pool.c
@@ -10,13 +10,13 @@
 #include <glib.h>
 #include <string.h>
 
-#include "support/replica-scene.h"
+#include "support/replica-fixture.h"
 
 /* A kept connection that the replica has closed meanwhile is not used for
  * what may run once. */
 static void test_closed_connection_is_noticed(void **state)
 {
-	struct replica_scene *scene = replica_start();
+	struct replica_fixture *scene = replica_new_fixture();
 	struct raw_peer *peer = replica_serve_once(scene);
 
 	raw_drop(peer);
@@ -26,109 +26,112 @@
 	peer = raw_accept(scene->listener);
 	raw_expect(peer, "POST /2");
 	raw_drop(peer);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 static void test_connection_close_is_heeded(void **state)
 {
-	struct replica_scene *scene = replica_start();
-	struct raw_peer *peer = replica_ask_and_accept(scene);
+	struct replica_fixture *scene = replica_new_fixture();
+	struct raw_peer *peer = replica_send_and_accept(scene);
 
 	raw_send(peer, REPLICA_OK "Connection: close\r\n\r\nab");
 	raw_turn_until(&scene->replies, 1);
 	assert_int_equal(scene->outcome, RR_GATE_ANSWERED);
 	raw_expect_end(peer);
 	raw_drop(peer);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 /* It is not used for longer than the replica says it keeps it. */
 static void test_keep_alive_is_heeded(void **state)
 {
-	struct replica_scene *scene = replica_start();
+	struct replica_fixture *scene = replica_new_fixture();
 	struct raw_peer *first;
 	struct raw_peer *second;
 
-	replica_ask(scene);
+	replica_send_get(scene);
 	first = raw_accept(scene->listener);
 	raw_expect(first, REPLICA_GET);
 	raw_send(first, REPLICA_OK "Keep-Alive: timeout=1\r\n\r\nab");
 	raw_turn_until(&scene->replies, 1);
 	raw_turn_for(500000);
-	replica_ask(scene);
+	replica_send_get(scene);
 	second = raw_accept(scene->listener);
 	raw_expect(second, REPLICA_GET);
 	raw_drop(first);
 	raw_drop(second);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 static void test_withdrawn(void **state)
 {
-	struct replica_scene *scene = replica_start();
+	struct replica_fixture *scene = replica_new_fixture();
 	struct raw_peer *peer;
-	uint64_t attempt = replica_ask(scene);
+	uint64_t attempt = replica_send_get(scene);
 
 	peer = raw_accept(scene->listener);
 	raw_expect(peer, REPLICA_GET);
-	rr_withdraw_from_replica(scene->port, attempt);
+	rr_withdraw_from_replica(scene->client, attempt);
 	raw_expect_end(peer);
 	assert_int_equal(scene->replies, 0);
 	raw_drop(peer);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 /* What has left cannot be recalled; what has not is as if never sent. */
 static void test_recall(void **state)
 {
-	struct replica_scene *scene = replica_start();
-	uint64_t attempt = replica_ask(scene);
+	struct replica_fixture *scene = replica_new_fixture();
+	uint64_t attempt = replica_send_get(scene);
 
-	assert_true(rr_recall_from_replica(scene->port, attempt));
+	assert_true(rr_recall_from_replica(scene->client, attempt));
 	raw_turn_for(30000);
 	assert_int_equal(scene->replies, 0);
-	replica_stop(scene);
-	scene = replica_start();
-	raw_drop(replica_ask_and_accept(scene));
-	assert_false(rr_recall_from_replica(scene->port, scene->next_attempt));
-	replica_stop(scene);
+	replica_drop_fixture(scene);
+	scene = replica_new_fixture();
+	raw_drop(replica_send_and_accept(scene));
+	assert_false(
+		rr_recall_from_replica(scene->client, scene->next_attempt));
+	replica_drop_fixture(scene);
 }
 
 /* What may run once is given up some time after its deadline. */
 static void test_silence(void **state)
 {
-	struct replica_scene *scene = replica_start();
+	struct replica_fixture *scene = replica_new_fixture();
 	struct raw_peer *peer;
 
 	replica_send(scene, REPLICA_GET, NULL, false, false);
 	peer = raw_accept(scene->listener);
 	raw_expect(peer, REPLICA_GET);
-	rr_tick_replica_port(scene->port, g_get_monotonic_time() + 900 * 1000);
+	rr_tick_replica_port(scene->client,
+			     g_get_monotonic_time() + 900 * 1000);
 	assert_int_equal(scene->replies, 0);
-	rr_tick_replica_port(scene->port, g_get_monotonic_time() + 1600 * 1000);
+	rr_tick_replica_port(scene->client,
+			     g_get_monotonic_time() + 1600 * 1000);
 	assert_int_equal(scene->replies, 1);
 	assert_int_equal(scene->outcome, RR_GATE_NO_REPLY);
 	raw_drop(peer);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 static void test_open_and_forget(void **state)
 {
-	struct replica_scene *scene = replica_start();
+	struct replica_fixture *scene = replica_new_fixture();
 	struct raw_peer *peer;
 
-	rr_open_replica(scene->port, g_get_monotonic_time(), "r",
+	rr_open_replica(scene->client, g_get_monotonic_time(), "r",
 			scene->listener->address);
 	peer = raw_accept(scene->listener);
 	raw_turn_for(20000);
-	replica_ask(scene);
+	replica_send_get(scene);
 	raw_expect(peer, REPLICA_GET);
 	raw_send(peer, REPLICA_OK "\r\nab");
 	raw_turn_until(&scene->replies, 1);
-	rr_forget_replica(scene->port, "r");
+	rr_forget_replica(scene->client, "r");
 	raw_expect_end(peer);
 	raw_drop(peer);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 /*
@@ -138,11 +141,11 @@
  */
 static void test_few_are_kept_at_rest(void **state)
 {
-	struct replica_scene *scene = replica_start();
+	struct replica_fixture *scene = replica_new_fixture();
 	struct raw_peer *peers[2];
 
-	replica_ask(scene);
-	replica_ask(scene);
+	replica_send_get(scene);
+	replica_send_get(scene);
 	peers[0] = raw_accept(scene->listener);
 	peers[1] = raw_accept(scene->listener);
 	for (int i = 0; i < 2; i++) {
@@ -152,47 +155,47 @@
 	}
 	raw_expect_end(peers[1]);
 	g_string_truncate(peers[0]->in, 0);
-	replica_ask(scene);
+	replica_send_get(scene);
 	raw_expect(peers[0], REPLICA_GET);
 	raw_drop(peers[0]);
 	raw_drop(peers[1]);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 static void test_probe(void **state)
 {
-	struct replica_scene *scene = replica_start();
+	struct replica_fixture *scene = replica_new_fixture();
 
-	rr_probe_replica(scene->port, g_get_monotonic_time(), "r",
+	rr_probe_replica(scene->client, g_get_monotonic_time(), "r",
 			 scene->listener->address);
 	raw_turn_until(&scene->probes, 1);
-	assert_true(scene->reached);
+	assert_true(scene->probe_reached);
 	raw_close_listener(scene->listener);
-	rr_probe_replica(scene->port, g_get_monotonic_time(), "r",
+	rr_probe_replica(scene->client, g_get_monotonic_time(), "r",
 			 scene->listener->address);
 	for (int i = 0; scene->probes < 2 && i < 1000; i++) {
 		raw_turn_for(1000);
-		rr_tick_replica_port(scene->port, g_get_monotonic_time());
+		rr_tick_replica_port(scene->client, g_get_monotonic_time());
 	}
 	assert_int_equal(scene->probes, 2);
-	assert_false(scene->reached);
-	replica_stop(scene);
+	assert_false(scene->probe_reached);
+	replica_drop_fixture(scene);
 }
 
 static void test_nobody_listens(void **state)
 {
-	struct replica_scene *scene = replica_start();
+	struct replica_fixture *scene = replica_new_fixture();
 
 	raw_close_listener(scene->listener);
-	replica_ask(scene);
+	replica_send_get(scene);
 	for (int i = 0; !scene->replies && i < 1000; i++) {
 		raw_turn_for(1000);
-		rr_tick_replica_port(scene->port, g_get_monotonic_time());
+		rr_tick_replica_port(scene->client, g_get_monotonic_time());
 	}
 	assert_int_equal(scene->replies, 1);
 	assert_int_equal(scene->outcome, RR_GATE_UNSENT);
 	assert_true(scene->unreachable);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 int main(void)
--- a/tests/test-replica-port.c
+++ b/tests/test-replica-port.c
@@ -12,38 +12,38 @@
 #include <string.h>
 
 #include "ragwort/counters.h"
-#include "support/replica-scene.h"
+#include "support/replica-fixture.h"
 
 static void test_whole_answer(void **state)
 {
-	struct replica_scene *scene = replica_start();
+	struct replica_fixture *scene = replica_new_fixture();
 	struct raw_peer *peer = replica_serve_once(scene);
 
 	assert_string_equal(scene->body->str, "ab");
-	assert_string_equal(scene->seal, "s");
+	assert_string_equal(scene->signature, "s");
 	/* The connection is kept and used again. */
-	replica_ask(scene);
+	replica_send_get(scene);
 	raw_expect(peer, REPLICA_GET);
 	raw_send(peer, REPLICA_OK "\r\ncd");
 	raw_turn_until(&scene->replies, 2);
 	assert_string_equal(scene->body->str, "cd");
 	assert_false(raw_has_connection(scene->listener));
 	raw_drop(peer);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 /* Guards against an answer that is lost for what stands in a report. */
 static void test_load_beside_an_answer(void **state)
 {
-	struct replica_scene *scene = replica_start();
-	struct raw_peer *peer = replica_ask_and_accept(scene);
+	struct replica_fixture *scene = replica_new_fixture();
+	struct raw_peer *peer = replica_send_and_accept(scene);
 
 	(void)state;
 	raw_send(peer, REPLICA_OK "Load: 2,5,2,800\r\n\r\nab");
 	raw_turn_until(&scene->replies, 1);
 	assert_true(scene->load.reported);
 	assert_int_equal(scene->load.pace_percent, 800);
-	replica_ask(scene);
+	replica_send_get(scene);
 	raw_expect(peer, REPLICA_GET);
 	raw_send(peer, REPLICA_OK "Load: busy\r\n\r\ncd");
 	raw_turn_until(&scene->replies, 2);
@@ -51,7 +51,7 @@
 	assert_int_equal(scene->outcome, RR_GATE_ANSWERED);
 	assert_int_equal(rr_counter_value(scene->ctx, RR_N_BAD_LOADS), 1);
 	raw_drop(peer);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 /* Broken off in the middle of the length, of chunks, or before any byte. */
@@ -66,15 +66,15 @@
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
-		struct replica_scene *scene = replica_start();
-		struct raw_peer *peer = replica_ask_and_accept(scene);
+		struct replica_fixture *scene = replica_new_fixture();
+		struct raw_peer *peer = replica_send_and_accept(scene);
 
 		raw_send(peer, texts[i]);
 		raw_drop(peer);
 		raw_turn_until(&scene->replies, 1);
 		assert_int_equal(scene->outcome, RR_GATE_BROKEN);
 		assert_false(scene->unreachable);
-		replica_stop(scene);
+		replica_drop_fixture(scene);
 	}
 }
 
@@ -85,8 +85,8 @@
 static void test_answer_without_length(void **state)
 {
 	for (int reset = 0; reset < 2; reset++) {
-		struct replica_scene *scene = replica_start();
-		struct raw_peer *peer = replica_ask_and_accept(scene);
+		struct replica_fixture *scene = replica_new_fixture();
+		struct raw_peer *peer = replica_send_and_accept(scene);
 
 		raw_send(peer, "HTTP/1.1 200 OK\r\nSeal: s\r\n\r\nabc");
 		raw_turn_for(20000);
@@ -98,7 +98,7 @@
 		assert_int_equal(scene->outcome,
 				 reset ? RR_GATE_BROKEN : RR_GATE_ANSWERED);
 		raw_drop(peer);
-		replica_stop(scene);
+		replica_drop_fixture(scene);
 	}
 }
 
@@ -108,8 +108,8 @@
  */
 static void test_foreign_answer_is_passed_over(void **state)
 {
-	struct replica_scene *scene = replica_start();
-	struct raw_peer *peer = replica_ask_and_accept(scene);
+	struct replica_fixture *scene = replica_new_fixture();
+	struct raw_peer *peer = replica_send_and_accept(scene);
 
 	raw_send(peer, "HTTP/1.1 200 OK\r\nId: other\r\nSeal: x\r\n"
 		       "Content-Length: 2\r\n\r\nno" REPLICA_OK "\r\nab");
@@ -119,13 +119,13 @@
 	/* What strays once may stray again. */
 	raw_expect_end(peer);
 	raw_drop(peer);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 static void test_only_foreign_answers(void **state)
 {
-	struct replica_scene *scene = replica_start();
-	struct raw_peer *peer = replica_ask_and_accept(scene);
+	struct replica_fixture *scene = replica_new_fixture();
+	struct raw_peer *peer = replica_send_and_accept(scene);
 
 	for (int i = 0; i < 3; i++)
 		raw_send(peer, "HTTP/1.1 200 OK\r\nId: other\r\nSeal: x\r\n"
@@ -133,37 +133,37 @@
 	raw_turn_until(&scene->replies, 1);
 	assert_int_equal(scene->outcome, RR_GATE_BROKEN);
 	raw_drop(peer);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 /* Bytes behind a whole answer belong to nobody: the answer counts, the
  * connection does not. */
 static void test_bytes_behind_an_answer(void **state)
 {
-	struct replica_scene *scene = replica_start();
-	struct raw_peer *peer = replica_ask_and_accept(scene);
+	struct replica_fixture *scene = replica_new_fixture();
+	struct raw_peer *peer = replica_send_and_accept(scene);
 
 	raw_send(peer, REPLICA_OK "\r\nabHTTP/1.1 200 OK\r\n");
 	raw_turn_until(&scene->replies, 1);
 	assert_int_equal(scene->outcome, RR_GATE_ANSWERED);
 	raw_expect_end(peer);
 	raw_drop(peer);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 static void test_bytes_on_an_idle_connection(void **state)
 {
-	struct replica_scene *scene = replica_start();
+	struct replica_fixture *scene = replica_new_fixture();
 	struct raw_peer *peer = replica_serve_once(scene);
 
 	raw_send(peer, REPLICA_OK "\r\nxy");
 	raw_expect_end(peer);
-	replica_ask(scene);
+	replica_send_get(scene);
 	raw_drop(peer);
 	peer = raw_accept(scene->listener);
 	raw_expect(peer, REPLICA_GET);
 	raw_drop(peer);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 static void test_no_answer_at_all(void **state)
@@ -177,14 +177,14 @@
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
-		struct replica_scene *scene = replica_start();
-		struct raw_peer *peer = replica_ask_and_accept(scene);
+		struct replica_fixture *scene = replica_new_fixture();
+		struct raw_peer *peer = replica_send_and_accept(scene);
 
 		raw_send(peer, texts[i]);
 		raw_turn_until(&scene->replies, 1);
 		assert_int_equal(scene->outcome, RR_GATE_BROKEN);
 		raw_drop(peer);
-		replica_stop(scene);
+		replica_drop_fixture(scene);
 	}
 }
 
@@ -202,30 +202,30 @@
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-		struct replica_scene *scene = replica_start();
-		struct raw_peer *peer = replica_ask_and_accept(scene);
+		struct replica_fixture *scene = replica_new_fixture();
+		struct raw_peer *peer = replica_send_and_accept(scene);
 
 		raw_send(peer, cases[i].text);
 		raw_turn_until(&scene->replies, 1);
 		assert_int_equal(scene->outcome, RR_GATE_REJECTED);
-		assert_int_equal(scene->other_instance, cases[i].other);
+		assert_int_equal(scene->wrong_incarnation, cases[i].other);
 		raw_drop(peer);
-		replica_stop(scene);
+		replica_drop_fixture(scene);
 	}
 }
 
 /* 503 without the proof is an answer like any other: it may have run. */
 static void test_no_proof(void **state)
 {
-	struct replica_scene *scene = replica_start();
-	struct raw_peer *peer = replica_ask_and_accept(scene);
+	struct replica_fixture *scene = replica_new_fixture();
+	struct raw_peer *peer = replica_send_and_accept(scene);
 
 	raw_send(peer, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
 	raw_turn_until(&scene->replies, 1);
 	assert_int_equal(scene->outcome, RR_GATE_ANSWERED);
 	assert_int_equal(scene->status, 503);
 	raw_drop(peer);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 /*
@@ -235,7 +235,7 @@
  */
 static void test_nothing_is_sent_twice(void **state)
 {
-	struct replica_scene *scene = replica_start();
+	struct replica_fixture *scene = replica_new_fixture();
 	struct raw_peer *peer = replica_serve_once(scene);
 
 	replica_send(scene,
@@ -246,7 +246,7 @@
 	raw_turn_until(&scene->replies, 2);
 	assert_int_equal(scene->outcome, RR_GATE_BROKEN);
 	assert_false(raw_has_connection(scene->listener));
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 /*
@@ -256,7 +256,7 @@
  */
 static void test_answer_before_the_body_is_out(void **state)
 {
-	struct replica_scene *scene = replica_start();
+	struct replica_fixture *scene = replica_new_fixture();
 	char *body = g_strnfill(8 * 1024 * 1024, 'b');
 	char *head = g_strdup_printf("POST /2 HTTP/1.1\r\nHost: h\r\n"
 				     "Content-Length: %zu\r\n\r\n",
@@ -273,12 +273,12 @@
 	raw_drop(peer);
 	g_free(head);
 	g_free(body);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 static void test_head_and_interim(void **state)
 {
-	struct replica_scene *scene = replica_start();
+	struct replica_fixture *scene = replica_new_fixture();
 	struct raw_peer *peer;
 
 	replica_send(scene, "HEAD /1 HTTP/1.1\r\nHost: h\r\n\r\n", NULL, true,
@@ -292,10 +292,10 @@
 	assert_int_equal(scene->outcome, RR_GATE_ANSWERED);
 	/* And the connection is still in step. */
 	g_string_truncate(peer->in, 0);
-	replica_ask(scene);
+	replica_send_get(scene);
 	raw_expect(peer, REPLICA_GET);
 	raw_drop(peer);
-	replica_stop(scene);
+	replica_drop_fixture(scene);
 }
 
 int main(void)
--- a/tests/test-upstream.c
+++ b/tests/test-upstream.c
@@ -124,7 +124,7 @@
 		assert_int_equal(f->reply.status, RR_REPLY_OK);
 		assert_int_equal(f->n_rows, 10);
 		assert_int_equal(f->reply.version, 1);
-		assert_true(f->reply.end_mark);
+		assert_true(f->reply.body_complete);
 	}
 	assert_int_equal(test_count(f->upstreams, 0, "accepted"), 1);
 	assert_int_equal(test_count(f->upstreams, 0, "ran"), 5);
@@ -221,7 +221,7 @@
 		test_control(f->upstreams->control_port, cuts[i]);
 		post_and_wait(f, RR_SEARCH, NULL);
 		assert_int_equal(f->reply.status, RR_REPLY_OK);
-		assert_false(f->reply.end_mark);
+		assert_false(f->reply.body_complete);
 		assert_int_equal(f->n_rows, 0);
 	}
 }
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -101,7 +101,7 @@
 	reply->outcomes[0].ranges[0] = (struct rr_key_range){ 0, 10 };
 	reply->outcomes[0].ranges[1] = (struct rr_key_range){ 20, 30 };
 	reply->outcomes[1].shard = g_strdup("desk-02");
-	reply->outcomes[1].reason = RR_LACK_SHED;
+	reply->outcomes[1].reason = RR_MISSING_SHED;
 	reply->outcomes[1].not_run = true;
 	return message;
 }
@@ -182,7 +182,7 @@
 	assert_true(reply->outcomes[0].covered);
 	assert_int_equal(reply->outcomes[0].attempts, 2);
 	assert_int_equal(reply->outcomes[0].ranges[1].to, 30);
-	assert_int_equal(reply->outcomes[1].reason, RR_LACK_SHED);
+	assert_int_equal(reply->outcomes[1].reason, RR_MISSING_SHED);
 	assert_true(reply->outcomes[1].not_run);
 	rr_drop_peer_message(message);
 	rr_drop_peer_message(sent);
@@ -374,8 +374,8 @@
 	assert_int_equal(reply->n_ranges, 2);
 	assert_int_equal(reply->ranges[1].to, 30);
 	assert_int_equal(reply->row_count, 2);
-	assert_true(reply->end_mark);
-	assert_true(reply->more);
+	assert_true(reply->body_complete);
+	assert_true(reply->has_more);
 	assert_int_equal(reply->state, RR_UPSTREAM_COLD);
 	assert_true(reply->load == 0.25);
 	assert_int_equal(reply->result_length, 7);
@@ -493,7 +493,7 @@
 
 			assert_int_equal(reply->row_count,
 					 rr_count_rows(reply->rows));
-			assert_true(reply->version > 0 && reply->end_mark);
+			assert_true(reply->version > 0 && reply->body_complete);
 		}
 		g_clear_error(&error);
 		rr_drop_upstream_body(body);
