--- a/bench/ledger.c
+++ b/bench/ledger.c
@@ -82,9 +82,9 @@
 {
 	struct instance *instance = data;
 
-	if (result->status == RR_CLAIM_OURS)
-		note_ours(instance, result->claim);
-	else if (result->status == RR_CLAIM_UNSETTLED)
+	if (result->status == RR_CLAIM_ACQUIRED)
+		note_ours(instance, result->claim_id);
+	else if (result->status == RR_CLAIM_UNRESOLVED)
 		instance->run->unsettled++;
 	else
 		instance->run->refused++;
@@ -173,8 +173,9 @@
 		swap_own_key(instance, claim, claim, 0, id);
 	} else {
 		/* An outcome comes later, never from inside the call. */
-		claim = rr_claim_id(instance->ctx, instance->ledger, now_us,
-				    WALL_US + now_us, "invoicing", id, 1);
+		claim = rr_claim_request_id(instance->ctx, instance->ledger,
+					    now_us, WALL_US + now_us,
+					    "invoicing", id, 1);
 		note_start(instance, claim);
 	}
 	g_free(id);
@@ -189,9 +190,9 @@
 		swap_own_key(instance, pending->claim + 1, pending->claim, 1,
 			     RESULT);
 	else
-		rr_record_claim(instance->ctx, instance->ledger,
-				run->store->now_us, pending->claim, RESULT,
-				strlen(RESULT));
+		rr_record_claim_result(instance->ctx, instance->ledger,
+				       run->store->now_us, pending->claim,
+				       RESULT, strlen(RESULT));
 	g_free(pending);
 }
 
--- a/bench/member.c
+++ b/bench/member.c
@@ -67,7 +67,7 @@
 static void must_agree(struct member_net *net, const char *phase,
 		       bool print_time)
 {
-	int64_t took_us = run_until_agreed(net, LIMIT_US);
+	int64_t took_us = run_until_converged(net, LIMIT_US);
 
 	if (took_us < 0) {
 		fprintf(stderr, "member: no agreement after %s\n", phase);
@@ -99,10 +99,10 @@
 	guint reached = 0;
 
 	for (guint i = 0; i < net->nodes->len; i++)
-		g_hash_table_remove_all(node_at(net, i)->reached);
+		g_hash_table_remove_all(node_at(net, i)->contacted_nodes);
 	run_net(net, 60 * NET_SECOND);
 	for (guint i = 0; i < net->nodes->len; i++)
-		reached += g_hash_table_size(node_at(net, i)->reached);
+		reached += g_hash_table_size(node_at(net, i)->contacted_nodes);
 	begin_line(net, "steady");
 	print_rates(net, since);
 	printf(",\"links\":%.1f", (double)reached / net->nodes->len);
@@ -138,7 +138,7 @@
 		kill_node(node);
 		while (believers) {
 			run_net(net, SAMPLE_US);
-			believers = count_believers(net, node);
+			believers = count_nodes_seeing(net, node);
 			if (!took_s && believers < net->nodes->len - 1)
 				took_s = seconds_since(net, killed_us);
 		}
@@ -161,7 +161,7 @@
 {
 	struct net_node *node = pick(net);
 
-	rr_leave_members(net->ctx, node->members, net->now_us);
+	rr_announce_leaving(net->ctx, node->members, net->now_us);
 	node->leaving = true;
 	run_net(net, 2 * NET_SECOND);
 	kill_node(node);
@@ -213,12 +213,12 @@
 {
 	struct sample since = take_sample(net);
 
-	net->cut_zones = 1;
+	net->isolated_zones = 1;
 	run_net(net, 180 * NET_SECOND);
 	begin_line(net, "zone-cut");
 	print_rates(net, since);
 	end_line();
-	net->cut_zones = 0;
+	net->isolated_zones = 0;
 	since = take_sample(net);
 	begin_line(net, "zone-back");
 	must_agree(net, "a partition", true);
--- a/bench/peer.c
+++ b/bench/peer.c
@@ -50,7 +50,7 @@
 	for (size_t i = 0; i < n_shards; i++) {
 		relay->shards[i].shard =
 			g_strdup_printf("counter-desk-%02zu", i);
-		relay->shards[i].replica =
+		relay->shards[i].preferred_replica =
 			g_strdup_printf("counter-desk-%02zu-a", i);
 	}
 	return message;
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -304,7 +304,8 @@
 	relay->n_shards = n_shards;
 	for (uint32_t i = 0; i < n_shards; i++) {
 		relay->shards[i].shard = g_strdup_printf("shard-%04u", i);
-		relay->shards[i].replica = g_strdup_printf("shard-%04u-0", i);
+		relay->shards[i].preferred_replica =
+			g_strdup_printf("shard-%04u-0", i);
 	}
 	return message;
 }
--- a/include/ragwort/ledger.h
+++ b/include/ragwort/ledger.h
@@ -26,7 +26,7 @@
 
 enum rr_claim_status {
 	/* The claim is ours: the request may be sent once. */
-	RR_CLAIM_OURS,
+	RR_CLAIM_ACQUIRED,
 	/* Claimed before and finished: the recorded result stands. */
 	RR_CLAIM_DONE,
 	/* Claimed before, no result recorded: it may be running. */
@@ -36,21 +36,21 @@
 	 * ran for this claim; with an unreachable store that says nothing of
 	 * earlier claims of the same id.
 	 */
-	RR_CLAIM_REFUSED,
+	RR_CLAIM_REJECTED,
 	/*
 	 * The claim's own write may have taken effect and could not be
 	 * settled; the caller of the ledger must not send, so nothing runs.
 	 */
-	RR_CLAIM_UNSETTLED,
+	RR_CLAIM_UNRESOLVED,
 };
 
 struct rr_claim_result {
-	uint64_t claim; /* what rr_claim_id() gave */
+	uint64_t claim_id; /* what rr_claim_request_id() gave */
 	enum rr_claim_status status;
 	/* RR_CLAIM_DONE: the recorded result's JSON; NULL if too large. */
 	const char *result;
 	size_t result_length;
-	const char *reason; /* a word for RR_CLAIM_REFUSED and _UNSETTLED */
+	const char *reason; /* a word for RR_CLAIM_REJECTED and _UNSETTLED */
 	uint32_t retry_after_ms;
 };
 
@@ -62,12 +62,12 @@
 	 * minute the id was made in, a day of them in turns.
 	 */
 	uint32_t buckets;
-	uint32_t slice_s;     /* 0: 60; other values are for tests */
-	uint32_t retention_s; /* ids older than this are refused */
+	uint32_t time_slice_s; /* 0: 60; other values are for tests */
+	uint32_t retention_s;  /* ids older than this are refused */
 	uint32_t call_timeout_ms;
 	struct rr_store_port store;
 	/* Tells the outcome of a claim, exactly once, never from inside
-	 * rr_claim_id(). The result is valid during the call only. */
+	 * rr_claim_request_id(). The result is valid during the call only. */
 	void (*claimed)(void *data, const struct rr_claim_result *result);
 	void *data;
 	/*
@@ -97,14 +97,15 @@
  * request; the same id with another one is refused.  Returns the claim's
  * number; the outcome comes through the claimed callback.
  */
-uint64_t rr_claim_id(struct rr_context *ctx, struct rr_ledger *ledger,
-		     int64_t now_us, int64_t wall_us, const char *service,
-		     const char *id, uint64_t fingerprint);
+uint64_t rr_claim_request_id(struct rr_context *ctx, struct rr_ledger *ledger,
+			     int64_t now_us, int64_t wall_us,
+			     const char *service, const char *id,
+			     uint64_t fingerprint);
 
 /* Record the result of a claim of ours: later claims of its id get it. */
-void rr_record_claim(struct rr_context *ctx, struct rr_ledger *ledger,
-		     int64_t now_us, uint64_t claim, const char *result,
-		     size_t length);
+void rr_record_claim_result(struct rr_context *ctx, struct rr_ledger *ledger,
+			    int64_t now_us, uint64_t claim, const char *result,
+			    size_t length);
 
 /* Give back a claim of ours, with proof that nothing ran for it. */
 void rr_release_claim(struct rr_context *ctx, struct rr_ledger *ledger,
@@ -124,7 +125,7 @@
 /* When rr_tick_ledger() is next needed; INT64_MAX for never, 0 for now. */
 int64_t rr_ledger_wake_us(const struct rr_ledger *ledger);
 /* Whether nothing is unsettled: a graceful stop waits for it. */
-bool rr_ledger_idle(const struct rr_ledger *ledger);
+bool rr_ledger_is_idle(const struct rr_ledger *ledger);
 
 /*
  * The group of keys an id is in.  Any instance may claim it; when one
--- a/include/ragwort/member.h
+++ b/include/ragwort/member.h
@@ -24,15 +24,16 @@
 	const char *zone;
 	const char *address;
 	uint64_t incarnation;
-	uint32_t period_ms;	 /* 0: default 500 */
-	uint32_t ack_timeout_ms; /* 0: default 150 */
-	uint32_t suspect_ms;	 /* 0: default 2500, times log10 of the size */
-	uint32_t indirect_pings; /* 0: default 3 */
+	uint32_t probe_period_ms; /* 0: default 500 */
+	uint32_t ack_timeout_ms;  /* 0: default 150 */
+	uint32_t
+		suspicion_timeout_ms; /* 0: default 2500, times log10 of the size */
+	uint32_t ping_request_fanout; /* 0: default 3 */
 	/*
 	 * How long a dead member is remembered, and now and then pinged, so
 	 * that two sides of a partition find each other again when it ends.
 	 */
-	uint32_t remember_dead_ms; /* 0: default an hour */
+	uint32_t dead_retention_ms; /* 0: default an hour */
 	/*
 	 * Sends a ping, ack or ping request; the message is freed after the
 	 * call.  `instance` is NULL for a seed whose name is not known yet.
@@ -67,8 +68,8 @@
 		     int64_t now_us);
 int64_t rr_members_wake_us(const struct rr_members *members);
 /* Tell everyone that this instance is leaving. */
-void rr_leave_members(struct rr_context *ctx, struct rr_members *members,
-		      int64_t now_us);
+void rr_announce_leaving(struct rr_context *ctx, struct rr_members *members,
+			 int64_t now_us);
 
 /*
  * The members that may be sent work: alive or suspect, not leaving, and this
@@ -86,7 +87,7 @@
  */
 struct rr_member_update *rr_list_members(const struct rr_members *members,
 					 size_t *n_members);
-bool rr_members_leaving(const struct rr_members *members);
+bool rr_members_is_leaving(const struct rr_members *members);
 /* Bytes of memory held for all members, for the experiments. */
 size_t rr_members_bytes(const struct rr_members *members);
 
--- a/include/ragwort/peer.h
+++ b/include/ragwort/peer.h
@@ -47,7 +47,7 @@
 /* One shard of a relay. */
 struct rr_relay_shard {
 	char *shard;
-	char *replica; /* the replica the sender would take first */
+	char *preferred_replica; /* the replica the sender would take first */
 	/* Versions the sender has seen, 0 for none; of the reply: the range. */
 	uint64_t oldest_version;
 	uint64_t newest_version;
--- a/source/base/peer.c
+++ b/source/base/peer.c
@@ -19,7 +19,7 @@
 		return;
 	for (size_t i = 0; i < relay->n_shards; i++) {
 		g_free(relay->shards[i].shard);
-		g_free(relay->shards[i].replica);
+		g_free(relay->shards[i].preferred_replica);
 	}
 	g_free(relay->shards);
 	g_free(relay->service);
--- a/source/core/config-apply.c
+++ b/source/core/config-apply.c
@@ -220,7 +220,7 @@
 	core->config_record = g_memdup2(record, length);
 	core->config_record_length = record ? length : 0;
 	rr_start_ledger(ctx, core);
-	rr_refresh_members(core);
+	rr_refresh_member_copies(core);
 	rr_poll_owned_replicas(ctx, core);
 	rr_count(ctx, RR_N_CONFIG_CHANGES, 1);
 	rr_set_gauge(ctx, RR_G_CONFIG_REVISION, config->revision);
@@ -245,13 +245,13 @@
 
 	if (!rr_find_member(core->members, instance, &address, &incarnation))
 		return;
-	message = rr_start_message(core, RR_PEER_CONFIG_GET);
+	message = rr_prepare_peer_message(core, RR_PEER_CONFIG_GET);
 	message->to_incarnation = incarnation;
 	core->awaiting_config = true;
 	core->config_request_id++;
 	rr_set_timer(core->timers, core->now_us + ASK_PERIOD_US,
 		     RR_TIMER_CONFIG_REQUEST, core->config_request_id, 0);
-	rr_send_message(ctx, core, instance, address, message);
+	rr_send_peer_message(ctx, core, instance, address, message);
 }
 
 void rr_check_peer_config_revision(struct rr_context *ctx, struct rr_core *core,
@@ -284,12 +284,12 @@
 	    !rr_find_member(core->members, message->from, &address,
 			    &incarnation))
 		return;
-	reply = rr_start_message(core, RR_PEER_CONFIG);
+	reply = rr_prepare_peer_message(core, RR_PEER_CONFIG);
 	reply->to_incarnation = message->from_incarnation;
 	reply->config_record =
 		g_memdup2(core->config_record, core->config_record_length);
 	reply->config_length = core->config_record_length;
-	rr_send_message(ctx, core, message->from, address, reply);
+	rr_send_peer_message(ctx, core, message->from, address, reply);
 }
 
 void rr_handle_config_record(struct rr_context *ctx, struct rr_core *core,
--- a/source/core/core-private.h
+++ b/source/core/core-private.h
@@ -103,23 +103,23 @@
 void rr_schedule_dispatch(struct rr_core *core, struct rr_replica *replica);
 
 /* members-view.c */
-void rr_clear_members(struct rr_core *core);
+void rr_clear_member_copies(struct rr_core *core);
 void rr_free_peer(gpointer data);
 /* Copy the usable members, if they changed. */
-void rr_refresh_members(struct rr_core *core);
-struct rr_peer *rr_find_peer(struct rr_core *core, const char *instance);
+void rr_refresh_member_copies(struct rr_core *core);
+struct rr_peer *rr_get_or_add_peer(struct rr_core *core, const char *instance);
 /* Forget peers that were not heard for long: names come and go. */
-void rr_forget_peers(struct rr_core *core);
+void rr_expire_peers(struct rr_core *core);
 /* A message with sender, incarnation and revision filled in. */
-struct rr_peer_message *rr_start_message(const struct rr_core *core,
-					 enum rr_peer_kind kind);
+struct rr_peer_message *rr_prepare_peer_message(const struct rr_core *core,
+						enum rr_peer_kind kind);
 /* Send and free. */
-void rr_send_message(struct rr_context *ctx, struct rr_core *core,
-		     const char *instance, const char *address,
-		     struct rr_peer_message *message);
+void rr_send_peer_message(struct rr_context *ctx, struct rr_core *core,
+			  const char *instance, const char *address,
+			  struct rr_peer_message *message);
 
 /* relay-serve.c */
-void rr_drop_served(struct rr_core *core);
+void rr_free_served_relays(struct rr_core *core);
 
 /* config-apply.c */
 void rr_check_peer_config_revision(struct rr_context *ctx, struct rr_core *core,
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -107,7 +107,7 @@
 	core->members_changed = true;
 	make_tables(core);
 	core->members = make_members(ctx, core);
-	rr_refresh_members(core);
+	rr_refresh_member_copies(core);
 	return core;
 }
 
@@ -150,9 +150,9 @@
 	free_services(core);
 	rr_drop_ledger(core->ledger);
 	rr_drop_members(core->members);
-	rr_clear_members(core);
+	rr_clear_member_copies(core);
 	rr_drop_timers(core->timers);
-	rr_drop_served(core);
+	rr_free_served_relays(core);
 	g_hash_table_destroy(core->relay_origins);
 	g_hash_table_destroy(core->peers);
 	g_hash_table_destroy(core->queries);
@@ -205,9 +205,9 @@
 {
 	if (!core->members_changed)
 		return;
-	rr_refresh_members(core);
-	rr_lose_relays_of_gone(ctx, core);
-	rr_forget_peers(core);
+	rr_refresh_member_copies(core);
+	rr_fail_relays_to_dead(ctx, core);
+	rr_expire_peers(core);
 	rr_poll_owned_replicas(ctx, core);
 	rr_set_gauge(ctx, RR_G_MEMBERS, core->n_members);
 }
@@ -291,7 +291,7 @@
 		rr_end_query_at_min_coverage(ctx, core, query);
 		return;
 	case RR_TIMER_PROGRESS:
-		rr_tell_progress(ctx, core, query);
+		rr_send_relay_progress(ctx, core, query);
 		return;
 	case RR_TIMER_LINGER:
 		rr_end_lingering_query(ctx, core, query);
@@ -318,7 +318,7 @@
 		fire_attempt_timer(ctx, core, timer);
 		return;
 	case RR_TIMER_RELAY_TIMEOUT:
-		rr_time_out_relay(ctx, core, timer->id);
+		rr_handle_relay_timeout(ctx, core, timer->id);
 		return;
 	case RR_TIMER_POLL:
 	case RR_TIMER_POLL_TIMEOUT:
@@ -396,13 +396,13 @@
 	case RR_PEER_PING_REQUEST:
 		return;
 	case RR_PEER_RELAY:
-		rr_take_relay(ctx, core, message);
+		rr_handle_relay(ctx, core, message);
 		return;
 	case RR_PEER_RELAY_REPLY:
-		rr_take_relay_reply(ctx, core, message);
+		rr_handle_relay_reply(ctx, core, message);
 		return;
 	case RR_PEER_RELAY_CANCEL:
-		rr_take_relay_cancel(ctx, core, message);
+		rr_handle_relay_cancel(ctx, core, message);
 		return;
 	case RR_PEER_CONFIG_GET:
 		rr_answer_config_get(ctx, core, message);
@@ -415,7 +415,7 @@
 
 static void hear_peer(struct rr_core *core, const char *instance)
 {
-	struct rr_peer *peer = rr_find_peer(core, instance);
+	struct rr_peer *peer = rr_get_or_add_peer(core, instance);
 
 	peer->last_contact_us = core->now_us;
 	peer->backoff_until_us = 0;
@@ -477,7 +477,7 @@
 		core->draining = true;
 		rr_log(ctx, RR_LOG_INFO, "draining",
 		       RR_FIELD_U64("open", g_hash_table_size(core->queries)));
-		rr_leave_members(ctx, core->members, core->now_us);
+		rr_announce_leaving(ctx, core->members, core->now_us);
 	}
 	rr_run_scheduled_work(ctx, core);
 }
@@ -489,7 +489,7 @@
 #endif
 	if (!core->draining || g_hash_table_size(core->queries))
 		return false;
-	return !core->ledger || rr_ledger_idle(core->ledger);
+	return !core->ledger || rr_ledger_is_idle(core->ledger);
 }
 
 bool rr_core_is_ready(const struct rr_core *core, const char **reason)
--- a/source/core/ledger-bucket.c
+++ b/source/core/ledger-bucket.c
@@ -23,44 +23,44 @@
  */
 #define MAX_CALLS 4
 
-static void drop_value(struct rr_bucket *bucket)
+static void drop_value(struct rr_ledger_bucket *bucket)
 {
 	rr_drop_ledger_value(bucket->value);
 	bucket->value = NULL;
 }
 
 static void start_call(struct rr_context *ctx, struct rr_ledger *ledger,
-		       struct rr_bucket *bucket, int64_t now_us,
-		       enum rr_bucket_call call)
+		       struct rr_ledger_bucket *bucket, int64_t now_us,
+		       enum rr_ledger_call call)
 {
-	rr_invariant("at-most-once", bucket->call == RR_BUCKET_NO_CALL);
-	ledger->calls++;
+	rr_invariant("at-most-once", bucket->call == RR_LEDGER_CALL_NONE);
+	ledger->calls_in_flight++;
 	bucket->call = call;
 	bucket->call_id = (*ledger->options.next_call_id)++;
-	bucket->call_stamp = ledger->stamp;
+	bucket->call_stamp = ledger->logical_clock;
 	bucket->call_deadline_us =
 		now_us + (int64_t)ledger->options.call_timeout_ms * 1000;
 	rr_count(ctx, RR_N_STORE_CALLS, 1);
 }
 
 static void start_read(struct rr_context *ctx, struct rr_ledger *ledger,
-		       struct rr_bucket *bucket, int64_t now_us)
+		       struct rr_ledger_bucket *bucket, int64_t now_us)
 {
 	const struct rr_store_port *store = &ledger->options.store;
 
 	drop_value(bucket);
-	start_call(ctx, ledger, bucket, now_us, RR_BUCKET_READ);
+	start_call(ctx, ledger, bucket, now_us, RR_LEDGER_CALL_READ);
 	store->get(store->data, bucket->call_id, bucket->key);
 }
 
 static void start_write(struct rr_context *ctx, struct rr_ledger *ledger,
-			struct rr_bucket *bucket, int64_t now_us)
+			struct rr_ledger_bucket *bucket, int64_t now_us)
 {
 	const struct rr_store_port *store = &ledger->options.store;
 	size_t length;
 	char *bytes = rr_encode_ledger_value(bucket->value, &length);
 
-	start_call(ctx, ledger, bucket, now_us, RR_BUCKET_WRITE);
+	start_call(ctx, ledger, bucket, now_us, RR_LEDGER_CALL_WRITE);
 	rr_count(ctx, RR_N_LEDGER_WRITES, 1);
 	store->compare_and_swap(store->data, bucket->call_id, bucket->key,
 				bucket->revision, bytes, length);
@@ -78,14 +78,15 @@
 }
 
 /* The newest id that a clock, of whichever instance, let pass. */
-static int64_t find_newest_s(const struct rr_bucket *bucket)
+static int64_t find_newest_s(const struct rr_ledger_bucket *bucket)
 {
 	int64_t newest_s = bucket->value->newest_s;
 
-	for (GList *link = bucket->work.head; link; link = link->next) {
+	for (GList *link = bucket->pending_claims.head; link;
+	     link = link->next) {
 		const struct rr_claim *claim = link->data;
 
-		newest_s = MAX(newest_s, claim->made_s);
+		newest_s = MAX(newest_s, claim->created_s);
 	}
 	return newest_s;
 }
@@ -96,7 +97,7 @@
  * then prunes nothing that they would still accept.
  */
 static void prune_bucket(const struct rr_ledger *ledger,
-			 struct rr_bucket *bucket, int64_t now_us)
+			 struct rr_ledger_bucket *bucket, int64_t now_us)
 {
 	int64_t wall_s = (now_us + ledger->wall_offset_us) / G_USEC_PER_SEC;
 	int64_t floor_s = MIN(wall_s, find_newest_s(bucket));
@@ -114,35 +115,36 @@
 #endif
 }
 
-static bool any_needs_read(const struct rr_bucket *bucket)
+static bool any_needs_read(const struct rr_ledger_bucket *bucket)
 {
-	for (GList *link = bucket->work.head; link; link = link->next) {
+	for (GList *link = bucket->pending_claims.head; link;
+	     link = link->next) {
 		if (rr_claim_needs_read(link->data))
 			return true;
 	}
 	return false;
 }
 
-static void leave_work(struct rr_ledger *ledger, struct rr_bucket *bucket,
-		       GList *link)
+static void leave_work(struct rr_ledger *ledger,
+		       struct rr_ledger_bucket *bucket, GList *link)
 {
 	struct rr_claim *claim = link->data;
 
-	g_queue_delete_link(&bucket->work, link);
+	g_queue_delete_link(&bucket->pending_claims, link);
 	claim->in_flight = false;
-	claim->exposed = false;
-	if (claim->state != RR_CLAIM_STATE_RUNNING)
-		rr_forget_claim(ledger, claim);
+	claim->in_doubt = false;
+	if (claim->state != RR_CLAIM_STATE_ACQUIRED)
+		rr_remove_claim(ledger, claim);
 }
 
 /* Bring the value to what all claims want; whether it has to be written. */
 static bool apply_work(struct rr_context *ctx, struct rr_ledger *ledger,
-		       struct rr_bucket *bucket)
+		       struct rr_ledger_bucket *bucket)
 {
 	bool write = false;
 	GList *next;
 
-	for (GList *link = bucket->work.head; link; link = next) {
+	for (GList *link = bucket->pending_claims.head; link; link = next) {
 		struct rr_claim *claim = link->data;
 		bool finished;
 
@@ -157,11 +159,12 @@
 }
 
 void rr_advance_bucket(struct rr_context *ctx, struct rr_ledger *ledger,
-		       struct rr_bucket *bucket, int64_t now_us)
+		       struct rr_ledger_bucket *bucket, int64_t now_us)
 {
-	if (bucket->call != RR_BUCKET_NO_CALL || now_us < bucket->retry_us)
+	if (bucket->call != RR_LEDGER_CALL_NONE || now_us < bucket->retry_us)
 		return;
-	if (!bucket->work.length || ledger->calls >= MAX_CALLS)
+	if (!bucket->pending_claims.length ||
+	    ledger->calls_in_flight >= MAX_CALLS)
 		return;
 	if (!bucket->value || any_needs_read(bucket)) {
 		start_read(ctx, ledger, bucket, now_us);
@@ -176,66 +179,69 @@
  * Say "not claimed" at once to every claim of which no write can take effect
  * any more, so that callers need not wait for their deadline.
  */
-static void refuse_waiting(struct rr_ledger *ledger, struct rr_bucket *bucket,
-			   const char *reason, uint32_t retry_after_ms)
+static void refuse_waiting(struct rr_ledger *ledger,
+			   struct rr_ledger_bucket *bucket, const char *reason,
+			   uint32_t retry_after_ms)
 {
 	GList *next;
 
-	for (GList *link = bucket->work.head; link; link = next) {
+	for (GList *link = bucket->pending_claims.head; link; link = next) {
 		struct rr_claim *claim = link->data;
 
 		next = link->next;
-		if (claim->state != RR_CLAIM_STATE_WAITING ||
-		    claim->in_flight || claim->exposed)
+		if (claim->state != RR_CLAIM_STATE_PENDING ||
+		    claim->in_flight || claim->in_doubt)
 			continue;
-		rr_queue_outcome(ledger, claim->id, RR_CLAIM_REFUSED, reason,
-				 retry_after_ms);
+		rr_queue_claim_result(ledger, claim->id, RR_CLAIM_REJECTED,
+				      reason, retry_after_ms);
 		leave_work(ledger, bucket, link);
 	}
 }
 
 static uint32_t back_off(struct rr_context *ctx, struct rr_ledger *ledger,
-			 struct rr_bucket *bucket, int64_t now_us)
+			 struct rr_ledger_bucket *bucket, int64_t now_us)
 {
-	uint32_t limit_ms = FIRST_BACKOFF_MS << MIN(ledger->failures, 8);
+	uint32_t limit_ms = FIRST_BACKOFF_MS
+			    << MIN(ledger->consecutive_failures, 8);
 	uint32_t wait_ms;
 
 	limit_ms = MIN(limit_ms, MAX_BACKOFF_MS);
 	wait_ms = limit_ms / 2 + rr_random_below(ctx, limit_ms / 2 + 1);
-	ledger->failures++;
+	ledger->consecutive_failures++;
 	bucket->retry_us = now_us + (int64_t)wait_ms * 1000;
 	return wait_ms;
 }
 
 /* The store does not answer: that concerns the claims of all buckets. */
 static void note_store_down(struct rr_context *ctx, struct rr_ledger *ledger,
-			    struct rr_bucket *bucket, int64_t now_us)
+			    struct rr_ledger_bucket *bucket, int64_t now_us)
 {
 	uint32_t wait_ms = back_off(ctx, ledger, bucket, now_us);
-	GPtrArray *active = ledger->active;
+	GPtrArray *active = ledger->active_buckets;
 
 	rr_count(ctx, RR_N_STORE_FAILURES, 1);
-	ledger->down = true;
+	ledger->store_unreachable = true;
 	ledger->retry_us = bucket->retry_us;
 	for (guint i = 0; i < active->len; i++)
 		refuse_waiting(ledger, active->pdata[i], "store-unavailable",
 			       wait_ms);
 }
 
-static void note_success(struct rr_ledger *ledger, struct rr_bucket *bucket,
-			 uint64_t revision)
+static void note_success(struct rr_ledger *ledger,
+			 struct rr_ledger_bucket *bucket, uint64_t revision)
 {
-	ledger->down = false;
-	ledger->failures = 0;
+	ledger->store_unreachable = false;
+	ledger->consecutive_failures = 0;
 	bucket->retry_us = 0;
 	bucket->revision = revision;
 	bucket->highest_revision = revision;
 	bucket->value_stamp = bucket->call_stamp;
 }
 
-static void commit_value(struct rr_bucket *bucket)
+static void commit_value(struct rr_ledger_bucket *bucket)
 {
-	for (GList *link = bucket->work.head; link; link = link->next) {
+	for (GList *link = bucket->pending_claims.head; link;
+	     link = link->next) {
 		struct rr_claim *claim = link->data;
 		struct rr_ledger_entry *entry;
 
@@ -251,18 +257,18 @@
  * may fail: a claim that took effect would then be refused.
  */
 static void settle_work(struct rr_context *ctx, struct rr_ledger *ledger,
-			struct rr_bucket *bucket)
+			struct rr_ledger_bucket *bucket)
 {
 	GList *next;
 
-	for (GList *link = bucket->work.head; link; link = next) {
+	for (GList *link = bucket->pending_claims.head; link; link = next) {
 		next = link->next;
-		if (rr_settle_claim(ctx, ledger, link->data))
+		if (rr_resolve_claim(ctx, ledger, link->data))
 			leave_work(ledger, bucket, link);
 	}
 }
 
-static struct rr_ledger_value *decode_read(struct rr_bucket *bucket,
+static struct rr_ledger_value *decode_read(struct rr_ledger_bucket *bucket,
 					   const struct rr_store_reply *reply,
 					   GError **error)
 {
@@ -277,7 +283,7 @@
 }
 
 static void take_read(struct rr_context *ctx, struct rr_ledger *ledger,
-		      struct rr_bucket *bucket, int64_t now_us,
+		      struct rr_ledger_bucket *bucket, int64_t now_us,
 		      const struct rr_store_reply *reply)
 {
 	GError *error = NULL;
@@ -305,41 +311,43 @@
 	 * the write may still be on its way, although we just read a value
 	 * without it.
 	 */
-	if (bucket->unknown_revision != reply->revision)
-		bucket->unknown_write = false;
+	if (bucket->in_doubt_revision != reply->revision)
+		bucket->write_in_doubt = false;
 #ifdef RR_MUTANT_LEDGER_NO_FENCE
 	bucket->unknown_write = false;
 #endif
 	settle_work(ctx, ledger, bucket);
 }
 
-static void end_flight(struct rr_bucket *bucket, bool exposed)
+static void end_flight(struct rr_ledger_bucket *bucket, bool exposed)
 {
 	drop_value(bucket);
-	for (GList *link = bucket->work.head; link; link = link->next) {
+	for (GList *link = bucket->pending_claims.head; link;
+	     link = link->next) {
 		struct rr_claim *claim = link->data;
 
 		if (claim->in_flight && exposed)
-			claim->exposed = true;
+			claim->in_doubt = true;
 		claim->in_flight = false;
 	}
 }
 
 /* A claim's time to be settled starts when its write got no reply. */
-static void expose_write(struct rr_ledger *ledger, struct rr_bucket *bucket,
-			 int64_t now_us)
+static void expose_write(struct rr_ledger *ledger,
+			 struct rr_ledger_bucket *bucket, int64_t now_us)
 {
 	int64_t deadline_us =
 		now_us + (int64_t)ledger->options.call_timeout_ms * 1000;
 
-	for (GList *link = bucket->work.head; link; link = link->next) {
+	for (GList *link = bucket->pending_claims.head; link;
+	     link = link->next) {
 		struct rr_claim *claim = link->data;
 
-		if (claim->in_flight && !claim->exposed)
+		if (claim->in_flight && !claim->in_doubt)
 			claim->deadline_us = deadline_us;
 	}
-	bucket->unknown_write = true;
-	bucket->unknown_revision = bucket->revision;
+	bucket->write_in_doubt = true;
+	bucket->in_doubt_revision = bucket->revision;
 	end_flight(bucket, true);
 }
 
@@ -347,18 +355,19 @@
  * The first write that fails is tried again at once, later ones after a
  * random wait: instances that write one bucket at the same time part.
  */
-static void wait_after_write(struct rr_context *ctx, struct rr_bucket *bucket,
-			     int64_t now_us)
+static void wait_after_write(struct rr_context *ctx,
+			     struct rr_ledger_bucket *bucket, int64_t now_us)
 {
-	uint32_t doublings = MIN(bucket->failed_writes, MAX_WRITE_DOUBLINGS);
+	uint32_t doublings =
+		MIN(bucket->consecutive_write_failures, MAX_WRITE_DOUBLINGS);
 
-	if (bucket->failed_writes++)
+	if (bucket->consecutive_write_failures++)
 		bucket->retry_us =
 			now_us + rr_random_below(ctx, 1000u << doublings);
 }
 
 static void take_write(struct rr_context *ctx, struct rr_ledger *ledger,
-		       struct rr_bucket *bucket, int64_t now_us,
+		       struct rr_ledger_bucket *bucket, int64_t now_us,
 		       const struct rr_store_reply *reply)
 {
 	enum rr_store_status status = reply->status;
@@ -371,8 +380,8 @@
 	case RR_STORE_OK:
 		commit_value(bucket);
 		note_success(ledger, bucket, reply->revision);
-		bucket->unknown_write = false;
-		bucket->failed_writes = 0;
+		bucket->write_in_doubt = false;
+		bucket->consecutive_write_failures = 0;
 		settle_work(ctx, ledger, bucket);
 		break;
 	case RR_STORE_CONFLICT:
@@ -393,14 +402,14 @@
 }
 
 void rr_handle_bucket_reply(struct rr_context *ctx, struct rr_ledger *ledger,
-			    struct rr_bucket *bucket, int64_t now_us,
+			    struct rr_ledger_bucket *bucket, int64_t now_us,
 			    const struct rr_store_reply *reply)
 {
-	enum rr_bucket_call call = bucket->call;
+	enum rr_ledger_call call = bucket->call;
 
-	ledger->calls--;
-	bucket->call = RR_BUCKET_NO_CALL;
-	if (call == RR_BUCKET_READ) {
+	ledger->calls_in_flight--;
+	bucket->call = RR_LEDGER_CALL_NONE;
+	if (call == RR_LEDGER_CALL_READ) {
 		take_read(ctx, ledger, bucket, now_us, reply);
 		/* At once: the longer after the read, the more conflicts. */
 		rr_advance_bucket(ctx, ledger, bucket, now_us);
@@ -419,37 +428,37 @@
 			  struct rr_claim *claim)
 {
 	rr_count(ctx, RR_N_CLAIMS_UNSETTLED, 1);
-	rr_queue_outcome(ledger, claim->id, RR_CLAIM_UNSETTLED,
-			 "store-lost-reply", MAX_BACKOFF_MS);
+	rr_queue_claim_result(ledger, claim->id, RR_CLAIM_UNRESOLVED,
+			      "store-lost-reply", MAX_BACKOFF_MS);
 	claim->state = RR_CLAIM_STATE_RELEASING;
 }
 
 static void time_out_claims(struct rr_context *ctx, struct rr_ledger *ledger,
-			    struct rr_bucket *bucket, int64_t now_us)
+			    struct rr_ledger_bucket *bucket, int64_t now_us)
 {
 	GList *next;
 
-	for (GList *link = bucket->work.head; link; link = next) {
+	for (GList *link = bucket->pending_claims.head; link; link = next) {
 		struct rr_claim *claim = link->data;
 
 		next = link->next;
-		if (claim->state != RR_CLAIM_STATE_WAITING ||
+		if (claim->state != RR_CLAIM_STATE_PENDING ||
 		    claim->in_flight || now_us < claim->deadline_us)
 			continue;
-		if (claim->exposed) {
+		if (claim->in_doubt) {
 			give_up_claim(ctx, ledger, claim);
 			continue;
 		}
-		rr_queue_outcome(ledger, claim->id, RR_CLAIM_REFUSED,
-				 "store-slow", MAX_BACKOFF_MS);
+		rr_queue_claim_result(ledger, claim->id, RR_CLAIM_REJECTED,
+				      "store-slow", MAX_BACKOFF_MS);
 		leave_work(ledger, bucket, link);
 	}
 }
 
 void rr_tick_bucket(struct rr_context *ctx, struct rr_ledger *ledger,
-		    struct rr_bucket *bucket, int64_t now_us)
+		    struct rr_ledger_bucket *bucket, int64_t now_us)
 {
-	if (bucket->call != RR_BUCKET_NO_CALL &&
+	if (bucket->call != RR_LEDGER_CALL_NONE &&
 	    now_us >= bucket->call_deadline_us) {
 		const struct rr_store_reply reply = {
 			.call_id = bucket->call_id,
@@ -457,35 +466,38 @@
 		};
 
 		g_hash_table_add(
-			ledger->stale_calls,
+			ledger->timed_out_calls,
 			g_memdup2(&bucket->call_id, sizeof(bucket->call_id)));
 		rr_handle_bucket_reply(ctx, ledger, bucket, now_us, &reply);
 	}
 	time_out_claims(ctx, ledger, bucket, now_us);
 }
 
-void rr_advance_waiting(struct rr_context *ctx, struct rr_ledger *ledger,
-			int64_t now_us)
+void rr_start_pending_calls(struct rr_context *ctx, struct rr_ledger *ledger,
+			    int64_t now_us)
 {
-	GPtrArray *active = ledger->active;
+	GPtrArray *active = ledger->active_buckets;
 
-	for (guint i = 0; i < active->len && ledger->calls < MAX_CALLS; i++)
+	for (guint i = 0;
+	     i < active->len && ledger->calls_in_flight < MAX_CALLS; i++)
 		rr_advance_bucket(ctx, ledger, active->pdata[i], now_us);
 }
 
 int64_t rr_bucket_wake_us(const struct rr_ledger *ledger,
-			  const struct rr_bucket *bucket)
+			  const struct rr_ledger_bucket *bucket)
 {
 	int64_t wake_us = INT64_MAX;
 
-	if (bucket->call != RR_BUCKET_NO_CALL)
+	if (bucket->call != RR_LEDGER_CALL_NONE)
 		wake_us = bucket->call_deadline_us;
-	else if (bucket->work.length && ledger->calls < MAX_CALLS)
+	else if (bucket->pending_claims.length &&
+		 ledger->calls_in_flight < MAX_CALLS)
 		wake_us = bucket->retry_us;
-	for (GList *link = bucket->work.head; link; link = link->next) {
+	for (GList *link = bucket->pending_claims.head; link;
+	     link = link->next) {
 		const struct rr_claim *claim = link->data;
 
-		if (claim->state == RR_CLAIM_STATE_WAITING && !claim->in_flight)
+		if (claim->state == RR_CLAIM_STATE_PENDING && !claim->in_flight)
 			wake_us = MIN(wake_us, claim->deadline_us);
 	}
 	return wake_us;
--- a/source/core/ledger-claim.c
+++ b/source/core/ledger-claim.c
@@ -39,7 +39,7 @@
 	const struct rr_ledger_value *value = claim->bucket->value;
 	const struct rr_ledger_entry *entry;
 
-	if (claim->state != RR_CLAIM_STATE_WAITING || !is_stale(claim))
+	if (claim->state != RR_CLAIM_STATE_PENDING || !is_stale(claim))
 		return false;
 	entry = rr_find_ledger_entry(value, claim->name);
 	if (!entry)
@@ -51,21 +51,21 @@
 		       const struct rr_claim *claim,
 		       const struct rr_ledger_entry *entry)
 {
-	struct rr_ledger_outcome *outcome;
+	struct rr_queued_claim_result *outcome;
 
 	rr_count(ctx, RR_N_CLAIM_DUPLICATES, 1);
 	if (entry->fingerprint != claim->fingerprint) {
-		rr_queue_outcome(ledger, claim->id, RR_CLAIM_REFUSED,
-				 "id-used-for-another-request", 0);
+		rr_queue_claim_result(ledger, claim->id, RR_CLAIM_REJECTED,
+				      "id-used-for-another-request", 0);
 		return;
 	}
 	if (!entry->done) {
-		rr_queue_outcome(ledger, claim->id, RR_CLAIM_HELD, "held",
-				 HELD_RETRY_MS);
+		rr_queue_claim_result(ledger, claim->id, RR_CLAIM_HELD, "held",
+				      HELD_RETRY_MS);
 		return;
 	}
-	rr_queue_outcome(ledger, claim->id, RR_CLAIM_DONE, NULL, 0);
-	outcome = g_queue_peek_tail(&ledger->outcomes);
+	rr_queue_claim_result(ledger, claim->id, RR_CLAIM_DONE, NULL, 0);
+	outcome = g_queue_peek_tail(&ledger->queued_results);
 	outcome->result = g_memdup2(entry->result, entry->result_length);
 	outcome->result_length = entry->result_length;
 }
@@ -74,12 +74,12 @@
 		      struct rr_claim *claim,
 		      const struct rr_ledger_entry *entry)
 {
-	rr_invariant("at-most-once", claim->state == RR_CLAIM_STATE_WAITING);
+	rr_invariant("at-most-once", claim->state == RR_CLAIM_STATE_PENDING);
 	rr_invariant("at-most-once", is_ours(ledger, claim, entry));
 	rr_invariant("at-most-once", !entry->done && !entry->uncommitted);
-	claim->state = RR_CLAIM_STATE_RUNNING;
+	claim->state = RR_CLAIM_STATE_ACQUIRED;
 	rr_count(ctx, RR_N_CLAIMS, 1);
-	rr_queue_outcome(ledger, claim->id, RR_CLAIM_OURS, NULL, 0);
+	rr_queue_claim_result(ledger, claim->id, RR_CLAIM_ACQUIRED, NULL, 0);
 }
 
 static void insert_entry(struct rr_ledger *ledger, struct rr_claim *claim)
@@ -87,7 +87,7 @@
 	struct rr_ledger_value *value = claim->bucket->value;
 	struct rr_ledger_entry entry = {
 		.name = claim->name,
-		.made_s = claim->made_s,
+		.made_s = claim->created_s,
 		.fingerprint = claim->fingerprint,
 		.instance = ledger->instance,
 		.incarnation = ledger->options.incarnation,
@@ -96,7 +96,7 @@
 	};
 
 	rr_invariant("at-most-once", !rr_find_ledger_entry(value, claim->name));
-	rr_invariant("at-most-once", claim->made_s >= value->floor_s);
+	rr_invariant("at-most-once", claim->created_s >= value->floor_s);
 	rr_add_ledger_entry(value, &entry);
 }
 
@@ -112,7 +112,7 @@
 	 * whatever clock: it could have run already.  The floor is part of
 	 * the value, so every instance sees it with the pruned entries.
 	 */
-	if (claim->made_s < value->floor_s)
+	if (claim->created_s < value->floor_s)
 		return "id-too-old";
 	if (value->bytes >= FULL_BYTES) {
 		*retry_after_ms = FULL_RETRY_MS;
@@ -124,7 +124,7 @@
 static bool apply_waiting(struct rr_context *ctx, struct rr_ledger *ledger,
 			  struct rr_claim *claim, bool *finished)
 {
-	struct rr_bucket *bucket = claim->bucket;
+	struct rr_ledger_bucket *bucket = claim->bucket;
 	struct rr_ledger_entry *entry;
 	uint32_t retry_after_ms = 0;
 	const char *reason;
@@ -145,14 +145,14 @@
 	 * but "ours" has to wait until a later write has fenced it off.
 	 */
 	reason = entry ? NULL : refuse_entry(claim, &retry_after_ms);
-	if ((entry || reason) && claim->exposed)
+	if ((entry || reason) && claim->in_doubt)
 		return true;
 	*finished = entry || reason;
 	if (entry)
 		tell_found(ctx, ledger, claim, entry);
 	else if (reason)
-		rr_queue_outcome(ledger, claim->id, RR_CLAIM_REFUSED, reason,
-				 retry_after_ms);
+		rr_queue_claim_result(ledger, claim->id, RR_CLAIM_REJECTED,
+				      reason, retry_after_ms);
 	else
 		insert_entry(ledger, claim);
 	return !*finished;
@@ -202,31 +202,31 @@
 		return true;
 	}
 	/* A write that may still bring the entry has to be fenced off. */
-	if (claim->exposed)
+	if (claim->in_doubt)
 		return true;
 	*finished = true;
 	return false;
 }
 
-bool rr_settle_claim(struct rr_context *ctx, struct rr_ledger *ledger,
-		     struct rr_claim *claim)
+bool rr_resolve_claim(struct rr_context *ctx, struct rr_ledger *ledger,
+		      struct rr_claim *claim)
 {
-	const struct rr_bucket *bucket = claim->bucket;
+	const struct rr_ledger_bucket *bucket = claim->bucket;
 	const struct rr_ledger_entry *entry;
 	bool ours;
 
 	entry = rr_find_ledger_entry(bucket->value, claim->name);
 	ours = is_ours(ledger, claim, entry);
-	if (ours && claim->state == RR_CLAIM_STATE_WAITING) {
+	if (ours && claim->state == RR_CLAIM_STATE_PENDING) {
 		tell_ours(ctx, ledger, claim, entry);
 		return true;
 	}
 	if (ours && claim->state == RR_CLAIM_STATE_RECORDING)
 		return entry->done;
-	if (!bucket->unknown_write)
-		claim->exposed = false;
+	if (!bucket->write_in_doubt)
+		claim->in_doubt = false;
 	return claim->state == RR_CLAIM_STATE_RELEASING && !ours &&
-	       !claim->exposed;
+	       !claim->in_doubt;
 }
 
 bool rr_apply_claim(struct rr_context *ctx, struct rr_ledger *ledger,
@@ -234,13 +234,13 @@
 {
 	*finished = false;
 	switch (claim->state) {
-	case RR_CLAIM_STATE_WAITING:
+	case RR_CLAIM_STATE_PENDING:
 		return apply_waiting(ctx, ledger, claim, finished);
 	case RR_CLAIM_STATE_RECORDING:
 		return apply_recording(ctx, ledger, claim, finished);
 	case RR_CLAIM_STATE_RELEASING:
 		return apply_releasing(ledger, claim, finished);
-	case RR_CLAIM_STATE_RUNNING:
+	case RR_CLAIM_STATE_ACQUIRED:
 		break;
 	}
 	*finished = true;
--- a/source/core/ledger-private.h
+++ b/source/core/ledger-private.h
@@ -8,8 +8,8 @@
 #include "wire/ledger-value.h"
 
 enum rr_claim_state {
-	RR_CLAIM_STATE_WAITING,	  /* wants its entry in the bucket */
-	RR_CLAIM_STATE_RUNNING,	  /* ours; its holder acts on it */
+	RR_CLAIM_STATE_PENDING,	  /* wants its entry in the bucket */
+	RR_CLAIM_STATE_ACQUIRED,  /* ours; its holder acts on it */
 	RR_CLAIM_STATE_RECORDING, /* wants its result in the bucket */
 	RR_CLAIM_STATE_RELEASING, /* wants its entry out of the bucket */
 };
@@ -17,28 +17,28 @@
 struct rr_claim {
 	uint64_t id; /* also the nonce's sequence */
 	char *name;  /* SERVICE/ID */
-	int64_t made_s;
+	int64_t created_s;
 	uint64_t fingerprint;
 	enum rr_claim_state state;
-	struct rr_bucket *bucket; /* while it is in the bucket's work */
+	struct rr_ledger_bucket *bucket; /* while it is in the bucket's work */
 	/* The ledger's stamp when it was asked: older knowledge is stale. */
 	uint64_t stamp;
 	int64_t deadline_us;
 	/* Part of the write now in flight. */
 	bool in_flight;
 	/* Part of a write that may have taken or may still take effect. */
-	bool exposed;
+	bool in_doubt;
 	char *result;
 	size_t result_length;
 };
 
-enum rr_bucket_call {
-	RR_BUCKET_NO_CALL,
-	RR_BUCKET_READ,
-	RR_BUCKET_WRITE,
+enum rr_ledger_call {
+	RR_LEDGER_CALL_NONE,
+	RR_LEDGER_CALL_READ,
+	RR_LEDGER_CALL_WRITE,
 };
 
-struct rr_bucket {
+struct rr_ledger_bucket {
 	char *key;
 	bool active;	  /* has work or a call in flight */
 	GList *idle_link; /* in the ledger's idle queue; NULL if not */
@@ -46,7 +46,7 @@
 	uint64_t revision;	       /* of value */
 	uint64_t value_stamp;	       /* value is at least this fresh */
 	uint64_t highest_revision;     /* ever seen: a read below it is stale */
-	enum rr_bucket_call call;
+	enum rr_ledger_call call;
 	uint64_t call_id;
 	uint64_t call_stamp;
 	int64_t call_deadline_us;
@@ -54,16 +54,17 @@
 	 * A write on unknown_revision got no reply.  While the key still has
 	 * that revision the write may take effect yet.
 	 */
-	bool unknown_write;
-	uint64_t unknown_revision;
-	int64_t retry_us;	/* no call before this */
-	uint32_t failed_writes; /* in a row: conflicts and lost replies */
-	GQueue work;		/* claims that want something of the store */
+	bool write_in_doubt;
+	uint64_t in_doubt_revision;
+	int64_t retry_us; /* no call before this */
+	uint32_t
+		consecutive_write_failures; /* in a row: conflicts and lost replies */
+	GQueue pending_claims; /* claims that want something of the store */
 };
 
 /* A claim's outcome, waiting to be told. */
-struct rr_ledger_outcome {
-	uint64_t claim;
+struct rr_queued_claim_result {
+	uint64_t claim_id;
 	enum rr_claim_status status;
 	char *result;
 	size_t result_length;
@@ -74,44 +75,47 @@
 struct rr_ledger {
 	struct rr_ledger_options options;
 	char *instance;
-	GHashTable *buckets; /* key to struct rr_bucket, made when needed */
-	GPtrArray *active;   /* with work or a call, longest waiting first */
-	GQueue idle;	     /* others whose value is kept, oldest first */
-	size_t idle_bytes;   /* of the values in idle */
-	GHashTable *claims;  /* id to struct rr_claim, owned */
-	GHashTable *stale_calls; /* timed out, reply still to come */
-	GQueue outcomes;	 /* struct rr_ledger_outcome */
+	GHashTable
+		*buckets; /* key to struct rr_ledger_bucket, made when needed */
+	GPtrArray *
+		active_buckets; /* with work or a call, longest waiting first */
+	GQueue idle_buckets;	/* others whose value is kept, oldest first */
+	size_t idle_bytes;	/* of the values in idle */
+	GHashTable *claims;	/* id to struct rr_claim, owned */
+	GHashTable *timed_out_calls; /* timed out, reply still to come */
+	GQueue queued_results;	     /* struct rr_queued_claim_result */
 	/*
 	 * The store does not answer: until retry_us claims are refused
 	 * without a call.
 	 */
-	bool down;
+	bool store_unreachable;
 	int64_t retry_us;
-	uint32_t failures; /* calls in a row without a usable reply */
-	uint32_t calls;	   /* in flight, of all buckets */
-	uint64_t last_claim;
-	uint64_t stamp;
+	uint32_t
+		consecutive_failures; /* calls in a row without a usable reply */
+	uint32_t calls_in_flight;     /* in flight, of all buckets */
+	uint64_t last_claim_id;
+	uint64_t logical_clock;
 	int64_t wall_offset_us; /* time since 1970 less monotonic time */
 };
 
 /* ledger.c */
 
 /* Queue an outcome of the claim, without touching the claim. */
-void rr_queue_outcome(struct rr_ledger *ledger, uint64_t claim,
-		      enum rr_claim_status status, const char *reason,
-		      uint32_t retry_after_ms);
+void rr_queue_claim_result(struct rr_ledger *ledger, uint64_t claim,
+			   enum rr_claim_status status, const char *reason,
+			   uint32_t retry_after_ms);
 /* Free a claim that nobody needs; it must be in no bucket's work. */
-void rr_forget_claim(struct rr_ledger *ledger, struct rr_claim *claim);
+void rr_remove_claim(struct rr_ledger *ledger, struct rr_claim *claim);
 
-/* ledger-set.c */
+/* ledger-table.c */
 
 /* Find the claim's bucket, made if need be, and put the claim to its work. */
-void rr_add_bucket_work(struct rr_ledger *ledger, struct rr_claim *claim);
+void rr_enqueue_claim(struct rr_ledger *ledger, struct rr_claim *claim);
 /*
  * Take buckets that want nothing out of the active ones.  Their values are
  * kept up to a bound, since a claim of a known value needs one call less.
  */
-void rr_retire_buckets(struct rr_ledger *ledger);
+void rr_deactivate_idle_buckets(struct rr_ledger *ledger);
 void rr_free_bucket(gpointer data);
 
 /* ledger-claim.c */
@@ -122,8 +126,8 @@
  * Look at a value just learned from the store, before anything is changed in
  * it: whether the claim has what it wants and needs the store no more.
  */
-bool rr_settle_claim(struct rr_context *ctx, struct rr_ledger *ledger,
-		     struct rr_claim *claim);
+bool rr_resolve_claim(struct rr_context *ctx, struct rr_ledger *ledger,
+		      struct rr_claim *claim);
 /*
  * Bring the bucket's value in memory to what the claim wants, or finish the
  * claim.  Returns whether the value must be written for it.  `*finished` says
@@ -136,18 +140,18 @@
 
 /* Start the next call of a bucket if it has work and no call in flight. */
 void rr_advance_bucket(struct rr_context *ctx, struct rr_ledger *ledger,
-		       struct rr_bucket *bucket, int64_t now_us);
-/* Take the reply of the call in flight; rr_advance_waiting() comes next. */
+		       struct rr_ledger_bucket *bucket, int64_t now_us);
+/* Take the reply of the call in flight; rr_start_pending_calls() comes next. */
 void rr_handle_bucket_reply(struct rr_context *ctx, struct rr_ledger *ledger,
-			    struct rr_bucket *bucket, int64_t now_us,
+			    struct rr_ledger_bucket *bucket, int64_t now_us,
 			    const struct rr_store_reply *reply);
 /* Time out the call in flight and the claims that waited too long. */
 void rr_tick_bucket(struct rr_context *ctx, struct rr_ledger *ledger,
-		    struct rr_bucket *bucket, int64_t now_us);
+		    struct rr_ledger_bucket *bucket, int64_t now_us);
 int64_t rr_bucket_wake_us(const struct rr_ledger *ledger,
-			  const struct rr_bucket *bucket);
+			  const struct rr_ledger_bucket *bucket);
 /* Start calls as far as allowed, of the buckets that wait longest first. */
-void rr_advance_waiting(struct rr_context *ctx, struct rr_ledger *ledger,
-			int64_t now_us);
+void rr_start_pending_calls(struct rr_context *ctx, struct rr_ledger *ledger,
+			    int64_t now_us);
 
 #endif
--- a/source/core/ledger-set.c
+++ b/source/core/ledger-table.c
@@ -1,5 +1,5 @@
 /*
- * ledger-set.c - which bucket an id is in, which buckets are active, and how
+ * ledger-table.c - which bucket an id is in, which buckets are active, and how
  * many values are kept.
  */
 #include <string.h>
@@ -21,10 +21,10 @@
 
 void rr_free_bucket(gpointer data)
 {
-	struct rr_bucket *bucket = data;
+	struct rr_ledger_bucket *bucket = data;
 
 	rr_drop_ledger_value(bucket->value);
-	g_queue_clear(&bucket->work);
+	g_queue_clear(&bucket->pending_claims);
 	g_free(bucket->key);
 	g_free(bucket);
 }
@@ -43,83 +43,90 @@
 	return group;
 }
 
-static struct rr_bucket *find_bucket(struct rr_ledger *ledger, const char *name,
-				     int64_t made_s)
+static struct rr_ledger_bucket *find_bucket(struct rr_ledger *ledger,
+					    const char *name, int64_t made_s)
 {
 	const struct rr_ledger_options *options = &ledger->options;
-	int64_t slice_s = options->slice_s ? options->slice_s : DEFAULT_SLICE_S;
+	int64_t slice_s =
+		options->time_slice_s ? options->time_slice_s : DEFAULT_SLICE_S;
 	uint32_t group = hash_group(name, options->buckets);
 	char *key = g_strdup_printf("ledger/%u/%d", group,
 				    (int)(made_s / slice_s % SLICES));
-	struct rr_bucket *bucket = g_hash_table_lookup(ledger->buckets, key);
+	struct rr_ledger_bucket *bucket =
+		g_hash_table_lookup(ledger->buckets, key);
 
 	if (bucket) {
 		g_free(key);
 		return bucket;
 	}
-	bucket = g_new0(struct rr_bucket, 1);
+	bucket = g_new0(struct rr_ledger_bucket, 1);
 	bucket->key = key;
-	g_queue_init(&bucket->work);
+	g_queue_init(&bucket->pending_claims);
 	g_hash_table_insert(ledger->buckets, bucket->key, bucket);
 	return bucket;
 }
 
-static void leave_idle(struct rr_ledger *ledger, struct rr_bucket *bucket)
+static void leave_idle(struct rr_ledger *ledger,
+		       struct rr_ledger_bucket *bucket)
 {
 	if (!bucket->idle_link)
 		return;
-	g_queue_delete_link(&ledger->idle, bucket->idle_link);
+	g_queue_delete_link(&ledger->idle_buckets, bucket->idle_link);
 	bucket->idle_link = NULL;
 	ledger->idle_bytes -= bucket->value->bytes;
 }
 
-void rr_add_bucket_work(struct rr_ledger *ledger, struct rr_claim *claim)
+void rr_enqueue_claim(struct rr_ledger *ledger, struct rr_claim *claim)
 {
-	struct rr_bucket *bucket;
+	struct rr_ledger_bucket *bucket;
 
-	bucket = find_bucket(ledger, claim->name, claim->made_s);
+	bucket = find_bucket(ledger, claim->name, claim->created_s);
 	claim->bucket = bucket;
-	g_queue_push_tail(&bucket->work, claim);
+	g_queue_push_tail(&bucket->pending_claims, claim);
 	if (bucket->active)
 		return;
 	leave_idle(ledger, bucket);
 	bucket->active = true;
-	g_ptr_array_add(ledger->active, bucket);
+	g_ptr_array_add(ledger->active_buckets, bucket);
 }
 
-static void forget_bucket(struct rr_ledger *ledger, struct rr_bucket *bucket)
+static void forget_bucket(struct rr_ledger *ledger,
+			  struct rr_ledger_bucket *bucket)
 {
 	leave_idle(ledger, bucket);
 	g_hash_table_remove(ledger->buckets, bucket->key);
 }
 
-static void enter_idle(struct rr_ledger *ledger, struct rr_bucket *bucket)
+static void enter_idle(struct rr_ledger *ledger,
+		       struct rr_ledger_bucket *bucket)
 {
 	if (!bucket->value) {
 		g_hash_table_remove(ledger->buckets, bucket->key);
 		return;
 	}
-	g_queue_push_tail(&ledger->idle, bucket);
-	bucket->idle_link = ledger->idle.tail;
+	g_queue_push_tail(&ledger->idle_buckets, bucket);
+	bucket->idle_link = ledger->idle_buckets.tail;
 	ledger->idle_bytes += bucket->value->bytes;
 	while (ledger->idle_bytes > MAX_IDLE_BYTES ||
-	       ledger->idle.length > MAX_IDLE_BUCKETS)
-		forget_bucket(ledger, g_queue_peek_head(&ledger->idle));
+	       ledger->idle_buckets.length > MAX_IDLE_BUCKETS)
+		forget_bucket(ledger, g_queue_peek_head(&ledger->idle_buckets));
 }
 
-void rr_retire_buckets(struct rr_ledger *ledger)
+void rr_deactivate_idle_buckets(struct rr_ledger *ledger)
 {
 	guint i = 0;
 
-	while (i < ledger->active->len) {
-		struct rr_bucket *bucket = ledger->active->pdata[i];
+	while (i < ledger->active_buckets->len) {
+		struct rr_ledger_bucket *bucket =
+			ledger->active_buckets->pdata[i];
 
-		if (bucket->work.length || bucket->call != RR_BUCKET_NO_CALL) {
+		if (bucket->pending_claims.length ||
+		    bucket->call != RR_LEDGER_CALL_NONE) {
 			i++;
 			continue;
 		}
 		bucket->active = false;
-		g_ptr_array_remove_index(ledger->active, i);
+		g_ptr_array_remove_index(ledger->active_buckets, i);
 		enter_idle(ledger, bucket);
 	}
 }
--- a/source/core/ledger.c
+++ b/source/core/ledger.c
@@ -54,19 +54,19 @@
 	ledger->instance = g_strdup(options->instance);
 	ledger->buckets = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						rr_free_bucket);
-	ledger->active = g_ptr_array_new();
-	g_queue_init(&ledger->idle);
+	ledger->active_buckets = g_ptr_array_new();
+	g_queue_init(&ledger->idle_buckets);
 	ledger->claims = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 					       NULL, free_claim);
-	ledger->stale_calls = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						    g_free, NULL);
-	g_queue_init(&ledger->outcomes);
+	ledger->timed_out_calls = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, g_free, NULL);
+	g_queue_init(&ledger->queued_results);
 	return ledger;
 }
 
 static void free_outcome(gpointer data)
 {
-	struct rr_ledger_outcome *outcome = data;
+	struct rr_queued_claim_result *outcome = data;
 
 	g_free(outcome->result);
 	g_free(outcome);
@@ -76,12 +76,12 @@
 {
 	if (!ledger)
 		return;
-	g_ptr_array_unref(ledger->active);
-	g_queue_clear(&ledger->idle);
+	g_ptr_array_unref(ledger->active_buckets);
+	g_queue_clear(&ledger->idle_buckets);
 	g_hash_table_destroy(ledger->buckets);
 	g_hash_table_destroy(ledger->claims);
-	g_hash_table_destroy(ledger->stale_calls);
-	g_queue_clear_full(&ledger->outcomes, free_outcome);
+	g_hash_table_destroy(ledger->timed_out_calls);
+	g_queue_clear_full(&ledger->queued_results, free_outcome);
 	g_free(ledger->instance);
 	g_free(ledger);
 }
@@ -91,20 +91,21 @@
 	ledger->options.retention_s = retention_s;
 }
 
-void rr_queue_outcome(struct rr_ledger *ledger, uint64_t claim,
-		      enum rr_claim_status status, const char *reason,
-		      uint32_t retry_after_ms)
+void rr_queue_claim_result(struct rr_ledger *ledger, uint64_t claim,
+			   enum rr_claim_status status, const char *reason,
+			   uint32_t retry_after_ms)
 {
-	struct rr_ledger_outcome *outcome = g_new0(struct rr_ledger_outcome, 1);
+	struct rr_queued_claim_result *outcome =
+		g_new0(struct rr_queued_claim_result, 1);
 
-	outcome->claim = claim;
+	outcome->claim_id = claim;
 	outcome->status = status;
 	outcome->reason = reason;
 	outcome->retry_after_ms = retry_after_ms;
-	g_queue_push_tail(&ledger->outcomes, outcome);
+	g_queue_push_tail(&ledger->queued_results, outcome);
 }
 
-void rr_forget_claim(struct rr_ledger *ledger, struct rr_claim *claim)
+void rr_remove_claim(struct rr_ledger *ledger, struct rr_claim *claim)
 {
 	g_hash_table_remove(ledger->claims, &claim->id);
 }
@@ -112,11 +113,11 @@
 /* Outcomes leave from here only, when no bucket is being worked on. */
 static void tell_outcomes(struct rr_ledger *ledger)
 {
-	struct rr_ledger_outcome *outcome;
+	struct rr_queued_claim_result *outcome;
 
-	while ((outcome = g_queue_pop_head(&ledger->outcomes))) {
+	while ((outcome = g_queue_pop_head(&ledger->queued_results))) {
 		const struct rr_claim_result result = {
-			.claim = outcome->claim,
+			.claim_id = outcome->claim_id,
 			.status = outcome->status,
 			.result = outcome->result,
 			.result_length = outcome->result_length,
@@ -183,20 +184,21 @@
 
 	claim->id = id;
 	claim->name = name;
-	claim->made_s = made_s;
-	claim->stamp = ++ledger->stamp;
+	claim->created_s = made_s;
+	claim->stamp = ++ledger->logical_clock;
 	claim->deadline_us =
 		now_us + (int64_t)ledger->options.call_timeout_ms * 1000;
 	g_hash_table_insert(ledger->claims, &claim->id, claim);
-	rr_add_bucket_work(ledger, claim);
+	rr_enqueue_claim(ledger, claim);
 	return claim;
 }
 
-uint64_t rr_claim_id(struct rr_context *ctx, struct rr_ledger *ledger,
-		     int64_t now_us, int64_t wall_us, const char *service,
-		     const char *id, uint64_t fingerprint)
+uint64_t rr_claim_request_id(struct rr_context *ctx, struct rr_ledger *ledger,
+			     int64_t now_us, int64_t wall_us,
+			     const char *service, const char *id,
+			     uint64_t fingerprint)
 {
-	uint64_t number = ++ledger->last_claim;
+	uint64_t number = ++ledger->last_claim_id;
 	struct rr_claim *claim;
 	const char *reason;
 	int64_t made_s;
@@ -204,14 +206,16 @@
 	ledger->wall_offset_us = wall_us - now_us;
 	reason = refuse_id(ledger, id, wall_us, &made_s);
 	if (reason) {
-		rr_queue_outcome(ledger, number, RR_CLAIM_REFUSED, reason, 0);
+		rr_queue_claim_result(ledger, number, RR_CLAIM_REJECTED, reason,
+				      0);
 		return number;
 	}
-	if (ledger->down && now_us < ledger->retry_us) {
+	if (ledger->store_unreachable && now_us < ledger->retry_us) {
 		int64_t wait_ms = (ledger->retry_us - now_us) / 1000;
 
-		rr_queue_outcome(ledger, number, RR_CLAIM_REFUSED,
-				 "store-unavailable", (uint32_t)wait_ms + 1);
+		rr_queue_claim_result(ledger, number, RR_CLAIM_REJECTED,
+				      "store-unavailable",
+				      (uint32_t)wait_ms + 1);
 		return number;
 	}
 	claim = add_claim(ledger, number, g_strdup_printf("%s/%s", service, id),
@@ -227,20 +231,20 @@
 	struct rr_claim *claim = g_hash_table_lookup(ledger->claims, &id);
 
 	rr_invariant("at-most-once",
-		     claim && claim->state == RR_CLAIM_STATE_RUNNING);
+		     claim && claim->state == RR_CLAIM_STATE_ACQUIRED);
 	return claim;
 }
 
 static void queue_work(struct rr_context *ctx, struct rr_ledger *ledger,
 		       struct rr_claim *claim, int64_t now_us)
 {
-	rr_add_bucket_work(ledger, claim);
+	rr_enqueue_claim(ledger, claim);
 	rr_advance_bucket(ctx, ledger, claim->bucket, now_us);
 }
 
-void rr_record_claim(struct rr_context *ctx, struct rr_ledger *ledger,
-		     int64_t now_us, uint64_t claim, const char *result,
-		     size_t length)
+void rr_record_claim_result(struct rr_context *ctx, struct rr_ledger *ledger,
+			    int64_t now_us, uint64_t claim, const char *result,
+			    size_t length)
 {
 	struct rr_claim *running = find_running(ledger, claim);
 
@@ -267,29 +271,30 @@
 	(void)ctx;
 #ifdef RR_MUTANT_LEDGER_RELEASE_UNKNOWN
 	running->state = RR_CLAIM_STATE_RELEASING;
-	rr_add_bucket_work(ledger, running);
+	rr_enqueue_claim(ledger, running);
 	return;
 #endif
-	rr_forget_claim(ledger, running);
+	rr_remove_claim(ledger, running);
 }
 
 bool rr_handle_ledger_reply(struct rr_context *ctx, struct rr_ledger *ledger,
 			    int64_t now_us, const struct rr_store_reply *reply)
 {
 	/* It was handled as unknown when its time was up. */
-	if (g_hash_table_remove(ledger->stale_calls, &reply->call_id))
+	if (g_hash_table_remove(ledger->timed_out_calls, &reply->call_id))
 		return true;
-	for (guint i = 0; i < ledger->active->len; i++) {
-		struct rr_bucket *bucket = ledger->active->pdata[i];
+	for (guint i = 0; i < ledger->active_buckets->len; i++) {
+		struct rr_ledger_bucket *bucket =
+			ledger->active_buckets->pdata[i];
 
-		if (bucket->call == RR_BUCKET_NO_CALL ||
+		if (bucket->call == RR_LEDGER_CALL_NONE ||
 		    bucket->call_id != reply->call_id)
 			continue;
 		rr_handle_bucket_reply(ctx, ledger, bucket, now_us, reply);
-		g_ptr_array_remove_index(ledger->active, i);
-		g_ptr_array_add(ledger->active, bucket);
-		rr_advance_waiting(ctx, ledger, now_us);
-		rr_retire_buckets(ledger);
+		g_ptr_array_remove_index(ledger->active_buckets, i);
+		g_ptr_array_add(ledger->active_buckets, bucket);
+		rr_start_pending_calls(ctx, ledger, now_us);
+		rr_deactivate_idle_buckets(ledger);
 		tell_outcomes(ledger);
 		return true;
 	}
@@ -299,14 +304,15 @@
 void rr_tick_ledger(struct rr_context *ctx, struct rr_ledger *ledger,
 		    int64_t now_us)
 {
-	for (guint i = 0; i < ledger->active->len; i++) {
-		struct rr_bucket *bucket = ledger->active->pdata[i];
+	for (guint i = 0; i < ledger->active_buckets->len; i++) {
+		struct rr_ledger_bucket *bucket =
+			ledger->active_buckets->pdata[i];
 
 		if (rr_bucket_wake_us(ledger, bucket) <= now_us)
 			rr_tick_bucket(ctx, ledger, bucket, now_us);
 	}
-	rr_advance_waiting(ctx, ledger, now_us);
-	rr_retire_buckets(ledger);
+	rr_start_pending_calls(ctx, ledger, now_us);
+	rr_deactivate_idle_buckets(ledger);
 	tell_outcomes(ledger);
 }
 
@@ -315,23 +321,25 @@
 	int64_t wake_us = INT64_MAX;
 
 	/* Outcomes that a claim had at once wait for the next tick. */
-	if (ledger->outcomes.length)
+	if (ledger->queued_results.length)
 		return 0;
-	for (guint i = 0; i < ledger->active->len; i++)
-		wake_us = MIN(
-			wake_us,
-			rr_bucket_wake_us(ledger, ledger->active->pdata[i]));
+	for (guint i = 0; i < ledger->active_buckets->len; i++)
+		wake_us =
+			MIN(wake_us,
+			    rr_bucket_wake_us(
+				    ledger, ledger->active_buckets->pdata[i]));
 	return wake_us;
 }
 
-bool rr_ledger_idle(const struct rr_ledger *ledger)
+bool rr_ledger_is_idle(const struct rr_ledger *ledger)
 {
-	if (ledger->outcomes.length)
+	if (ledger->queued_results.length)
 		return false;
-	for (guint i = 0; i < ledger->active->len; i++) {
-		const struct rr_bucket *bucket = ledger->active->pdata[i];
+	for (guint i = 0; i < ledger->active_buckets->len; i++) {
+		const struct rr_ledger_bucket *bucket =
+			ledger->active_buckets->pdata[i];
 
-		if (bucket->work.length)
+		if (bucket->pending_claims.length)
 			return false;
 	}
 	return true;
--- a/source/core/lifecycle.c
+++ b/source/core/lifecycle.c
@@ -17,31 +17,31 @@
 /* Left before the platform kills: an exit and its closes take a moment. */
 #define LAST_MOMENT_US (400 * 1000)
 
-void rr_ask_stop(struct rr_lifecycle *lifecycle, int64_t now_us)
+void rr_request_stop(struct rr_lifecycle *lifecycle, int64_t now_us)
 {
-	if (!lifecycle->stop_us)
-		lifecycle->stop_us = now_us;
+	if (!lifecycle->stop_requested_us)
+		lifecycle->stop_requested_us = now_us;
 }
 
-bool rr_takes_callers(const struct rr_lifecycle *lifecycle, bool serves)
+bool rr_lifecycle_is_ready(const struct rr_lifecycle *lifecycle, bool serves)
 {
-	return serves && !lifecycle->stop_us;
+	return serves && !lifecycle->stop_requested_us;
 }
 
-enum rr_stop_step rr_next_stop_step(const struct rr_lifecycle *lifecycle,
-				    int64_t now_us, size_t requests,
-				    size_t connections)
+enum rr_stop_phase rr_find_stop_phase(const struct rr_lifecycle *lifecycle,
+				      int64_t now_us, size_t requests,
+				      size_t connections)
 {
-	int64_t since_us = now_us - lifecycle->stop_us;
+	int64_t since_us = now_us - lifecycle->stop_requested_us;
 	int64_t end_us =
 		(int64_t)lifecycle->stop_timeout_ms * 1000 - LAST_MOMENT_US;
 
 	if (since_us >= end_us)
 		return RR_STOP_EXIT;
 	if (since_us < LED_ELSEWHERE_US)
-		return RR_STOP_RUN;
+		return RR_STOP_KEEP_SERVING;
 	if (!requests && !connections)
 		return RR_STOP_EXIT;
-	return since_us >= end_us - LAST_TAKEN_US ? RR_STOP_REFUSE :
+	return since_us >= end_us - LAST_TAKEN_US ? RR_STOP_REJECT_NEW :
 						    RR_STOP_CLOSE_IDLE;
 }
--- a/source/core/member-news.c
+++ b/source/core/member-gossip.c
@@ -1,5 +1,5 @@
 /*
- * member-news.c - what rides on pings and acks.
+ * member-gossip.c - what rides on pings and acks.
  *
  * News of a change rides on a bounded number of messages (twice the binary
  * logarithm of the size: then all have heard it with high probability).  Who
@@ -30,21 +30,21 @@
 	       (uint32_t)ceil(log2((double)members->n_usable + 2));
 }
 
-void rr_queue_member_news(struct rr_members *members, struct member *member)
+void rr_queue_member_update(struct rr_members *members, struct member *member)
 {
-	if (member->in_news)
-		g_queue_unlink(&members->news, &member->news_link);
-	member->in_news = true;
-	member->sends_left = news_sends(members);
-	g_queue_push_head_link(&members->news, &member->news_link);
+	if (member->update_queued)
+		g_queue_unlink(&members->update_queue, &member->update_link);
+	member->update_queued = true;
+	member->transmissions_left = news_sends(members);
+	g_queue_push_head_link(&members->update_queue, &member->update_link);
 }
 
-void rr_unqueue_member_news(struct rr_members *members, struct member *member)
+void rr_unqueue_member_update(struct rr_members *members, struct member *member)
 {
-	if (!member->in_news)
+	if (!member->update_queued)
 		return;
-	g_queue_unlink(&members->news, &member->news_link);
-	member->in_news = false;
+	g_queue_unlink(&members->update_queue, &member->update_link);
+	member->update_queued = false;
 }
 
 static void append_update(struct rr_peer_message *message,
@@ -86,21 +86,23 @@
 		       const struct rr_peer_message *ack)
 {
 	if (ack->members_digest != members->digest) {
-		members->differing_acks++;
+		members->digest_mismatches++;
 		return;
 	}
-	members->differing_acks = 0;
-	members->patience = FIRST_PATIENCE;
+	members->digest_mismatches = 0;
+	members->resync_threshold = FIRST_PATIENCE;
 }
 
 /* Whether to ask for a whole table with this ping: by knowing nobody. */
 static bool ask_for_table(struct rr_members *members)
 {
-	if (members->differing_acks < MAX(members->patience, FIRST_PATIENCE))
+	if (members->digest_mismatches <
+	    MAX(members->resync_threshold, FIRST_PATIENCE))
 		return false;
-	members->differing_acks = 0;
-	members->patience =
-		MIN(MAX(members->patience, FIRST_PATIENCE) * 2, MAX_PATIENCE);
+	members->digest_mismatches = 0;
+	members->resync_threshold =
+		MIN(MAX(members->resync_threshold, FIRST_PATIENCE) * 2,
+		    MAX_PATIENCE);
 	return true;
 }
 
@@ -109,19 +111,19 @@
 			struct rr_peer_message *message,
 			const struct member *about)
 {
-	guint waiting = members->news.length;
+	guint waiting = members->update_queue.length;
 
 	while (waiting-- && message->n_updates < RR_MEMBER_MAX_UPDATES) {
-		GList *link = g_queue_pop_head_link(&members->news);
+		GList *link = g_queue_pop_head_link(&members->update_queue);
 		struct member *member = link->data;
 
-		rr_invariant(PROMISE, member && member->in_news);
+		rr_invariant(PROMISE, member && member->update_queued);
 		if (member != about)
 			append_update(message, member);
-		if (--member->sends_left)
-			g_queue_push_tail_link(&members->news, link);
+		if (--member->transmissions_left)
+			g_queue_push_tail_link(&members->update_queue, link);
 		else
-			member->in_news = false;
+			member->update_queued = false;
 	}
 }
 
@@ -156,27 +158,27 @@
 	for (guint i = 0; i < n && message->n_updates < limit; i++) {
 		struct member *member;
 
-		members->fill_at = (members->fill_at + 1) % n;
-		member = members->table->pdata[members->fill_at];
+		members->repair_cursor = (members->repair_cursor + 1) % n;
+		member = members->table->pdata[members->repair_cursor];
 		if (member->state != RR_MEMBER_DEAD)
 			append_update(message, member);
 	}
 }
 
-void rr_fill_member_message(struct rr_members *members,
-			    struct rr_peer_message *message, int64_t now_us,
-			    uint32_t peer_count, uint64_t peer_digest)
+void rr_append_repair_updates(struct rr_members *members,
+			      struct rr_peer_message *message, int64_t now_us,
+			      uint32_t peer_count, uint64_t peer_digest)
 {
-	size_t limit = MIN(message->n_updates + RR_MEMBER_MAX_FILL,
+	size_t limit = MIN(message->n_updates + RR_MEMBER_MAX_REPAIR,
 			   RR_MEMBER_MAX_UPDATES);
 
 	if (peer_digest == members->digest)
 		return;
 	if ((uint64_t)peer_count * SYNC_BELOW_DIVISOR <
 		    (uint64_t)message->members_count * SYNC_BELOW_FACTOR &&
-	    now_us >= members->next_sync_us) {
-		members->next_sync_us = now_us + SYNC_INTERVAL_US;
-		limit = RR_MEMBER_MAX_SYNC;
+	    now_us >= members->next_full_sync_us) {
+		members->next_full_sync_us = now_us + SYNC_INTERVAL_US;
+		limit = RR_MEMBER_MAX_FULL_SYNC;
 		message->updates =
 			g_renew(struct rr_member_update, message->updates,
 				message->n_updates + members->table->len);
@@ -188,7 +190,7 @@
 			    const char *address,
 			    struct rr_peer_message *message)
 {
-	rr_invariant(PROMISE, message->n_updates <= RR_MEMBER_MAX_SYNC);
+	rr_invariant(PROMISE, message->n_updates <= RR_MEMBER_MAX_FULL_SYNC);
 	rr_invariant(PROMISE, address != NULL);
 	members->options.send(members->options.data, instance, address,
 			      message);
--- a/source/core/member-hint.c
+++ b/source/core/member-hint.c
@@ -44,7 +44,7 @@
 	if (!g_strcmp0(instance, members->instance) ||
 	    !strcmp(address, members->address))
 		return;
-	member = instance ? rr_find_in_table(members, instance) : NULL;
+	member = instance ? rr_lookup_member(members, instance) : NULL;
 	if (member && member->state != RR_MEMBER_DEAD)
 		return;
 	if (members->hints->len >= RR_MEMBER_MAX_HINTS ||
@@ -53,8 +53,8 @@
 	hint = g_new0(struct hint, 1);
 	hint->instance = g_strdup(instance);
 	hint->address = g_strdup(address);
-	hint->next_us = now_us;
-	hint->delay_us = FIRST_DELAY_US;
+	hint->next_ping_us = now_us;
+	hint->backoff_us = FIRST_DELAY_US;
 	g_ptr_array_add(members->hints, hint);
 }
 
@@ -79,11 +79,11 @@
 {
 	struct rr_peer_message *message;
 
-	hint->next_us = now_us + hint->delay_us;
-	hint->delay_us = MIN(hint->delay_us * 2, MAX_DELAY_US);
+	hint->next_ping_us = now_us + hint->backoff_us;
+	hint->backoff_us = MIN(hint->backoff_us * 2, MAX_DELAY_US);
 	if (seed_is_known(members, hint))
 		return;
-	hint->tries++;
+	hint->pings_sent++;
 	message = rr_new_member_message(members, RR_PEER_PING, NULL);
 	message->sequence = members->next_sequence++;
 	message->target = g_strdup(hint->instance);
@@ -97,11 +97,11 @@
 	while (i < members->hints->len && limit) {
 		struct hint *hint = members->hints->pdata[i];
 
-		if (hint->instance && hint->tries >= MAX_TRIES) {
+		if (hint->instance && hint->pings_sent >= MAX_TRIES) {
 			g_ptr_array_remove_index_fast(members->hints, i);
 			continue;
 		}
-		if (hint->next_us <= now_us) {
+		if (hint->next_ping_us <= now_us) {
 			ping_hint(members, hint, now_us);
 			limit--;
 		}
@@ -109,7 +109,8 @@
 	}
 }
 
-void rr_settle_hints(struct rr_members *members, const struct member *member)
+void rr_remove_member_hints(struct rr_members *members,
+			    const struct member *member)
 {
 	guint i = 0;
 
@@ -133,7 +134,7 @@
 	for (guint i = 0; i < members->hints->len; i++) {
 		struct hint *hint = members->hints->pdata[i];
 
-		next_us = MIN(next_us, hint->next_us);
+		next_us = MIN(next_us, hint->next_ping_us);
 	}
 	return next_us;
 }
--- a/source/core/member-probe.c
+++ b/source/core/member-probe.c
@@ -16,10 +16,10 @@
 #define MAX_HELPED 64
 #define HELPED_PERIODS 2
 
-int64_t rr_member_period_us(const struct rr_members *members)
+int64_t rr_probe_period_us(const struct rr_members *members)
 {
-	return (int64_t)members->options.period_ms * 1000 *
-	       (1 + members->health);
+	return (int64_t)members->options.probe_period_ms * 1000 *
+	       (1 + members->local_slowness);
 }
 
 /* Put a member in the place of the lightest, if it is heavier. */
@@ -31,11 +31,11 @@
 		struct member *other = order->pdata[i];
 		struct member *least = order->pdata[lightest];
 
-		if (other->watch_weight < least->watch_weight)
+		if (other->probe_weight < least->probe_weight)
 			lightest = i;
 	}
-	if (((struct member *)order->pdata[lightest])->watch_weight <
-	    member->watch_weight)
+	if (((struct member *)order->pdata[lightest])->probe_weight <
+	    member->probe_weight)
 		order->pdata[lightest] = member;
 }
 
@@ -44,7 +44,7 @@
 			      struct rr_members *members, struct member *member)
 {
 	GPtrArray *order = members->probe_order;
-	guint rest = order->len - members->probe_at;
+	guint rest = order->len - members->probe_cursor;
 
 	if (g_ptr_array_find(order, member, NULL))
 		return;
@@ -54,7 +54,7 @@
 	}
 	g_ptr_array_insert(
 		order,
-		(gint)(members->probe_at + rr_random_below(ctx, rest + 1)),
+		(gint)(members->probe_cursor + rr_random_below(ctx, rest + 1)),
 		member);
 }
 
@@ -68,8 +68,8 @@
 	if (!g_ptr_array_find(members->probe_order, member, &at))
 		return;
 	g_ptr_array_remove_index(members->probe_order, at);
-	if (at < members->probe_at)
-		members->probe_at--;
+	if (at < members->probe_cursor)
+		members->probe_cursor--;
 }
 
 static gint heavier_first(gconstpointer a, gconstpointer b)
@@ -77,9 +77,9 @@
 	const struct member *const *first = a;
 	const struct member *const *second = b;
 
-	if ((*first)->watch_weight == (*second)->watch_weight)
+	if ((*first)->probe_weight == (*second)->probe_weight)
 		return 0;
-	return (*first)->watch_weight > (*second)->watch_weight ? -1 : 1;
+	return (*first)->probe_weight > (*second)->probe_weight ? -1 : 1;
 }
 
 static void shuffle(struct rr_context *ctx, GPtrArray *order)
@@ -105,7 +105,7 @@
 	GPtrArray *order = members->probe_order;
 
 	g_ptr_array_set_size(order, 0);
-	members->probe_at = 0;
+	members->probe_cursor = 0;
 	for (guint i = 0; i < members->table->len; i++) {
 		struct member *member = members->table->pdata[i];
 
@@ -123,10 +123,10 @@
 				  struct rr_members *members)
 {
 	for (int round = 0; round < 2; round++) {
-		while (members->probe_at < members->probe_order->len) {
+		while (members->probe_cursor < members->probe_order->len) {
 			struct member *member =
 				members->probe_order
-					->pdata[members->probe_at++];
+					->pdata[members->probe_cursor++];
 
 			if (member->state != RR_MEMBER_DEAD)
 				return member;
@@ -159,8 +159,8 @@
 		return;
 	if (!probe->answered)
 		rr_suspect_member(ctx, members, probe->target, now_us);
-	else if (members->health)
-		members->health--;
+	else if (members->local_slowness)
+		members->local_slowness--;
 	probe->target = NULL;
 }
 
@@ -173,8 +173,9 @@
 	if (!probe->target)
 		return;
 	probe->answered = false;
-	probe->indirect_us = now_us + (int64_t)members->options.ack_timeout_ms *
-					      1000 * (1 + members->health);
+	probe->ping_request_us =
+		now_us + (int64_t)members->options.ack_timeout_ms * 1000 *
+				 (1 + members->local_slowness);
 	probe->sequence = send_ping(members, probe->target);
 }
 
@@ -196,8 +197,8 @@
 			continue;
 		member->ping_soon = member->state == RR_MEMBER_SUSPECT;
 		if (member->state == RR_MEMBER_DEAD)
-			member->confirm_us =
-				now_us + rr_member_period_us(members);
+			member->rebroadcast_us =
+				now_us + rr_probe_period_us(members);
 		send_ping(members, member);
 		limit--;
 	}
@@ -215,7 +216,7 @@
 	for (guint i = 0; i < members->table->len; i++) {
 		struct member *member = members->table->pdata[i];
 
-		if (member->state != RR_MEMBER_DEAD || member->left)
+		if (member->state != RR_MEMBER_DEAD || member->left_gracefully)
 			continue;
 		if (!rr_random_below(ctx, ++seen))
 			chosen = member;
@@ -224,19 +225,19 @@
 		send_ping(members, chosen);
 }
 
-void rr_begin_member_period(struct rr_context *ctx, struct rr_members *members,
-			    int64_t now_us)
+void rr_start_probe_period(struct rr_context *ctx, struct rr_members *members,
+			   int64_t now_us)
 {
 	uint32_t extra;
 
 	members->periods++;
 	finish_probe(ctx, members, now_us);
-	rr_clear_helped_pings(members, now_us);
+	rr_expire_requested_pings(members, now_us);
 	begin_probe(ctx, members, now_us);
 	extra = ping_doubtful(members, now_us);
 	ping_dead(ctx, members);
 	rr_ping_hints(members, now_us, extra);
-	members->next_period_us = now_us + rr_member_period_us(members);
+	members->next_period_us = now_us + rr_probe_period_us(members);
 }
 
 static void send_ping_request(struct rr_members *members,
@@ -252,14 +253,14 @@
 }
 
 /* No ack in time: the way there may be at fault, so others try theirs. */
-void rr_ask_probe_helpers(struct rr_context *ctx, struct rr_members *members)
+void rr_send_ping_requests(struct rr_context *ctx, struct rr_members *members)
 {
 	GPtrArray *order = members->probe_order;
-	uint32_t wanted = members->options.indirect_pings;
+	uint32_t wanted = members->options.ping_request_fanout;
 	guint n = order->len;
 	guint start = n ? rr_random_below(ctx, n) : 0;
 
-	members->probe.indirect_us = INT64_MAX;
+	members->probe.ping_request_us = INT64_MAX;
 #ifdef RR_MUTANT_MEMBER_NO_HELPERS
 	return;
 #endif
@@ -284,50 +285,51 @@
 void rr_handle_ping(struct rr_members *members, int64_t now_us,
 		    const struct rr_peer_message *message)
 {
-	struct member *from = rr_find_in_table(members, message->from);
+	struct member *from = rr_lookup_member(members, message->from);
 	struct rr_peer_message *ack;
 
 	if (!from)
 		return;
 	ack = rr_new_member_message(members, RR_PEER_ACK, from);
-	rr_fill_member_message(members, ack, now_us, message->members_count,
-			       message->members_digest);
+	rr_append_repair_updates(members, ack, now_us, message->members_count,
+				 message->members_digest);
 	send_ack(members, from, ack, message->sequence);
 }
 
 void rr_handle_ping_request(struct rr_members *members, int64_t now_us,
 			    const struct rr_peer_message *message)
 {
-	struct member *target = rr_find_in_table(members, message->target);
-	struct helped_ping helped;
+	struct member *target = rr_lookup_member(members, message->target);
+	struct requested_ping helped;
 
-	if (!target || members->helped->len >= MAX_HELPED)
+	if (!target || members->requested_pings->len >= MAX_HELPED)
 		return;
 	helped.requester = g_strdup(message->from);
 	helped.requester_sequence = message->sequence;
 	helped.target = g_strdup(message->target);
 	helped.expires_us =
-		now_us + HELPED_PERIODS * rr_member_period_us(members);
+		now_us + HELPED_PERIODS * rr_probe_period_us(members);
 	helped.sequence = send_ping(members, target);
-	g_array_append_val(members->helped, helped);
+	g_array_append_val(members->requested_pings, helped);
 }
 
 static void clear_helped(struct rr_members *members, guint at)
 {
-	struct helped_ping *helped =
-		&g_array_index(members->helped, struct helped_ping, at);
+	struct requested_ping *helped = &g_array_index(
+		members->requested_pings, struct requested_ping, at);
 
 	g_free(helped->requester);
 	g_free(helped->target);
-	g_array_remove_index_fast(members->helped, at);
+	g_array_remove_index_fast(members->requested_pings, at);
 }
 
-void rr_clear_helped_pings(struct rr_members *members, int64_t now_us)
+void rr_expire_requested_pings(struct rr_members *members, int64_t now_us)
 {
 	guint i = 0;
 
-	while (i < members->helped->len) {
-		if (g_array_index(members->helped, struct helped_ping, i)
+	while (i < members->requested_pings->len) {
+		if (g_array_index(members->requested_pings,
+				  struct requested_ping, i)
 			    .expires_us <= now_us)
 			clear_helped(members, i);
 		else
@@ -337,10 +339,10 @@
 
 static void pass_on_ack(struct rr_members *members, guint at)
 {
-	struct helped_ping *helped =
-		&g_array_index(members->helped, struct helped_ping, at);
-	struct member *to = rr_find_in_table(members, helped->requester);
-	struct member *target = rr_find_in_table(members, helped->target);
+	struct requested_ping *helped = &g_array_index(
+		members->requested_pings, struct requested_ping, at);
+	struct member *to = rr_lookup_member(members, helped->requester);
+	struct member *target = rr_lookup_member(members, helped->target);
 
 	if (to) {
 		struct rr_peer_message *ack =
@@ -362,9 +364,9 @@
 	if (probe->target && probe->sequence == message->sequence &&
 	    !strcmp(probe->target->instance, proved))
 		probe->answered = true;
-	for (guint i = 0; i < members->helped->len; i++) {
-		struct helped_ping *helped =
-			&g_array_index(members->helped, struct helped_ping, i);
+	for (guint i = 0; i < members->requested_pings->len; i++) {
+		struct requested_ping *helped = &g_array_index(
+			members->requested_pings, struct requested_ping, i);
 
 		if (helped->sequence == message->sequence &&
 		    !strcmp(helped->target, proved)) {
--- a/source/core/member-table.c
+++ b/source/core/member-table.c
@@ -36,7 +36,7 @@
 void rr_init_member_table(struct rr_members *members)
 {
 	members->table = g_ptr_array_new_with_free_func(free_member);
-	g_queue_init(&members->news);
+	g_queue_init(&members->update_queue);
 }
 
 void rr_clear_member_table(struct rr_members *members)
@@ -62,7 +62,7 @@
 	return low;
 }
 
-struct member *rr_find_in_table(const struct rr_members *members,
+struct member *rr_lookup_member(const struct rr_members *members,
 				const char *instance)
 {
 	guint at = find_place(members, instance);
@@ -74,7 +74,7 @@
 	return strcmp(member->instance, instance) ? NULL : member;
 }
 
-uint64_t rr_member_hash(const char *instance, uint64_t incarnation)
+uint64_t rr_hash_member(const char *instance, uint64_t incarnation)
 {
 	return XXH3_64bits_withSeed(instance, strlen(instance), incarnation);
 }
@@ -88,11 +88,11 @@
 static void set_verdict(struct rr_members *members, struct member *member,
 			int64_t verdict_us)
 {
-	if (member->verdict_us != INT64_MAX)
-		members->n_verdicts--;
-	member->verdict_us = verdict_us;
+	if (member->suspicion_end_us != INT64_MAX)
+		members->n_suspicions--;
+	member->suspicion_end_us = verdict_us;
 	if (verdict_us != INT64_MAX)
-		members->n_verdicts++;
+		members->n_suspicions++;
 }
 
 /* Take the member out of the sums, or put it back, around a change. */
@@ -105,7 +105,7 @@
 		return;
 	members->n_usable += add ? 1 : (size_t)-1;
 	members->digest ^=
-		rr_member_hash(member->instance, member->incarnation);
+		rr_hash_member(member->instance, member->incarnation);
 }
 
 /*
@@ -116,7 +116,8 @@
 {
 	double scale = log10((double)members->n_usable + 1);
 
-	return (int64_t)(members->options.suspect_ms * 1000.0 * MAX(scale, 1));
+	return (int64_t)(members->options.suspicion_timeout_ms * 1000.0 *
+			 MAX(scale, 1));
 }
 
 static void log_state(struct rr_context *ctx, const struct member *member)
@@ -137,26 +138,26 @@
 
 	account(members, member, false);
 	if (member->state == RR_MEMBER_LEAVING)
-		member->left = true;
+		member->left_gracefully = true;
 	member->state = state;
 	account(members, member, true);
 	set_verdict(members, member, INT64_MAX);
-	member->confirm_us = INT64_MAX;
+	member->rebroadcast_us = INT64_MAX;
 	if (state == RR_MEMBER_SUSPECT)
 		set_verdict(members, member, now_us + suspicion_us(members));
 	if (state == RR_MEMBER_DEAD)
 		member->dead_us = now_us;
 	if (state == RR_MEMBER_ALIVE) {
-		member->left = false;
-		rr_settle_hints(members, member);
+		member->left_gracefully = false;
+		rr_remove_member_hints(members, member);
 	}
 	if (was_usable != is_usable(member)) {
 		members->usable_stale = true;
-		members->changed = true;
+		members->change_pending = true;
 	}
 	if (state != RR_MEMBER_DEAD)
 		rr_insert_in_probe_order(ctx, members, member);
-	rr_queue_member_news(members, member);
+	rr_queue_member_update(members, member);
 	log_state(ctx, member);
 }
 
@@ -168,7 +169,7 @@
 		rr_set_member_state(ctx, members, member, RR_MEMBER_SUSPECT,
 				    now_us);
 	else if (member->state == RR_MEMBER_LEAVING &&
-		 member->verdict_us == INT64_MAX)
+		 member->suspicion_end_us == INT64_MAX)
 		set_verdict(members, member, now_us + suspicion_us(members));
 }
 
@@ -178,7 +179,7 @@
 
 	rr_invariant(PROMISE, member->state == RR_MEMBER_DEAD);
 	account(members, member, false);
-	rr_unqueue_member_news(members, member);
+	rr_unqueue_member_update(members, member);
 	rr_remove_from_probe_order(members, member);
 	g_ptr_array_remove_index(members->table, at);
 }
@@ -223,17 +224,17 @@
 	member->incarnation = update->incarnation;
 	member->refutation = update->refutation;
 	member->state = RR_MEMBER_LEAVING; /* not counted as usable yet */
-	member->verdict_us = INT64_MAX;
-	member->news_link.data = member;
-	member->watch_weight =
+	member->suspicion_end_us = INT64_MAX;
+	member->update_link.data = member;
+	member->probe_weight =
 		rr_rendezvous_weight(members->instance, member->instance);
 	g_ptr_array_insert(members->table,
 			   (gint)find_place(members, member->instance), member);
 	rr_set_member_state(ctx, members, member, update->state, now_us);
-	member->left = false;
+	member->left_gracefully = false;
 	/* What a whole table taught is no news to others. */
-	if (members->in_sync)
-		rr_unqueue_member_news(members, member);
+	if (members->applying_full_sync)
+		rr_unqueue_member_update(members, member);
 }
 
 static bool overrides(const struct rr_member_update *update,
@@ -272,7 +273,7 @@
 #ifndef RR_MUTANT_MEMBER_NO_REFUTE
 	members->refutation = update->refutation + 1;
 #endif
-	members->health = MIN(members->health + 1, 8);
+	members->local_slowness = MIN(members->local_slowness + 1, 8);
 	rr_log(ctx, RR_LOG_DECISION, "member_refute",
 	       RR_FIELD_STRING("believed", state_names[update->state]),
 	       RR_FIELD_U64("refutation", members->refutation));
@@ -286,7 +287,7 @@
 	g_free(*text);
 	*text = g_strdup(with);
 	members->usable_stale = true;
-	members->changed = true;
+	members->change_pending = true;
 }
 
 void rr_apply_member_update(struct rr_context *ctx, struct rr_members *members,
@@ -299,7 +300,7 @@
 		handle_own_update(ctx, members, update);
 		return;
 	}
-	member = rr_find_in_table(members, update->instance);
+	member = rr_lookup_member(members, update->instance);
 	if (!member) {
 		add_member(ctx, members, now_us, update);
 		return;
@@ -321,7 +322,7 @@
 	account(members, member, false);
 	if (update->incarnation != member->incarnation) {
 		members->usable_stale = true;
-		members->changed = true;
+		members->change_pending = true;
 	}
 	member->incarnation = update->incarnation;
 	member->refutation = update->refutation;
@@ -338,7 +339,7 @@
 	return true;
 #endif
 	return now_us - member->dead_us >
-	       (int64_t)members->options.remember_dead_ms * 1000;
+	       (int64_t)members->options.dead_retention_ms * 1000;
 }
 
 void rr_expire_members(struct rr_context *ctx, struct rr_members *members,
@@ -346,12 +347,12 @@
 {
 	guint i = 0;
 
-	if (!members->n_verdicts && !members->n_dead)
+	if (!members->n_suspicions && !members->n_dead)
 		return;
 	while (i < members->table->len) {
 		struct member *member = members->table->pdata[i];
 
-		if (member->verdict_us <= now_us) {
+		if (member->suspicion_end_us <= now_us) {
 			rr_set_member_state(ctx, members, member,
 					    RR_MEMBER_DEAD, now_us);
 		} else if (member->state == RR_MEMBER_DEAD) {
@@ -359,25 +360,25 @@
 				forget_member(members, i);
 				continue;
 			}
-			if (member->confirm_us <= now_us) {
-				member->confirm_us = INT64_MAX;
-				rr_queue_member_news(members, member);
+			if (member->rebroadcast_us <= now_us) {
+				member->rebroadcast_us = INT64_MAX;
+				rr_queue_member_update(members, member);
 			}
 		}
 		i++;
 	}
 }
 
-int64_t rr_next_verdict_us(const struct rr_members *members)
+int64_t rr_next_suspicion_end_us(const struct rr_members *members)
 {
 	int64_t next_us = INT64_MAX;
 
-	if (!members->n_verdicts)
+	if (!members->n_suspicions)
 		return next_us;
 	for (guint i = 0; i < members->table->len; i++) {
 		struct member *member = members->table->pdata[i];
 
-		next_us = MIN(next_us, member->verdict_us);
+		next_us = MIN(next_us, member->suspicion_end_us);
 	}
 	return next_us;
 }
--- a/source/core/member.c
+++ b/source/core/member.c
@@ -34,11 +34,11 @@
 	struct rr_members_options *own = &members->options;
 
 	*own = *options;
-	set_default(&own->period_ms, DEFAULT_PERIOD_MS);
+	set_default(&own->probe_period_ms, DEFAULT_PERIOD_MS);
 	set_default(&own->ack_timeout_ms, DEFAULT_ACK_TIMEOUT_MS);
-	set_default(&own->suspect_ms, DEFAULT_SUSPECT_MS);
-	set_default(&own->indirect_pings, DEFAULT_INDIRECT_PINGS);
-	set_default(&own->remember_dead_ms, DEFAULT_REMEMBER_DEAD_MS);
+	set_default(&own->suspicion_timeout_ms, DEFAULT_SUSPECT_MS);
+	set_default(&own->ping_request_fanout, DEFAULT_INDIRECT_PINGS);
+	set_default(&own->dead_retention_ms, DEFAULT_REMEMBER_DEAD_MS);
 	members->instance = g_strdup(options->instance);
 	members->zone = g_strdup(options->zone);
 	members->address = g_strdup(options->address);
@@ -47,17 +47,18 @@
 	own->address = members->address;
 	rr_init_member_table(members);
 	members->probe_order = g_ptr_array_new();
-	members->helped = g_array_new(FALSE, FALSE, sizeof(struct helped_ping));
+	members->requested_pings =
+		g_array_new(FALSE, FALSE, sizeof(struct requested_ping));
 	members->hints = g_ptr_array_new_with_free_func(rr_free_hint);
 	members->usable =
 		g_array_new(FALSE, FALSE, sizeof(struct rr_member_ref));
 	members->usable_stale = true;
-	members->digest = rr_member_hash(members->instance, own->incarnation);
+	members->digest = rr_hash_member(members->instance, own->incarnation);
 	/* Sequences of an earlier process of this name are not ours. */
 	members->next_sequence = rr_random_u64(ctx) >> 1;
 	members->next_period_us =
-		now_us + rr_random_below(ctx, own->period_ms * 1000);
-	members->wake_us = INT64_MAX;
+		now_us + rr_random_below(ctx, own->probe_period_ms * 1000);
+	members->reported_wake_us = INT64_MAX;
 	rr_set_gauge(ctx, RR_G_MEMBERS, 1);
 	return members;
 }
@@ -66,8 +67,8 @@
 {
 	if (!members)
 		return;
-	rr_clear_helped_pings(members, INT64_MAX);
-	g_array_unref(members->helped);
+	rr_expire_requested_pings(members, INT64_MAX);
+	g_array_unref(members->requested_pings);
 	g_ptr_array_unref(members->probe_order);
 	g_ptr_array_unref(members->hints);
 	g_array_unref(members->usable);
@@ -83,8 +84,8 @@
 	int64_t wake_us = members->next_period_us;
 
 	if (members->probe.target && !members->probe.answered)
-		wake_us = MIN(wake_us, members->probe.indirect_us);
-	wake_us = MIN(wake_us, rr_next_verdict_us(members));
+		wake_us = MIN(wake_us, members->probe.ping_request_us);
+	wake_us = MIN(wake_us, rr_next_suspicion_end_us(members));
 	return MIN(wake_us, rr_next_hint_us(members));
 }
 
@@ -99,32 +100,32 @@
 {
 	int64_t late_us;
 
-	if (members->wake_us == INT64_MAX ||
-	    now_us - members->wake_us <= LATE_US)
+	if (members->reported_wake_us == INT64_MAX ||
+	    now_us - members->reported_wake_us <= LATE_US)
 		return;
-	late_us = now_us - members->wake_us;
+	late_us = now_us - members->reported_wake_us;
 #ifdef RR_MUTANT_MEMBER_NO_PAUSE
 	return;
 #endif
 	members->probe.target = NULL;
-	members->health = MIN(members->health + 1, MAX_HEALTH);
+	members->local_slowness = MIN(members->local_slowness + 1, MAX_HEALTH);
 	for (guint i = 0; i < members->table->len; i++) {
 		struct member *member = members->table->pdata[i];
 
-		if (member->verdict_us != INT64_MAX)
-			member->verdict_us += late_us;
+		if (member->suspicion_end_us != INT64_MAX)
+			member->suspicion_end_us += late_us;
 	}
 	members->next_period_us = now_us;
-	members->wake_us = now_us;
+	members->reported_wake_us = now_us;
 }
 
 /* The end of every event: tell changes, note when the next tick is due. */
 static void finish_event(struct rr_context *ctx, struct rr_members *members)
 {
-	members->wake_us = find_wake_us(members);
-	if (!members->changed)
+	members->reported_wake_us = find_wake_us(members);
+	if (!members->change_pending)
 		return;
-	members->changed = false;
+	members->change_pending = false;
 	rr_set_gauge(ctx, RR_G_MEMBERS,
 		     members->n_usable + (members->leaving ? 0 : 1));
 	if (members->options.changed)
@@ -134,11 +135,12 @@
 static void apply_updates(struct rr_context *ctx, struct rr_members *members,
 			  int64_t now_us, const struct rr_peer_message *message)
 {
-	members->in_sync = message->n_updates > RR_MEMBER_MAX_UPDATES;
+	members->applying_full_sync =
+		message->n_updates > RR_MEMBER_MAX_UPDATES;
 	for (size_t i = 0; i < message->n_updates; i++)
 		rr_apply_member_update(ctx, members, now_us,
 				       &message->updates[i]);
-	members->in_sync = false;
+	members->applying_full_sync = false;
 }
 
 /* A message of another kind shows that its sender lives. */
@@ -157,7 +159,7 @@
 			   int64_t now_us,
 			   const struct rr_peer_message *message)
 {
-	struct member *from = rr_find_in_table(members, message->from);
+	struct member *from = rr_lookup_member(members, message->from);
 
 	/* An earlier process of that name: what it says is out of date. */
 	if (from && message->from_incarnation < from->incarnation) {
@@ -197,13 +199,13 @@
 {
 	notice_pause(members, now_us);
 	if (members->probe.target && !members->probe.answered &&
-	    members->probe.indirect_us <= now_us)
-		rr_ask_probe_helpers(ctx, members);
+	    members->probe.ping_request_us <= now_us)
+		rr_send_ping_requests(ctx, members);
 	if (members->next_period_us <= now_us) {
-		rr_begin_member_period(ctx, members, now_us);
+		rr_start_probe_period(ctx, members, now_us);
 		rr_expire_members(ctx, members, now_us);
 	} else {
-		if (members->n_verdicts)
+		if (members->n_suspicions)
 			rr_expire_members(ctx, members, now_us);
 		if (!members->n_usable)
 			rr_ping_hints(members, now_us, UINT32_MAX);
@@ -237,17 +239,17 @@
 	}
 }
 
-void rr_leave_members(struct rr_context *ctx, struct rr_members *members,
-		      int64_t now_us)
+void rr_announce_leaving(struct rr_context *ctx, struct rr_members *members,
+			 int64_t now_us)
 {
 	if (members->leaving)
 		return;
 	notice_pause(members, now_us);
 	members->leaving = true;
 	members->digest ^=
-		rr_member_hash(members->instance, members->options.incarnation);
+		rr_hash_member(members->instance, members->options.incarnation);
 	members->usable_stale = true;
-	members->changed = true;
+	members->change_pending = true;
 	ping_for_leaving(ctx, members);
 	finish_event(ctx, members);
 }
@@ -304,7 +306,7 @@
 		*incarnation = members->options.incarnation;
 		return !members->leaving;
 	}
-	member = rr_find_in_table(members, instance);
+	member = rr_lookup_member(members, instance);
 	if (!member || (member->state != RR_MEMBER_ALIVE &&
 			member->state != RR_MEMBER_SUSPECT))
 		return false;
@@ -339,7 +341,7 @@
 	return list;
 }
 
-bool rr_members_leaving(const struct rr_members *members)
+bool rr_members_is_leaving(const struct rr_members *members)
 {
 	return members->leaving;
 }
--- a/source/core/members-view.c
+++ b/source/core/members-view.c
@@ -8,7 +8,7 @@
 #define SPARE_PEERS 64
 #define FORGET_PEER_US (600 * G_USEC_PER_SEC)
 
-void rr_clear_members(struct rr_core *core)
+void rr_clear_member_copies(struct rr_core *core)
 {
 	for (size_t i = 0; i < core->n_members; i++) {
 		g_free(core->member_copies[i].instance);
@@ -42,7 +42,7 @@
 	copy->address = g_strdup(address ? address : "");
 }
 
-void rr_refresh_members(struct rr_core *core)
+void rr_refresh_member_copies(struct rr_core *core)
 {
 	const struct rr_member_ref *members;
 	size_t n;
@@ -50,7 +50,7 @@
 	if (!core->members_changed)
 		return;
 	core->members_changed = false;
-	rr_clear_members(core);
+	rr_clear_member_copies(core);
 	members = rr_usable_members(core->members, &n);
 	core->member_copies = g_new0(struct rr_member_copy, MAX(1, n));
 	core->member_refs = g_new0(struct rr_member_ref, MAX(1, n));
@@ -62,7 +62,7 @@
 	core->members_generation++;
 }
 
-struct rr_peer *rr_find_peer(struct rr_core *core, const char *instance)
+struct rr_peer *rr_get_or_add_peer(struct rr_core *core, const char *instance)
 {
 	struct rr_peer *peer = g_hash_table_lookup(core->peers, instance);
 
@@ -82,8 +82,8 @@
 	g_free(peer);
 }
 
-struct rr_peer_message *rr_start_message(const struct rr_core *core,
-					 enum rr_peer_kind kind)
+struct rr_peer_message *rr_prepare_peer_message(const struct rr_core *core,
+						enum rr_peer_kind kind)
 {
 	struct rr_peer_message *message = rr_new_peer_message(kind);
 
@@ -93,9 +93,9 @@
 	return message;
 }
 
-void rr_send_message(struct rr_context *ctx, struct rr_core *core,
-		     const char *instance, const char *address,
-		     struct rr_peer_message *message)
+void rr_send_peer_message(struct rr_context *ctx, struct rr_core *core,
+			  const char *instance, const char *address,
+			  struct rr_peer_message *message)
 {
 	rr_count(ctx, RR_N_PEER_MESSAGES_SENT, 1);
 	core->actions.send_peer_message(core->actions.data, instance, address,
@@ -112,7 +112,7 @@
 	       core->now_us - peer->last_contact_us > FORGET_PEER_US;
 }
 
-void rr_forget_peers(struct rr_core *core)
+void rr_expire_peers(struct rr_core *core)
 {
 	if (g_hash_table_size(core->peers) > 2 * core->n_members + SPARE_PEERS)
 		g_hash_table_foreach_remove(core->peers, is_long_gone, core);
--- a/source/core/query-private.h
+++ b/source/core/query-private.h
@@ -277,44 +277,45 @@
 /* Whether an owner of the replica can be sent a relay for the query. */
 bool rr_is_replica_reachable(struct rr_core *core, const struct rr_query *query,
 			     struct rr_replica *replica);
-void rr_route_to_owner(struct rr_context *ctx, struct rr_core *core,
-		       struct rr_query *query, uint32_t task,
-		       size_t replica_index);
+void rr_add_task_to_relay(struct rr_context *ctx, struct rr_core *core,
+			  struct rr_query *query, uint32_t task,
+			  size_t replica_index);
 void rr_flush_relays(struct rr_context *ctx, struct rr_core *core,
 		     struct rr_query *query);
 /* Why a shard lacks whose relay had no reply by the deadline. */
 enum rr_missing_reason
-rr_silent_relay_reason(const struct rr_core *core,
-		       const struct rr_outgoing_relay *run);
+rr_unanswered_relay_reason(const struct rr_core *core,
+			   const struct rr_outgoing_relay *run);
 /* Send the query's shards to this owner no more. */
-void rr_avoid_owner(struct rr_query *query, const char *instance);
+void rr_exclude_owner(struct rr_query *query, const char *instance);
 /* A reply was taken: the relay ends once it has told of every shard. */
-void rr_finish_relay(struct rr_core *core, struct rr_outgoing_relay *run);
-void rr_lose_relay(struct rr_context *ctx, struct rr_core *core, uint64_t id,
+void rr_end_relay_if_complete(struct rr_core *core,
+			      struct rr_outgoing_relay *run);
+void rr_fail_relay(struct rr_context *ctx, struct rr_core *core, uint64_t id,
 		   const char *why);
 /* Lost, unless its owner was heard since. */
-void rr_time_out_relay(struct rr_context *ctx, struct rr_core *core,
-		       uint64_t id);
+void rr_handle_relay_timeout(struct rr_context *ctx, struct rr_core *core,
+			     uint64_t id);
 /* Relays to members that are gone fail at once. */
-void rr_lose_relays_of_gone(struct rr_context *ctx, struct rr_core *core);
+void rr_fail_relays_to_dead(struct rr_context *ctx, struct rr_core *core);
 void rr_cancel_relays(struct rr_context *ctx, struct rr_core *core,
 		      struct rr_query *query);
 
 /* relay-reply.c */
-void rr_take_relay_reply(struct rr_context *ctx, struct rr_core *core,
-			 const struct rr_peer_message *message);
+void rr_handle_relay_reply(struct rr_context *ctx, struct rr_core *core,
+			   const struct rr_peer_message *message);
 
 /* relay-serve.c: at the owner */
-void rr_forget_origin(struct rr_core *core, const struct rr_query *query);
-void rr_take_relay(struct rr_context *ctx, struct rr_core *core,
-		   const struct rr_peer_message *message);
-void rr_take_relay_cancel(struct rr_context *ctx, struct rr_core *core,
-			  const struct rr_peer_message *message);
+void rr_remove_relay_origin(struct rr_core *core, const struct rr_query *query);
+void rr_handle_relay(struct rr_context *ctx, struct rr_core *core,
+		     const struct rr_peer_message *message);
+void rr_handle_relay_cancel(struct rr_context *ctx, struct rr_core *core,
+			    const struct rr_peer_message *message);
 /* Part of the shards are slow: tell the peer what is covered so far. */
-void rr_tell_progress(struct rr_context *ctx, struct rr_core *core,
-		      struct rr_query *query);
-void rr_answer_relay(struct rr_context *ctx, struct rr_core *core,
-		     struct rr_query *query);
+void rr_send_relay_progress(struct rr_context *ctx, struct rr_core *core,
+			    struct rr_query *query);
+void rr_send_relay_reply(struct rr_context *ctx, struct rr_core *core,
+			 struct rr_query *query);
 
 /* answer.c */
 /* Fill in what every answer tells and hand it out, exactly once. */
--- a/source/core/query.c
+++ b/source/core/query.c
@@ -230,7 +230,7 @@
 	if (query->kind != RR_RESERVE)
 		cover_by_union(core, query);
 	if (query->origin)
-		rr_answer_relay(ctx, core, query);
+		rr_send_relay_reply(ctx, core, query);
 	else if (query->at_most_once)
 		rr_finish_at_most_once(ctx, core, query);
 	else if (query->kind == RR_LIST)
@@ -288,7 +288,7 @@
 	if (reason != RR_MISSING_DEADLINE)
 		return reason;
 	if (task->relay)
-		return rr_silent_relay_reason(core, task->relay);
+		return rr_unanswered_relay_reason(core, task->relay);
 	if (task->status == RR_TASK_BACKOFF && task->reason != RR_MISSING_NONE)
 		return task->reason;
 	return reason;
@@ -350,7 +350,7 @@
 	rr_cancel_relays(ctx, core, query);
 	query->stage = RR_QUERY_DONE;
 	if (query->origin)
-		rr_forget_origin(core, query);
+		rr_remove_relay_origin(core, query);
 	query->service->n_open--;
 	if (query->priority == RR_BATCH)
 		query->service->n_open_batch--;
--- a/source/core/relay-reply.c
+++ b/source/core/relay-reply.c
@@ -178,7 +178,7 @@
 			continue;
 		if (outcome->not_run &&
 		    outcome->reason == RR_MISSING_NO_REPLICA)
-			rr_avoid_owner(query, run->instance);
+			rr_exclude_owner(query, run->instance);
 		take_outcome(ctx, core, query, run->zone, task, outcome, good);
 	}
 }
@@ -209,8 +209,8 @@
 	return run;
 }
 
-void rr_take_relay_reply(struct rr_context *ctx, struct rr_core *core,
-			 const struct rr_peer_message *message)
+void rr_handle_relay_reply(struct rr_context *ctx, struct rr_core *core,
+			   const struct rr_peer_message *message)
 {
 	const struct rr_relay_reply *reply = message->relay_reply;
 	struct rr_outgoing_relay *run =
@@ -233,6 +233,6 @@
 	if (!good)
 		rr_count(ctx, RR_N_BAD_REPLIES, 1);
 	take_outcomes(ctx, core, query, run, reply, good);
-	rr_finish_relay(core, run);
+	rr_end_relay_if_complete(core, run);
 	rr_schedule_query(core, query);
 }
--- a/source/core/relay-serve.c
+++ b/source/core/relay-serve.c
@@ -38,7 +38,7 @@
 	}
 }
 
-void rr_drop_served(struct rr_core *core)
+void rr_free_served_relays(struct rr_core *core)
 {
 	struct served_relay *entry;
 
@@ -93,7 +93,7 @@
 					   size_t n_outcomes)
 {
 	struct rr_peer_message *message =
-		rr_start_message(core, RR_PEER_RELAY_REPLY);
+		rr_prepare_peer_message(core, RR_PEER_RELAY_REPLY);
 
 	message->to_incarnation = incarnation;
 	message->relay_reply = g_new0(struct rr_relay_reply, 1);
@@ -128,7 +128,7 @@
 	       RR_FIELD_STRING("request", relay->request_id),
 	       RR_FIELD_STRING("peer", message->from),
 	       RR_FIELD_STRING("reason", why));
-	rr_send_message(ctx, core, message->from, address, reply);
+	rr_send_peer_message(ctx, core, message->from, address, reply);
 }
 
 /* Only these of the relay's shards are run: the ones known here. */
@@ -156,7 +156,7 @@
 		task->requested_replica = RR_NO_REPLICA;
 		for (size_t j = 0; j < map->n_replicas; j++) {
 			if (!g_strcmp0(map->replicas[j]->id,
-				       relay->shards[i].replica))
+				       relay->shards[i].preferred_replica))
 				task->requested_replica = j;
 		}
 	}
@@ -231,8 +231,8 @@
 	return NULL;
 }
 
-void rr_take_relay(struct rr_context *ctx, struct rr_core *core,
-		   const struct rr_peer_message *message)
+void rr_handle_relay(struct rr_context *ctx, struct rr_core *core,
+		     const struct rr_peer_message *message)
 {
 	const struct rr_relay *relay = message->relay;
 	const char *address;
@@ -267,8 +267,8 @@
 	run_relay(ctx, core, message, address, service);
 }
 
-void rr_take_relay_cancel(struct rr_context *ctx, struct rr_core *core,
-			  const struct rr_peer_message *message)
+void rr_handle_relay_cancel(struct rr_context *ctx, struct rr_core *core,
+			    const struct rr_peer_message *message)
 {
 	char *name = relay_name(message, message->cancel_query_id);
 	uint64_t *id = g_hash_table_lookup(core->relay_origins, name);
@@ -283,7 +283,7 @@
 		rr_end_query(ctx, core, query);
 }
 
-void rr_forget_origin(struct rr_core *core, const struct rr_query *query)
+void rr_remove_relay_origin(struct rr_core *core, const struct rr_query *query)
 {
 	struct rr_peer_message sender = {
 		.from = query->origin,
@@ -436,8 +436,8 @@
  * against one straggler holding back all the rest, and against the peer
  * taking a busy owner for a dead one and sending all of it elsewhere.
  */
-void rr_tell_progress(struct rr_context *ctx, struct rr_core *core,
-		      struct rr_query *query)
+void rr_send_relay_progress(struct rr_context *ctx, struct rr_core *core,
+			    struct rr_query *query)
 {
 	struct rr_peer_message *message;
 
@@ -450,12 +450,12 @@
 		message = make_reply(core, query, false);
 		rr_clear_row_blocks(query);
 	}
-	rr_send_message(ctx, core, query->origin, query->origin_address,
-			message);
+	rr_send_peer_message(ctx, core, query->origin, query->origin_address,
+			     message);
 }
 
-void rr_answer_relay(struct rr_context *ctx, struct rr_core *core,
-		     struct rr_query *query)
+void rr_send_relay_reply(struct rr_context *ctx, struct rr_core *core,
+			 struct rr_query *query)
 {
 	struct rr_peer_message *message = make_reply(core, query, true);
 
@@ -467,7 +467,7 @@
 	       RR_FIELD_U64("shards", query->n_tasks),
 	       RR_FIELD_U64("attempts", query->attempts));
 	query->answered = true;
-	rr_send_message(ctx, core, query->origin, query->origin_address,
-			message);
+	rr_send_peer_message(ctx, core, query->origin, query->origin_address,
+			     message);
 	rr_end_query(ctx, core, query);
 }
--- a/source/core/relay.c
+++ b/source/core/relay.c
@@ -55,7 +55,7 @@
 		if (!strcmp(instance, core->instance) ||
 		    is_bad_owner(query, instance))
 			continue;
-		peer = rr_find_peer(core, instance);
+		peer = rr_get_or_add_peer(core, instance);
 		if (core->now_us < peer->backoff_until_us)
 			continue;
 		if (find_batch(query, instance))
@@ -95,9 +95,9 @@
 	return run;
 }
 
-void rr_route_to_owner(struct rr_context *ctx, struct rr_core *core,
-		       struct rr_query *query, uint32_t task,
-		       size_t replica_index)
+void rr_add_task_to_relay(struct rr_context *ctx, struct rr_core *core,
+			  struct rr_query *query, uint32_t task,
+			  size_t replica_index)
 {
 	struct rr_task *entry = &query->tasks[task];
 	struct rr_replica *replica =
@@ -128,7 +128,7 @@
 		&query->map->shards[query->tasks[task].shard];
 
 	shard->shard = g_strdup(map->config->name);
-	shard->replica = g_strdup(map->replicas[index]->id);
+	shard->preferred_replica = g_strdup(map->replicas[index]->id);
 	shard->oldest_version = map->replicas[index]->oldest_version;
 	shard->newest_version = map->replicas[index]->newest_version;
 }
@@ -182,7 +182,7 @@
 			     struct rr_outgoing_relay *run)
 {
 	rr_count(ctx, RR_N_RELAYS_SENT, 1);
-	rr_find_peer(core, run->instance)->relays_in_flight++;
+	rr_get_or_add_peer(core, run->instance)->relays_in_flight++;
 	/* A message handed over counts as sent, never as "not run". */
 	for (guint i = 0; i < run->tasks->len; i++) {
 		uint32_t task = g_array_index(run->tasks, uint32_t, i);
@@ -211,7 +211,8 @@
 static void send_relay(struct rr_context *ctx, struct rr_core *core,
 		       struct rr_query *query, struct rr_outgoing_relay *run)
 {
-	struct rr_peer_message *message = rr_start_message(core, RR_PEER_RELAY);
+	struct rr_peer_message *message =
+		rr_prepare_peer_message(core, RR_PEER_RELAY);
 
 	run->row_limit = rows_needed(query);
 	run->version = query->pin_version;
@@ -223,7 +224,7 @@
 	if (!query->at_most_once)
 		set_relay_timer(core, run);
 	count_relay_sent(ctx, core, query, run);
-	rr_send_message(ctx, core, run->instance, run->address, message);
+	rr_send_peer_message(ctx, core, run->instance, run->address, message);
 }
 
 void rr_flush_relays(struct rr_context *ctx, struct rr_core *core,
@@ -248,7 +249,7 @@
 		if (query->tasks[task].relay == run)
 			query->tasks[task].relay = NULL;
 	}
-	rr_find_peer(core, run->instance)->relays_in_flight--;
+	rr_get_or_add_peer(core, run->instance)->relays_in_flight--;
 	g_hash_table_remove(core->relays, &run->id);
 	g_ptr_array_remove(query->relays, run);
 }
@@ -263,7 +264,7 @@
 static void note_silence(struct rr_core *core,
 			 const struct rr_outgoing_relay *run)
 {
-	struct rr_peer *peer = rr_find_peer(core, run->instance);
+	struct rr_peer *peer = rr_get_or_add_peer(core, run->instance);
 
 	if (peer->last_contact_us > run->sent_us)
 		return;
@@ -279,7 +280,7 @@
 					       RR_MISSING_LOST;
 }
 
-void rr_lose_relay(struct rr_context *ctx, struct rr_core *core, uint64_t id,
+void rr_fail_relay(struct rr_context *ctx, struct rr_core *core, uint64_t id,
 		   const char *why)
 {
 	struct rr_outgoing_relay *run = g_hash_table_lookup(core->relays, &id);
@@ -318,17 +319,18 @@
  * alive and has the shards in hand; to send them to another one too would
  * only add load.
  */
-void rr_time_out_relay(struct rr_context *ctx, struct rr_core *core,
-		       uint64_t id)
+void rr_handle_relay_timeout(struct rr_context *ctx, struct rr_core *core,
+			     uint64_t id)
 {
 	struct rr_outgoing_relay *run = g_hash_table_lookup(core->relays, &id);
 
 	if (!run)
 		return;
-	if (rr_find_peer(core, run->instance)->last_contact_us > run->sent_us)
+	if (rr_get_or_add_peer(core, run->instance)->last_contact_us >
+	    run->sent_us)
 		set_relay_timer(core, run);
 	else
-		rr_lose_relay(ctx, core, id, "timeout");
+		rr_fail_relay(ctx, core, id, "timeout");
 }
 
 static int compare_ids(const void *a, const void *b)
@@ -355,7 +357,7 @@
 	return true;
 }
 
-void rr_lose_relays_of_gone(struct rr_context *ctx, struct rr_core *core)
+void rr_fail_relays_to_dead(struct rr_context *ctx, struct rr_core *core)
 {
 	size_t n_members;
 	struct rr_member_update *members =
@@ -376,7 +378,7 @@
 	if (gone->len)
 		qsort(gone->data, gone->len, sizeof(uint64_t), compare_ids);
 	for (guint i = 0; i < gone->len; i++)
-		rr_lose_relay(ctx, core, g_array_index(gone, uint64_t, i),
+		rr_fail_relay(ctx, core, g_array_index(gone, uint64_t, i),
 			      "peer-gone");
 	g_array_unref(gone);
 }
@@ -389,25 +391,26 @@
 		struct rr_outgoing_relay *run =
 			g_ptr_array_index(query->relays, 0);
 		struct rr_peer_message *message =
-			rr_start_message(core, RR_PEER_RELAY_CANCEL);
+			rr_prepare_peer_message(core, RR_PEER_RELAY_CANCEL);
 
 		message->to_incarnation = run->incarnation;
 		message->cancel_query_id = run->id;
 		if (core->now_us >= query->deadline_us)
 			note_silence(core, run);
-		rr_send_message(ctx, core, run->instance, run->address,
-				message);
+		rr_send_peer_message(ctx, core, run->instance, run->address,
+				     message);
 		end_relay(core, run);
 	}
 }
 
-void rr_avoid_owner(struct rr_query *query, const char *instance)
+void rr_exclude_owner(struct rr_query *query, const char *instance)
 {
 	if (!is_bad_owner(query, instance))
 		g_ptr_array_add(query->excluded_owners, g_strdup(instance));
 }
 
-void rr_finish_relay(struct rr_core *core, struct rr_outgoing_relay *run)
+void rr_end_relay_if_complete(struct rr_core *core,
+			      struct rr_outgoing_relay *run)
 {
 	for (guint i = 0; i < run->tasks->len; i++) {
 		if (awaits(run->query, run,
@@ -422,8 +425,8 @@
  * by our deadline, and was not heard since, is out of reach.
  */
 enum rr_missing_reason
-rr_silent_relay_reason(const struct rr_core *core,
-		       const struct rr_outgoing_relay *run)
+rr_unanswered_relay_reason(const struct rr_core *core,
+			   const struct rr_outgoing_relay *run)
 {
 	const struct rr_peer *peer =
 		g_hash_table_lookup(core->peers, run->instance);
--- a/source/core/reserve.c
+++ b/source/core/reserve.c
@@ -61,7 +61,7 @@
 		    struct rr_query *query, int64_t wall_us)
 {
 	query->stage = RR_QUERY_CLAIMING;
-	query->claim_id = rr_claim_id(
+	query->claim_id = rr_claim_request_id(
 		ctx, core->ledger, core->now_us, wall_us, query->service->name,
 		query->idempotency_key, fingerprint(query));
 	g_hash_table_insert(
@@ -155,11 +155,11 @@
 		      const struct rr_claim_result *result)
 {
 	static const char *const names[] = {
-		[RR_CLAIM_OURS] = "ours",
+		[RR_CLAIM_ACQUIRED] = "ours",
 		[RR_CLAIM_DONE] = "done",
 		[RR_CLAIM_HELD] = "held",
-		[RR_CLAIM_REFUSED] = "refused",
-		[RR_CLAIM_UNSETTLED] = "unsettled",
+		[RR_CLAIM_REJECTED] = "refused",
+		[RR_CLAIM_UNRESOLVED] = "unsettled",
 	};
 
 	rr_log(ctx, RR_LOG_DECISION, "claim",
@@ -174,16 +174,16 @@
 	struct rr_core *core = data;
 	struct rr_context *ctx = core->ctx;
 	struct rr_query *query =
-		g_hash_table_lookup(core->claims, &result->claim);
+		g_hash_table_lookup(core->claims, &result->claim_id);
 
 	if (!query)
 		return;
-	g_hash_table_remove(core->claims, &result->claim);
+	g_hash_table_remove(core->claims, &result->claim_id);
 	log_claim(ctx, query, result);
 	query->retry_after_ms =
 		MAX(query->retry_after_ms, result->retry_after_ms);
 	switch (result->status) {
-	case RR_CLAIM_OURS:
+	case RR_CLAIM_ACQUIRED:
 		run_claimed(ctx, core, query);
 		return;
 	case RR_CLAIM_DONE:
@@ -193,12 +193,12 @@
 		answer_unclaimed(ctx, core, query, RR_UNKNOWN,
 				 "claimed-before");
 		return;
-	case RR_CLAIM_REFUSED:
+	case RR_CLAIM_REJECTED:
 		answer_unclaimed(ctx, core, query,
 				 refused_outcome(result->reason),
 				 result->reason);
 		return;
-	case RR_CLAIM_UNSETTLED:
+	case RR_CLAIM_UNRESOLVED:
 		/*
 		 * Nothing was sent for this request, but an earlier one of
 		 * the same id may have run: "not run" would be too much.
@@ -244,8 +244,8 @@
 		query->result = format_rows(query);
 	}
 	query->claim_acquired = false;
-	rr_record_claim(ctx, core->ledger, core->now_us, query->claim_id,
-			query->result, strlen(query->result));
+	rr_record_claim_result(ctx, core->ledger, core->now_us, query->claim_id,
+			       query->result, strlen(query->result));
 }
 
 static void answer_done(struct rr_context *ctx, struct rr_core *core,
--- a/source/core/task.c
+++ b/source/core/task.c
@@ -192,7 +192,7 @@
 	if (replica->owned || query->origin)
 		rr_queue_attempt(ctx, core, query, index, chosen, false);
 	else
-		rr_route_to_owner(ctx, core, query, index, chosen);
+		rr_add_task_to_relay(ctx, core, query, index, chosen);
 }
 
 /* Whether a failure costs a retry token: a replica that is leaving or behind
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -39,9 +39,9 @@
 		*reason = "store-not-read";
 		serves = false;
 	}
-	if (gateway->lifecycle.stop_us)
+	if (gateway->lifecycle.stop_requested_us)
 		*reason = "stopping";
-	return rr_takes_callers(&gateway->lifecycle, serves);
+	return rr_lifecycle_is_ready(&gateway->lifecycle, serves);
 }
 
 /* The others of the zone may have too little work to notice a cut. */
@@ -84,18 +84,18 @@
 static void check_stop(struct rr_gateway *gateway)
 {
 	size_t callers = rr_count_callers(gateway->callers);
-	enum rr_stop_step step;
+	enum rr_stop_phase step;
 
-	if (!gateway->lifecycle.stop_us ||
+	if (!gateway->lifecycle.stop_requested_us ||
 	    rr_gateway_now_us() < gateway->stop_check_us)
 		return;
 	gateway->stop_check_us = rr_gateway_now_us() + STOP_CHECK_US;
-	step = rr_next_stop_step(&gateway->lifecycle, rr_gateway_now_us(),
-				 rr_gate_count_requests(gateway->gate),
-				 callers);
-	if (step == RR_STOP_REFUSE)
+	step = rr_find_stop_phase(&gateway->lifecycle, rr_gateway_now_us(),
+				  rr_gate_count_requests(gateway->gate),
+				  callers);
+	if (step == RR_STOP_REJECT_NEW)
 		refuse_all(gateway);
-	if (step == RR_STOP_CLOSE_IDLE || step == RR_STOP_REFUSE)
+	if (step == RR_STOP_CLOSE_IDLE || step == RR_STOP_REJECT_NEW)
 		close_idle(gateway);
 	if (step == RR_STOP_EXIT)
 		g_main_loop_quit(gateway->loop);
@@ -140,7 +140,7 @@
 	due_us = MIN(due_us, rr_replica_port_wake_us(gateway->replicas));
 	due_us = MIN(due_us, rr_replica_port_wake_us(gateway->store));
 	due_us = MIN(due_us, rr_replica_port_wake_us(gateway->strong));
-	if (gateway->lifecycle.stop_us)
+	if (gateway->lifecycle.stop_requested_us)
 		due_us = MIN(due_us, gateway->stop_check_us);
 	if (rr_log_waits() && !gateway->flush_us)
 		gateway->flush_us = rr_gateway_now_us() + FLUSH_US;
@@ -230,7 +230,7 @@
 	rr_log(gateway->ctx, RR_LOG_INFO, "stopping",
 	       RR_FIELD_U64("requests", rr_gate_count_requests(gateway->gate)),
 	       RR_FIELD_U64("callers", rr_count_callers(gateway->callers)));
-	rr_ask_stop(&gateway->lifecycle, rr_gateway_now_us());
+	rr_request_stop(&gateway->lifecycle, rr_gateway_now_us());
 	gateway->stop_check_us = rr_gateway_now_us() + STOP_CHECK_US;
 	rr_close_front_port(gateway->callers);
 	if (gateway->peers)
--- a/source/wire/wire-peer-encode.c
+++ b/source/wire/wire-peer-encode.c
@@ -56,7 +56,7 @@
 
 		ragwort__relay_shard__init(shard);
 		shard->shard = from->shards[i].shard;
-		shard->replica = from->shards[i].replica;
+		shard->replica = from->shards[i].preferred_replica;
 		shard->oldest_version = from->shards[i].oldest_version;
 		shard->newest_version = from->shards[i].newest_version;
 		e->shard_list[i] = shard;
--- a/source/wire/wire-peer.c
+++ b/source/wire/wire-peer.c
@@ -126,7 +126,8 @@
 			return fail(error, "relay's versions are reversed");
 		relay->shards[i].shard = g_strdup(shard->shard);
 		if (*shard->replica)
-			relay->shards[i].replica = g_strdup(shard->replica);
+			relay->shards[i].preferred_replica =
+				g_strdup(shard->replica);
 		relay->shards[i].oldest_version = shard->oldest_version;
 		relay->shards[i].newest_version = shard->newest_version;
 	}
--- a/tests/random/peer.c
+++ b/tests/random/peer.c
@@ -357,7 +357,7 @@
 			       &world->replicas[(first + i) * N_REPLICAS],
 			       service, id, address);
 		relay->shards[i].shard = g_strdup_printf("shard-%d", first + i);
-		relay->shards[i].replica = g_strdup(id);
+		relay->shards[i].preferred_replica = g_strdup(id);
 	}
 	if (kind == RR_RESERVE) {
 		relay->key_from = (uint64_t)first * KEYS_PER_SHARD;
--- a/tests/support/member-net.c
+++ b/tests/support/member-net.c
@@ -55,7 +55,7 @@
 		rr_drop_members(node->members);
 		g_free(node->instance);
 		g_free(node->address);
-		g_hash_table_unref(node->reached);
+		g_hash_table_unref(node->contacted_nodes);
 		g_free(node);
 	}
 	drop_event_queue(net->events, free_event);
@@ -77,7 +77,7 @@
 	node->address = g_strdup_printf("10.%u.%u.%u:8201", zone,
 					node->index / 256, node->index % 256);
 	node->scheduled_us = INT64_MAX;
-	node->reached = g_hash_table_new(NULL, NULL);
+	node->contacted_nodes = g_hash_table_new(NULL, NULL);
 	g_ptr_array_add(net->nodes, node);
 	return node;
 }
@@ -101,7 +101,7 @@
 
 static bool is_cut(const struct member_net *net, const struct net_node *node)
 {
-	return node->index < 32 && (net->cut_nodes >> node->index & 1);
+	return node->index < 32 && (net->isolated_nodes >> node->index & 1);
 }
 
 static bool reaches(const struct member_net *net, const struct net_node *from,
@@ -109,12 +109,13 @@
 {
 	if (is_cut(net, from) || is_cut(net, to))
 		return false;
-	if (net->deaf_to && from == net->deaf_from && to == net->deaf_to)
+	if (net->blocked_to && from == net->blocked_from &&
+	    to == net->blocked_to)
 		return false;
 	if (from->zone == to->zone)
 		return true;
-	return !(net->cut_zones >> from->zone & 1) &&
-	       !(net->cut_zones >> to->zone & 1);
+	return !(net->isolated_zones >> from->zone & 1) &&
+	       !(net->isolated_zones >> to->zone & 1);
 }
 
 static void send_copy(struct member_net *net, const struct net_node *from,
@@ -128,7 +129,7 @@
 		.from = from->index,
 	};
 
-	if (g_rand_double(net->random) < net->loss)
+	if (g_rand_double(net->random) < net->loss_rate)
 		return;
 	event.bytes = g_bytes_ref(bytes);
 	add_event(net, &event);
@@ -148,7 +149,7 @@
 	net->bytes += g_bytes_get_size(bytes);
 	from->bytes += g_bytes_get_size(bytes);
 	if (to)
-		g_hash_table_add(from->reached, to);
+		g_hash_table_add(from->contacted_nodes, to);
 	if (message->kind == RR_PEER_ACK && message->n_updates > 24)
 		net->max_sync_updates =
 			MAX(net->max_sync_updates, message->n_updates);
@@ -156,7 +157,7 @@
 		net->max_updates = MAX(net->max_updates, message->n_updates);
 	if (to && reaches(net, from, to)) {
 		send_copy(net, from, to, bytes);
-		if (g_rand_double(net->random) < net->duplicates)
+		if (g_rand_double(net->random) < net->duplicate_rate)
 			send_copy(net, from, to, bytes);
 	}
 	g_bytes_unref(bytes);
@@ -313,7 +314,7 @@
 	return n == expected;
 }
 
-bool net_agrees(const struct member_net *net)
+bool net_has_converged(const struct member_net *net)
 {
 	for (guint i = 0; i < net->nodes->len; i++) {
 		const struct net_node *node = node_at(net, i);
@@ -324,13 +325,13 @@
 	return true;
 }
 
-int64_t run_until_agreed(struct member_net *net, int64_t limit_us)
+int64_t run_until_converged(struct member_net *net, int64_t limit_us)
 {
 	int64_t start_us = net->now_us;
 
 	for (;;) {
 		clock_t before_check = clock();
-		bool agreed = net_agrees(net);
+		bool agreed = net_has_converged(net);
 
 		net->check_cpu += clock() - before_check;
 		if (agreed)
@@ -341,7 +342,8 @@
 	}
 }
 
-guint count_believers(const struct member_net *net, const struct net_node *node)
+guint count_nodes_seeing(const struct member_net *net,
+			 const struct net_node *node)
 {
 	guint n = 0;
 
--- a/tests/support/member-net.h
+++ b/tests/support/member-net.h
@@ -29,7 +29,8 @@
 	size_t min_usable;    /* fewest it ever told, this instance included */
 	uint64_t messages;    /* sent */
 	uint64_t bytes;
-	GHashTable *reached; /* addresses sent to; cleared by whoever counts */
+	GHashTable *
+		contacted_nodes; /* addresses sent to; cleared by whoever counts */
 };
 
 struct member_net {
@@ -38,21 +39,21 @@
 	int64_t now_us;
 	GPtrArray *nodes; /* struct net_node */
 	struct event_queue *events;
-	double loss;
-	double duplicates;
+	double loss_rate;
+	double duplicate_rate;
 	int64_t min_delay_us;
 	int64_t max_delay_us;
-	uint32_t cut_zones; /* a bit each: reach only themselves */
-	uint32_t cut_nodes; /* a bit each of the first 32: reach nobody */
+	uint32_t isolated_zones; /* a bit each: reach only themselves */
+	uint32_t isolated_nodes; /* a bit each of the first 32: reach nobody */
 	/* Nothing gets from the one to the other; the way back works. */
-	const struct net_node *deaf_from;
-	const struct net_node *deaf_to;
+	const struct net_node *blocked_from;
+	const struct net_node *blocked_to;
 	uint64_t messages;
 	uint64_t bytes;
 	size_t max_updates; /* of one message, acks to newcomers excepted */
 	size_t max_sync_updates;
 	uint64_t changes;  /* calls of the changed callback */
-	clock_t check_cpu; /* spent in net_agrees() */
+	clock_t check_cpu; /* spent in net_has_converged() */
 };
 
 struct member_net *new_member_net(uint32_t seed);
@@ -68,12 +69,12 @@
 void run_net(struct member_net *net, int64_t for_us);
 
 /* Whether every running node that isn't leaving names exactly these. */
-bool net_agrees(const struct member_net *net);
-/* Run until net_agrees() or the limit; the time taken, or -1. */
-int64_t run_until_agreed(struct member_net *net, int64_t limit_us);
+bool net_has_converged(const struct member_net *net);
+/* Run until net_has_converged() or the limit; the time taken, or -1. */
+int64_t run_until_converged(struct member_net *net, int64_t limit_us);
 /* How many running nodes hold this one usable. */
-guint count_believers(const struct member_net *net,
-		      const struct net_node *node);
+guint count_nodes_seeing(const struct member_net *net,
+			 const struct net_node *node);
 /* Make `n` nodes spread over the zones, all running and agreed. */
 void start_nodes(struct member_net *net, guint n, guint zones);
 
--- a/tests/test-core-relay.c
+++ b/tests/test-core-relay.c
@@ -325,7 +325,7 @@
 	relay->n_shards = 1;
 	relay->shards = g_new0(struct rr_relay_shard, 1);
 	relay->shards[0].shard = g_strdup("s0");
-	relay->shards[0].replica = g_strdup("s0a");
+	relay->shards[0].preferred_replica = g_strdup("s0a");
 	return message;
 }
 
--- a/tests/test-ledger-random.c
+++ b/tests/test-ledger-random.c
@@ -73,7 +73,7 @@
 	struct instance instances[INSTANCES];
 	GPtrArray *requests;
 	GPtrArray *clients;
-	uint64_t told[RR_CLAIM_UNSETTLED + 1];
+	uint64_t told[RR_CLAIM_UNRESOLVED + 1];
 	uint64_t crashes;
 	uint64_t freezes;
 	uint64_t late_effects;
@@ -96,14 +96,15 @@
 	struct submission *submission;
 	char *expected;
 
-	submission = g_hash_table_lookup(instance->submissions, &result->claim);
+	submission =
+		g_hash_table_lookup(instance->submissions, &result->claim_id);
 	assert_non_null(submission);
 	assert_false(submission->told);
 	submission->told = true;
 	submission->status = result->status;
 	submission->reason = result->reason;
 	instance->world->told[result->status]++;
-	if (result->status == RR_CLAIM_OURS) {
+	if (result->status == RR_CLAIM_ACQUIRED) {
 		assert_int_equal(submission->request->holders, 0);
 		assert_int_equal(submission->request->runs, 0);
 		submission->request->holders++;
@@ -147,7 +148,7 @@
 		.instance = instance->name,
 		.incarnation = ++instance->incarnation,
 		.buckets = BUCKETS,
-		.slice_s = SLICE_S,
+		.time_slice_s = SLICE_S,
 		.retention_s = RETENTION_S,
 		.call_timeout_ms = TIMEOUT_MS,
 		.claimed = take_claimed,
@@ -314,10 +315,10 @@
 
 	submission->request = pick_request(world);
 	submission->fingerprint = draw(world, 50) ? 1 : 2;
-	submission->claim = rr_claim_id(instance->ctx, instance->ledger,
-					world->store->now_us, wall_us(instance),
-					"invoicing", submission->request->id,
-					submission->fingerprint);
+	submission->claim = rr_claim_request_id(
+		instance->ctx, instance->ledger, world->store->now_us,
+		wall_us(instance), "invoicing", submission->request->id,
+		submission->fingerprint);
 	g_hash_table_insert(instance->submissions, &submission->claim,
 			    submission);
 }
@@ -348,8 +349,9 @@
 		return;
 	}
 	result = g_strdup_printf("\"%s\"", request->id);
-	rr_record_claim(instance->ctx, instance->ledger, world->store->now_us,
-			submission->claim, result, strlen(result));
+	rr_record_claim_result(instance->ctx, instance->ledger,
+			       world->store->now_us, submission->claim, result,
+			       strlen(result));
 	request->recorded = true;
 	g_free(result);
 }
@@ -439,7 +441,7 @@
 		submission = g_hash_table_lookup(instance->submissions,
 						 &entry->sequence);
 		assert_non_null(submission);
-		if (submission->status != RR_CLAIM_OURS)
+		if (submission->status != RR_CLAIM_ACQUIRED)
 			fail_msg("%s is held by %s which was told %d (%s)",
 				 entry->name, entry->instance,
 				 submission->status, submission->reason);
@@ -480,7 +482,7 @@
 		GHashTableIter iter;
 		gpointer data;
 
-		assert_true(rr_ledger_idle(instance->ledger));
+		assert_true(rr_ledger_is_idle(instance->ledger));
 		g_hash_table_iter_init(&iter, instance->submissions);
 		while (g_hash_table_iter_next(&iter, NULL, &data)) {
 			struct submission *submission = data;
@@ -516,12 +518,12 @@
 	       " unsettled=%" G_GUINT64_FORMAT " crashes=%" G_GUINT64_FORMAT
 	       " freezes=%" G_GUINT64_FORMAT " store_writes=%" G_GUINT64_FORMAT
 	       " conflicts=%" G_GUINT64_FORMAT "\n",
-	       seed, steps, world->told[RR_CLAIM_OURS],
+	       seed, steps, world->told[RR_CLAIM_ACQUIRED],
 	       world->told[RR_CLAIM_DONE], world->told[RR_CLAIM_HELD],
-	       world->told[RR_CLAIM_REFUSED], world->told[RR_CLAIM_UNSETTLED],
+	       world->told[RR_CLAIM_REJECTED], world->told[RR_CLAIM_UNRESOLVED],
 	       world->crashes, world->freezes, world->store->writes,
 	       world->store->conflicts);
-	assert_true(world->told[RR_CLAIM_OURS] > steps / 1000);
+	assert_true(world->told[RR_CLAIM_ACQUIRED] > steps / 1000);
 	drop_world(world);
 }
 
--- a/tests/test-ledger.c
+++ b/tests/test-ledger.c
@@ -44,7 +44,7 @@
 static void take_claimed(void *data, const struct rr_claim_result *result)
 {
 	struct user *user = data;
-	struct told *told = &user->told[result->claim];
+	struct told *told = &user->told[result->claim_id];
 
 	assert_false(told->told);
 	told->told = true;
@@ -128,8 +128,8 @@
 	int64_t wall_us = now_us + (WALL_S + user->clock_error_s) *
 					   (int64_t)G_USEC_PER_SEC;
 
-	return rr_claim_id(user->ctx, user->ledger, now_us, wall_us,
-			   "invoicing", id, fingerprint);
+	return rr_claim_request_id(user->ctx, user->ledger, now_us, wall_us,
+				   "invoicing", id, fingerprint);
 }
 
 static void assert_told(const struct user *user, uint64_t claim,
@@ -179,8 +179,9 @@
 
 static void record(struct user *user, uint64_t claim, const char *result)
 {
-	rr_record_claim(user->ctx, user->ledger, user->client.store->now_us,
-			claim, result, strlen(result));
+	rr_record_claim_result(user->ctx, user->ledger,
+			       user->client.store->now_us, claim, result,
+			       strlen(result));
 }
 
 static void test_second_claim_is_told(void **state)
@@ -190,7 +191,7 @@
 	uint64_t second;
 
 	run(scene->a, scene->b, 100000);
-	assert_told(scene->a, first, RR_CLAIM_OURS, NULL);
+	assert_told(scene->a, first, RR_CLAIM_ACQUIRED, NULL);
 	second = claim(scene->b, ID, 1);
 	run(scene->a, scene->b, 100000);
 	assert_told(scene->b, second, RR_CLAIM_HELD, NULL);
@@ -202,7 +203,7 @@
 	assert_string_equal(scene->b->told[second].result, "{\"ok\":1}");
 	second = claim(scene->b, ID, 2);
 	run(scene->a, scene->b, 100000);
-	assert_told(scene->b, second, RR_CLAIM_REFUSED,
+	assert_told(scene->b, second, RR_CLAIM_REJECTED,
 		    "id-used-for-another-request");
 }
 
@@ -218,7 +219,7 @@
 	run(scene->a, scene->b, 100000);
 	second = claim(scene->b, ID, 1);
 	run(scene->a, scene->b, 100000);
-	assert_told(scene->b, second, RR_CLAIM_OURS, NULL);
+	assert_told(scene->b, second, RR_CLAIM_ACQUIRED, NULL);
 }
 
 /*
@@ -241,7 +242,7 @@
 	set_next_fate(scene, FAKE_LATE_EFFECT, 1);
 	first = claim(scene->a, ID, 1);
 	run(scene->a, scene->b, 1000000);
-	assert_told(scene->a, first, RR_CLAIM_OURS, NULL);
+	assert_told(scene->a, first, RR_CLAIM_ACQUIRED, NULL);
 	/* The late write met the fence. */
 	assert_int_equal(scene->store->conflicts, 1);
 	assert_int_equal(scene->store->writes, 2);
@@ -269,17 +270,17 @@
 	run(scene->a, NULL, 4000);
 	scene->store->per_mille[FAKE_UNAVAILABLE] = 1000;
 	run(scene->a, NULL, 400000);
-	assert_told(scene->a, first, RR_CLAIM_UNSETTLED, NULL);
-	assert_false(rr_ledger_idle(scene->a->ledger));
+	assert_told(scene->a, first, RR_CLAIM_UNRESOLVED, NULL);
+	assert_false(rr_ledger_is_idle(scene->a->ledger));
 	scene->store->per_mille[FAKE_UNAVAILABLE] = 0;
 	second = claim(scene->b, ID, 1);
 	run(scene->b, NULL, 100000);
 	assert_told(scene->b, second, RR_CLAIM_HELD, NULL);
 	run(scene->a, scene->b, 2000000);
-	assert_true(rr_ledger_idle(scene->a->ledger));
+	assert_true(rr_ledger_is_idle(scene->a->ledger));
 	second = claim(scene->b, ID, 1);
 	run(scene->a, scene->b, 100000);
-	assert_told(scene->b, second, RR_CLAIM_OURS, NULL);
+	assert_told(scene->b, second, RR_CLAIM_ACQUIRED, NULL);
 }
 
 /*
@@ -304,9 +305,9 @@
 	third = claim(scene->a, ID, 1);
 	scene->store->per_mille[FAKE_UNAVAILABLE] = 1000;
 	run(scene->a, NULL, 1000000);
-	assert_told(scene->a, first, RR_CLAIM_OURS, NULL);
-	assert_told(scene->a, second, RR_CLAIM_OURS, NULL);
-	assert_told(scene->a, third, RR_CLAIM_REFUSED, "store-unavailable");
+	assert_told(scene->a, first, RR_CLAIM_ACQUIRED, NULL);
+	assert_told(scene->a, second, RR_CLAIM_ACQUIRED, NULL);
+	assert_told(scene->a, third, RR_CLAIM_REJECTED, "store-unavailable");
 }
 
 /*
@@ -324,11 +325,11 @@
 	scene->store->per_mille[FAKE_UNAVAILABLE] = 1000;
 	first = claim(scene->a, ID, 1);
 	run(scene->a, NULL, 3000);
-	assert_told(scene->a, first, RR_CLAIM_REFUSED, "store-unavailable");
+	assert_told(scene->a, first, RR_CLAIM_REJECTED, "store-unavailable");
 	reads = scene->store->reads;
 	second = claim(scene->a, ID, 1);
 	run(scene->a, NULL, 0);
-	assert_told(scene->a, second, RR_CLAIM_REFUSED, "store-unavailable");
+	assert_told(scene->a, second, RR_CLAIM_REJECTED, "store-unavailable");
 	assert_int_equal(scene->store->reads, reads);
 }
 
@@ -356,7 +357,7 @@
 
 		assert_false(scene->a->told[number].told);
 		run(scene->a, NULL, 0);
-		assert_told(scene->a, number, RR_CLAIM_REFUSED, ids[i].reason);
+		assert_told(scene->a, number, RR_CLAIM_REJECTED, ids[i].reason);
 	}
 	assert_int_equal(scene->store->reads, 0);
 }
@@ -372,7 +373,7 @@
 	}
 	run(scene->a, NULL, 100000);
 	for (int i = 1; i <= 1000; i++)
-		assert_told(scene->a, i, RR_CLAIM_OURS, NULL);
+		assert_told(scene->a, i, RR_CLAIM_ACQUIRED, NULL);
 	assert_int_equal(scene->store->reads, 1);
 	assert_int_equal(scene->store->writes, 1);
 }
@@ -399,7 +400,7 @@
 	run(scene->a, NULL, 100000);
 	second = claim(scene->b, ID, 1);
 	run(scene->a, scene->b, 100000);
-	assert_told(scene->b, second, RR_CLAIM_REFUSED, "id-too-old");
+	assert_told(scene->b, second, RR_CLAIM_REJECTED, "id-too-old");
 }
 
 /*
@@ -419,11 +420,11 @@
 	rr_release_claim(scene->b->ctx, scene->b->ledger, scene->store->now_us,
 			 first);
 	run(scene->a, scene->b, 100000);
-	assert_told(scene->b, second, RR_CLAIM_REFUSED, "id-too-old");
+	assert_told(scene->b, second, RR_CLAIM_REJECTED, "id-too-old");
 	assert_int_equal(scene->store->writes, 2);
 	second = claim(scene->a, "1700000000-request-2", 1);
 	run(scene->a, scene->b, 100000);
-	assert_told(scene->a, second, RR_CLAIM_OURS, NULL);
+	assert_told(scene->a, second, RR_CLAIM_ACQUIRED, NULL);
 }
 
 static void test_full_bucket_refuses(void **state)
@@ -452,13 +453,13 @@
 	g_free(bytes);
 	number = claim(scene->a, ID, 1);
 	run(scene->a, NULL, 100000);
-	assert_told(scene->a, number, RR_CLAIM_REFUSED, "ledger-full");
+	assert_told(scene->a, number, RR_CLAIM_REJECTED, "ledger-full");
 	assert_int_equal(scene->store->writes, 0);
 	/* Past retention and its margin the entries go and claims go on. */
 	scene->store->now_us += DAY_S * (int64_t)G_USEC_PER_SEC;
 	number = claim(scene->a, "1700086400-request-2", 1);
 	run(scene->a, NULL, 100000);
-	assert_told(scene->a, number, RR_CLAIM_OURS, NULL);
+	assert_told(scene->a, number, RR_CLAIM_ACQUIRED, NULL);
 }
 
 static void test_malformed_value_is_left_alone(void **state)
@@ -472,7 +473,7 @@
 	poke_fake_value(scene->store, KEY, "nonsense", 8);
 	number = claim(scene->a, ID, 1);
 	run(scene->a, NULL, 100000);
-	assert_told(scene->a, number, RR_CLAIM_REFUSED, "ledger-unreadable");
+	assert_told(scene->a, number, RR_CLAIM_REJECTED, "ledger-unreadable");
 	assert_int_equal(rr_counter_value(scene->a->ctx, RR_N_LEDGER_BAD), 1);
 	bytes = peek_fake_value(scene->store, KEY, &length, &revision);
 	assert_int_equal(length, 8);
--- a/tests/test-lifecycle.c
+++ b/tests/test-lifecycle.c
@@ -16,10 +16,10 @@
 {
 	struct rr_lifecycle lifecycle = { .stop_timeout_ms = 6000 };
 
-	assert_false(rr_takes_callers(&lifecycle, false));
-	assert_true(rr_takes_callers(&lifecycle, true));
-	rr_ask_stop(&lifecycle, 10 * S);
-	assert_false(rr_takes_callers(&lifecycle, true));
+	assert_false(rr_lifecycle_is_ready(&lifecycle, false));
+	assert_true(rr_lifecycle_is_ready(&lifecycle, true));
+	rr_request_stop(&lifecycle, 10 * S);
+	assert_false(rr_lifecycle_is_ready(&lifecycle, true));
 }
 
 /*
@@ -31,19 +31,19 @@
 {
 	struct rr_lifecycle lifecycle = { .stop_timeout_ms = 6000 };
 
-	rr_ask_stop(&lifecycle, 10 * S);
-	rr_ask_stop(&lifecycle, 12 * S);
-	assert_int_equal(rr_next_stop_step(&lifecycle, 12 * S, 0, 0),
-			 RR_STOP_RUN);
-	assert_int_equal(rr_next_stop_step(&lifecycle, 13 * S, 2, 5),
+	rr_request_stop(&lifecycle, 10 * S);
+	rr_request_stop(&lifecycle, 12 * S);
+	assert_int_equal(rr_find_stop_phase(&lifecycle, 12 * S, 0, 0),
+			 RR_STOP_KEEP_SERVING);
+	assert_int_equal(rr_find_stop_phase(&lifecycle, 13 * S, 2, 5),
 			 RR_STOP_CLOSE_IDLE);
-	assert_int_equal(rr_next_stop_step(&lifecycle, 13 * S, 0, 1),
+	assert_int_equal(rr_find_stop_phase(&lifecycle, 13 * S, 0, 1),
 			 RR_STOP_CLOSE_IDLE);
-	assert_int_equal(rr_next_stop_step(&lifecycle, 13 * S, 0, 0),
+	assert_int_equal(rr_find_stop_phase(&lifecycle, 13 * S, 0, 0),
 			 RR_STOP_EXIT);
-	assert_int_equal(rr_next_stop_step(&lifecycle, 15 * S, 2, 5),
+	assert_int_equal(rr_find_stop_phase(&lifecycle, 15 * S, 2, 5),
 			 RR_STOP_CLOSE_IDLE);
-	assert_int_equal(rr_next_stop_step(&lifecycle, 10 * S + 5900000, 2, 5),
+	assert_int_equal(rr_find_stop_phase(&lifecycle, 10 * S + 5900000, 2, 5),
 			 RR_STOP_EXIT);
 }
 
@@ -56,14 +56,14 @@
 {
 	struct rr_lifecycle lifecycle = { .stop_timeout_ms = 6000 };
 
-	rr_ask_stop(&lifecycle, 10 * S);
-	assert_int_equal(rr_next_stop_step(&lifecycle, 10 * S + 5050000, 2, 5),
+	rr_request_stop(&lifecycle, 10 * S);
+	assert_int_equal(rr_find_stop_phase(&lifecycle, 10 * S + 5050000, 2, 5),
 			 RR_STOP_CLOSE_IDLE);
-	assert_int_equal(rr_next_stop_step(&lifecycle, 10 * S + 5150000, 2, 5),
-			 RR_STOP_REFUSE);
-	assert_int_equal(rr_next_stop_step(&lifecycle, 10 * S + 5550000, 0, 1),
-			 RR_STOP_REFUSE);
-	assert_int_equal(rr_next_stop_step(&lifecycle, 10 * S + 5550000, 0, 0),
+	assert_int_equal(rr_find_stop_phase(&lifecycle, 10 * S + 5150000, 2, 5),
+			 RR_STOP_REJECT_NEW);
+	assert_int_equal(rr_find_stop_phase(&lifecycle, 10 * S + 5550000, 0, 1),
+			 RR_STOP_REJECT_NEW);
+	assert_int_equal(rr_find_stop_phase(&lifecycle, 10 * S + 5550000, 0, 0),
 			 RR_STOP_EXIT);
 }
 
--- a/tests/test-member.c
+++ b/tests/test-member.c
@@ -21,7 +21,7 @@
 	struct member_net *net = new_member_net(seed);
 
 	start_nodes(net, n, ZONES);
-	assert_true(run_until_agreed(net, 60 * NET_SECOND) >= 0);
+	assert_true(run_until_converged(net, 60 * NET_SECOND) >= 0);
 	return net;
 }
 
@@ -31,11 +31,11 @@
 	for (uint32_t seed = 1; seed <= 5; seed++) {
 		struct member_net *net = new_member_net(seed);
 
-		net->loss = 0.1;
-		net->duplicates = 0.1;
+		net->loss_rate = 0.1;
+		net->duplicate_rate = 0.1;
 		net->max_delay_us = 60000;
 		start_nodes(net, 30, ZONES);
-		assert_true(run_until_agreed(net, 60 * NET_SECOND) >= 0);
+		assert_true(run_until_converged(net, 60 * NET_SECOND) >= 0);
 		drop_member_net(net);
 	}
 }
@@ -51,12 +51,12 @@
 	for (uint32_t seed = 1; seed <= 5; seed++) {
 		struct member_net *net = start_agreed(seed, 30);
 
-		net->loss = 0.05;
+		net->loss_rate = 0.05;
 		kill_node(node_at(net, 7));
 		run_net(net, 30 * NET_SECOND);
-		assert_int_equal(count_believers(net, node_at(net, 7)), 0);
+		assert_int_equal(count_nodes_seeing(net, node_at(net, 7)), 0);
 		run_net(net, 60 * NET_SECOND);
-		assert_int_equal(count_believers(net, node_at(net, 7)), 0);
+		assert_int_equal(count_nodes_seeing(net, node_at(net, 7)), 0);
 		drop_member_net(net);
 	}
 }
@@ -73,11 +73,11 @@
 		struct member_net *net = start_agreed(seed, 30);
 		uint64_t changes = net->changes;
 
-		net->cut_nodes = 1u << 4;
+		net->isolated_nodes = 1u << 4;
 		run_net(net, 2 * NET_SECOND);
-		net->cut_nodes = 0;
+		net->isolated_nodes = 0;
 		run_net(net, 30 * NET_SECOND);
-		assert_true(net_agrees(net));
+		assert_true(net_has_converged(net));
 		assert_int_equal(net->changes, changes);
 		drop_member_net(net);
 	}
@@ -107,12 +107,12 @@
 		struct member_net *net = start_agreed(seed, 12);
 		uint64_t changes = net->changes;
 
-		net->deaf_from = node_at(net, 2);
-		net->deaf_to = node_at(net, 5);
+		net->blocked_from = node_at(net, 2);
+		net->blocked_to = node_at(net, 5);
 		run_net(net, 120 * NET_SECOND);
 		assert_int_equal(net->changes, changes);
-		assert_int_equal(refutations(net->deaf_from), 0);
-		assert_int_equal(refutations(net->deaf_to), 0);
+		assert_int_equal(refutations(net->blocked_from), 0);
+		assert_int_equal(refutations(net->blocked_to), 0);
 		drop_member_net(net);
 	}
 }
@@ -129,12 +129,12 @@
 	for (uint32_t seed = 1; seed <= 3; seed++) {
 		struct member_net *net = start_agreed(seed, 30);
 
-		net->cut_zones = 1u << 1;
+		net->isolated_zones = 1u << 1;
 		run_net(net, 300 * NET_SECOND);
-		assert_int_equal(count_believers(net, node_at(net, 1)), 9);
-		assert_int_equal(count_believers(net, node_at(net, 0)), 19);
-		net->cut_zones = 0;
-		assert_true(run_until_agreed(net, 60 * NET_SECOND) >= 0);
+		assert_int_equal(count_nodes_seeing(net, node_at(net, 1)), 9);
+		assert_int_equal(count_nodes_seeing(net, node_at(net, 0)), 19);
+		net->isolated_zones = 0;
+		assert_true(run_until_converged(net, 60 * NET_SECOND) >= 0);
 		drop_member_net(net);
 	}
 }
@@ -152,14 +152,14 @@
 		struct member_net *net = start_agreed(seed, 30);
 		struct net_node *node = node_at(net, 3);
 
-		net->cut_nodes = 1u << node->index;
+		net->isolated_nodes = 1u << node->index;
 		run_net(net, 2500000);
-		net->cut_nodes = 0;
+		net->isolated_nodes = 0;
 		pause_node(node, 60 * NET_SECOND);
 		run_net(net, 59 * NET_SECOND);
-		assert_int_equal(count_believers(net, node), 0);
+		assert_int_equal(count_nodes_seeing(net, node), 0);
 		node->min_usable = 30;
-		assert_true(run_until_agreed(net, 30 * NET_SECOND) >= 0);
+		assert_true(run_until_converged(net, 30 * NET_SECOND) >= 0);
 		assert_int_equal(node->min_usable, 30);
 		drop_member_net(net);
 	}
@@ -176,16 +176,16 @@
 	size_t n;
 
 	(void)state;
-	rr_leave_members(net->ctx, node->members, net->now_us);
+	rr_announce_leaving(net->ctx, node->members, net->now_us);
 	node->leaving = true;
 	run_net(net, 5 * NET_SECOND);
-	assert_int_equal(count_believers(net, node), 0);
-	assert_true(rr_members_leaving(node->members));
+	assert_int_equal(count_nodes_seeing(net, node), 0);
+	assert_true(rr_members_is_leaving(node->members));
 	rr_usable_members(node->members, &n);
 	assert_int_equal(n, 59);
 	kill_node(node);
 	run_net(net, 60 * NET_SECOND);
-	assert_true(net_agrees(net));
+	assert_true(net_has_converged(net));
 	drop_member_net(net);
 }
 
@@ -206,7 +206,7 @@
 	late->from = g_strdup(node->instance);
 	late->from_incarnation = node->incarnation;
 	start_node(node, 1);
-	assert_true(run_until_agreed(net, 30 * NET_SECOND) >= 0);
+	assert_true(run_until_converged(net, 30 * NET_SECOND) >= 0);
 	stale = rr_counter_value(net->ctx, RR_N_PEER_STALE);
 	rr_handle_member_message(net->ctx, other->members, net->now_us, late);
 	assert_int_equal(rr_counter_value(net->ctx, RR_N_PEER_STALE),
@@ -229,7 +229,7 @@
 	g_free(old->instance);
 	old->instance = g_strdup("replacement");
 	start_node(old, 2);
-	assert_true(run_until_agreed(net, 60 * NET_SECOND) >= 0);
+	assert_true(run_until_converged(net, 60 * NET_SECOND) >= 0);
 	drop_member_net(net);
 }
 
@@ -246,7 +246,7 @@
 	run_net(net, 60 * NET_SECOND);
 	assert_false(
 		rr_find_member(node->members, "ghost", &address, &incarnation));
-	assert_true(net_agrees(net));
+	assert_true(net_has_converged(net));
 	drop_member_net(net);
 }
 
@@ -260,7 +260,7 @@
 	start_node(node, 0);
 	rr_hint_member(net->ctx, node->members, net->now_us, NULL, NULL,
 		       node_at(net, 4)->address);
-	assert_true(run_until_agreed(net, 30 * NET_SECOND) >= 0);
+	assert_true(run_until_converged(net, 30 * NET_SECOND) >= 0);
 	drop_member_net(net);
 }
 
@@ -279,7 +279,8 @@
 		break;
 	case 3:
 		if (node->members) {
-			rr_leave_members(net->ctx, node->members, net->now_us);
+			rr_announce_leaving(net->ctx, node->members,
+					    net->now_us);
 			node->leaving = true;
 		}
 		break;
@@ -288,13 +289,14 @@
 			   g_rand_int_range(net->random, 1, 40) * NET_SECOND);
 		break;
 	case 5:
-		net->cut_zones ^= 1u << g_rand_int_range(net->random, 0, ZONES);
+		net->isolated_zones ^=
+			1u << g_rand_int_range(net->random, 0, ZONES);
 		break;
 	case 6:
-		net->cut_nodes ^= 1u << node->index;
+		net->isolated_nodes ^= 1u << node->index;
 		break;
 	default:
-		net->loss = 0.3 * g_rand_double(net->random);
+		net->loss_rate = 0.3 * g_rand_double(net->random);
 		break;
 	}
 }
@@ -311,24 +313,24 @@
 	for (uint32_t seed = 1; seed <= 8; seed++) {
 		struct member_net *net = start_agreed(seed, 24);
 
-		net->duplicates = 0.05;
+		net->duplicate_rate = 0.05;
 		for (int i = 0; i < 60; i++) {
 			do_one_fault(net);
 			run_net(net, g_rand_int_range(net->random, 1, 12) *
 					     NET_SECOND);
 		}
-		net->loss = 0;
-		net->cut_zones = 0;
-		net->cut_nodes = 0;
+		net->loss_rate = 0;
+		net->isolated_zones = 0;
+		net->isolated_nodes = 0;
 		for (guint i = 0; i < 24; i++) {
 			node_at(net, i)->paused_until_us = 0;
 			if (!node_at(net, i)->members)
 				start_node(node_at(net, i), 4);
 		}
-		if (run_until_agreed(net, 120 * NET_SECOND) < 0)
+		if (run_until_converged(net, 120 * NET_SECOND) < 0)
 			fail_msg("seed %u: no agreement", seed);
 		run_net(net, 60 * NET_SECOND);
-		assert_true(net_agrees(net));
+		assert_true(net_has_converged(net));
 		drop_member_net(net);
 	}
 }
@@ -342,14 +344,14 @@
 	(void)state;
 	start_nodes(net, 100, ZONES);
 	run_net(net, 60 * NET_SECOND);
-	net->cut_zones = 2;
+	net->isolated_zones = 2;
 	run_net(net, 60 * NET_SECOND);
-	net->cut_zones = 0;
+	net->isolated_zones = 0;
 	run_net(net, 60 * NET_SECOND);
 	assert_true(net->max_updates <= 24);
 	assert_true(net->max_sync_updates > 24);
 	assert_true(net->max_sync_updates <= RR_MAX_PEER_UPDATES);
-	assert_true(net_agrees(net));
+	assert_true(net_has_converged(net));
 	drop_member_net(net);
 }
 
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -199,8 +199,9 @@
 	assert_int_equal(message->relay->key_to, RR_KEY_LIMIT);
 	assert_int_equal(message->relay->remaining_ms, 250);
 	assert_true(message->relay->batch);
-	assert_string_equal(message->relay->shards[0].replica, "desk-01-a");
-	assert_null(message->relay->shards[1].replica);
+	assert_string_equal(message->relay->shards[0].preferred_replica,
+			    "desk-01-a");
+	assert_null(message->relay->shards[1].preferred_replica);
 	rr_drop_peer_message(message);
 	rr_drop_peer_message(sent);
 	g_bytes_unref(bytes);
