--- a/fuzz/entries.c
+++ b/fuzz/entries.c
@@ -19,7 +19,7 @@
 	struct rr_feed_item *item = g_new0(struct rr_feed_item, 1);
 	const char *fault;
 
-	item->replica = rr_decode_listing(id, text, length, &fault);
+	item->replica = rr_decode_endpoint_info(id, text, length, &fault);
 	if (!item->replica == !fault)
 		abort();
 	if (item->replica &&
@@ -47,7 +47,7 @@
 /* Any value is accepted, but not a key without a zone name. */
 static void judge_evacuation(const char *zone, const char *text, size_t length)
 {
-	const char *fault = rr_find_evacuation_fault(zone, text, length);
+	const char *fault = rr_validate_evacuation(zone, text, length);
 
 	if (!*zone && !fault)
 		abort();
@@ -84,7 +84,7 @@
 /* What is passed on is read as it was, whatever the key is. */
 static void pass_on(const char *key, const char *text, size_t length)
 {
-	struct rr_news_call call = { .after = 1 };
+	struct rr_change_feed_request call = { .after_revision = 1 };
 	GArray *items =
 		g_array_new(FALSE, FALSE, sizeof(struct rr_feed_change));
 	char *value = g_base64_encode((const guchar *)text, length);
@@ -95,7 +95,7 @@
 	GString *body;
 
 	g_array_append_val(items, item);
-	body = rr_encode_news(&call, items, 2);
+	body = rr_encode_change_feed_reply(&call, items, 2);
 	rr_decode_feed_reply(RR_FEED_WATCH, 200, (const uint8_t *)body->str,
 			     body->len, &reply);
 	if (reply.status != RR_FEED_OK || reply.items->len != 1)
@@ -113,20 +113,21 @@
 static void parse_entries(const char *text, size_t length)
 {
 	const char *fault;
-	struct rr_entry_call *call = rr_parse_entry_call(text, length, &fault);
+	struct rr_registration_request *call =
+		rr_parse_registration_request(text, length, &fault);
 
 	if (!call == !fault)
 		abort();
 	if (!call)
 		return;
-	for (guint i = 0; i < call->entered->len; i++) {
+	for (guint i = 0; i < call->added->len; i++) {
 		const struct rr_instance *instance =
-			g_ptr_array_index(call->entered, i);
+			g_ptr_array_index(call->added, i);
 
 		if (!*instance->id || !instance->zone || !instance->address)
 			abort();
 	}
-	rr_free_entry_call(call);
+	rr_free_registration_request(call);
 }
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t length)
--- a/source/gateway/gateway-callers.c
+++ b/source/gateway/gateway-callers.c
@@ -25,7 +25,7 @@
 {
 	struct open_request *open = g_hash_table_lookup(gateway->requests, &id);
 
-	return open ? open : gateway->taking;
+	return open ? open : gateway->submitting;
 }
 
 static void send_attempt(void *data, const struct rr_gate_attempt_info *send)
@@ -42,7 +42,8 @@
 
 	if (send->forwarded)
 		g_string_append_printf(open->head,
-				       LEFT_HEADER ": %" G_GINT64_FORMAT "\r\n",
+				       FORWARD_DEADLINE_HEADER
+				       ": %" G_GINT64_FORMAT "\r\n",
 				       send->forward_deadline_us);
 	else
 		g_string_append_printf(open->head, "%s: %s\r\n",
@@ -55,8 +56,8 @@
 	g_string_append(open->head, "\r\n");
 	request.head = open->head->str;
 	request.head_length = open->head->len;
-	rr_send_to_replica(send->forwarded ? gateway->strong :
-					     gateway->replicas,
+	rr_send_to_replica(send->forwarded ? gateway->coordinator_client :
+					     gateway->replica_client,
 			   rr_gateway_now_us(), send, &request);
 	g_string_truncate(open->head, shared);
 }
@@ -65,16 +66,16 @@
 {
 	struct rr_gateway *gateway = data;
 
-	rr_withdraw_from_replica(gateway->replicas, attempt);
-	rr_withdraw_from_replica(gateway->strong, attempt);
+	rr_withdraw_from_replica(gateway->replica_client, attempt);
+	rr_withdraw_from_replica(gateway->coordinator_client, attempt);
 }
 
 static bool recall_attempt(void *data, uint64_t attempt)
 {
 	struct rr_gateway *gateway = data;
 
-	return rr_recall_from_replica(gateway->replicas, attempt) ||
-	       rr_recall_from_replica(gateway->strong, attempt);
+	return rr_recall_from_replica(gateway->replica_client, attempt) ||
+	       rr_recall_from_replica(gateway->coordinator_client, attempt);
 }
 
 static void answer_own(struct rr_caller *caller,
@@ -146,7 +147,7 @@
 
 	switch (answer->kind) {
 	case RR_GATE_LOCAL_ANSWER:
-		answer_own(open->caller, answer, open->handed);
+		answer_own(open->caller, answer, open->from_peer);
 		break;
 	case RR_GATE_PROXIED_ANSWER:
 		answer_forwarded(open, answer);
@@ -155,8 +156,8 @@
 		answer_gathered(gateway, open->caller, answer);
 		break;
 	}
-	if (open == gateway->taking) {
-		gateway->taking = NULL;
+	if (open == gateway->submitting) {
+		gateway->submitting = NULL;
 		rr_free_open_request(open);
 	} else {
 		g_hash_table_remove(gateway->requests, &answer->request);
@@ -167,7 +168,7 @@
 {
 	struct rr_gateway *gateway = data;
 
-	rr_open_replica(gateway->replicas, rr_gateway_now_us(), lifetime,
+	rr_open_replica(gateway->replica_client, rr_gateway_now_us(), lifetime,
 			address);
 }
 
@@ -176,7 +177,7 @@
 {
 	struct rr_gateway *gateway = data;
 
-	rr_probe_replica(gateway->replicas, rr_gateway_now_us(), lifetime,
+	rr_probe_replica(gateway->replica_client, rr_gateway_now_us(), lifetime,
 			 address);
 }
 
@@ -184,7 +185,7 @@
 {
 	struct rr_gateway *gateway = data;
 
-	rr_forget_replica(gateway->replicas, lifetime);
+	rr_forget_replica(gateway->replica_client, lifetime);
 }
 
 static void report_request(void *data,
@@ -266,7 +267,8 @@
 		.caller_rtt_us = rr_caller_rtt_us(caller),
 		.new_connection = rr_caller_is_new(caller),
 		.forward_deadline_us =
-			handed ? read_number(message, LEFT_HEADER) : -1,
+			handed ? read_number(message, FORWARD_DEADLINE_HEADER) :
+				 -1,
 	};
 	struct open_request *open;
 	uint64_t id;
@@ -278,43 +280,43 @@
 	}
 	open = g_new0(struct open_request, 1);
 	open->caller = caller;
-	open->handed = handed;
+	open->from_peer = handed;
 	open->message = message;
 	open->request_id = ask.request_id;
 	open->head = g_string_sized_new(512);
 	rr_append_request_head(open->head, message, gateway->names);
-	gateway->taking = open;
+	gateway->submitting = open;
 	id = rr_gate_submit(gateway->ctx, gateway->gate, rr_gateway_now_us(),
 			    &ask);
-	if (gateway->taking) {
+	if (gateway->submitting) {
 		rr_set_caller_mark(caller, id);
 		g_hash_table_insert(gateway->requests, new_key(id), open);
-		gateway->taking = NULL;
+		gateway->submitting = NULL;
 	}
 }
 
-void rr_take_callers_request(void *data, struct rr_caller *caller,
-			     const struct rr_http_message *message)
+void rr_handle_caller_request(void *data, struct rr_caller *caller,
+			      const struct rr_http_message *message)
 {
 	take_request(data, caller, message, false);
 }
 
-void rr_take_peers_request(void *data, struct rr_caller *caller,
-			   const struct rr_http_message *message)
+void rr_handle_peer_request(void *data, struct rr_caller *caller,
+			    const struct rr_http_message *message)
 {
-	struct rr_news_call call;
+	struct rr_change_feed_request call;
 
-	if (rr_http_value(message, LEFT_HEADER))
+	if (rr_http_value(message, FORWARD_DEADLINE_HEADER))
 		take_request(data, caller, message, true);
-	else if (rr_parse_news_call(message->target, &call))
-		rr_take_news_call(data, caller, &call);
-	else if (rr_is_entry_call(message->method, message->target))
-		rr_take_entry_call(data, caller, message);
+	else if (rr_parse_change_feed_request(message->target, &call))
+		rr_handle_change_feed_request(data, caller, &call);
+	else if (rr_is_registration_request(message->method, message->target))
+		rr_handle_registration_request(data, caller, message);
 	else
 		take_request(data, caller, message, true);
 }
 
-void rr_take_leaver(void *data, struct rr_caller *caller)
+void rr_handle_caller_half_close(void *data, struct rr_caller *caller)
 {
 	struct rr_gateway *gateway = data;
 
@@ -322,7 +324,7 @@
 			   rr_caller_mark(caller));
 }
 
-void rr_take_gone(void *data, struct rr_caller *caller)
+void rr_handle_caller_disconnect(void *data, struct rr_caller *caller)
 {
 	struct rr_gateway *gateway = data;
 	uint64_t id = rr_caller_mark(caller);
@@ -331,8 +333,8 @@
 	g_hash_table_remove(gateway->requests, &id);
 }
 
-void rr_answer_ready(void *data, struct rr_caller *caller,
-		     const struct rr_http_message *message)
+void rr_handle_readiness_request(void *data, struct rr_caller *caller,
+				 const struct rr_http_message *message)
 {
 	struct rr_gateway *gateway = data;
 	struct rr_front_answer answer = { .status = 404 };
@@ -340,15 +342,15 @@
 
 	if (!strcmp(message->target, gateway->names->ready_path)) {
 		answer.status =
-			rr_gateway_takes_callers(gateway, &reason) ? 200 : 503;
+			rr_gateway_is_ready(gateway, &reason) ? 200 : 503;
 		answer.body = (const uint8_t *)reason;
 		answer.length = strlen(reason);
 	}
 	rr_answer_caller(caller, &answer);
 }
 
-void rr_answer_metrics(void *data, struct rr_caller *caller,
-		       const struct rr_http_message *message)
+void rr_handle_metrics_request(void *data, struct rr_caller *caller,
+			       const struct rr_http_message *message)
 {
 	struct rr_gateway *gateway = data;
 	struct rr_http_header header = { "Content-Type",
--- a/source/gateway/gateway-news.c
+++ b/source/gateway/gateway-change-feed.c
@@ -1,5 +1,5 @@
 /*
- * gateway-news.c - the store's news for other instances: those who ask wait
+ * gateway-change-feed.c - the store's news for other instances: those who ask wait
  * here until there is something to tell.
  */
 #include "gateway/gateway-private.h"
@@ -12,7 +12,7 @@
 static void refuse(const struct rr_gateway *gateway, struct rr_caller *caller,
 		   uint16_t status)
 {
-	struct rr_http_header cut_off = { CUT_OFF_HEADER, "1" };
+	struct rr_http_header cut_off = { ISOLATED_HEADER, "1" };
 	struct rr_front_answer answer = {
 		.status = status,
 		.headers = &cut_off,
@@ -23,18 +23,19 @@
 }
 
 static void tell(struct rr_gateway *gateway, struct rr_caller *caller,
-		 const struct rr_news_call *call)
+		 const struct rr_change_feed_request *call)
 {
 	uint64_t revision;
-	GArray *items = rr_feed_changes(gateway->feed, call->after, &revision);
+	GArray *items =
+		rr_feed_changes(gateway->feed, call->after_revision, &revision);
 	struct rr_front_answer answer = { .status = 200 };
 	GString *body;
 
 	if (!items) {
-		refuse(gateway, caller, rr_news_forgotten_status());
+		refuse(gateway, caller, rr_compacted_status());
 		return;
 	}
-	body = rr_encode_news(call, items, revision);
+	body = rr_encode_change_feed_reply(call, items, revision);
 	answer.body = (const uint8_t *)body->str;
 	answer.length = body->len;
 	rr_count(gateway->ctx, RR_N_NEWS_PASSED_ON, 1);
@@ -49,9 +50,9 @@
  * another; at once, unless it is about to hear the store again.
  */
 static bool answer_now(struct rr_gateway *gateway, struct rr_caller *caller,
-		       const struct rr_news_call *call, bool is_late)
+		       const struct rr_change_feed_request *call, bool is_late)
 {
-	if (call->everything) {
+	if (call->wants_snapshot) {
 		if (rr_feed_has_synced(gateway->feed))
 			tell(gateway, caller, call);
 		else
@@ -65,28 +66,30 @@
 		refuse(gateway, caller, 503);
 		return true;
 	}
-	if (!is_late && rr_feed_revision(gateway->feed) <= call->after)
+	if (!is_late && rr_feed_revision(gateway->feed) <= call->after_revision)
 		return false;
 	tell(gateway, caller, call);
 	return true;
 }
 
-void rr_take_news_call(struct rr_gateway *gateway, struct rr_caller *caller,
-		       const struct rr_news_call *call)
+void rr_handle_change_feed_request(struct rr_gateway *gateway,
+				   struct rr_caller *caller,
+				   const struct rr_change_feed_request *call)
 {
 	struct asker asker = {
 		.caller = caller,
-		.call = *call,
-		.until_us = rr_gateway_now_us() + (int64_t)call->wait_ms * 1000,
+		.request = *call,
+		.deadline_us =
+			rr_gateway_now_us() + (int64_t)call->wait_ms * 1000,
 	};
 
 	if (!answer_now(gateway, caller, call, false))
-		g_array_append_val(gateway->askers, asker);
+		g_array_append_val(gateway->watching_peers, asker);
 }
 
 /* Whether all of a call was taken; else whoever asks turns to another. */
 static bool take_entries(struct rr_gateway *gateway,
-			 const struct rr_entry_call *call)
+			 const struct rr_registration_request *call)
 {
 	int64_t now_us = rr_gateway_now_us();
 
@@ -94,24 +97,25 @@
 		rr_feed_deregister_instance(
 			gateway->feed, now_us,
 			g_ptr_array_index(call->removed, i));
-	for (guint i = 0; i < call->entered->len; i++) {
+	for (guint i = 0; i < call->added->len; i++) {
 		if (!rr_feed_register_instance(
 			    gateway->ctx, gateway->feed, now_us,
-			    g_ptr_array_index(call->entered, i)))
+			    g_ptr_array_index(call->added, i)))
 			return false;
 	}
 	return true;
 }
 
-void rr_take_entry_call(struct rr_gateway *gateway, struct rr_caller *caller,
-			const struct rr_http_message *message)
+void rr_handle_registration_request(struct rr_gateway *gateway,
+				    struct rr_caller *caller,
+				    const struct rr_http_message *message)
 {
-	const char *body = rr_entry_taken_body();
+	const char *body = rr_registration_accepted_body();
 	struct rr_front_answer taken = { .status = 200,
 					 .body = (const uint8_t *)body,
 					 .length = strlen(body) };
 	const char *fault;
-	struct rr_entry_call *call = rr_parse_entry_call(
+	struct rr_registration_request *call = rr_parse_registration_request(
 		(const char *)message->body, message->body_length, &fault);
 
 	if (!call) {
@@ -125,61 +129,61 @@
 		rr_answer_caller(caller, &taken);
 	else
 		refuse(gateway, caller, 503);
-	rr_free_entry_call(call);
+	rr_free_registration_request(call);
 }
 
-void rr_answer_askers(struct rr_gateway *gateway, int64_t now_us)
+void rr_answer_watching_peers(struct rr_gateway *gateway, int64_t now_us)
 {
 	guint i = 0;
 
-	while (i < gateway->askers->len) {
+	while (i < gateway->watching_peers->len) {
 		struct asker asker =
-			g_array_index(gateway->askers, struct asker, i);
+			g_array_index(gateway->watching_peers, struct asker, i);
 
-		if (answer_now(gateway, asker.caller, &asker.call,
-			       asker.until_us <= now_us))
-			g_array_remove_index_fast(gateway->askers, i);
+		if (answer_now(gateway, asker.caller, &asker.request,
+			       asker.deadline_us <= now_us))
+			g_array_remove_index_fast(gateway->watching_peers, i);
 		else
 			i++;
 	}
 }
 
-void rr_tell_askers_of_cut(struct rr_gateway *gateway)
+void rr_reject_watching_peers(struct rr_gateway *gateway)
 {
-	while (gateway->askers->len) {
+	while (gateway->watching_peers->len) {
 		struct asker asker =
-			g_array_index(gateway->askers, struct asker, 0);
+			g_array_index(gateway->watching_peers, struct asker, 0);
 
-		g_array_remove_index_fast(gateway->askers, 0);
+		g_array_remove_index_fast(gateway->watching_peers, 0);
 		refuse(gateway, asker.caller, 503);
 	}
 }
 
-int64_t rr_askers_wake_us(const struct rr_gateway *gateway)
+int64_t rr_watching_peers_wake_us(const struct rr_gateway *gateway)
 {
 	int64_t wake_us = INT64_MAX;
 
-	for (guint i = 0; i < gateway->askers->len; i++)
-		wake_us = MIN(wake_us,
-			      g_array_index(gateway->askers, struct asker, i)
-				      .until_us);
-	if (!gateway->askers->len)
+	for (guint i = 0; i < gateway->watching_peers->len; i++)
+		wake_us = MIN(wake_us, g_array_index(gateway->watching_peers,
+						     struct asker, i)
+					       .deadline_us);
+	if (!gateway->watching_peers->len)
 		return wake_us;
 	if (!rr_feed_can_serve_changes(gateway->feed))
 		return rr_feed_serve_grace_end_us(gateway->feed);
 	return wake_us;
 }
 
-void rr_take_peer_gone(void *data, struct rr_caller *caller)
+void rr_handle_peer_disconnect(void *data, struct rr_caller *caller)
 {
 	struct rr_gateway *gateway = data;
 
-	for (guint i = 0; i < gateway->askers->len; i++) {
-		if (g_array_index(gateway->askers, struct asker, i).caller !=
-		    caller)
+	for (guint i = 0; i < gateway->watching_peers->len; i++) {
+		if (g_array_index(gateway->watching_peers, struct asker, i)
+			    .caller != caller)
 			continue;
-		g_array_remove_index_fast(gateway->askers, i);
+		g_array_remove_index_fast(gateway->watching_peers, i);
 		return;
 	}
-	rr_take_gone(data, caller);
+	rr_handle_caller_disconnect(data, caller);
 }
--- a/source/gateway/gateway-private.h
+++ b/source/gateway/gateway-private.h
@@ -18,30 +18,30 @@
  * Between instances: time until a search that is handed over has to be
  * answered, in microseconds; and the promise that it was not run.
  */
-#define LEFT_HEADER "Ragwort-Left-Us"
+#define FORWARD_DEADLINE_HEADER "Ragwort-Left-Us"
 #define NOT_RUN_HEADER "Ragwort-Not-Run"
 /* Between instances: the one that refuses is cut off from other zones. */
-#define CUT_OFF_HEADER "Ragwort-Cut-Off"
+#define ISOLATED_HEADER "Ragwort-Cut-Off"
 
 /* Ticks whatever is due. */
 struct tick_source {
 	GSource source; /* first: GLib allocates the whole */
 	struct rr_gateway *gateway;
 	int64_t due_us;
-	int64_t woke_us; /* when the turn under way began; 0: none has */
+	int64_t iteration_started_us; /* when the turn under way began; 0: none has */
 };
 
 /* Another instance that waits for the store's news. */
 struct asker {
 	struct rr_caller *caller;
-	struct rr_news_call call;
-	int64_t until_us;
+	struct rr_change_feed_request request;
+	int64_t deadline_us;
 };
 
 /* A request that a caller waits for. */
 struct open_request {
 	struct rr_caller *caller;
-	bool handed; /* its caller is another instance */
+	bool from_peer; /* its caller is another instance */
 	const struct rr_http_message *message;
 	GString *head;
 	const char *request_id;
@@ -56,60 +56,65 @@
 	struct tick_source *ticker;
 	struct rr_gate *gate;
 	struct rr_feed *feed;
-	struct rr_front_port *callers;
-	struct rr_front_port *ready;
-	struct rr_front_port *metrics;
-	struct rr_front_port *peers; /* other instances that hand over */
-	struct rr_replica_port *replicas;
-	struct rr_replica_port *store;
-	struct rr_replica_port *strong; /* instances to hand over to */
+	struct rr_front_port *caller_listener;
+	struct rr_front_port *readiness_listener;
+	struct rr_front_port *metrics_listener;
+	struct rr_front_port
+		*peer_listener; /* other instances that hand over */
+	struct rr_replica_port *replica_client;
+	struct rr_replica_port *store_client;
+	struct rr_replica_port
+		*coordinator_client; /* instances to hand over to */
 	struct rr_lifecycle lifecycle;
-	int64_t born_ms;      /* Unix time; told in this instance's entry */
+	int64_t started_ms;   /* Unix time; told in this instance's entry */
 	GHashTable *requests; /* gate's id -> struct open_request */
-	struct open_request *taking; /* being taken: its id is not known yet */
-	GHashTable *calls;	     /* id -> struct open_call */
-	GArray *askers;		     /* struct asker */
-	int64_t flush_us;	     /* 0: no line waits */
+	struct open_request
+		*submitting;	 /* being taken: its id is not known yet */
+	GHashTable *store_calls; /* id -> struct open_call */
+	GArray *watching_peers;	 /* struct asker */
+	int64_t log_flush_us;	 /* 0: no line waits */
 	int64_t stop_check_us;
 	bool was_ready;
-	bool was_cut_off;
+	bool was_isolated;
 	guint signal_sources[3];
 };
 
 int64_t rr_gateway_now_us(void);
 /* Whether callers may come; else *reason (static) says why not. */
-bool rr_gateway_takes_callers(const struct rr_gateway *gateway,
-			      const char **reason);
+bool rr_gateway_is_ready(const struct rr_gateway *gateway, const char **reason);
 
 /* gateway-callers.c: requests of callers and instances, and their answers */
 struct rr_gate_actions rr_gateway_gate_actions(struct rr_gateway *gateway);
 void rr_free_open_request(gpointer data);
-void rr_take_callers_request(void *data, struct rr_caller *caller,
-			     const struct rr_http_message *message);
-void rr_take_peers_request(void *data, struct rr_caller *caller,
-			   const struct rr_http_message *message);
-void rr_take_leaver(void *data, struct rr_caller *caller);
-void rr_take_gone(void *data, struct rr_caller *caller);
-void rr_answer_ready(void *data, struct rr_caller *caller,
-		     const struct rr_http_message *message);
-void rr_answer_metrics(void *data, struct rr_caller *caller,
-		       const struct rr_http_message *message);
+void rr_handle_caller_request(void *data, struct rr_caller *caller,
+			      const struct rr_http_message *message);
+void rr_handle_peer_request(void *data, struct rr_caller *caller,
+			    const struct rr_http_message *message);
+void rr_handle_caller_half_close(void *data, struct rr_caller *caller);
+void rr_handle_caller_disconnect(void *data, struct rr_caller *caller);
+void rr_handle_readiness_request(void *data, struct rr_caller *caller,
+				 const struct rr_http_message *message);
+void rr_handle_metrics_request(void *data, struct rr_caller *caller,
+			       const struct rr_http_message *message);
 
 /* gateway-store.c: the feed's calls, and what it learns */
 struct rr_feed_actions rr_gateway_feed_actions(struct rr_gateway *gateway);
-void rr_take_gateway_store_reply(void *data, const struct rr_gate_reply *reply);
+void rr_handle_gateway_store_reply(void *data,
+				   const struct rr_gate_reply *reply);
 
-/* gateway-news.c: the store's news for other instances */
-void rr_take_news_call(struct rr_gateway *gateway, struct rr_caller *caller,
-		       const struct rr_news_call *call);
+/* gateway-change-feed.c: the store's news for other instances */
+void rr_handle_change_feed_request(struct rr_gateway *gateway,
+				   struct rr_caller *caller,
+				   const struct rr_change_feed_request *call);
 /* Another instance asks to be entered in the store, or leaves. */
-void rr_take_entry_call(struct rr_gateway *gateway, struct rr_caller *caller,
-			const struct rr_http_message *message);
+void rr_handle_registration_request(struct rr_gateway *gateway,
+				    struct rr_caller *caller,
+				    const struct rr_http_message *message);
 /* Answer those who have waited long enough, or for whom there is news. */
-void rr_answer_askers(struct rr_gateway *gateway, int64_t now_us);
+void rr_answer_watching_peers(struct rr_gateway *gateway, int64_t now_us);
 /* All who wait are told at once that this instance has been cut off. */
-void rr_tell_askers_of_cut(struct rr_gateway *gateway);
-int64_t rr_askers_wake_us(const struct rr_gateway *gateway);
-void rr_take_peer_gone(void *data, struct rr_caller *caller);
+void rr_reject_watching_peers(struct rr_gateway *gateway);
+int64_t rr_watching_peers_wake_us(const struct rr_gateway *gateway);
+void rr_handle_peer_disconnect(void *data, struct rr_caller *caller);
 
 #endif
--- a/source/gateway/gateway-store.c
+++ b/source/gateway/gateway-store.c
@@ -40,8 +40,8 @@
 
 	open->id = call->id;
 	open->kind = call->kind;
-	g_hash_table_insert(gateway->calls, &open->id, open);
-	rr_send_to_replica(gateway->store, rr_gateway_now_us(), &send,
+	g_hash_table_insert(gateway->store_calls, &open->id, open);
+	rr_send_to_replica(gateway->store_client, rr_gateway_now_us(), &send,
 			   &request);
 	g_string_free(bytes, TRUE);
 }
@@ -50,15 +50,16 @@
 {
 	struct rr_gateway *gateway = data;
 
-	rr_withdraw_from_replica(gateway->store, call);
-	g_hash_table_remove(gateway->calls, &call);
+	rr_withdraw_from_replica(gateway->store_client, call);
+	g_hash_table_remove(gateway->store_calls, &call);
 }
 
-void rr_take_gateway_store_reply(void *data, const struct rr_gate_reply *reply)
+void rr_handle_gateway_store_reply(void *data,
+				   const struct rr_gate_reply *reply)
 {
 	struct rr_gateway *gateway = data;
 	struct open_call *open =
-		g_hash_table_lookup(gateway->calls, &reply->attempt);
+		g_hash_table_lookup(gateway->store_calls, &reply->attempt);
 	struct rr_feed_reply decoded = { .status = RR_FEED_FAILED };
 
 	if (!open)
@@ -66,11 +67,11 @@
 	if (reply->outcome == RR_GATE_ANSWERED)
 		rr_decode_feed_reply(open->kind, reply->status, reply->body,
 				     reply->length, &decoded);
-	if (reply->message && rr_http_value(reply->message, CUT_OFF_HEADER))
+	if (reply->message && rr_http_value(reply->message, ISOLATED_HEADER))
 		rr_gate_suspect_zones(gateway->ctx, gateway->gate,
 				      rr_gateway_now_us());
 	decoded.call_id = open->id;
-	g_hash_table_remove(gateway->calls, &reply->attempt);
+	g_hash_table_remove(gateway->store_calls, &reply->attempt);
 	rr_feed_reply(gateway->ctx, gateway->feed, rr_gateway_now_us(),
 		      &decoded);
 	if (decoded.items)
@@ -83,7 +84,7 @@
 
 	if (rr_gate_set_routes(gateway->ctx, gateway->gate, rr_gateway_now_us(),
 			       table))
-		rr_bound_front_port(gateway->callers,
+		rr_bound_front_port(gateway->caller_listener,
 				    rr_table_caller_limits(table));
 }
 
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -30,8 +30,7 @@
 
 /* Readiness. */
 
-bool rr_gateway_takes_callers(const struct rr_gateway *gateway,
-			      const char **reason)
+bool rr_gateway_is_ready(const struct rr_gateway *gateway, const char **reason)
 {
 	bool serves = rr_gate_is_ready(gateway->gate, reason);
 
@@ -49,15 +48,15 @@
 {
 	bool cut_off = rr_gate_is_isolated(gateway->gate);
 
-	if (cut_off && !gateway->was_cut_off)
-		rr_tell_askers_of_cut(gateway);
-	gateway->was_cut_off = cut_off;
+	if (cut_off && !gateway->was_isolated)
+		rr_reject_watching_peers(gateway);
+	gateway->was_isolated = cut_off;
 }
 
 static void look_at_readiness(struct rr_gateway *gateway)
 {
 	const char *reason = "";
-	bool ready = rr_gateway_takes_callers(gateway, &reason);
+	bool ready = rr_gateway_is_ready(gateway, &reason);
 
 	if (ready == gateway->was_ready)
 		return;
@@ -69,21 +68,21 @@
 
 static void refuse_all(struct rr_gateway *gateway)
 {
-	rr_refuse_callers(gateway->callers);
-	if (gateway->peers)
-		rr_refuse_callers(gateway->peers);
+	rr_refuse_callers(gateway->caller_listener);
+	if (gateway->peer_listener)
+		rr_refuse_callers(gateway->peer_listener);
 }
 
 static void close_idle(struct rr_gateway *gateway)
 {
-	rr_close_idle_callers(gateway->callers);
-	if (gateway->peers)
-		rr_close_idle_callers(gateway->peers);
+	rr_close_idle_callers(gateway->caller_listener);
+	if (gateway->peer_listener)
+		rr_close_idle_callers(gateway->peer_listener);
 }
 
 static void check_stop(struct rr_gateway *gateway)
 {
-	size_t callers = rr_count_callers(gateway->callers);
+	size_t callers = rr_count_callers(gateway->caller_listener);
 	enum rr_stop_phase step;
 
 	if (!gateway->lifecycle.stop_requested_us ||
@@ -105,21 +104,21 @@
 {
 	int64_t now = rr_gateway_now_us();
 
-	rr_tick_replica_port(gateway->store, now);
-	rr_tick_replica_port(gateway->replicas, now);
-	rr_tick_replica_port(gateway->strong, now);
+	rr_tick_replica_port(gateway->store_client, now);
+	rr_tick_replica_port(gateway->replica_client, now);
+	rr_tick_replica_port(gateway->coordinator_client, now);
 	rr_feed_tick(gateway->ctx, gateway->feed, now);
-	rr_answer_askers(gateway, now);
+	rr_answer_watching_peers(gateway, now);
 	rr_gate_tick(gateway->ctx, gateway->gate, now);
 	look_at_cut(gateway);
-	rr_tick_front_port(gateway->callers, now);
-	rr_tick_front_port(gateway->ready, now);
-	if (gateway->peers)
-		rr_tick_front_port(gateway->peers, now);
+	rr_tick_front_port(gateway->caller_listener, now);
+	rr_tick_front_port(gateway->readiness_listener, now);
+	if (gateway->peer_listener)
+		rr_tick_front_port(gateway->peer_listener, now);
 	check_stop(gateway);
-	if (gateway->flush_us && gateway->flush_us <= now) {
+	if (gateway->log_flush_us && gateway->log_flush_us <= now) {
 		rr_flush_log();
-		gateway->flush_us = 0;
+		gateway->log_flush_us = 0;
 	}
 }
 
@@ -129,23 +128,26 @@
 	int64_t due_us = rr_gate_next_tick_us(gateway->gate);
 
 	look_at_readiness(gateway);
-	if (rr_gate_is_isolated(gateway->gate) != gateway->was_cut_off)
+	if (rr_gate_is_isolated(gateway->gate) != gateway->was_isolated)
 		return 0;
 	due_us = MIN(due_us, rr_feed_wake_us(gateway->feed));
-	due_us = MIN(due_us, rr_askers_wake_us(gateway));
-	due_us = MIN(due_us, rr_front_port_wake_us(gateway->callers));
-	due_us = MIN(due_us, rr_front_port_wake_us(gateway->ready));
-	if (gateway->peers)
-		due_us = MIN(due_us, rr_front_port_wake_us(gateway->peers));
-	due_us = MIN(due_us, rr_replica_port_wake_us(gateway->replicas));
-	due_us = MIN(due_us, rr_replica_port_wake_us(gateway->store));
-	due_us = MIN(due_us, rr_replica_port_wake_us(gateway->strong));
+	due_us = MIN(due_us, rr_watching_peers_wake_us(gateway));
+	due_us = MIN(due_us, rr_front_port_wake_us(gateway->caller_listener));
+	due_us =
+		MIN(due_us, rr_front_port_wake_us(gateway->readiness_listener));
+	if (gateway->peer_listener)
+		due_us = MIN(due_us,
+			     rr_front_port_wake_us(gateway->peer_listener));
+	due_us = MIN(due_us, rr_replica_port_wake_us(gateway->replica_client));
+	due_us = MIN(due_us, rr_replica_port_wake_us(gateway->store_client));
+	due_us = MIN(due_us,
+		     rr_replica_port_wake_us(gateway->coordinator_client));
 	if (gateway->lifecycle.stop_requested_us)
 		due_us = MIN(due_us, gateway->stop_check_us);
-	if (rr_log_waits() && !gateway->flush_us)
-		gateway->flush_us = rr_gateway_now_us() + FLUSH_US;
-	if (gateway->flush_us)
-		due_us = MIN(due_us, gateway->flush_us);
+	if (rr_has_buffered_log_lines() && !gateway->log_flush_us)
+		gateway->log_flush_us = rr_gateway_now_us() + FLUSH_US;
+	if (gateway->log_flush_us)
+		due_us = MIN(due_us, gateway->log_flush_us);
 	return due_us;
 }
 
@@ -167,10 +169,11 @@
 	int64_t now_us = rr_gateway_now_us();
 	int64_t wait_us;
 
-	if (ticker->woke_us)
-		note_delay(ticker->gateway, now_us, now_us - ticker->woke_us);
+	if (ticker->iteration_started_us)
+		note_delay(ticker->gateway, now_us,
+			   now_us - ticker->iteration_started_us);
 	/* What is due already is not checked after the wait. */
-	ticker->woke_us = now_us;
+	ticker->iteration_started_us = now_us;
 	ticker->due_us = MAX(next_tick_us(ticker->gateway), now_us);
 	*timeout_ms = -1;
 	if (ticker->due_us == INT64_MAX)
@@ -185,10 +188,10 @@
 {
 	struct tick_source *ticker = (struct tick_source *)source;
 
-	ticker->woke_us = rr_gateway_now_us();
-	note_delay(ticker->gateway, ticker->woke_us,
-		   ticker->woke_us - ticker->due_us);
-	return ticker->due_us <= ticker->woke_us;
+	ticker->iteration_started_us = rr_gateway_now_us();
+	note_delay(ticker->gateway, ticker->iteration_started_us,
+		   ticker->iteration_started_us - ticker->due_us);
+	return ticker->due_us <= ticker->iteration_started_us;
 }
 
 static gboolean dispatch_tick(GSource *source, GSourceFunc callback,
@@ -229,14 +232,15 @@
 
 	rr_log(gateway->ctx, RR_LOG_INFO, "stopping",
 	       RR_FIELD_U64("requests", rr_gate_count_requests(gateway->gate)),
-	       RR_FIELD_U64("callers", rr_count_callers(gateway->callers)));
+	       RR_FIELD_U64("callers",
+			    rr_count_callers(gateway->caller_listener)));
 	rr_request_stop(&gateway->lifecycle, rr_gateway_now_us());
 	gateway->stop_check_us = rr_gateway_now_us() + STOP_CHECK_US;
-	rr_close_front_port(gateway->callers);
-	if (gateway->peers)
-		rr_close_front_port(gateway->peers);
+	rr_close_front_port(gateway->caller_listener);
+	if (gateway->peer_listener)
+		rr_close_front_port(gateway->peer_listener);
 	rr_feed_leave(gateway->ctx, gateway->feed, rr_gateway_now_us());
-	rr_answer_askers(gateway, rr_gateway_now_us());
+	rr_answer_watching_peers(gateway, rr_gateway_now_us());
 	return G_SOURCE_CONTINUE;
 }
 
@@ -284,7 +288,7 @@
 			.zone = gateway->settings->zone,
 			.address = gateway->settings->peer_address,
 			.strength = gateway->settings->strength,
-			.started_ms = gateway->born_ms,
+			.started_ms = gateway->started_ms,
 		},
 		.seeds = (const char *const *)gateway->settings->seed_peers,
 		.max_staleness_ms = news_bound_ms(gateway->settings),
@@ -309,7 +313,7 @@
 	};
 	struct rr_replica_port_options store = {
 		.poller = gateway->poller,
-		.replied = rr_take_gateway_store_reply,
+		.replied = rr_handle_gateway_store_reply,
 		.data = gateway,
 	};
 
@@ -321,9 +325,10 @@
 		.data = gateway,
 	};
 
-	gateway->strong = rr_new_replica_port(gateway->ctx, &strong);
-	gateway->replicas = rr_new_replica_port(gateway->ctx, &replicas);
-	gateway->store = rr_new_replica_port(gateway->ctx, &store);
+	gateway->coordinator_client =
+		rr_new_replica_port(gateway->ctx, &strong);
+	gateway->replica_client = rr_new_replica_port(gateway->ctx, &replicas);
+	gateway->store_client = rr_new_replica_port(gateway->ctx, &store);
 }
 
 static bool listen_all(struct rr_gateway *gateway, GError **error)
@@ -333,41 +338,45 @@
 		.poller = gateway->poller,
 		.address = settings->caller_address,
 		.max_connections = settings->max_connections,
-		.request = rr_take_callers_request,
-		.left = rr_take_leaver,
-		.gone = rr_take_gone,
+		.request = rr_handle_caller_request,
+		.left = rr_handle_caller_half_close,
+		.gone = rr_handle_caller_disconnect,
 		.data = gateway,
 	};
 	struct rr_front_port_options ready = {
 		.poller = gateway->poller,
 		.address = settings->ready_address,
 		.max_connections = MOST_ASKERS,
-		.request = rr_answer_ready,
+		.request = rr_handle_readiness_request,
 		.data = gateway,
 	};
 	struct rr_front_port_options metrics = ready;
 	struct rr_front_port_options peers = callers;
 
-	gateway->callers = rr_new_front_port(gateway->ctx, &callers, error);
-	if (!gateway->callers)
+	gateway->caller_listener =
+		rr_new_front_port(gateway->ctx, &callers, error);
+	if (!gateway->caller_listener)
 		return false;
-	gateway->ready = rr_new_front_port(gateway->ctx, &ready, error);
-	if (!gateway->ready)
+	gateway->readiness_listener =
+		rr_new_front_port(gateway->ctx, &ready, error);
+	if (!gateway->readiness_listener)
 		return false;
 	if (settings->peer_address) {
 		peers.address = settings->peer_address;
-		peers.request = rr_take_peers_request;
-		peers.gone = rr_take_peer_gone;
-		gateway->peers = rr_new_front_port(gateway->ctx, &peers, error);
-		if (!gateway->peers)
+		peers.request = rr_handle_peer_request;
+		peers.gone = rr_handle_peer_disconnect;
+		gateway->peer_listener =
+			rr_new_front_port(gateway->ctx, &peers, error);
+		if (!gateway->peer_listener)
 			return false;
 	}
 	if (!settings->metrics_address)
 		return true;
 	metrics.address = settings->metrics_address;
-	metrics.request = rr_answer_metrics;
-	gateway->metrics = rr_new_front_port(gateway->ctx, &metrics, error);
-	return gateway->metrics != NULL;
+	metrics.request = rr_handle_metrics_request;
+	gateway->metrics_listener =
+		rr_new_front_port(gateway->ctx, &metrics, error);
+	return gateway->metrics_listener != NULL;
 }
 
 static void start_sources(struct rr_gateway *gateway)
@@ -393,14 +402,15 @@
 	gateway->ctx = rr_keep_context(ctx);
 	gateway->settings = settings;
 	gateway->names = rr_platform_names();
-	gateway->born_ms = g_get_real_time() / 1000;
+	gateway->started_ms = g_get_real_time() / 1000;
 	gateway->loop = g_main_loop_new(NULL, FALSE);
 	gateway->lifecycle.stop_timeout_ms = settings->stop_timeout_ms;
 	gateway->requests = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 						  g_free, rr_free_open_request);
-	gateway->calls = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-					       NULL, g_free);
-	gateway->askers = g_array_new(FALSE, FALSE, sizeof(struct asker));
+	gateway->store_calls = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, NULL, g_free);
+	gateway->watching_peers =
+		g_array_new(FALSE, FALSE, sizeof(struct asker));
 	gateway->poller = rr_new_poller(error);
 	if (!gateway->poller || !listen_all(gateway, error)) {
 		rr_drop_gateway(gateway);
@@ -424,18 +434,18 @@
 		g_source_destroy(&gateway->ticker->source);
 		g_source_unref(&gateway->ticker->source);
 	}
-	rr_drop_front_port(gateway->callers);
-	rr_drop_front_port(gateway->ready);
-	rr_drop_front_port(gateway->metrics);
-	rr_drop_front_port(gateway->peers);
-	rr_drop_replica_port(gateway->replicas);
-	rr_drop_replica_port(gateway->store);
-	rr_drop_replica_port(gateway->strong);
+	rr_drop_front_port(gateway->caller_listener);
+	rr_drop_front_port(gateway->readiness_listener);
+	rr_drop_front_port(gateway->metrics_listener);
+	rr_drop_front_port(gateway->peer_listener);
+	rr_drop_replica_port(gateway->replica_client);
+	rr_drop_replica_port(gateway->store_client);
+	rr_drop_replica_port(gateway->coordinator_client);
 	rr_drop_feed(gateway->feed);
 	rr_drop_gate(gateway->gate);
 	g_hash_table_unref(gateway->requests);
-	g_hash_table_unref(gateway->calls);
-	g_array_unref(gateway->askers);
+	g_hash_table_unref(gateway->store_calls);
+	g_array_unref(gateway->watching_peers);
 	rr_drop_poller(gateway->poller);
 	g_main_loop_unref(gateway->loop);
 	rr_drop_context(gateway->ctx);
--- a/source/gateway/log-writer.c
+++ b/source/gateway/log-writer.c
@@ -18,7 +18,7 @@
 static GString *kept;
 static uint64_t left_out;
 
-void rr_keep_log_line(void *data, enum rr_log_level level, const char *line)
+void rr_buffer_log_line(void *data, enum rr_log_level level, const char *line)
 {
 	if (!kept)
 		kept = g_string_sized_new(4096);
@@ -37,7 +37,7 @@
 	g_string_append_c(kept, '\n');
 }
 
-int rr_log_waits(void)
+int rr_has_buffered_log_lines(void)
 {
 	return kept && kept->len;
 }
@@ -52,7 +52,7 @@
 void rr_flush_log(void)
 {
 	/* A pipe that is writable takes this much without blocking. */
-	while (rr_log_waits() && takes_bytes()) {
+	while (rr_has_buffered_log_lines() && takes_bytes()) {
 		ssize_t n = write(STDOUT_FILENO, kept->str,
 				  MIN(kept->len, (gsize)PIPE_BUF));
 
--- a/source/gateway/main.c
+++ b/source/gateway/main.c
@@ -52,7 +52,7 @@
 	struct rr_context_options options = {
 		.seed = g_random_int(),
 		.log = {
-			.write = rr_keep_log_line,
+			.write = rr_buffer_log_line,
 			.clock = rr_read_wall_clock,
 			.max_level = settings->log_level,
 			.format = settings->log_format,
--- a/source/net/platform-entry.c
+++ b/source/net/platform-entry.c
@@ -74,10 +74,10 @@
 		.lease = port->lease,
 		.added = &entered,
 	};
-	struct rr_store_call call;
+	struct rr_store_request call;
 
 	port->entry_timer = 0;
-	rr_make_feed_call(&call, &wanted);
+	rr_make_feed_request(&call, &wanted);
 	rr_start_platform_call(port, &call, port->options.call_timeout_ms,
 			       take_entry_reply, port);
 	return G_SOURCE_REMOVE;
--- a/source/net/platform-private.h
+++ b/source/net/platform-private.h
@@ -29,7 +29,7 @@
 
 /* Make a call, which is cleared; `done` is called once, later. */
 void rr_start_platform_call(
-	struct rr_platform_port *port, struct rr_store_call *call,
+	struct rr_platform_port *port, struct rr_store_request *call,
 	uint32_t timeout_ms,
 	void (*done)(void *data, const struct rr_exchange_result *result),
 	void *data);
--- a/source/net/platform-watch.c
+++ b/source/net/platform-watch.c
@@ -89,7 +89,7 @@
 {
 	struct rr_platform_port *port = data;
 	uint32_t timeout_ms = port->options.call_timeout_ms;
-	struct rr_store_call call;
+	struct rr_store_request call;
 
 	port->watch_timer = 0;
 	if (port->record_read && !port->options.watches(port->options.data)) {
@@ -97,11 +97,12 @@
 		return G_SOURCE_REMOVE;
 	}
 	if (port->record_read) {
-		rr_make_watch(&call, RR_RECORD_KEY, port->record_revision,
-			      port->options.watch_ms);
+		rr_make_watch_request(&call, RR_RECORD_KEY,
+				      port->record_revision,
+				      port->options.watch_ms);
 		timeout_ms = port->options.watch_ms + WATCH_GRACE_MS;
 	} else {
-		rr_make_range(&call, RR_RECORD_KEY, NULL);
+		rr_make_range_request(&call, RR_RECORD_KEY, NULL);
 	}
 	rr_start_platform_call(port, &call, timeout_ms, take_record, port);
 	return G_SOURCE_REMOVE;
@@ -201,9 +202,9 @@
 static void read_page(struct rr_platform_port *port,
 		      enum rr_feed_item_kind kind, const char *after_key)
 {
-	struct rr_store_call call;
+	struct rr_store_request call;
 
-	rr_make_range(&call, rr_store_prefix(kind), after_key);
+	rr_make_range_request(&call, rr_store_prefix(kind), after_key);
 	rr_start_platform_call(
 		port, &call, port->options.call_timeout_ms,
 		kind == RR_FEED_REPLICA ? take_replicas : take_members, port);
--- a/source/net/platform.c
+++ b/source/net/platform.c
@@ -32,10 +32,11 @@
 	if (result->never_sent)
 		reply->status = RR_STORE_UNAVAILABLE;
 	else if (result->whole && call->write)
-		rr_decode_key_swap(call->key, status, result->body,
-				   result->length, reply);
+		rr_decode_cas_reply(call->key, status, result->body,
+				    result->length, reply);
 	else if (result->whole)
-		rr_decode_key_get(status, result->body, result->length, reply);
+		rr_decode_get_reply(status, result->body, result->length,
+				    reply);
 }
 
 static void take_reply(void *data, const struct rr_exchange_result *result)
@@ -71,7 +72,7 @@
 }
 
 void rr_start_platform_call(
-	struct rr_platform_port *port, struct rr_store_call *call,
+	struct rr_platform_port *port, struct rr_store_request *call,
 	uint32_t timeout_ms,
 	void (*done)(void *data, const struct rr_exchange_result *result),
 	void *data)
@@ -91,11 +92,11 @@
 
 	rr_count(port->ctx, RR_N_STORE_CALLS, 1);
 	rr_start_exchange(port->exchanger, &options);
-	rr_clear_store_call(call);
+	rr_clear_store_request(call);
 }
 
 static void start_key_call(struct rr_platform_port *port, uint64_t call_id,
-			   const char *key, struct rr_store_call *made)
+			   const char *key, struct rr_store_request *made)
 {
 	struct key_call *call = g_new0(struct key_call, 1);
 
@@ -109,9 +110,9 @@
 
 static void get_key(void *data, uint64_t call_id, const char *key)
 {
-	struct rr_store_call call;
+	struct rr_store_request call;
 
-	rr_make_key_get(&call, key);
+	rr_make_get_request(&call, key);
 	start_key_call(data, call_id, key, &call);
 }
 
@@ -119,9 +120,9 @@
 				 uint64_t revision, const char *value,
 				 size_t length)
 {
-	struct rr_store_call call;
+	struct rr_store_request call;
 
-	rr_make_key_swap(&call, key, revision, value, length);
+	rr_make_cas_request(&call, key, revision, value, length);
 	start_key_call(data, call_id, key, &call);
 }
 
--- a/source/tool/platform.c
+++ b/source/tool/platform.c
@@ -23,7 +23,7 @@
  * Make a call, which is cleared.  False, with *status, if there is no whole
  * reply: it never left, or may have had its effect.
  */
-static bool call_platform(const char *address, struct rr_store_call *made,
+static bool call_platform(const char *address, struct rr_store_request *made,
 			  struct rr_http_reply *http,
 			  enum rr_store_status *status, char **why)
 {
@@ -44,7 +44,7 @@
 				  RR_STORE_UNAVAILABLE :
 				  RR_STORE_UNKNOWN;
 	g_clear_error(&error);
-	rr_clear_store_call(made);
+	rr_clear_store_request(made);
 	return answered;
 }
 
@@ -63,15 +63,15 @@
 		      struct rr_store_reply *reply, char **body, char **why)
 {
 	struct rr_key_reply decoded;
-	struct rr_store_call call;
+	struct rr_store_request call;
 	struct rr_http_reply http;
 
 	*reply = (struct rr_store_reply){ 0 };
 	*body = NULL;
-	rr_make_key_get(&call, key);
+	rr_make_get_request(&call, key);
 	if (call_platform(address, &call, &http, &reply->status, why)) {
-		rr_decode_key_get((uint16_t)http.status, http.body, http.length,
-				  &decoded);
+		rr_decode_get_reply((uint16_t)http.status, http.body,
+				    http.length, &decoded);
 		give_reply(&decoded, reply, body);
 	}
 	rr_clear_http_reply(&http);
@@ -82,15 +82,15 @@
 		      struct rr_store_reply *reply, char **why)
 {
 	struct rr_key_reply decoded;
-	struct rr_store_call call;
+	struct rr_store_request call;
 	struct rr_http_reply http;
 	char *none;
 
 	*reply = (struct rr_store_reply){ 0 };
-	rr_make_key_swap(&call, key, revision, value, length);
+	rr_make_cas_request(&call, key, revision, value, length);
 	if (call_platform(address, &call, &http, &reply->status, why)) {
-		rr_decode_key_swap(key, (uint16_t)http.status, http.body,
-				   http.length, &decoded);
+		rr_decode_cas_reply(key, (uint16_t)http.status, http.body,
+				    http.length, &decoded);
 		give_reply(&decoded, reply, &none);
 	}
 	rr_clear_http_reply(&http);
@@ -102,11 +102,11 @@
 		      char **why)
 {
 	enum rr_store_status status;
-	struct rr_store_call call;
+	struct rr_store_request call;
 	struct rr_http_reply http;
 
 	*page = (struct rr_feed_reply){ .status = RR_FEED_FAILED };
-	rr_make_range(&call, prefix, after_key);
+	rr_make_range_request(&call, prefix, after_key);
 	g_clear_pointer(why, g_free);
 	if (call_platform(address, &call, &http, &status, why))
 		rr_decode_feed_reply(RR_FEED_RANGE, (uint16_t)http.status,
@@ -156,7 +156,7 @@
 	};
 	static char *nobody[] = { NULL };
 	enum rr_store_status status;
-	struct rr_store_call call;
+	struct rr_store_request call;
 	struct rr_http_reply http;
 	bool removed = false;
 
@@ -165,7 +165,7 @@
 		*why = g_strdup("its key is no fingerprint");
 		return false;
 	}
-	rr_make_feed_call(&call, &removal);
+	rr_make_feed_request(&call, &removal);
 	if (call_platform(address, &call, &http, &status, why))
 		removed = http.status == 200;
 	rr_clear_http_reply(&http);
--- a/tests/support/deployment.c
+++ b/tests/support/deployment.c
@@ -53,12 +53,12 @@
 }
 
 static struct test_reply *call_platform(struct test_deployment *d,
-					struct rr_store_call *call)
+					struct rr_store_request *call)
 {
 	struct test_reply *reply = test_call(call->method, d->platform->port,
 					     call->path, NULL, call->body);
 
-	rr_clear_store_call(call);
+	rr_clear_store_request(call);
 	return reply;
 }
 
@@ -67,19 +67,20 @@
 {
 	char *base = make_base(d);
 	struct rr_key_reply present;
-	struct rr_store_call call;
+	struct rr_store_request call;
 	struct test_reply *reply;
 	size_t length;
 	char *text;
 
-	rr_make_key_get(&call, RR_RECORD_KEY);
+	rr_make_get_request(&call, RR_RECORD_KEY);
 	reply = call_platform(d, &call);
-	rr_decode_key_get((uint16_t)reply->status, reply->body,
-			  strlen(reply->body), &present);
+	rr_decode_get_reply((uint16_t)reply->status, reply->body,
+			    strlen(reply->body), &present);
 	test_drop_reply(reply);
 	rr_change_record(d->record, RR_RECORD_BASE, base, "change", "test", 1);
 	text = rr_encode_record(d->record, &length);
-	rr_make_key_swap(&call, RR_RECORD_KEY, present.revision, text, length);
+	rr_make_cas_request(&call, RR_RECORD_KEY, present.revision, text,
+			    length);
 	reply = call_platform(d, &call);
 	assert_int_equal(reply->status, 200);
 	test_drop_reply(reply);
--- a/tests/test-platform-entries.c
+++ b/tests/test-platform-entries.c
@@ -56,7 +56,7 @@
 	struct rr_feed_item *item = g_new0(struct rr_feed_item, 1);
 
 	item->replica =
-		rr_decode_listing(id, text, length, &item->decode_error);
+		rr_decode_endpoint_info(id, text, length, &item->decode_error);
 	assert_true(!item->replica == !!item->decode_error);
 	return item;
 }
@@ -256,7 +256,9 @@
 static struct rr_feed_reply read_back(const char *key, const char *value,
 				      bool packed, bool takes_packed)
 {
-	struct rr_news_call call = { .after = 1, .packed = takes_packed };
+	struct rr_change_feed_request call = { .after_revision = 1,
+					       .accepts_compressed =
+						       takes_packed };
 	GArray *items =
 		g_array_new(FALSE, FALSE, sizeof(struct rr_feed_change));
 	struct rr_feed_change item = {
@@ -271,7 +273,7 @@
 	item.compressed = false;
 	item.revision = 3;
 	g_array_append_val(items, item);
-	body = rr_encode_news(&call, items, 3);
+	body = rr_encode_change_feed_reply(&call, items, 3);
 	rr_decode_feed_reply(RR_FEED_WATCH, 200, (const uint8_t *)body->str,
 			     body->len, &reply);
 	g_string_free(body, TRUE);
@@ -384,11 +386,11 @@
 	g_ptr_array_unref(reply.items);
 }
 
-static struct rr_entry_call *parse_entries(const char *body)
+static struct rr_registration_request *parse_entries(const char *body)
 {
 	const char *fault;
 
-	return rr_parse_entry_call(body, strlen(body), &fault);
+	return rr_parse_registration_request(body, strlen(body), &fault);
 }
 
 /* What one instance asks another to write is read as it was meant. */
@@ -408,22 +410,22 @@
 					    .added = &entered,
 					    .removed = &removed };
 	GString *bytes = rr_encode_feed_call(&enter, "10.0.0.2:7");
-	struct rr_entry_call *call =
+	struct rr_registration_request *call =
 		parse_entries(strstr(bytes->str, "\r\n\r\n") + 4);
 	const struct rr_instance *read;
 
 	(void)state;
-	assert_true(rr_is_entry_call("POST", "/v1/kv-txn"));
-	assert_false(rr_is_entry_call("GET", "/v1/kv-txn"));
+	assert_true(rr_is_registration_request("POST", "/v1/kv-txn"));
+	assert_false(rr_is_registration_request("GET", "/v1/kv-txn"));
 	assert_non_null(call);
-	assert_int_equal(call->entered->len, 1);
-	read = g_ptr_array_index(call->entered, 0);
+	assert_int_equal(call->added->len, 1);
+	read = g_ptr_array_index(call->added, 0);
 	assert_string_equal(read->id, "front-1");
 	assert_string_equal(read->address, "10.0.0.1:7");
 	assert_true(read->strength == 0.12);
 	assert_int_equal(read->started_ms, 5);
 	assert_string_equal(g_ptr_array_index(call->removed, 0), "front-2");
-	rr_free_entry_call(call);
+	rr_free_registration_request(call);
 	g_string_free(bytes, TRUE);
 }
 
--- a/tests/test-platform-formats.c
+++ b/tests/test-platform-formats.c
@@ -215,27 +215,27 @@
 
 static void test_key_calls(void **state)
 {
-	struct rr_store_call call;
+	struct rr_store_request call;
 
-	rr_make_key_get(&call, "ledger/3 4");
+	rr_make_get_request(&call, "ledger/3 4");
 	assert_string_equal(call.path, "/v1/kv-key?key=ledger/3%204");
 	assert_null(call.body);
-	rr_clear_store_call(&call);
-	rr_make_key_swap(&call, "ledger/3", 7, "one", 3);
+	rr_clear_store_request(&call);
+	rr_make_cas_request(&call, "ledger/3", 7, "one", 3);
 	assert_string_equal(call.path, "/v1/kv-txn");
 	assert_string_equal(call.body,
 			    "{\"expectedRev\":[{\"key\":\"ledger/3\","
 			    "\"revision\":7}],\"writes\":[{\"key\":"
 			    "\"ledger/3\",\"value\":\"b25l\",\"lease\":0}],"
 			    "\"deletes\":[]}");
-	rr_clear_store_call(&call);
+	rr_clear_store_request(&call);
 }
 
 static struct rr_key_reply got(uint16_t status, const char *body)
 {
 	struct rr_key_reply reply;
 
-	rr_decode_key_get(status, body, strlen(body), &reply);
+	rr_decode_get_reply(status, body, strlen(body), &reply);
 	return reply;
 }
 
@@ -243,7 +243,7 @@
 {
 	struct rr_key_reply reply;
 
-	rr_decode_key_swap("a", status, body, strlen(body), &reply);
+	rr_decode_cas_reply("a", status, body, strlen(body), &reply);
 	return reply;
 }
 
@@ -318,17 +318,17 @@
 				      .after_revision = 7,
 				      .wait_ms = 750 };
 	struct rr_feed_reply reply = { 0 };
-	struct rr_news_call call;
+	struct rr_change_feed_request call;
 	GString *bytes = rr_encode_feed_call(&asked, "10.0.0.1:9");
 	char **words = g_strsplit(bytes->str, " ", 3);
 	GString *body;
 
-	assert_true(rr_parse_news_call(words[1], &call));
-	assert_false(call.everything);
-	assert_int_equal(call.after, 7);
+	assert_true(rr_parse_change_feed_request(words[1], &call));
+	assert_false(call.wants_snapshot);
+	assert_int_equal(call.after_revision, 7);
 	assert_int_equal(call.wait_ms, 750);
 	g_array_append_vals(items, changes, G_N_ELEMENTS(changes));
-	body = rr_encode_news(&call, items, 11);
+	body = rr_encode_change_feed_reply(&call, items, 11);
 	rr_decode_feed_reply(RR_FEED_WATCH, 200, (const uint8_t *)body->str,
 			     body->len, &reply);
 	assert_int_equal(reply.status, RR_FEED_OK);
@@ -380,14 +380,14 @@
 		.compressed = item->compressed,
 		.revision = item->revision,
 	};
-	struct rr_news_call call = { .packed = packed };
+	struct rr_change_feed_request call = { .accepts_compressed = packed };
 	GArray *items =
 		g_array_new(FALSE, FALSE, sizeof(struct rr_feed_change));
 	struct rr_feed_reply reply;
 	GString *body;
 
 	g_array_append_val(items, news);
-	body = rr_encode_news(&call, items, item->revision);
+	body = rr_encode_change_feed_reply(&call, items, item->revision);
 	*bytes = body->len;
 	reply = read_watch(body->str);
 	g_string_free(body, TRUE);
@@ -436,7 +436,7 @@
 static void test_who_takes_packed_values(void **state)
 {
 	struct rr_feed_call asked = { .kind = RR_FEED_WATCH };
-	struct rr_news_call call;
+	struct rr_change_feed_request call;
 
 	(void)state;
 	for (int peer = 0; peer < 2; peer++) {
@@ -446,13 +446,14 @@
 		asked.peer = peer ? "10.0.0.1:9" : NULL;
 		bytes = rr_encode_feed_call(&asked, "10.0.0.1:9");
 		words = g_strsplit(bytes->str, " ", 3);
-		assert_true(rr_parse_news_call(words[1], &call));
-		assert_int_equal(call.packed, peer);
+		assert_true(rr_parse_change_feed_request(words[1], &call));
+		assert_int_equal(call.accepts_compressed, peer);
 		g_strfreev(words);
 		g_string_free(bytes, TRUE);
 	}
-	assert_true(rr_parse_news_call("/v1/kv-range?prefix=&packed=1", &call));
-	assert_true(call.everything && call.packed);
+	assert_true(rr_parse_change_feed_request(
+		"/v1/kv-range?prefix=&packed=1", &call));
+	assert_true(call.wants_snapshot && call.accepts_compressed);
 }
 
 /*
@@ -483,12 +484,13 @@
 		"/v1/kv-range?prefix=&after=a",
 		"/search/1?after=1&waitMs=2",
 	};
-	struct rr_news_call call;
+	struct rr_change_feed_request call;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(targets); i++)
-		assert_false(rr_parse_news_call(targets[i], &call));
-	assert_true(rr_parse_news_call("/v1/kv-range?prefix=", &call));
-	assert_true(call.everything);
+		assert_false(rr_parse_change_feed_request(targets[i], &call));
+	assert_true(
+		rr_parse_change_feed_request("/v1/kv-range?prefix=", &call));
+	assert_true(call.wants_snapshot);
 }
 
 int main(void)
--- a/tests/test-tool.c
+++ b/tests/test-tool.c
@@ -273,15 +273,15 @@
 			   const struct rr_quarantine_entry *entry)
 {
 	struct rr_feed_call report = { .kind = RR_FEED_REPORT, .entry = entry };
-	struct rr_store_call call;
+	struct rr_store_request call;
 	struct test_reply *reply;
 
-	rr_make_feed_call(&call, &report);
+	rr_make_feed_request(&call, &report);
 	reply = test_call(call.method, platform->standin->port, call.path, NULL,
 			  call.body);
 	assert_int_equal(reply->status, 200);
 	test_drop_reply(reply);
-	rr_clear_store_call(&call);
+	rr_clear_store_request(&call);
 }
 
 /* Guards against a request that is kept from replicas for good. */
