--- a/bench/attempt.c
+++ b/bench/attempt.c
@@ -15,7 +15,7 @@
 
 struct bench {
 	struct rr_context *ctx;
-	struct rr_upstream_port *port;
+	struct rr_upstream_client *port;
 	char address[32];
 	uint64_t next_id;
 	uint32_t to_send;
@@ -51,7 +51,7 @@
 
 	bench->to_send--;
 	bench->open++;
-	rr_post_attempt(bench->ctx, bench->port, &attempt);
+	rr_send_attempt(bench->ctx, bench->port, &attempt);
 	return attempt.id;
 }
 
@@ -81,7 +81,7 @@
 			       bool cancel_by_close)
 {
 	struct bench *bench = g_new0(struct bench, 1);
-	struct rr_upstream_port_options options = {
+	struct rr_upstream_client_options options = {
 		.instance = "bench-1",
 		.replied = take_reply,
 		.data = bench,
@@ -89,7 +89,7 @@
 	};
 
 	bench->ctx = rr_new_context(NULL);
-	bench->port = rr_new_upstream_port(bench->ctx, &options);
+	bench->port = rr_new_upstream_client(bench->ctx, &options);
 	bench->next_id = (uint64_t)g_get_real_time();
 	g_snprintf(bench->address, sizeof(bench->address), "127.0.0.1:%u",
 		   upstreams->ports[0]);
@@ -98,7 +98,7 @@
 
 static void drop_bench(struct bench *bench)
 {
-	rr_drop_upstream_port(bench->port);
+	rr_drop_upstream_client(bench->port);
 	while (g_main_context_iteration(NULL, FALSE))
 		;
 	rr_drop_context(bench->ctx);
@@ -149,7 +149,7 @@
 		g_timeout_add(3, note_time, &waited);
 		while (!waited)
 			g_main_context_iteration(NULL, TRUE);
-		rr_withdraw_attempt(bench->ctx, bench->port, id);
+		rr_cancel_attempt(bench->ctx, bench->port, id);
 		while (rr_count_upstream_exchanges(bench->port))
 			g_main_context_iteration(NULL, TRUE);
 	}
--- a/bench/peer.c
+++ b/bench/peer.c
@@ -142,18 +142,19 @@
 	++*(uint64_t *)data;
 }
 
-static struct rr_peer_port *open_port(struct rr_context *ctx,
-				      const struct rr_peer_keys *keys,
-				      uint64_t *received)
+static struct rr_peer_transport *open_port(struct rr_context *ctx,
+					   const struct rr_peer_keys *keys,
+					   uint64_t *received)
 {
-	struct rr_peer_port_options options = {
+	struct rr_peer_transport_options options = {
 		.address = "127.0.0.1:0",
 		.keys = keys,
 		.received = on_received,
 		.data = received,
 	};
 	GError *error = NULL;
-	struct rr_peer_port *port = rr_new_peer_port(ctx, &options, &error);
+	struct rr_peer_transport *port =
+		rr_new_peer_transport(ctx, &options, &error);
 
 	if (!port)
 		g_error("peer: %s", error->message);
@@ -166,16 +167,16 @@
 {
 	struct rr_context *ctx = rr_new_context(NULL);
 	uint64_t received = 0;
-	struct rr_peer_port *from = open_port(ctx, keys, &received);
-	struct rr_peer_port *to = open_port(ctx, keys, &received);
+	struct rr_peer_transport *from = open_port(ctx, keys, &received);
+	struct rr_peer_transport *to = open_port(ctx, keys, &received);
 	struct rr_peer_message *message = make_relay(n_shards);
 	uint64_t sent = 0;
 	double before = cpu_us();
 
 	while (received < PORT_MESSAGES) {
 		while (sent < PORT_MESSAGES && sent - received < WINDOW) {
-			rr_send_peer(ctx, from, "b", rr_peer_port_address(to),
-				     message);
+			rr_send_to_peer(ctx, from, "b",
+					rr_peer_transport_address(to), message);
 			sent++;
 		}
 		g_main_context_iteration(NULL, TRUE);
@@ -185,8 +186,8 @@
 	       security, n_shards, PORT_MESSAGES,
 	       (cpu_us() - before) / PORT_MESSAGES);
 	rr_drop_peer_message(message);
-	rr_drop_peer_port(from);
-	rr_drop_peer_port(to);
+	rr_drop_peer_transport(from);
+	rr_drop_peer_transport(to);
 	rr_drop_context(ctx);
 }
 
@@ -211,8 +212,8 @@
 {
 	struct rr_context *ctx = rr_new_context(NULL);
 	uint64_t received = 0;
-	struct rr_peer_port *from = open_port(ctx, keys, &received);
-	struct rr_peer_port *to[LINKS];
+	struct rr_peer_transport *from = open_port(ctx, keys, &received);
+	struct rr_peer_transport *to[LINKS];
 	struct rr_peer_message *message = rr_new_peer_message(RR_PEER_PING);
 	size_t resident;
 	double before;
@@ -224,8 +225,8 @@
 	resident = resident_bytes();
 	before = cpu_us();
 	for (int i = 0; i < LINKS; i++)
-		rr_send_peer(ctx, from, "b", rr_peer_port_address(to[i]),
-			     message);
+		rr_send_to_peer(ctx, from, "b",
+				rr_peer_transport_address(to[i]), message);
 	while (received + rr_counter_value(ctx, RR_N_PEER_DROPPED) < LINKS)
 		g_main_context_iteration(NULL, TRUE);
 	printf("{\"bench\":\"peer\",\"links\":\"%s\",\"opened\":%d,"
@@ -234,9 +235,9 @@
 	       security, LINKS, received, (cpu_us() - before) / LINKS,
 	       (resident_bytes() - resident) / LINKS);
 	for (int i = 0; i < LINKS; i++)
-		rr_drop_peer_port(to[i]);
+		rr_drop_peer_transport(to[i]);
 	rr_drop_peer_message(message);
-	rr_drop_peer_port(from);
+	rr_drop_peer_transport(from);
 	rr_drop_context(ctx);
 }
 
--- a/bench/start.c
+++ b/bench/start.c
@@ -58,13 +58,13 @@
 				    number);
 	char *id = g_strdup_printf("r-%u", number);
 	char *service = g_strdup_printf("s%u", number / REPLICAS_OF_SERVICE);
-	struct test_entry entry = {
+	struct test_replica_entry entry = {
 		.id = id,
 		.service = service,
 		.address = "10.0.0.2:7",
 		.slots = 3,
 	};
-	char *value = test_make_entry(&entry);
+	char *value = test_make_replica_entry(&entry);
 
 	append_item(out, key, value, revision);
 	g_free(value);
--- a/bench/watch.c
+++ b/bench/watch.c
@@ -19,7 +19,7 @@
 
 struct instance {
 	struct rr_context *ctx;
-	struct rr_platform_port *port;
+	struct rr_platform_client *port;
 	bool watches;
 };
 
@@ -70,7 +70,7 @@
 {
 	struct run *run = data;
 	struct instance *first = run->instances->pdata[0];
-	struct rr_store_port store = rr_store_port_of(first->port);
+	struct rr_store_port store = rr_make_store_port(first->port);
 	struct rr_record *record = rr_new_record();
 	size_t length;
 	char *text;
@@ -90,20 +90,20 @@
 			 uint32_t watch_ms)
 {
 	struct instance *instance = g_new0(struct instance, 1);
-	struct rr_platform_port_options options = {
+	struct rr_platform_client_options options = {
 		.address = address,
 		.replied = take_reply,
-		.record = take_record,
-		.member = ignore_member,
-		.replica = ignore_replica,
-		.watches = ask_watches,
+		.record_received = take_record,
+		.member_listed = ignore_member,
+		.replica_listed = ignore_replica,
+		.is_watcher = ask_watches,
 		.data = instance,
 		.watch_ms = watch_ms,
 	};
 
 	instance->ctx = rr_new_context(NULL);
 	instance->watches = watches;
-	instance->port = rr_new_platform_port(instance->ctx, &options);
+	instance->port = rr_new_platform_client(instance->ctx, &options);
 	g_ptr_array_add(run->instances, instance);
 }
 
--- a/fuzz/http-reader.c
+++ b/fuzz/http-reader.c
@@ -14,25 +14,25 @@
 			 bool responses)
 {
 	struct rr_http_reader_options options = {
-		.responses = responses,
+		.parse_responses = responses,
 		.max_header_bytes = 2000,
 		.max_body_bytes = 1000,
 	};
 	struct rr_http_reader *reader = rr_new_http_reader(&options);
-	enum rr_http_result result = RR_HTTP_MORE;
+	enum rr_http_result result = RR_HTTP_INCOMPLETE;
 	uint64_t sum = 0;
 	size_t at = 0;
 
 	while (at < length &&
-	       (result == RR_HTTP_MORE || result == RR_HTTP_WHOLE)) {
+	       (result == RR_HTTP_INCOMPLETE || result == RR_HTTP_COMPLETE)) {
 		size_t n = length - at < piece ? length - at : piece;
 		size_t used;
 
-		result = rr_read_http(reader, data + at, n, &used);
+		result = rr_parse_http(reader, data + at, n, &used);
 		if (used > n)
 			abort();
 		at += used;
-		if (result != RR_HTTP_WHOLE)
+		if (result != RR_HTTP_COMPLETE)
 			continue;
 		sum = sum * 31 + rr_http_message(reader)->body_length;
 		sum = sum * 31 + rr_http_message(reader)->n_headers;
--- a/include/ragwort/net-caller.h
+++ b/include/ragwort/net-caller.h
@@ -13,14 +13,14 @@
 #include "ragwort/context.h"
 #include "ragwort/request.h"
 
-struct rr_caller_port_options {
+struct rr_caller_server_options {
 	const char *address; /* IP:PORT; port 0 takes a free one */
 	uint32_t max_body_bytes;
 	/*
 	 * How long a connection may take to bring a whole request, counted
 	 * from its opening or its last answer, and to read an answer.
 	 */
-	uint32_t idle_ms;
+	uint32_t io_timeout_ms;
 	uint32_t rate_per_s; /* requests of one address; 0: no bound */
 	/* At once; a request on one more is refused.  0: no bound. */
 	uint32_t max_connections;
@@ -29,40 +29,40 @@
 	/* One token a line, any of which is taken; NULL: no token asked. */
 	const char *token_file;
 	/*
-	 * A request came; returns its query id.  rr_give_answer() answers it,
+	 * A request came; returns its query id.  rr_answer_call() answers it,
 	 * possibly from inside the callback.
 	 */
 	uint64_t (*request)(void *data, const struct rr_request *request);
 	/* The caller of a query left; it must not be answered any more. */
-	void (*left)(void *data, uint64_t query_id);
+	void (*disconnected)(void *data, uint64_t query_id);
 	/* Whether to send callers here; else *reason says why not. */
-	bool (*ready)(void *data, const char **reason);
+	bool (*is_ready)(void *data, const char **reason);
 	/* Append the state as a JSON object. */
-	void (*status)(void *data, GString *out);
+	void (*append_status)(void *data, GString *out);
 	void *data;
 };
 
-struct rr_caller_port;
+struct rr_caller_server;
 
 /* Listen; NULL with an error if that or reading a file fails. */
-struct rr_caller_port *
-rr_new_caller_port(struct rr_context *ctx,
-		   const struct rr_caller_port_options *options,
-		   GError **error);
+struct rr_caller_server *
+rr_new_caller_server(struct rr_context *ctx,
+		     const struct rr_caller_server_options *options,
+		     GError **error);
 /* Stop listening and close all connections. NULL is allowed. */
-void rr_drop_caller_port(struct rr_caller_port *port);
+void rr_drop_caller_server(struct rr_caller_server *port);
 
 /* Answer a query.  An id whose caller has left is ignored. */
-void rr_give_answer(struct rr_context *ctx, struct rr_caller_port *port,
+void rr_answer_call(struct rr_context *ctx, struct rr_caller_server *port,
 		    const struct rr_answer *answer);
 /* Read certificate, key and tokens again; on an error the old ones stay. */
-bool rr_reload_caller_port(struct rr_context *ctx, struct rr_caller_port *port,
-			   GError **error);
+bool rr_reload_caller_server(struct rr_context *ctx,
+			     struct rr_caller_server *port, GError **error);
 /* A planned stop has begun: each reply closes its connection. */
-void rr_close_caller_port(struct rr_caller_port *port);
+void rr_drain_caller_server(struct rr_caller_server *port);
 /* Calls whose reply has not been written to the end. */
-uint32_t rr_count_calls(const struct rr_caller_port *port);
+uint32_t rr_count_open_calls(const struct rr_caller_server *port);
 /* The port that is listened to. */
-uint16_t rr_caller_port_number(const struct rr_caller_port *port);
+uint16_t rr_caller_server_tcp_port(const struct rr_caller_server *port);
 
 #endif
--- a/include/ragwort/net-upstream.h
+++ b/include/ragwort/net-upstream.h
@@ -13,7 +13,7 @@
 #include "ragwort/attempt.h"
 #include "ragwort/context.h"
 
-struct rr_upstream_port_options {
+struct rr_upstream_client_options {
 	/*
 	 * This instance's name, copied.  It is part of every X-Attempt-Id:
 	 * the numbers of two instances can be the same.
@@ -39,24 +39,25 @@
 	bool cancel_by_close;
 };
 
-struct rr_upstream_port;
+struct rr_upstream_client;
 
-struct rr_upstream_port *
-rr_new_upstream_port(struct rr_context *ctx,
-		     const struct rr_upstream_port_options *options);
+struct rr_upstream_client *
+rr_new_upstream_client(struct rr_context *ctx,
+		       const struct rr_upstream_client_options *options);
 /* Closes all connections; nothing is called back any more. */
-void rr_drop_upstream_port(struct rr_upstream_port *port);
+void rr_drop_upstream_client(struct rr_upstream_client *port);
 
 /* Send an attempt; what it points to is copied. */
-void rr_post_attempt(struct rr_context *ctx, struct rr_upstream_port *port,
+void rr_send_attempt(struct rr_context *ctx, struct rr_upstream_client *port,
 		     const struct rr_attempt *attempt);
 /* Withdraw an attempt: no reply is handed out for it.  Unknown ids do nothing. */
-void rr_withdraw_attempt(struct rr_context *ctx, struct rr_upstream_port *port,
-			 uint64_t attempt_id);
+void rr_cancel_attempt(struct rr_context *ctx, struct rr_upstream_client *port,
+		       uint64_t attempt_id);
 /* Ask a replica for its health. */
-void rr_poll_upstream(struct rr_context *ctx, struct rr_upstream_port *port,
-		      const char *replica, const char *address);
+void rr_poll_upstream_health(struct rr_context *ctx,
+			     struct rr_upstream_client *port,
+			     const char *replica, const char *address);
 /* How many HTTP exchanges are open, cancelled ones included. */
-uint32_t rr_count_upstream_exchanges(const struct rr_upstream_port *port);
+uint32_t rr_count_upstream_exchanges(const struct rr_upstream_client *port);
 
 #endif
--- a/soak/soak-fault.c
+++ b/soak/soak-fault.c
@@ -360,9 +360,9 @@
 	struct soak *soak = data;
 
 	test_store_set_state(&soak->store, TEST_STORE_UP);
-	soak->store.slow_ms = 0;
-	soak->store.lost_share = 0;
-	soak->store.lapses = false;
+	soak->store.answer_delay_ms = 0;
+	soak->store.lost_write_share = 0;
+	soak->store.leases_expire_down = false;
 	harm_world(soak);
 	return G_SOURCE_REMOVE;
 }
@@ -370,7 +370,7 @@
 static void harm_store(struct soak *soak)
 {
 	harm_world(soak);
-	soak->store.lapses = soak_chance(soak, 0.5);
+	soak->store.leases_expire_down = soak_chance(soak, 0.5);
 	test_store_set_state(
 		&soak->store,
 		(enum test_store_state)(1 + soak_draw(soak, TEST_STORE_BUSY)));
@@ -380,8 +380,8 @@
 static void slow_store(struct soak *soak)
 {
 	harm_world(soak);
-	soak->store.slow_ms = 50 + soak_draw(soak, 400);
-	soak->store.lost_share = 0.3;
+	soak->store.answer_delay_ms = 50 + soak_draw(soak, 400);
+	soak->store.lost_write_share = 0.3;
 	g_timeout_add(draw_fault_ms(soak), heal_store, soak);
 }
 
@@ -390,7 +390,7 @@
 	struct soak *soak = data;
 
 	harm_world(soak);
-	test_store_forget(&soak->store);
+	test_compact_store(&soak->store);
 	return G_SOURCE_REMOVE;
 }
 
@@ -398,7 +398,7 @@
 static void forget_history(struct soak *soak)
 {
 	harm_world(soak);
-	soak->store.hushed = true;
+	soak->store.watches_muted = true;
 	g_timeout_add(HUSH_MS, drop_history, soak);
 }
 
--- a/soak/soak-instance.c
+++ b/soak/soak-instance.c
@@ -54,9 +54,9 @@
 	instance->soak = soak;
 	instance->number = number;
 	instance->name = g_strdup_printf("gw-%u", number);
-	instance->port = test_take_port();
-	instance->ready_port = test_take_port();
-	instance->peer_port = test_take_port();
+	instance->port = test_reserve_port();
+	instance->ready_port = test_reserve_port();
+	instance->peer_port = test_reserve_port();
 	instance->store = soak_new_link(soak, soak->store.server.port);
 	return instance;
 }
--- a/soak/soak-replica.c
+++ b/soak/soak-replica.c
@@ -261,8 +261,9 @@
 static void take_request(struct test_connection *connection)
 {
 	struct soak_replica *replica = connection->server->data;
-	const char *id = test_header(connection, "request-id");
-	const char *expected = test_header(connection, "expect-instance");
+	const char *id = test_request_header(connection, "request-id");
+	const char *expected =
+		test_request_header(connection, "expect-instance");
 	struct soak_request *request =
 		id ? g_hash_table_lookup(replica->soak->requests, id) : NULL;
 
@@ -322,7 +323,7 @@
 					 0;
 	replica->n_arrivals = 0;
 	replica->up = true;
-	test_listen(&replica->server, true);
+	test_set_listening(&replica->server, true);
 	if (replica->link)
 		soak_listen_link(replica->link, true);
 }
@@ -344,7 +345,7 @@
 
 void soak_drop_replica(struct soak_replica *replica)
 {
-	test_close_server(&replica->server);
+	test_destroy_server(&replica->server);
 	soak_drop_link(replica->link);
 	g_free(replica);
 }
@@ -354,14 +355,14 @@
 	char *address =
 		g_strdup_printf("127.0.0.1:%u", soak_link_port(replica->link));
 	char *zone = g_strdup_printf("z%u", replica->zone);
-	struct test_entry entry = {
+	struct test_replica_entry entry = {
 		.id = replica->id,
 		.service = replica->service,
 		.address = address,
 		.zone = zone,
 		.slots = 4,
 		.draining = replica->draining_us != 0,
-		.born_ms = replica->born_ms,
+		.started_ms = replica->born_ms,
 		.cold_ms = (uint32_t)(MAX(replica->cold_until_us -
 						  g_get_monotonic_time(),
 					  0) /
@@ -369,7 +370,7 @@
 	};
 
 	replica->listed = true;
-	test_store_list(&replica->soak->store, &entry);
+	test_store_put_replica(&replica->soak->store, &entry);
 	g_free(zone);
 	g_free(address);
 }
@@ -421,7 +422,7 @@
 	replica->up = false;
 	note_lost(replica);
 	soak_listen_link(replica->link, false);
-	test_end_server(&replica->server);
+	test_stop_server(&replica->server);
 }
 
 void soak_revive_replica(struct soak_replica *replica, const char *service)
--- a/source/daemon/daemon.c
+++ b/source/daemon/daemon.c
@@ -33,10 +33,10 @@
 	GMainLoop *loop;
 	struct tick_source *ticker;
 	struct rr_core *core;
-	struct rr_caller_port *callers;
-	struct rr_upstream_port *upstreams;
-	struct rr_peer_port *peers;
-	struct rr_platform_port *platform;
+	struct rr_caller_server *callers;
+	struct rr_upstream_client *upstreams;
+	struct rr_peer_transport *peers;
+	struct rr_platform_client *platform;
 	char *site;
 	char *start_file;
 	bool keyed;			  /* peers speak under CURVE keys */
@@ -66,7 +66,7 @@
 	       RR_FIELD_U64("config_revision",
 			    rr_core_config_revision(daemon->core)),
 	       RR_FIELD_U64("caller_port",
-			    rr_caller_port_number(daemon->callers)));
+			    rr_caller_server_tcp_port(daemon->callers)));
 }
 
 static gboolean dispatch_tick(GSource *source, GSourceFunc callback,
@@ -88,21 +88,21 @@
 {
 	struct rr_daemon *daemon = data;
 
-	rr_post_attempt(daemon->ctx, daemon->upstreams, attempt);
+	rr_send_attempt(daemon->ctx, daemon->upstreams, attempt);
 }
 
 static void cancel_attempt(void *data, uint64_t attempt_id)
 {
 	struct rr_daemon *daemon = data;
 
-	rr_withdraw_attempt(daemon->ctx, daemon->upstreams, attempt_id);
+	rr_cancel_attempt(daemon->ctx, daemon->upstreams, attempt_id);
 }
 
 static void give_answer(void *data, const struct rr_answer *answer)
 {
 	struct rr_daemon *daemon = data;
 
-	rr_give_answer(daemon->ctx, daemon->callers, answer);
+	rr_answer_call(daemon->ctx, daemon->callers, answer);
 }
 
 static void send_peer(void *data, const char *instance, const char *address,
@@ -110,14 +110,15 @@
 {
 	struct rr_daemon *daemon = data;
 
-	rr_send_peer(daemon->ctx, daemon->peers, instance, address, message);
+	rr_send_to_peer(daemon->ctx, daemon->peers, instance, address, message);
 }
 
 static void poll_health(void *data, const char *replica, const char *address)
 {
 	struct rr_daemon *daemon = data;
 
-	rr_poll_upstream(daemon->ctx, daemon->upstreams, replica, address);
+	rr_poll_upstream_health(daemon->ctx, daemon->upstreams, replica,
+				address);
 }
 
 /* Put a record in force; a malformed one changes nothing. */
@@ -302,13 +303,13 @@
 	int64_t now_us = g_get_monotonic_time();
 
 	if (!rr_core_is_drained(daemon->core) ||
-	    rr_count_calls(daemon->callers))
+	    rr_count_open_calls(daemon->callers))
 		daemon->busy_us = now_us;
 	if (now_us - daemon->drain_began_us >
 	    (int64_t)daemon->drain_timeout_ms * 1000) {
 		rr_log(daemon->ctx, RR_LOG_WARNING, "drain-timeout",
 		       RR_FIELD_U64("open_calls",
-				    rr_count_calls(daemon->callers)));
+				    rr_count_open_calls(daemon->callers)));
 		g_main_loop_quit(daemon->loop);
 	} else if (now_us - daemon->busy_us > QUIET_US) {
 		g_main_loop_quit(daemon->loop);
@@ -323,10 +324,11 @@
 	if (daemon->drain_began_us)
 		return G_SOURCE_CONTINUE;
 	rr_log(daemon->ctx, RR_LOG_INFO, "draining",
-	       RR_FIELD_U64("open_calls", rr_count_calls(daemon->callers)));
+	       RR_FIELD_U64("open_calls",
+			    rr_count_open_calls(daemon->callers)));
 	daemon->drain_began_us = g_get_monotonic_time();
 	daemon->busy_us = daemon->drain_began_us;
-	rr_close_caller_port(daemon->callers);
+	rr_drain_caller_server(daemon->callers);
 	rr_core_drain(daemon->ctx, daemon->core, daemon->drain_began_us);
 	settle(daemon);
 	daemon->drain_source =
@@ -367,7 +369,7 @@
 			.apply_config_record = keep_record,
 			.data = daemon,
 		},
-		.store = rr_store_port_of(daemon->platform),
+		.store = rr_make_store_port(daemon->platform),
 	};
 
 	daemon->core =
@@ -380,40 +382,40 @@
 static void make_upstreams(struct rr_daemon *daemon,
 			   const struct rr_start_settings *settings)
 {
-	struct rr_upstream_port_options options = {
+	struct rr_upstream_client_options options = {
 		.instance = settings->instance,
 		.replied = take_reply,
 		.polled = take_health,
 		.data = daemon,
 	};
 
-	daemon->upstreams = rr_new_upstream_port(daemon->ctx, &options);
+	daemon->upstreams = rr_new_upstream_client(daemon->ctx, &options);
 }
 
 static void make_platform(struct rr_daemon *daemon,
 			  const struct rr_start_settings *settings)
 {
-	struct rr_platform_port_options options = {
+	struct rr_platform_client_options options = {
 		.address = settings->platform_address,
 		.instance = settings->instance,
 		.zone = settings->zone,
 		.peer_address = settings->peer_address,
 		.replied = take_store_reply,
-		.record = take_record,
-		.member = take_member,
-		.replica = take_replica,
-		.watches = tell_watches,
+		.record_received = take_record,
+		.member_listed = take_member,
+		.replica_listed = take_replica,
+		.is_watcher = tell_watches,
 		.data = daemon,
 	};
 
-	daemon->platform = rr_new_platform_port(daemon->ctx, &options);
+	daemon->platform = rr_new_platform_client(daemon->ctx, &options);
 }
 
 static bool make_peers(struct rr_daemon *daemon,
 		       const struct rr_start_settings *settings, GError **error)
 {
 	struct rr_peer_keys keys = { 0 };
-	struct rr_peer_port_options options = {
+	struct rr_peer_transport_options options = {
 		.address = settings->peer_address,
 		.received = take_peer_message,
 		.data = daemon,
@@ -425,7 +427,7 @@
 	daemon->keyed = keys.public_key != NULL;
 	if (daemon->keyed)
 		options.keys = &keys;
-	daemon->peers = rr_new_peer_port(daemon->ctx, &options, error);
+	daemon->peers = rr_new_peer_transport(daemon->ctx, &options, error);
 	rr_forget_secret_key(secret_key);
 	return daemon->peers != NULL;
 }
@@ -434,23 +436,23 @@
 			 const struct rr_start_settings *settings,
 			 GError **error)
 {
-	struct rr_caller_port_options options = {
+	struct rr_caller_server_options options = {
 		.address = settings->caller_address,
 		.max_body_bytes = settings->max_body_bytes,
-		.idle_ms = settings->caller_idle_ms,
+		.io_timeout_ms = settings->caller_idle_ms,
 		.rate_per_s = settings->caller_rate_per_s,
 		.max_connections = settings->caller_max_connections,
 		.tls_certificate_file = settings->tls_certificate_file,
 		.tls_key_file = settings->tls_key_file,
 		.token_file = settings->caller_token_file,
 		.request = take_request,
-		.left = take_leaver,
-		.ready = tell_ready,
-		.status = tell_status,
+		.disconnected = take_leaver,
+		.is_ready = tell_ready,
+		.append_status = tell_status,
 		.data = daemon,
 	};
 
-	daemon->callers = rr_new_caller_port(daemon->ctx, &options, error);
+	daemon->callers = rr_new_caller_server(daemon->ctx, &options, error);
 	return daemon->callers != NULL;
 }
 
@@ -514,10 +516,10 @@
 		g_source_destroy(&daemon->ticker->source);
 		g_source_unref(&daemon->ticker->source);
 	}
-	rr_drop_caller_port(daemon->callers);
-	rr_drop_peer_port(daemon->peers);
-	rr_drop_platform_port(daemon->platform);
-	rr_drop_upstream_port(daemon->upstreams);
+	rr_drop_caller_server(daemon->callers);
+	rr_drop_peer_transport(daemon->peers);
+	rr_drop_platform_client(daemon->platform);
+	rr_drop_upstream_client(daemon->upstreams);
 	/* What the ports cancelled is freed by the main loop. */
 	while (g_main_context_iteration(NULL, FALSE))
 		;
@@ -533,7 +535,7 @@
 {
 	rr_log(daemon->ctx, RR_LOG_INFO, "started",
 	       RR_FIELD_U64("caller_port",
-			    rr_caller_port_number(daemon->callers)));
+			    rr_caller_server_tcp_port(daemon->callers)));
 	g_main_loop_run(daemon->loop);
 	rr_log(daemon->ctx, RR_LOG_INFO, "stopped",
 	       RR_FIELD_U64("requests",
--- a/source/daemon/reload.c
+++ b/source/daemon/reload.c
@@ -30,7 +30,8 @@
 	return settings;
 }
 
-static bool reload_peers(struct rr_context *ctx, struct rr_peer_port *peers,
+static bool reload_peers(struct rr_context *ctx,
+			 struct rr_peer_transport *peers,
 			 const struct rr_start_settings *settings, bool keyed,
 			 GError **error)
 {
@@ -80,7 +81,7 @@
 	GError *error = NULL;
 	bool ok;
 
-	rr_reload_caller_port(ctx, parts->callers, &error);
+	rr_reload_caller_server(ctx, parts->callers, &error);
 	ok = tell(ctx, "callers' certificate and tokens", &error);
 	settings = read_again(parts->start_file, &error);
 	if (settings)
--- a/source/daemon/reload.h
+++ b/source/daemon/reload.h
@@ -8,8 +8,8 @@
 #include "ragwort/net-caller.h"
 
 struct rr_reload {
-	struct rr_caller_port *callers;
-	struct rr_peer_port *peers;
+	struct rr_caller_server *callers;
+	struct rr_peer_transport *peers;
 	const char *start_file;
 	bool keyed; /* the peer port was made with keys */
 };
--- a/source/gateway/gateway-callers.c
+++ b/source/gateway/gateway-callers.c
@@ -32,7 +32,7 @@
 {
 	struct rr_gateway *gateway = data;
 	struct open_request *open = find_open(gateway, send->request);
-	struct rr_request_bytes request = {
+	struct rr_raw_request request = {
 		.body = open->message->body,
 		.body_length = open->message->body_length,
 		.request_id = open->request_id,
@@ -66,19 +66,19 @@
 {
 	struct rr_gateway *gateway = data;
 
-	rr_withdraw_from_replica(gateway->replica_client, attempt);
-	rr_withdraw_from_replica(gateway->coordinator_client, attempt);
+	rr_cancel_replica_attempt(gateway->replica_client, attempt);
+	rr_cancel_replica_attempt(gateway->coordinator_client, attempt);
 }
 
 static bool recall_attempt(void *data, uint64_t attempt)
 {
 	struct rr_gateway *gateway = data;
 
-	return rr_recall_from_replica(gateway->replica_client, attempt) ||
-	       rr_recall_from_replica(gateway->coordinator_client, attempt);
+	return rr_cancel_unsent_attempt(gateway->replica_client, attempt) ||
+	       rr_cancel_unsent_attempt(gateway->coordinator_client, attempt);
 }
 
-static void answer_own(struct rr_caller *caller,
+static void answer_own(struct rr_caller_conn *caller,
 		       const struct rr_gate_answer *answer, bool handed)
 {
 	char seconds[G_ASCII_DTOSTR_BUF_SIZE];
@@ -86,7 +86,7 @@
 		{ "Retry-After", seconds },
 		{ NOT_RUN_HEADER, "1" },
 	};
-	struct rr_front_answer reply = {
+	struct rr_http_response reply = {
 		.status = answer->status,
 		.headers = headers,
 		.n_headers = answer->retry_after_ms ? (handed ? 2 : 1) : 0,
@@ -95,11 +95,11 @@
 
 	g_ascii_formatd(seconds, sizeof(seconds), "%.3f",
 			answer->retry_after_ms / 1000.0);
-	rr_answer_caller(caller, &reply);
+	rr_send_http_response(caller, &reply);
 }
 
 static void answer_gathered(struct rr_gateway *gateway,
-			    struct rr_caller *caller,
+			    struct rr_caller_conn *caller,
 			    const struct rr_gate_answer *answer)
 {
 	char missing[32];
@@ -107,7 +107,7 @@
 		{ gateway->names->part_signatures, answer->signatures },
 		{ gateway->names->missing_parts, missing },
 	};
-	struct rr_front_answer reply = {
+	struct rr_http_response reply = {
 		.status = answer->status,
 		.headers = headers,
 		.n_headers = answer->missing ? 2 : 1,
@@ -117,7 +117,7 @@
 
 	g_snprintf(missing, sizeof(missing), "%" G_GSIZE_FORMAT,
 		   answer->missing);
-	rr_answer_caller(caller, &reply);
+	rr_send_http_response(caller, &reply);
 }
 
 static void answer_forwarded(const struct open_request *open,
@@ -127,7 +127,7 @@
 	bool bodiless = !strcmp(open->message->method, "HEAD") ||
 			message->status == 304;
 	GArray *headers = rr_make_answer_headers(message, bodiless);
-	struct rr_front_answer reply = {
+	struct rr_http_response reply = {
 		.status = message->status,
 		.reason = message->reason,
 		.headers = (struct rr_http_header *)(void *)headers->data,
@@ -136,7 +136,7 @@
 		.length = message->body_length,
 	};
 
-	rr_answer_caller(open->caller, &reply);
+	rr_send_http_response(open->caller, &reply);
 	g_array_unref(headers);
 }
 
@@ -168,8 +168,8 @@
 {
 	struct rr_gateway *gateway = data;
 
-	rr_open_replica(gateway->replica_client, rr_gateway_now_us(), lifetime,
-			address);
+	rr_preconnect_replica(gateway->replica_client, rr_gateway_now_us(),
+			      lifetime, address);
 }
 
 static void probe_lifetime(void *data, const char *lifetime,
@@ -185,7 +185,7 @@
 {
 	struct rr_gateway *gateway = data;
 
-	rr_forget_replica(gateway->replica_client, lifetime);
+	rr_close_replica_conns(gateway->replica_client, lifetime);
 }
 
 static void report_request(void *data,
@@ -217,7 +217,7 @@
 static int64_t read_number(const struct rr_http_message *message,
 			   const char *name)
 {
-	const char *value = rr_http_value(message, name);
+	const char *value = rr_find_http_header(message, name);
 	guint64 number;
 
 	if (!value || !g_ascii_string_to_unsigned(value, 10, 0, G_MAXINT32,
@@ -240,10 +240,10 @@
 {
 	struct rr_fingerprint_parts parts = {
 		.method = message->method,
-		.host = rr_http_value(message, "Host"),
+		.host = rr_find_http_header(message, "Host"),
 		.path = message->target,
 		.path_length = message->target_length,
-		.credentials = rr_http_value(message, "Authorization"),
+		.credentials = rr_find_http_header(message, "Authorization"),
 		.body = message->body,
 		.body_length = message->body_length,
 	};
@@ -251,21 +251,22 @@
 	return rr_fingerprint(&parts);
 }
 
-static void take_request(struct rr_gateway *gateway, struct rr_caller *caller,
+static void take_request(struct rr_gateway *gateway,
+			 struct rr_caller_conn *caller,
 			 const struct rr_http_message *message, bool handed)
 {
-	const char *host = rr_http_value(message, "Host");
-	struct rr_front_answer bad = { .status = 400, .close = true };
+	const char *host = rr_find_http_header(message, "Host");
+	struct rr_http_response bad = { .status = 400, .close = true };
 	struct rr_gate_request_info ask = {
 		.host = host,
 		.path = message->target,
 		.path_length = message->target_length,
-		.request_id =
-			rr_http_value(message, gateway->names->request_id),
+		.request_id = rr_find_http_header(message,
+						  gateway->names->request_id),
 		.fingerprint = fingerprint_of(message),
 		.deadline_ms = read_number(message, gateway->names->deadline),
 		.caller_rtt_us = rr_caller_rtt_us(caller),
-		.new_connection = rr_caller_is_new(caller),
+		.new_connection = rr_is_first_request(caller),
 		.forward_deadline_us =
 			handed ? read_number(message, FORWARD_DEADLINE_HEADER) :
 				 -1,
@@ -275,7 +276,7 @@
 
 	if (!host || message->target[0] != '/') {
 		rr_count(gateway->ctx, RR_N_CALLS_INVALID, 1);
-		rr_answer_caller(caller, &bad);
+		rr_send_http_response(caller, &bad);
 		return;
 	}
 	open = g_new0(struct open_request, 1);
@@ -289,24 +290,24 @@
 	id = rr_gate_submit(gateway->ctx, gateway->gate, rr_gateway_now_us(),
 			    &ask);
 	if (gateway->submitting) {
-		rr_set_caller_mark(caller, id);
+		rr_set_caller_user_data(caller, id);
 		g_hash_table_insert(gateway->requests, new_key(id), open);
 		gateway->submitting = NULL;
 	}
 }
 
-void rr_handle_caller_request(void *data, struct rr_caller *caller,
+void rr_handle_caller_request(void *data, struct rr_caller_conn *caller,
 			      const struct rr_http_message *message)
 {
 	take_request(data, caller, message, false);
 }
 
-void rr_handle_peer_request(void *data, struct rr_caller *caller,
+void rr_handle_peer_request(void *data, struct rr_caller_conn *caller,
 			    const struct rr_http_message *message)
 {
 	struct rr_change_feed_request call;
 
-	if (rr_http_value(message, FORWARD_DEADLINE_HEADER))
+	if (rr_find_http_header(message, FORWARD_DEADLINE_HEADER))
 		take_request(data, caller, message, true);
 	else if (rr_parse_change_feed_request(message->target, &call))
 		rr_handle_change_feed_request(data, caller, &call);
@@ -316,28 +317,28 @@
 		take_request(data, caller, message, true);
 }
 
-void rr_handle_caller_half_close(void *data, struct rr_caller *caller)
+void rr_handle_caller_half_close(void *data, struct rr_caller_conn *caller)
 {
 	struct rr_gateway *gateway = data;
 
 	rr_gate_half_close(gateway->ctx, gateway->gate, rr_gateway_now_us(),
-			   rr_caller_mark(caller));
+			   rr_caller_user_data(caller));
 }
 
-void rr_handle_caller_disconnect(void *data, struct rr_caller *caller)
+void rr_handle_caller_disconnect(void *data, struct rr_caller_conn *caller)
 {
 	struct rr_gateway *gateway = data;
-	uint64_t id = rr_caller_mark(caller);
+	uint64_t id = rr_caller_user_data(caller);
 
 	rr_gate_abandon(gateway->ctx, gateway->gate, rr_gateway_now_us(), id);
 	g_hash_table_remove(gateway->requests, &id);
 }
 
-void rr_handle_readiness_request(void *data, struct rr_caller *caller,
+void rr_handle_readiness_request(void *data, struct rr_caller_conn *caller,
 				 const struct rr_http_message *message)
 {
 	struct rr_gateway *gateway = data;
-	struct rr_front_answer answer = { .status = 404 };
+	struct rr_http_response answer = { .status = 404 };
 	const char *reason = "";
 
 	if (!strcmp(message->target, gateway->names->ready_path)) {
@@ -346,16 +347,16 @@
 		answer.body = (const uint8_t *)reason;
 		answer.length = strlen(reason);
 	}
-	rr_answer_caller(caller, &answer);
+	rr_send_http_response(caller, &answer);
 }
 
-void rr_handle_metrics_request(void *data, struct rr_caller *caller,
+void rr_handle_metrics_request(void *data, struct rr_caller_conn *caller,
 			       const struct rr_http_message *message)
 {
 	struct rr_gateway *gateway = data;
 	struct rr_http_header header = { "Content-Type",
 					 "text/plain; version=0.0.4" };
-	struct rr_front_answer answer = {
+	struct rr_http_response answer = {
 		.status = 200,
 		.headers = &header,
 		.n_headers = 1,
@@ -368,6 +369,6 @@
 	rr_format_metrics(gateway->ctx, text);
 	answer.body = (const uint8_t *)text->str;
 	answer.length = text->len;
-	rr_answer_caller(caller, &answer);
+	rr_send_http_response(caller, &answer);
 	g_string_free(text, TRUE);
 }
--- a/source/gateway/gateway-change-feed.c
+++ b/source/gateway/gateway-change-feed.c
@@ -9,26 +9,26 @@
 #include "ragwort/counters.h"
 #include "ragwort/log.h"
 
-static void refuse(const struct rr_gateway *gateway, struct rr_caller *caller,
-		   uint16_t status)
+static void refuse(const struct rr_gateway *gateway,
+		   struct rr_caller_conn *caller, uint16_t status)
 {
 	struct rr_http_header cut_off = { ISOLATED_HEADER, "1" };
-	struct rr_front_answer answer = {
+	struct rr_http_response answer = {
 		.status = status,
 		.headers = &cut_off,
 		.n_headers = rr_gate_is_isolated(gateway->gate) ? 1 : 0,
 	};
 
-	rr_answer_caller(caller, &answer);
+	rr_send_http_response(caller, &answer);
 }
 
-static void tell(struct rr_gateway *gateway, struct rr_caller *caller,
+static void tell(struct rr_gateway *gateway, struct rr_caller_conn *caller,
 		 const struct rr_change_feed_request *call)
 {
 	uint64_t revision;
 	GArray *items =
 		rr_feed_changes(gateway->feed, call->after_revision, &revision);
-	struct rr_front_answer answer = { .status = 200 };
+	struct rr_http_response answer = { .status = 200 };
 	GString *body;
 
 	if (!items) {
@@ -39,7 +39,7 @@
 	answer.body = (const uint8_t *)body->str;
 	answer.length = body->len;
 	rr_count(gateway->ctx, RR_N_NEWS_PASSED_ON, 1);
-	rr_answer_caller(caller, &answer);
+	rr_send_http_response(caller, &answer);
 	g_string_free(body, TRUE);
 	g_array_unref(items);
 }
@@ -49,7 +49,8 @@
  * instance does not hear the store, is refused, so that whoever asks turns to
  * another; at once, unless it is about to hear the store again.
  */
-static bool answer_now(struct rr_gateway *gateway, struct rr_caller *caller,
+static bool answer_now(struct rr_gateway *gateway,
+		       struct rr_caller_conn *caller,
 		       const struct rr_change_feed_request *call, bool is_late)
 {
 	if (call->wants_snapshot) {
@@ -73,7 +74,7 @@
 }
 
 void rr_handle_change_feed_request(struct rr_gateway *gateway,
-				   struct rr_caller *caller,
+				   struct rr_caller_conn *caller,
 				   const struct rr_change_feed_request *call)
 {
 	struct asker asker = {
@@ -107,13 +108,13 @@
 }
 
 void rr_handle_registration_request(struct rr_gateway *gateway,
-				    struct rr_caller *caller,
+				    struct rr_caller_conn *caller,
 				    const struct rr_http_message *message)
 {
 	const char *body = rr_registration_accepted_body();
-	struct rr_front_answer taken = { .status = 200,
-					 .body = (const uint8_t *)body,
-					 .length = strlen(body) };
+	struct rr_http_response taken = { .status = 200,
+					  .body = (const uint8_t *)body,
+					  .length = strlen(body) };
 	const char *fault;
 	struct rr_registration_request *call = rr_parse_registration_request(
 		(const char *)message->body, message->body_length, &fault);
@@ -126,7 +127,7 @@
 		return;
 	}
 	if (take_entries(gateway, call))
-		rr_answer_caller(caller, &taken);
+		rr_send_http_response(caller, &taken);
 	else
 		refuse(gateway, caller, 503);
 	rr_free_registration_request(call);
@@ -174,7 +175,7 @@
 	return wake_us;
 }
 
-void rr_handle_peer_disconnect(void *data, struct rr_caller *caller)
+void rr_handle_peer_disconnect(void *data, struct rr_caller_conn *caller)
 {
 	struct rr_gateway *gateway = data;
 
--- a/source/gateway/gateway-private.h
+++ b/source/gateway/gateway-private.h
@@ -5,9 +5,9 @@
 #define RAGWORT_GATEWAY_PRIVATE_H
 
 #include "gateway/gateway.h"
-#include "net/front-port.h"
+#include "net/http-listener.h"
 #include "net/poller.h"
-#include "net/replica-port.h"
+#include "net/replica-client.h"
 #include "platform/platform.h"
 #include "ragwort/feed.h"
 #include "ragwort/gate-names.h"
@@ -33,14 +33,14 @@
 
 /* Another instance that waits for the store's news. */
 struct asker {
-	struct rr_caller *caller;
+	struct rr_caller_conn *caller;
 	struct rr_change_feed_request request;
 	int64_t deadline_us;
 };
 
 /* A request that a caller waits for. */
 struct open_request {
-	struct rr_caller *caller;
+	struct rr_caller_conn *caller;
 	bool from_peer; /* its caller is another instance */
 	const struct rr_http_message *message;
 	GString *head;
@@ -56,14 +56,14 @@
 	struct tick_source *ticker;
 	struct rr_gate *gate;
 	struct rr_feed *feed;
-	struct rr_front_port *caller_listener;
-	struct rr_front_port *readiness_listener;
-	struct rr_front_port *metrics_listener;
-	struct rr_front_port
+	struct rr_http_listener *caller_listener;
+	struct rr_http_listener *readiness_listener;
+	struct rr_http_listener *metrics_listener;
+	struct rr_http_listener
 		*peer_listener; /* other instances that hand over */
-	struct rr_replica_port *replica_client;
-	struct rr_replica_port *store_client;
-	struct rr_replica_port
+	struct rr_replica_client *replica_client;
+	struct rr_replica_client *store_client;
+	struct rr_replica_client
 		*coordinator_client; /* instances to hand over to */
 	struct rr_lifecycle lifecycle;
 	int64_t started_ms;   /* Unix time; told in this instance's entry */
@@ -86,15 +86,15 @@
 /* gateway-callers.c: requests of callers and instances, and their answers */
 struct rr_gate_actions rr_gateway_gate_actions(struct rr_gateway *gateway);
 void rr_free_open_request(gpointer data);
-void rr_handle_caller_request(void *data, struct rr_caller *caller,
+void rr_handle_caller_request(void *data, struct rr_caller_conn *caller,
 			      const struct rr_http_message *message);
-void rr_handle_peer_request(void *data, struct rr_caller *caller,
+void rr_handle_peer_request(void *data, struct rr_caller_conn *caller,
 			    const struct rr_http_message *message);
-void rr_handle_caller_half_close(void *data, struct rr_caller *caller);
-void rr_handle_caller_disconnect(void *data, struct rr_caller *caller);
-void rr_handle_readiness_request(void *data, struct rr_caller *caller,
+void rr_handle_caller_half_close(void *data, struct rr_caller_conn *caller);
+void rr_handle_caller_disconnect(void *data, struct rr_caller_conn *caller);
+void rr_handle_readiness_request(void *data, struct rr_caller_conn *caller,
 				 const struct rr_http_message *message);
-void rr_handle_metrics_request(void *data, struct rr_caller *caller,
+void rr_handle_metrics_request(void *data, struct rr_caller_conn *caller,
 			       const struct rr_http_message *message);
 
 /* gateway-store.c: the feed's calls, and what it learns */
@@ -104,17 +104,17 @@
 
 /* gateway-change-feed.c: the store's news for other instances */
 void rr_handle_change_feed_request(struct rr_gateway *gateway,
-				   struct rr_caller *caller,
+				   struct rr_caller_conn *caller,
 				   const struct rr_change_feed_request *call);
 /* Another instance asks to be entered in the store, or leaves. */
 void rr_handle_registration_request(struct rr_gateway *gateway,
-				    struct rr_caller *caller,
+				    struct rr_caller_conn *caller,
 				    const struct rr_http_message *message);
 /* Answer those who have waited long enough, or for whom there is news. */
 void rr_answer_watching_peers(struct rr_gateway *gateway, int64_t now_us);
 /* All who wait are told at once that this instance has been cut off. */
 void rr_reject_watching_peers(struct rr_gateway *gateway);
 int64_t rr_watching_peers_wake_us(const struct rr_gateway *gateway);
-void rr_handle_peer_disconnect(void *data, struct rr_caller *caller);
+void rr_handle_peer_disconnect(void *data, struct rr_caller_conn *caller);
 
 #endif
--- a/source/gateway/gateway-store.c
+++ b/source/gateway/gateway-store.c
@@ -23,7 +23,7 @@
 	const char *address =
 		call->peer ? call->peer : gateway->settings->store_address;
 	GString *bytes = rr_encode_feed_call(call, address);
-	struct rr_request_bytes request = {
+	struct rr_raw_request request = {
 		.head = bytes->str,
 		.head_length = bytes->len,
 	};
@@ -50,7 +50,7 @@
 {
 	struct rr_gateway *gateway = data;
 
-	rr_withdraw_from_replica(gateway->store_client, call);
+	rr_cancel_replica_attempt(gateway->store_client, call);
 	g_hash_table_remove(gateway->store_calls, &call);
 }
 
@@ -67,7 +67,8 @@
 	if (reply->outcome == RR_GATE_ANSWERED)
 		rr_decode_feed_reply(open->kind, reply->status, reply->body,
 				     reply->length, &decoded);
-	if (reply->message && rr_http_value(reply->message, ISOLATED_HEADER))
+	if (reply->message &&
+	    rr_find_http_header(reply->message, ISOLATED_HEADER))
 		rr_gate_suspect_zones(gateway->ctx, gateway->gate,
 				      rr_gateway_now_us());
 	decoded.call_id = open->id;
@@ -84,8 +85,8 @@
 
 	if (rr_gate_set_routes(gateway->ctx, gateway->gate, rr_gateway_now_us(),
 			       table))
-		rr_bound_front_port(gateway->caller_listener,
-				    rr_table_caller_limits(table));
+		rr_set_http_listener_limits(gateway->caller_listener,
+					    rr_table_caller_limits(table));
 }
 
 static void take_listing(void *data, const struct rr_endpoint_info *listing)
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -68,21 +68,21 @@
 
 static void refuse_all(struct rr_gateway *gateway)
 {
-	rr_refuse_callers(gateway->caller_listener);
+	rr_stop_accepting(gateway->caller_listener);
 	if (gateway->peer_listener)
-		rr_refuse_callers(gateway->peer_listener);
+		rr_stop_accepting(gateway->peer_listener);
 }
 
 static void close_idle(struct rr_gateway *gateway)
 {
-	rr_close_idle_callers(gateway->caller_listener);
+	rr_close_idle_caller_conns(gateway->caller_listener);
 	if (gateway->peer_listener)
-		rr_close_idle_callers(gateway->peer_listener);
+		rr_close_idle_caller_conns(gateway->peer_listener);
 }
 
 static void check_stop(struct rr_gateway *gateway)
 {
-	size_t callers = rr_count_callers(gateway->caller_listener);
+	size_t callers = rr_count_caller_conns(gateway->caller_listener);
 	enum rr_stop_phase step;
 
 	if (!gateway->lifecycle.stop_requested_us ||
@@ -104,17 +104,17 @@
 {
 	int64_t now = rr_gateway_now_us();
 
-	rr_tick_replica_port(gateway->store_client, now);
-	rr_tick_replica_port(gateway->replica_client, now);
-	rr_tick_replica_port(gateway->coordinator_client, now);
+	rr_tick_replica_client(gateway->store_client, now);
+	rr_tick_replica_client(gateway->replica_client, now);
+	rr_tick_replica_client(gateway->coordinator_client, now);
 	rr_feed_tick(gateway->ctx, gateway->feed, now);
 	rr_answer_watching_peers(gateway, now);
 	rr_gate_tick(gateway->ctx, gateway->gate, now);
 	look_at_cut(gateway);
-	rr_tick_front_port(gateway->caller_listener, now);
-	rr_tick_front_port(gateway->readiness_listener, now);
+	rr_tick_http_listener(gateway->caller_listener, now);
+	rr_tick_http_listener(gateway->readiness_listener, now);
 	if (gateway->peer_listener)
-		rr_tick_front_port(gateway->peer_listener, now);
+		rr_tick_http_listener(gateway->peer_listener, now);
 	check_stop(gateway);
 	if (gateway->log_flush_us && gateway->log_flush_us <= now) {
 		rr_flush_log();
@@ -132,16 +132,18 @@
 		return 0;
 	due_us = MIN(due_us, rr_feed_wake_us(gateway->feed));
 	due_us = MIN(due_us, rr_watching_peers_wake_us(gateway));
-	due_us = MIN(due_us, rr_front_port_wake_us(gateway->caller_listener));
 	due_us =
-		MIN(due_us, rr_front_port_wake_us(gateway->readiness_listener));
+		MIN(due_us, rr_http_listener_wake_us(gateway->caller_listener));
+	due_us = MIN(due_us,
+		     rr_http_listener_wake_us(gateway->readiness_listener));
 	if (gateway->peer_listener)
 		due_us = MIN(due_us,
-			     rr_front_port_wake_us(gateway->peer_listener));
-	due_us = MIN(due_us, rr_replica_port_wake_us(gateway->replica_client));
-	due_us = MIN(due_us, rr_replica_port_wake_us(gateway->store_client));
+			     rr_http_listener_wake_us(gateway->peer_listener));
+	due_us =
+		MIN(due_us, rr_replica_client_wake_us(gateway->replica_client));
+	due_us = MIN(due_us, rr_replica_client_wake_us(gateway->store_client));
 	due_us = MIN(due_us,
-		     rr_replica_port_wake_us(gateway->coordinator_client));
+		     rr_replica_client_wake_us(gateway->coordinator_client));
 	if (gateway->lifecycle.stop_requested_us)
 		due_us = MIN(due_us, gateway->stop_check_us);
 	if (rr_has_buffered_log_lines() && !gateway->log_flush_us)
@@ -233,12 +235,12 @@
 	rr_log(gateway->ctx, RR_LOG_INFO, "stopping",
 	       RR_FIELD_U64("requests", rr_gate_count_requests(gateway->gate)),
 	       RR_FIELD_U64("callers",
-			    rr_count_callers(gateway->caller_listener)));
+			    rr_count_caller_conns(gateway->caller_listener)));
 	rr_request_stop(&gateway->lifecycle, rr_gateway_now_us());
 	gateway->stop_check_us = rr_gateway_now_us() + STOP_CHECK_US;
-	rr_close_front_port(gateway->caller_listener);
+	rr_drain_http_listener(gateway->caller_listener);
 	if (gateway->peer_listener)
-		rr_close_front_port(gateway->peer_listener);
+		rr_drain_http_listener(gateway->peer_listener);
 	rr_feed_leave(gateway->ctx, gateway->feed, rr_gateway_now_us());
 	rr_answer_watching_peers(gateway, rr_gateway_now_us());
 	return G_SOURCE_CONTINUE;
@@ -300,73 +302,74 @@
 
 static void make_clients(struct rr_gateway *gateway)
 {
-	struct rr_replica_port_options replicas = {
+	struct rr_replica_client_options replicas = {
 		.poller = gateway->poller,
-		.request_id = gateway->names->request_id,
-		.seal = gateway->names->signature,
-		.not_run = gateway->names->not_run,
-		.load = gateway->names->load,
-		.read_load = rr_decode_load,
+		.request_id_header = gateway->names->request_id,
+		.signature_header = gateway->names->signature,
+		.not_run_header = gateway->names->not_run,
+		.load_header = gateway->names->load,
+		.parse_load = rr_decode_load,
 		.replied = take_reply,
 		.probed = take_probe,
 		.data = gateway,
 	};
-	struct rr_replica_port_options store = {
+	struct rr_replica_client_options store = {
 		.poller = gateway->poller,
 		.replied = rr_handle_gateway_store_reply,
 		.data = gateway,
 	};
 
-	struct rr_replica_port_options strong = {
+	struct rr_replica_client_options strong = {
 		.poller = gateway->poller,
-		.not_run = NOT_RUN_HEADER,
+		.not_run_header = NOT_RUN_HEADER,
 		.replied = take_reply,
 		.probed = take_probe,
 		.data = gateway,
 	};
 
 	gateway->coordinator_client =
-		rr_new_replica_port(gateway->ctx, &strong);
-	gateway->replica_client = rr_new_replica_port(gateway->ctx, &replicas);
-	gateway->store_client = rr_new_replica_port(gateway->ctx, &store);
+		rr_new_replica_client(gateway->ctx, &strong);
+	gateway->replica_client =
+		rr_new_replica_client(gateway->ctx, &replicas);
+	gateway->store_client = rr_new_replica_client(gateway->ctx, &store);
 }
 
 static bool listen_all(struct rr_gateway *gateway, GError **error)
 {
 	const struct rr_gateway_settings *settings = gateway->settings;
-	struct rr_front_port_options callers = {
+	struct rr_http_listener_options callers = {
 		.poller = gateway->poller,
 		.address = settings->caller_address,
 		.max_connections = settings->max_connections,
 		.request = rr_handle_caller_request,
-		.left = rr_handle_caller_half_close,
-		.gone = rr_handle_caller_disconnect,
+		.half_closed = rr_handle_caller_half_close,
+		.disconnected = rr_handle_caller_disconnect,
 		.data = gateway,
 	};
-	struct rr_front_port_options ready = {
+	struct rr_http_listener_options ready = {
 		.poller = gateway->poller,
 		.address = settings->ready_address,
 		.max_connections = MOST_ASKERS,
 		.request = rr_handle_readiness_request,
 		.data = gateway,
 	};
-	struct rr_front_port_options metrics = ready;
-	struct rr_front_port_options peers = callers;
+	struct rr_http_listener_options metrics = ready;
+	struct rr_http_listener_options peers = callers;
 
 	gateway->caller_listener =
-		rr_new_front_port(gateway->ctx, &callers, error);
+		rr_new_http_listener(gateway->ctx, &callers, error);
 	if (!gateway->caller_listener)
 		return false;
 	gateway->readiness_listener =
-		rr_new_front_port(gateway->ctx, &ready, error);
+		rr_new_http_listener(gateway->ctx, &ready, error);
 	if (!gateway->readiness_listener)
 		return false;
 	if (settings->peer_address) {
 		peers.address = settings->peer_address;
 		peers.request = rr_handle_peer_request;
-		peers.gone = rr_handle_peer_disconnect;
+		peers.disconnected = rr_handle_peer_disconnect;
 		gateway->peer_listener =
-			rr_new_front_port(gateway->ctx, &peers, error);
+			rr_new_http_listener(gateway->ctx, &peers, error);
 		if (!gateway->peer_listener)
 			return false;
 	}
@@ -375,7 +378,7 @@
 	metrics.address = settings->metrics_address;
 	metrics.request = rr_handle_metrics_request;
 	gateway->metrics_listener =
-		rr_new_front_port(gateway->ctx, &metrics, error);
+		rr_new_http_listener(gateway->ctx, &metrics, error);
 	return gateway->metrics_listener != NULL;
 }
 
@@ -434,13 +437,13 @@
 		g_source_destroy(&gateway->ticker->source);
 		g_source_unref(&gateway->ticker->source);
 	}
-	rr_drop_front_port(gateway->caller_listener);
-	rr_drop_front_port(gateway->readiness_listener);
-	rr_drop_front_port(gateway->metrics_listener);
-	rr_drop_front_port(gateway->peer_listener);
-	rr_drop_replica_port(gateway->replica_client);
-	rr_drop_replica_port(gateway->store_client);
-	rr_drop_replica_port(gateway->coordinator_client);
+	rr_drop_http_listener(gateway->caller_listener);
+	rr_drop_http_listener(gateway->readiness_listener);
+	rr_drop_http_listener(gateway->metrics_listener);
+	rr_drop_http_listener(gateway->peer_listener);
+	rr_drop_replica_client(gateway->replica_client);
+	rr_drop_replica_client(gateway->store_client);
+	rr_drop_replica_client(gateway->coordinator_client);
 	rr_drop_feed(gateway->feed);
 	rr_drop_gate(gateway->gate);
 	g_hash_table_unref(gateway->requests);
--- a/source/gateway/request-head.c
+++ b/source/gateway/request-head.c
@@ -22,8 +22,8 @@
 void rr_append_request_head(GString *out, const struct rr_http_message *message,
 			    const struct rr_gate_names *names)
 {
-	gboolean framed = rr_http_value(message, "Content-Length") ||
-			  rr_http_value(message, "Transfer-Encoding");
+	gboolean framed = rr_find_http_header(message, "Content-Length") ||
+			  rr_find_http_header(message, "Transfer-Encoding");
 
 	g_string_append(out, message->method);
 	g_string_append_c(out, ' ');
@@ -34,7 +34,7 @@
 		const struct rr_http_header *header = &message->headers[i];
 
 		if (!is_own(header->name, names) &&
-		    !rr_is_hop_header(message, header->name))
+		    !rr_is_hop_by_hop_header(message, header->name))
 			append_header(out, header->name, header->value);
 	}
 	if (framed)
@@ -52,7 +52,7 @@
 	for (size_t i = 0; i < message->n_headers; i++) {
 		const struct rr_http_header *header = &message->headers[i];
 
-		if (rr_is_hop_header(message, header->name))
+		if (rr_is_hop_by_hop_header(message, header->name))
 			continue;
 		if (!keep_length &&
 		    !g_ascii_strcasecmp(header->name, "Content-Length"))
--- a/source/net/caller-answer.c
+++ b/source/net/caller-answer.c
@@ -91,8 +91,8 @@
 			       elapsed_ms, answer->attempts);
 }
 
-void rr_format_refusal(enum rr_outcome outcome, const char *reason,
-		       GString *out)
+void rr_format_rejection(enum rr_outcome outcome, const char *reason,
+			 GString *out)
 {
 	g_string_append_printf(out, "{\"outcome\":\"%s\"",
 			       rr_outcome_name(outcome));
@@ -100,7 +100,7 @@
 	g_string_append(out, "}\n");
 }
 
-uint32_t rr_answer_status(const struct rr_answer *answer)
+uint32_t rr_answer_http_status(const struct rr_answer *answer)
 {
 	switch (answer->outcome) {
 	case RR_COMPLETE:
--- a/source/net/caller-connections.c
+++ b/source/net/caller-connections.c
@@ -52,7 +52,7 @@
 	connection->since_us = g_get_monotonic_time();
 }
 
-void rr_note_reply(SoupServerMessage *message)
+void rr_mark_reply_ready(SoupServerMessage *message)
 {
 	set_turn(message, false);
 }
@@ -155,7 +155,7 @@
 		end_connection(connection);
 }
 
-bool rr_is_over_bound(SoupServerMessage *message)
+bool rr_is_over_connection_limit(SoupServerMessage *message)
 {
 	const struct connection *connection = connection_of(message);
 
@@ -182,10 +182,9 @@
 	judge_number(callers, connection);
 }
 
-struct rr_caller_connections *rr_bound_callers(struct rr_context *ctx,
-					       SoupServer *server,
-					       uint32_t idle_ms,
-					       uint32_t max_connections)
+struct rr_caller_connections *
+rr_new_caller_connections(struct rr_context *ctx, SoupServer *server,
+			  uint32_t idle_ms, uint32_t max_connections)
 {
 	struct rr_caller_connections *callers =
 		g_new0(struct rr_caller_connections, 1);
--- a/source/net/caller-private.h
+++ b/source/net/caller-private.h
@@ -33,20 +33,20 @@
 /* Append an answer as JSON. */
 void rr_format_answer(const struct rr_answer *answer, GString *out);
 /* Append the JSON of a call refused by the adapter itself. */
-void rr_format_refusal(enum rr_outcome outcome, const char *reason,
-		       GString *out);
+void rr_format_rejection(enum rr_outcome outcome, const char *reason,
+			 GString *out);
 /* The HTTP status of an answer. */
-uint32_t rr_answer_status(const struct rr_answer *answer);
+uint32_t rr_answer_http_status(const struct rr_answer *answer);
 
 /* A token bucket for each address; what is over the rate is refused. */
-struct rr_caller_rate;
+struct rr_caller_rate_limiter;
 
-struct rr_caller_rate *rr_new_caller_rate(uint32_t per_s);
+struct rr_caller_rate_limiter *rr_new_caller_rate_limiter(uint32_t per_s);
 /* NULL is allowed. */
-void rr_drop_caller_rate(struct rr_caller_rate *rate);
+void rr_drop_caller_rate_limiter(struct rr_caller_rate_limiter *rate);
 /* Whether one more request from the address is within the rate. */
-bool rr_within_rate(struct rr_caller_rate *rate, GInetAddress *address,
-		    int64_t now_us);
+bool rr_consume_rate_token(struct rr_caller_rate_limiter *rate,
+			   GInetAddress *address, int64_t now_us);
 
 /* The lines of a token file; NULL with an error if it can't be read or has
  * none. Freed with g_strfreev(). */
--- a/source/net/caller-rate.c
+++ b/source/net/caller-rate-limit.c
@@ -1,5 +1,5 @@
 /*
- * caller-rate.c - a token bucket for each address that callers come from.
+ * caller-rate-limit.c - a token bucket for each address that callers come from.
  */
 #include "net/caller-private.h"
 
@@ -16,16 +16,17 @@
 	int64_t filled_us;
 };
 
-struct rr_caller_rate {
+struct rr_caller_rate_limiter {
 	uint32_t per_s;
 	GHashTable *buckets; /* address as GBytes to struct bucket */
 	struct bucket shared;
 	int64_t swept_us;
 };
 
-struct rr_caller_rate *rr_new_caller_rate(uint32_t per_s)
+struct rr_caller_rate_limiter *rr_new_caller_rate_limiter(uint32_t per_s)
 {
-	struct rr_caller_rate *rate = g_new0(struct rr_caller_rate, 1);
+	struct rr_caller_rate_limiter *rate =
+		g_new0(struct rr_caller_rate_limiter, 1);
 
 	rate->per_s = per_s;
 	rate->shared.tokens = per_s;
@@ -35,7 +36,7 @@
 	return rate;
 }
 
-void rr_drop_caller_rate(struct rr_caller_rate *rate)
+void rr_drop_caller_rate_limiter(struct rr_caller_rate_limiter *rate)
 {
 	if (!rate)
 		return;
@@ -44,8 +45,8 @@
 }
 
 /* One second's worth is the most that a bucket holds. */
-static void fill(const struct rr_caller_rate *rate, struct bucket *bucket,
-		 int64_t now_us)
+static void fill(const struct rr_caller_rate_limiter *rate,
+		 struct bucket *bucket, int64_t now_us)
 {
 	double more =
 		(double)(now_us - bucket->filled_us) * rate->per_s / US_PER_S;
@@ -55,7 +56,7 @@
 }
 
 /* Full buckets need not be kept; once a second, as it looks at all. */
-static void sweep(struct rr_caller_rate *rate, int64_t now_us)
+static void sweep(struct rr_caller_rate_limiter *rate, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -73,7 +74,7 @@
 	}
 }
 
-static struct bucket *find_bucket(struct rr_caller_rate *rate,
+static struct bucket *find_bucket(struct rr_caller_rate_limiter *rate,
 				  GInetAddress *address, int64_t now_us)
 {
 	bool is_ipv6 =
@@ -97,8 +98,8 @@
 	return bucket;
 }
 
-bool rr_within_rate(struct rr_caller_rate *rate, GInetAddress *address,
-		    int64_t now_us)
+bool rr_consume_rate_token(struct rr_caller_rate_limiter *rate,
+			   GInetAddress *address, int64_t now_us)
 {
 	struct bucket *bucket = find_bucket(rate, address, now_us);
 
--- a/source/net/caller.c
+++ b/source/net/caller.c
@@ -26,16 +26,16 @@
 #define JSON_TYPE "application/json"
 #define METRICS_TYPE "text/plain; version=0.0.4"
 
-struct rr_caller_port {
+struct rr_caller_server {
 	struct rr_context *ctx;
-	struct rr_caller_port_options options;
+	struct rr_caller_server_options options;
 	char *certificate_file;
 	char *key_file;
 	char *token_file;
 	char **tokens;
 	SoupServer *server;
 	struct rr_caller_connections *connections;
-	struct rr_caller_rate *rate; /* NULL: no bound */
+	struct rr_caller_rate_limiter *rate; /* NULL: no bound */
 	GHashTable *calls;	     /* uint64_t query id to struct open_call */
 	struct open_call *accepting; /* inside options.request() */
 	uint32_t n_open;
@@ -45,13 +45,13 @@
 /* A call that the core works on; freed when its reply is written. */
 struct open_call {
 	uint64_t query_id; /* first: the hash table's key */
-	struct rr_caller_port *port;
+	struct rr_caller_server *port;
 	SoupServerMessage *message;
 	guint hangup_source;
 	bool answered;
 };
 
-static void set_reply(struct rr_caller_port *port, SoupServerMessage *message,
+static void set_reply(struct rr_caller_server *port, SoupServerMessage *message,
 		      uint32_t status, const char *type, GString *text)
 {
 	gsize length = text->len;
@@ -60,14 +60,15 @@
 		soup_message_headers_replace(
 			soup_server_message_get_response_headers(message),
 			"Connection", "close");
-	rr_note_reply(message);
+	rr_mark_reply_ready(message);
 	soup_server_message_set_status(message, status, NULL);
 	soup_server_message_set_response(message, type, SOUP_MEMORY_TAKE,
 					 g_string_free(text, FALSE), length);
 }
 
-static void set_refusal(struct rr_caller_port *port, SoupServerMessage *message,
-			uint32_t status, const char *reason)
+static void set_refusal(struct rr_caller_server *port,
+			SoupServerMessage *message, uint32_t status,
+			const char *reason)
 {
 	GString *text = g_string_new(NULL);
 
@@ -75,10 +76,10 @@
 		rr_count(port->ctx, RR_N_CALLS_OVER_RATE, 1);
 	else if (status != SOUP_STATUS_SERVICE_UNAVAILABLE)
 		rr_count(port->ctx, RR_N_CALLS_INVALID, 1);
-	rr_format_refusal(status == SOUP_STATUS_SERVICE_UNAVAILABLE ?
-				  RR_NOT_RUN :
-				  RR_INVALID,
-			  reason, text);
+	rr_format_rejection(status == SOUP_STATUS_SERVICE_UNAVAILABLE ?
+				    RR_NOT_RUN :
+				    RR_INVALID,
+			    reason, text);
 	set_reply(port, message, status, JSON_TYPE, text);
 }
 
@@ -113,11 +114,11 @@
 static void finish_call(SoupServerMessage *message, gpointer data)
 {
 	struct open_call *call = data;
-	struct rr_caller_port *port = call->port;
+	struct rr_caller_server *port = call->port;
 
 	if (!call->answered) {
 		end_call(call);
-		port->options.left(port->options.data, call->query_id);
+		port->options.disconnected(port->options.data, call->query_id);
 	}
 	port->n_open--;
 	g_object_unref(call->message);
@@ -132,11 +133,11 @@
 static gboolean note_hangup(gint fd, GIOCondition condition, gpointer data)
 {
 	struct open_call *call = data;
-	struct rr_caller_port *port = call->port;
+	struct rr_caller_server *port = call->port;
 
 	call->hangup_source = 0;
 	end_call(call);
-	port->options.left(port->options.data, call->query_id);
+	port->options.disconnected(port->options.data, call->query_id);
 	set_refusal(port, call->message, SOUP_STATUS_REQUEST_TIMEOUT,
 		    "the caller left");
 	soup_server_message_unpause(call->message);
@@ -155,7 +156,8 @@
 			      note_hangup, call);
 }
 
-static void start_call(struct rr_caller_port *port, SoupServerMessage *message,
+static void start_call(struct rr_caller_server *port,
+		       SoupServerMessage *message,
 		       const struct rr_request *request)
 {
 	struct open_call *call = g_new0(struct open_call, 1);
@@ -176,7 +178,7 @@
 	watch_call(call);
 }
 
-void rr_give_answer(struct rr_context *ctx, struct rr_caller_port *port,
+void rr_answer_call(struct rr_context *ctx, struct rr_caller_server *port,
 		    const struct rr_answer *answer)
 {
 	struct open_call *call =
@@ -192,16 +194,17 @@
 	rr_format_answer(answer, text);
 	if (answer->outcome == RR_NOT_RUN || answer->outcome == RR_UNKNOWN)
 		set_retry_after(call->message, answer->retry_after_ms);
-	set_reply(port, call->message, rr_answer_status(answer), JSON_TYPE,
+	set_reply(port, call->message, rr_answer_http_status(answer), JSON_TYPE,
 		  text);
 	soup_server_message_unpause(call->message);
 }
 
-static void serve_ready(struct rr_caller_port *port, SoupServerMessage *message)
+static void serve_ready(struct rr_caller_server *port,
+			SoupServerMessage *message)
 {
 	GString *text = g_string_new(NULL);
 	const char *reason = NULL;
-	bool ready = port->options.ready(port->options.data, &reason);
+	bool ready = port->options.is_ready(port->options.data, &reason);
 
 	if (ready)
 		g_string_append(text, "{\"ready\":true}\n");
@@ -214,8 +217,8 @@
 }
 
 /* Whether the path was one of the adapter's own, now replied to. */
-static bool serve_page(struct rr_caller_port *port, SoupServerMessage *message,
-		       const char *path)
+static bool serve_page(struct rr_caller_server *port,
+		       SoupServerMessage *message, const char *path)
 {
 	GString *text;
 
@@ -228,7 +231,7 @@
 	}
 	if (!strcmp(path, "/status")) {
 		text = g_string_new(NULL);
-		port->options.status(port->options.data, text);
+		port->options.append_status(port->options.data, text);
 		g_string_append_c(text, '\n');
 		set_reply(port, message, SOUP_STATUS_OK, JSON_TYPE, text);
 		return true;
@@ -237,8 +240,8 @@
 }
 
 /* Pages for the balancer: no token asked. */
-static bool serve_probe(struct rr_caller_port *port, SoupServerMessage *message,
-			const char *path)
+static bool serve_probe(struct rr_caller_server *port,
+			SoupServerMessage *message, const char *path)
 {
 	if (!strcmp(path, "/healthz")) {
 		set_reply(port, message, SOUP_STATUS_OK, JSON_TYPE,
@@ -252,7 +255,7 @@
 	return false;
 }
 
-static bool has_token(struct rr_caller_port *port, SoupServerMessage *message)
+static bool has_token(struct rr_caller_server *port, SoupServerMessage *message)
 {
 	SoupMessageHeaders *headers =
 		soup_server_message_get_request_headers(message);
@@ -265,7 +268,7 @@
 static void take_request(SoupServer *server, SoupServerMessage *message,
 			 const char *path, GHashTable *query, gpointer data)
 {
-	struct rr_caller_port *port = data;
+	struct rr_caller_server *port = data;
 	struct rr_call_request call;
 	uint32_t status = 0;
 	GError *error = NULL;
@@ -284,16 +287,17 @@
 	rr_clear_call(&call);
 }
 
-static bool within_rate(struct rr_caller_port *port, SoupServerMessage *message)
+static bool within_rate(struct rr_caller_server *port,
+			SoupServerMessage *message)
 {
 	GSocketAddress *address =
 		soup_server_message_get_remote_address(message);
 
 	return !port->rate || !G_IS_INET_SOCKET_ADDRESS(address) ||
-	       rr_within_rate(port->rate,
-			      g_inet_socket_address_get_address(
-				      G_INET_SOCKET_ADDRESS(address)),
-			      g_get_monotonic_time());
+	       rr_consume_rate_token(port->rate,
+				     g_inet_socket_address_get_address(
+					     G_INET_SOCKET_ADDRESS(address)),
+				     g_get_monotonic_time());
 }
 
 static void check_header(const char *name, const char *value, gpointer data)
@@ -305,7 +309,7 @@
 }
 
 /* Why a call is refused before its body is read: status 0 if it is not. */
-static uint32_t refuse_early(struct rr_caller_port *port,
+static uint32_t refuse_early(struct rr_caller_server *port,
 			     SoupServerMessage *message, const char *path,
 			     const char **reason)
 {
@@ -314,7 +318,7 @@
 	bool probe = !strcmp(path, "/healthz") || !strcmp(path, "/readyz");
 	bool too_long = strlen(path) > MAX_PATH_BYTES;
 
-	if (!probe && rr_is_over_bound(message)) {
+	if (!probe && rr_is_over_connection_limit(message)) {
 		set_retry_after(message, BOUND_RETRY_MS);
 		*reason = "more connections than caller_max_connections";
 		return SOUP_STATUS_SERVICE_UNAVAILABLE;
@@ -351,7 +355,7 @@
 static void take_headers(SoupServer *server, SoupServerMessage *message,
 			 const char *path, GHashTable *query, gpointer data)
 {
-	struct rr_caller_port *port = data;
+	struct rr_caller_server *port = data;
 	const char *reason;
 	uint32_t status = refuse_early(port, message, path, &reason);
 	SoupMessageHeaders *headers;
@@ -368,8 +372,8 @@
 	set_refusal(port, message, status, reason);
 }
 
-bool rr_reload_caller_port(struct rr_context *ctx, struct rr_caller_port *port,
-			   GError **error)
+bool rr_reload_caller_server(struct rr_context *ctx,
+			     struct rr_caller_server *port, GError **error)
 {
 	char **tokens = NULL;
 	GTlsCertificate *certificate = NULL;
@@ -397,7 +401,7 @@
 	return true;
 }
 
-static bool listen_at(struct rr_caller_port *port, GError **error)
+static bool listen_at(struct rr_caller_server *port, GError **error)
 {
 	SoupServerListenOptions tls =
 		port->certificate_file ? SOUP_SERVER_LISTEN_HTTPS : 0;
@@ -412,11 +416,12 @@
 	return ok;
 }
 
-struct rr_caller_port *
-rr_new_caller_port(struct rr_context *ctx,
-		   const struct rr_caller_port_options *options, GError **error)
+struct rr_caller_server *
+rr_new_caller_server(struct rr_context *ctx,
+		     const struct rr_caller_server_options *options,
+		     GError **error)
 {
-	struct rr_caller_port *port = g_new0(struct rr_caller_port, 1);
+	struct rr_caller_server *port = g_new0(struct rr_caller_server, 1);
 
 	port->ctx = rr_keep_context(ctx);
 	port->options = *options;
@@ -424,24 +429,25 @@
 	port->key_file = g_strdup(options->tls_key_file);
 	port->token_file = g_strdup(options->token_file);
 	if (options->rate_per_s)
-		port->rate = rr_new_caller_rate(options->rate_per_s);
+		port->rate = rr_new_caller_rate_limiter(options->rate_per_s);
 	port->calls = g_hash_table_new(g_int64_hash, g_int64_equal);
 	port->server = soup_server_new("server-header", "ragwort", NULL);
-	port->connections = rr_bound_callers(
-		ctx, port->server, options->idle_ms, options->max_connections);
+	port->connections = rr_new_caller_connections(ctx, port->server,
+						      options->io_timeout_ms,
+						      options->max_connections);
 	soup_server_add_early_handler(port->server, NULL, take_headers, port,
 				      NULL);
 	soup_server_add_handler(port->server, NULL, take_request, port, NULL);
-	if (!rr_reload_caller_port(ctx, port, error) ||
+	if (!rr_reload_caller_server(ctx, port, error) ||
 	    !listen_at(port, error)) {
-		rr_drop_caller_port(port);
+		rr_drop_caller_server(port);
 		return NULL;
 	}
 	port->options.address = NULL;
 	return port;
 }
 
-void rr_drop_caller_port(struct rr_caller_port *port)
+void rr_drop_caller_server(struct rr_caller_server *port)
 {
 	if (!port)
 		return;
@@ -450,7 +456,7 @@
 	g_object_unref(port->server);
 	g_hash_table_destroy(port->calls);
 	g_strfreev(port->tokens);
-	rr_drop_caller_rate(port->rate);
+	rr_drop_caller_rate_limiter(port->rate);
 	g_free(port->certificate_file);
 	g_free(port->key_file);
 	g_free(port->token_file);
@@ -458,17 +464,17 @@
 	g_free(port);
 }
 
-void rr_close_caller_port(struct rr_caller_port *port)
+void rr_drain_caller_server(struct rr_caller_server *port)
 {
 	port->closing = true;
 }
 
-uint32_t rr_count_calls(const struct rr_caller_port *port)
+uint32_t rr_count_open_calls(const struct rr_caller_server *port)
 {
 	return port->n_open;
 }
 
-uint16_t rr_caller_port_number(const struct rr_caller_port *port)
+uint16_t rr_caller_server_tcp_port(const struct rr_caller_server *port)
 {
 	GSList *uris = soup_server_get_uris(port->server);
 	int number = uris ? g_uri_get_port(uris->data) : 0;
--- a/source/net/exchange-private.h
+++ b/source/net/exchange-private.h
@@ -17,7 +17,7 @@
 	 */
 	bool never_sent;
 	/* The other side's reply was whole; false: lost or cut short. */
-	bool whole;
+	bool complete;
 	uint32_t status; /* 0: no status line came */
 	SoupMessageHeaders *headers;
 	const char *body; /* NUL-terminated */
@@ -40,26 +40,26 @@
 	void *data;
 };
 
-struct rr_exchanger;
+struct rr_http_session;
 struct rr_exchange;
 
 /* Connections are kept for reuse and closed after idle_s without use. */
-struct rr_exchanger *rr_new_exchanger(uint32_t idle_s);
+struct rr_http_session *rr_new_http_session(uint32_t idle_s);
 /* Aborts what is open without calling back. NULL is allowed. */
-void rr_drop_exchanger(struct rr_exchanger *exchanger);
+void rr_drop_http_session(struct rr_http_session *exchanger);
 /* How many exchanges are open. */
-uint32_t rr_count_exchanges(const struct rr_exchanger *exchanger);
+uint32_t rr_count_exchanges(const struct rr_http_session *exchanger);
 
 /*
  * Start an exchange.  `done` is called exactly once, from the main loop and
  * never from in here; the exchange is freed after it.
  */
 struct rr_exchange *
-rr_start_exchange(struct rr_exchanger *exchanger,
+rr_start_exchange(struct rr_http_session *exchanger,
 		  const struct rr_exchange_options *options);
 /* Close the connection; `done` is still called. */
 void rr_abort_exchange(struct rr_exchange *exchange);
 /* Close the connection timeout_ms from now, unless it has ended by then. */
-void rr_limit_exchange(struct rr_exchange *exchange, uint32_t timeout_ms);
+void rr_set_exchange_timeout(struct rr_exchange *exchange, uint32_t timeout_ms);
 
 #endif
--- a/source/net/exchange.c
+++ b/source/net/exchange.c
@@ -10,13 +10,13 @@
 #define MAX_CONNECTIONS 65535
 #define READ_BYTES 16384u
 
-struct rr_exchanger {
+struct rr_http_session {
 	SoupSession *session;
 	GHashTable *open; /* set of struct rr_exchange */
 };
 
 struct rr_exchange {
-	struct rr_exchanger *exchanger;
+	struct rr_http_session *exchanger;
 	SoupMessage *message;
 	GCancellable *cancellable;
 	GInputStream *stream;
@@ -28,9 +28,9 @@
 	void *data;
 };
 
-struct rr_exchanger *rr_new_exchanger(uint32_t idle_s)
+struct rr_http_session *rr_new_http_session(uint32_t idle_s)
 {
-	struct rr_exchanger *exchanger = g_new0(struct rr_exchanger, 1);
+	struct rr_http_session *exchanger = g_new0(struct rr_http_session, 1);
 
 	exchanger->session = g_object_new(
 		SOUP_TYPE_SESSION, "max-conns", MAX_CONNECTIONS,
@@ -48,7 +48,7 @@
 	return exchanger;
 }
 
-void rr_drop_exchanger(struct rr_exchanger *exchanger)
+void rr_drop_http_session(struct rr_http_session *exchanger)
 {
 	GHashTableIter iter;
 	gpointer key;
@@ -69,7 +69,7 @@
 	g_free(exchanger);
 }
 
-uint32_t rr_count_exchanges(const struct rr_exchanger *exchanger)
+uint32_t rr_count_exchanges(const struct rr_http_session *exchanger)
 {
 	return g_hash_table_size(exchanger->open);
 }
@@ -89,7 +89,7 @@
 {
 	struct rr_exchange_result result = {
 		.never_sent = error && !exchange->started,
-		.whole = !error,
+		.complete = !error,
 		.status = soup_message_get_status(exchange->message),
 		.headers = soup_message_get_response_headers(exchange->message),
 		.length = exchange->body->len,
@@ -204,7 +204,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-void rr_limit_exchange(struct rr_exchange *exchange, uint32_t timeout_ms)
+void rr_set_exchange_timeout(struct rr_exchange *exchange, uint32_t timeout_ms)
 {
 	if (exchange->timer)
 		g_source_remove(exchange->timer);
@@ -240,7 +240,7 @@
 	return message;
 }
 
-struct rr_exchange *rr_start_exchange(struct rr_exchanger *exchanger,
+struct rr_exchange *rr_start_exchange(struct rr_http_session *exchanger,
 				      const struct rr_exchange_options *options)
 {
 	struct rr_exchange *exchange = g_new0(struct rr_exchange, 1);
@@ -269,7 +269,7 @@
 			 exchange);
 	g_hash_table_add(exchanger->open, exchange);
 	if (options->timeout_ms)
-		rr_limit_exchange(exchange, options->timeout_ms);
+		rr_set_exchange_timeout(exchange, options->timeout_ms);
 	soup_session_send_async(exchanger->session, exchange->message,
 				G_PRIORITY_DEFAULT, exchange->cancellable,
 				take_headers, exchange);
--- a/source/net/front-port.c
+++ b/source/net/http-listener.c
@@ -1,8 +1,8 @@
 /*
- * front-port.c - the server end of the data path.
+ * http-listener.c - the server end of the data path.
  */
 #define _GNU_SOURCE /* accept4() */
-#include "net/front-port.h"
+#include "net/http-listener.h"
 
 #include <errno.h>
 #include <gio/gio.h>
@@ -40,8 +40,8 @@
 	CALLER_CLOSING, /* the answer is out; the peer is to close */
 };
 
-struct rr_caller {
-	struct rr_front_port *port;
+struct rr_caller_conn {
+	struct rr_http_listener *port;
 	struct rr_stream *stream;
 	struct rr_http_reader *reader;
 	GByteArray *rest; /* bytes behind the request under way */
@@ -56,13 +56,13 @@
 	uint64_t n_requests; /* read on this connection so far */
 };
 
-struct rr_front_port {
+struct rr_http_listener {
 	struct rr_context *ctx;
 	struct rr_poller *poller;
-	struct rr_poll listener;
-	struct rr_front_port_options options;
+	struct rr_io_watcher listener;
+	struct rr_http_listener_options options;
 	struct rr_caller_limits limits;
-	GQueue callers; /* struct rr_caller, about by the time of their turn */
+	GQueue callers; /* struct rr_caller_conn, about by the time of their turn */
 	int64_t checked_us;
 	bool closing;
 	bool full;
@@ -74,7 +74,7 @@
 }
 
 /* End and free a connection that is off the port's list. */
-static void end_caller(struct rr_caller *caller)
+static void end_caller(struct rr_caller_conn *caller)
 {
 	rr_drop_stream(caller->stream);
 	rr_drop_http_reader(caller->reader);
@@ -82,30 +82,30 @@
 	g_free(caller);
 }
 
-static void free_caller(struct rr_caller *caller)
+static void free_caller(struct rr_caller_conn *caller)
 {
 	g_queue_unlink(&caller->port->callers, &caller->link);
 	end_caller(caller);
 }
 
 /* The connection is gone; the owner forgets what it had with it. */
-static void lose_caller(struct rr_caller *caller)
+static void lose_caller(struct rr_caller_conn *caller)
 {
-	struct rr_front_port *port = caller->port;
+	struct rr_http_listener *port = caller->port;
 
-	if (caller->state == CALLER_OPEN && port->options.gone)
-		port->options.gone(port->options.data, caller);
+	if (caller->state == CALLER_OPEN && port->options.disconnected)
+		port->options.disconnected(port->options.data, caller);
 	free_caller(caller);
 }
 
-static void set_state(struct rr_caller *caller, enum caller_state state)
+static void set_state(struct rr_caller_conn *caller, enum caller_state state)
 {
 	caller->state = state;
 	caller->since_us = now_us();
 }
 
-static void append_head(GString *out, const struct rr_caller *caller,
-			const struct rr_front_answer *answer, bool has_length)
+static void append_head(GString *out, const struct rr_caller_conn *caller,
+			const struct rr_http_response *answer, bool has_length)
 {
 	const char *reason = answer->reason;
 
@@ -128,10 +128,10 @@
 	g_string_append(out, "\r\n");
 }
 
-static void read_on(struct rr_caller *caller);
+static void read_on(struct rr_caller_conn *caller);
 
 /* The answer is with the system: the next request, or the end. */
-static void end_answer(struct rr_caller *caller)
+static void end_answer(struct rr_caller_conn *caller)
 {
 	if (!caller->close) {
 		set_state(caller, CALLER_READING);
@@ -147,21 +147,21 @@
 	 * answer where bytes of the peer are unread.
 	 */
 	set_state(caller, CALLER_CLOSING);
-	rr_finish_stream(caller->stream);
-	rr_pause_stream(caller->stream, false);
+	rr_shutdown_stream_write(caller->stream);
+	rr_set_stream_paused(caller->stream, false);
 }
 
 static void take_flushed(void *data)
 {
-	struct rr_caller *caller = data;
+	struct rr_caller_conn *caller = data;
 
 	if (caller->state == CALLER_WRITING)
 		end_answer(caller);
 }
 
 /* Send an answer; false if the connection is gone. */
-static void send_answer(struct rr_caller *caller,
-			const struct rr_front_answer *answer)
+static void send_answer(struct rr_caller_conn *caller,
+			const struct rr_http_response *answer)
 {
 	bool bodiless =
 		caller->head || answer->status == 204 || answer->status == 304;
@@ -183,8 +183,8 @@
 		end_answer(caller);
 }
 
-void rr_answer_caller(struct rr_caller *caller,
-		      const struct rr_front_answer *answer)
+void rr_send_http_response(struct rr_caller_conn *caller,
+			   const struct rr_http_response *answer)
 {
 	const struct rr_http_message *message = rr_http_message(caller->reader);
 
@@ -194,37 +194,37 @@
 }
 
 /* What cannot be read is answered and ends the connection. */
-static void refuse(struct rr_caller *caller, enum rr_http_result result)
+static void refuse(struct rr_caller_conn *caller, enum rr_http_result result)
 {
-	struct rr_front_answer answer = { .status = 400, .close = true };
+	struct rr_http_response answer = { .status = 400, .close = true };
 
-	if (result == RR_HTTP_BIG_HEAD)
+	if (result == RR_HTTP_HEADERS_TOO_LARGE)
 		answer.status = 431;
-	else if (result == RR_HTTP_BIG_BODY)
+	else if (result == RR_HTTP_BODY_TOO_LARGE)
 		answer.status = 413;
 	rr_count(caller->port->ctx, RR_N_CALLS_INVALID, 1);
 	rr_log(caller->port->ctx, RR_LOG_DECISION, "call-refused",
 	       RR_FIELD_U64("status", answer.status));
 	caller->close = true;
-	rr_pause_stream(caller->stream, true);
+	rr_set_stream_paused(caller->stream, true);
 	send_answer(caller, &answer);
 }
 
-static void open_request(struct rr_caller *caller)
+static void open_request(struct rr_caller_conn *caller)
 {
-	struct rr_front_port *port = caller->port;
+	struct rr_http_listener *port = caller->port;
 	const struct rr_http_message *message = rr_http_message(caller->reader);
 
 	caller->head = !strcmp(message->method, "HEAD");
 	caller->mark = 0;
 	caller->n_requests++;
 	set_state(caller, CALLER_OPEN);
-	rr_pause_stream(caller->stream, true);
+	rr_set_stream_paused(caller->stream, true);
 	port->options.request(port->options.data, caller, message);
 }
 
 /* A caller that asks first is told to send its body. */
-static void ask_for_body(struct rr_caller *caller)
+static void ask_for_body(struct rr_caller_conn *caller)
 {
 	static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
 	bool taken;
@@ -234,23 +234,23 @@
 }
 
 /* Read bytes of the next request; what is behind it is kept. */
-static void read_bytes(struct rr_caller *caller, const uint8_t *bytes,
+static void read_bytes(struct rr_caller_conn *caller, const uint8_t *bytes,
 		       size_t length)
 {
-	bool head_was_read = rr_http_head_read(caller->reader);
+	bool head_was_read = rr_http_has_headers(caller->reader);
 	enum rr_http_result result;
 	size_t used;
 
-	if (!rr_http_begun(caller->reader))
+	if (!rr_http_is_started(caller->reader))
 		caller->since_us = now_us();
-	result = rr_read_http(caller->reader, bytes, length, &used);
-	if (result == RR_HTTP_MORE) {
-		if (!head_was_read && rr_http_head_read(caller->reader) &&
+	result = rr_parse_http(caller->reader, bytes, length, &used);
+	if (result == RR_HTTP_INCOMPLETE) {
+		if (!head_was_read && rr_http_has_headers(caller->reader) &&
 		    rr_http_message(caller->reader)->expects_continue)
 			ask_for_body(caller);
 		return;
 	}
-	if (result != RR_HTTP_WHOLE) {
+	if (result != RR_HTTP_COMPLETE) {
 		refuse(caller, result);
 		return;
 	}
@@ -261,7 +261,7 @@
 }
 
 /* Begin with the next request, from what has come already. */
-static void read_on(struct rr_caller *caller)
+static void read_on(struct rr_caller_conn *caller)
 {
 	GByteArray *rest = caller->rest;
 
@@ -272,12 +272,12 @@
 		g_byte_array_unref(rest);
 		return;
 	}
-	rr_pause_stream(caller->stream, false);
+	rr_set_stream_paused(caller->stream, false);
 }
 
 static void take_bytes(void *data, const uint8_t *bytes, size_t length)
 {
-	struct rr_caller *caller = data;
+	struct rr_caller_conn *caller = data;
 
 	switch (caller->state) {
 	case CALLER_READING:
@@ -294,24 +294,24 @@
 
 static void take_end(void *data, enum rr_stream_end end)
 {
-	struct rr_caller *caller = data;
-	struct rr_front_port *port = caller->port;
+	struct rr_caller_conn *caller = data;
+	struct rr_http_listener *port = caller->port;
 
-	if (end == RR_END_BROKEN || caller->state == CALLER_READING ||
+	if (end == RR_STREAM_ERROR || caller->state == CALLER_READING ||
 	    caller->state == CALLER_CLOSING) {
 		lose_caller(caller);
 		return;
 	}
 	caller->half_closed = true;
 	caller->close = true;
-	if (caller->state == CALLER_OPEN && port->options.left)
-		port->options.left(port->options.data, caller);
+	if (caller->state == CALLER_OPEN && port->options.half_closed)
+		port->options.half_closed(port->options.data, caller);
 }
 
-static bool add_caller(struct rr_front_port *port, int fd)
+static bool add_caller(struct rr_http_listener *port, int fd)
 {
-	struct rr_caller *caller = g_new0(struct rr_caller, 1);
-	struct rr_stream_owner owner = {
+	struct rr_caller_conn *caller = g_new0(struct rr_caller_conn, 1);
+	struct rr_stream_callbacks owner = {
 		.received = take_bytes,
 		.ended = take_end,
 		.flushed = take_flushed,
@@ -322,7 +322,7 @@
 		.max_body_bytes = port->limits.max_body_bytes,
 	};
 
-	caller->stream = rr_accept_stream(port->poller, fd, &owner);
+	caller->stream = rr_new_accepted_stream(port->poller, fd, &owner);
 	if (!caller->stream) {
 		g_free(caller);
 		return false;
@@ -336,7 +336,7 @@
 	return true;
 }
 
-static bool has_room(const struct rr_front_port *port)
+static bool has_room(const struct rr_http_listener *port)
 {
 	return !port->options.max_connections ||
 	       port->callers.length < port->options.max_connections;
@@ -344,7 +344,7 @@
 
 static void accept_callers(void *data, uint32_t events)
 {
-	struct rr_front_port *port = data;
+	struct rr_http_listener *port = data;
 
 	for (;;) {
 		int fd;
@@ -369,7 +369,7 @@
 	}
 }
 
-static bool listen_at(struct rr_front_port *port, GError **error)
+static bool listen_at(struct rr_http_listener *port, GError **error)
 {
 	GSocketAddress *address =
 		rr_parse_address(port->options.address, error);
@@ -405,14 +405,15 @@
 	port->listener.fd = fd;
 	port->listener.ready = accept_callers;
 	port->listener.data = port;
-	return rr_add_poll(port->poller, &port->listener);
+	return rr_add_io_watcher(port->poller, &port->listener);
 }
 
-struct rr_front_port *
-rr_new_front_port(struct rr_context *ctx,
-		  const struct rr_front_port_options *options, GError **error)
+struct rr_http_listener *
+rr_new_http_listener(struct rr_context *ctx,
+		     const struct rr_http_listener_options *options,
+		     GError **error)
 {
-	struct rr_front_port *port = g_new0(struct rr_front_port, 1);
+	struct rr_http_listener *port = g_new0(struct rr_http_listener, 1);
 
 	port->ctx = rr_keep_context(ctx);
 	port->poller = options->poller;
@@ -427,21 +428,21 @@
 	g_queue_init(&port->callers);
 	if (listen_at(port, error))
 		return port;
-	rr_drop_front_port(port);
+	rr_drop_http_listener(port);
 	return NULL;
 }
 
-void rr_refuse_callers(struct rr_front_port *port)
+void rr_stop_accepting(struct rr_http_listener *port)
 {
 	if (port->listener.fd < 0)
 		return;
-	rr_remove_poll(port->poller, &port->listener);
+	rr_remove_io_watcher(port->poller, &port->listener);
 	close(port->listener.fd);
 	port->listener.fd = -1;
 	port->full = false;
 }
 
-void rr_drop_front_port(struct rr_front_port *port)
+void rr_drop_http_listener(struct rr_http_listener *port)
 {
 	GList *link;
 
@@ -449,60 +450,61 @@
 		return;
 	while ((link = g_queue_pop_head_link(&port->callers)))
 		end_caller(link->data);
-	rr_refuse_callers(port);
+	rr_stop_accepting(port);
 	rr_drop_context(port->ctx);
 	g_free(port);
 }
 
-void rr_bound_front_port(struct rr_front_port *port,
-			 const struct rr_caller_limits *limits)
+void rr_set_http_listener_limits(struct rr_http_listener *port,
+				 const struct rr_caller_limits *limits)
 {
 	port->limits = *limits;
 	for (GList *l = port->callers.head; l; l = l->next) {
-		struct rr_caller *caller = l->data;
+		struct rr_caller_conn *caller = l->data;
 
-		rr_bound_http_reader(caller->reader, limits->max_header_bytes,
-				     limits->max_body_bytes);
+		rr_set_http_reader_limits(caller->reader,
+					  limits->max_header_bytes,
+					  limits->max_body_bytes);
 	}
 }
 
-void rr_set_caller_mark(struct rr_caller *caller, uint64_t mark)
+void rr_set_caller_user_data(struct rr_caller_conn *caller, uint64_t mark)
 {
 	caller->mark = mark;
 }
 
-uint64_t rr_caller_mark(const struct rr_caller *caller)
+uint64_t rr_caller_user_data(const struct rr_caller_conn *caller)
 {
 	return caller->mark;
 }
 
-bool rr_caller_is_new(const struct rr_caller *caller)
+bool rr_is_first_request(const struct rr_caller_conn *caller)
 {
 	return caller->n_requests == 1;
 }
 
-int64_t rr_caller_rtt_us(const struct rr_caller *caller)
+int64_t rr_caller_rtt_us(const struct rr_caller_conn *caller)
 {
 	return rr_stream_rtt_us(caller->stream);
 }
 
-void rr_close_front_port(struct rr_front_port *port)
+void rr_drain_http_listener(struct rr_http_listener *port)
 {
 	port->closing = true;
 }
 
-static bool is_quiet(const struct rr_caller *caller)
+static bool is_quiet(const struct rr_caller_conn *caller)
 {
 	return caller->state == CALLER_READING &&
-	       !rr_http_begun(caller->reader);
+	       !rr_http_is_started(caller->reader);
 }
 
-void rr_close_idle_callers(struct rr_front_port *port)
+void rr_close_idle_caller_conns(struct rr_http_listener *port)
 {
 	GList *next;
 
 	for (GList *l = port->callers.head; l; l = next) {
-		struct rr_caller *caller = l->data;
+		struct rr_caller_conn *caller = l->data;
 
 		next = l->next;
 		if (is_quiet(caller) || caller->state == CALLER_CLOSING)
@@ -510,22 +512,22 @@
 	}
 }
 
-size_t rr_count_callers(const struct rr_front_port *port)
+size_t rr_count_caller_conns(const struct rr_http_listener *port)
 {
 	return port->callers.length;
 }
 
 /* When a connection has taken too long over what it is at. */
-static int64_t bound_of(const struct rr_caller *caller)
+static int64_t bound_of(const struct rr_caller_conn *caller)
 {
 	const struct rr_caller_limits *limits = &caller->port->limits;
 	int64_t bound_ms = 0;
 
 	switch (caller->state) {
 	case CALLER_READING:
-		if (!rr_http_begun(caller->reader))
+		if (!rr_http_is_started(caller->reader))
 			bound_ms = limits->idle_timeout_ms;
-		else if (!rr_http_head_read(caller->reader))
+		else if (!rr_http_has_headers(caller->reader))
 			bound_ms = limits->header_timeout_ms;
 		else
 			bound_ms = (int64_t)limits->header_timeout_ms *
@@ -542,24 +544,25 @@
 }
 
 /* A request that is too slow is told so; a connection at rest just ends. */
-static void end_overdue(struct rr_caller *caller)
+static void end_overdue(struct rr_caller_conn *caller)
 {
-	struct rr_front_answer answer = { .status = 408, .close = true };
+	struct rr_http_response answer = { .status = 408, .close = true };
 
 	rr_count(caller->port->ctx, RR_N_CALLERS_TIMED_OUT, 1);
-	if (caller->state != CALLER_READING || !rr_http_begun(caller->reader)) {
+	if (caller->state != CALLER_READING ||
+	    !rr_http_is_started(caller->reader)) {
 		free_caller(caller);
 		return;
 	}
 	caller->close = true;
-	rr_pause_stream(caller->stream, true);
+	rr_set_stream_paused(caller->stream, true);
 	send_answer(caller, &answer);
 }
 
 /* How often connections are looked over: bounds are of seconds. */
 #define CHECK_US (250 * 1000)
 
-void rr_tick_front_port(struct rr_front_port *port, int64_t now)
+void rr_tick_http_listener(struct rr_http_listener *port, int64_t now)
 {
 	GList *next;
 
@@ -567,7 +570,7 @@
 		return;
 	port->checked_us = now;
 	for (GList *l = port->callers.head; l; l = next) {
-		struct rr_caller *caller = l->data;
+		struct rr_caller_conn *caller = l->data;
 
 		next = l->next;
 		if (bound_of(caller) <= now)
@@ -577,7 +580,7 @@
 		accept_callers(port, EPOLLIN);
 }
 
-int64_t rr_front_port_wake_us(const struct rr_front_port *port)
+int64_t rr_http_listener_wake_us(const struct rr_http_listener *port)
 {
 	int64_t wake_us = INT64_MAX;
 
--- a/source/net/http-reader.c
+++ b/source/net/http-reader.c
@@ -70,7 +70,7 @@
 		return 0;
 	if (reader->in_value || !reader->spans->len) {
 		if (reader->spans->len >= MOST_HEADERS) {
-			reader->fault = RR_HTTP_BIG_HEAD;
+			reader->fault = RR_HTTP_HEADERS_TOO_LARGE;
 			return -1;
 		}
 		if (reader->spans->len)
@@ -169,20 +169,20 @@
 #endif
 	if (reader->target->len + reader->text->len >
 	    reader->max_header_bytes) {
-		reader->fault = RR_HTTP_BIG_HEAD;
+		reader->fault = RR_HTTP_HEADERS_TOO_LARGE;
 		return -1;
 	}
 	reader->head_read = true;
 	reader->in_trailer = true;
 	/* No other protocol is spoken: what follows is HTTP or nothing. */
 	parser->upgrade = 0;
-	expect = rr_http_value(&reader->message, "Expect");
+	expect = rr_find_http_header(&reader->message, "Expect");
 	reader->message.expects_continue =
 		expect && !g_ascii_strcasecmp(expect, "100-continue");
 	if ((parser->flags & F_CONTENTLENGTH) &&
 	    parser->content_length > reader->max_body_bytes &&
 	    !is_bodiless(reader)) {
-		reader->fault = RR_HTTP_BIG_BODY;
+		reader->fault = RR_HTTP_BODY_TOO_LARGE;
 		return -1;
 	}
 	return is_bodiless(reader) ? 1 : 0;
@@ -193,7 +193,7 @@
 	struct rr_http_reader *reader = reader_of(parser);
 
 	if (reader->body->len + n > reader->max_body_bytes) {
-		reader->fault = RR_HTTP_BIG_BODY;
+		reader->fault = RR_HTTP_BODY_TOO_LARGE;
 		return -1;
 	}
 	g_byte_array_append(reader->body, (const guint8 *)at, (guint)n);
@@ -227,7 +227,7 @@
 {
 	struct rr_http_reader *reader = g_new0(struct rr_http_reader, 1);
 
-	reader->type = options->responses ? HTTP_RESPONSE : HTTP_REQUEST;
+	reader->type = options->parse_responses ? HTTP_RESPONSE : HTTP_REQUEST;
 	reader->target = g_string_new(NULL);
 	reader->reason = g_string_new(NULL);
 	reader->text = g_string_new(NULL);
@@ -235,8 +235,8 @@
 	reader->headers =
 		g_array_new(FALSE, FALSE, sizeof(struct rr_http_header));
 	reader->body = g_byte_array_new();
-	rr_bound_http_reader(reader, options->max_header_bytes,
-			     options->max_body_bytes);
+	rr_set_http_reader_limits(reader, options->max_header_bytes,
+				  options->max_body_bytes);
 	rr_reset_http_reader(reader, false);
 	return reader;
 }
@@ -254,8 +254,9 @@
 	g_free(reader);
 }
 
-void rr_bound_http_reader(struct rr_http_reader *reader,
-			  uint32_t max_header_bytes, uint32_t max_body_bytes)
+void rr_set_http_reader_limits(struct rr_http_reader *reader,
+			       uint32_t max_header_bytes,
+			       uint32_t max_body_bytes)
 {
 	reader->max_header_bytes =
 		max_header_bytes ? max_header_bytes : NO_BOUND;
@@ -273,7 +274,7 @@
 	reader->in_value = false;
 	reader->in_trailer = false;
 	reader->head_bytes = 0;
-	reader->fault = RR_HTTP_BAD;
+	reader->fault = RR_HTTP_MALFORMED;
 	g_string_truncate(reader->target, 0);
 	g_string_truncate(reader->reason, 0);
 	g_string_truncate(reader->text, 0);
@@ -304,9 +305,9 @@
 	       reader->parser.status_code < 200;
 }
 
-enum rr_http_result rr_read_http(struct rr_http_reader *reader,
-				 const uint8_t *bytes, size_t length,
-				 size_t *used)
+enum rr_http_result rr_parse_http(struct rr_http_reader *reader,
+				  const uint8_t *bytes, size_t length,
+				  size_t *used)
 {
 	*used = 0;
 	while (*used < length) {
@@ -319,40 +320,40 @@
 		if (!reader->head_read)
 			reader->head_bytes += (uint32_t)n;
 		if (reader->head_bytes > reader->max_header_bytes)
-			return RR_HTTP_BIG_HEAD;
+			return RR_HTTP_HEADERS_TOO_LARGE;
 		if (reader->whole && error == HPE_PAUSED) {
 			if (is_interim(reader)) {
 				rr_reset_http_reader(reader, reader->no_body);
 				continue;
 			}
 			fill_message(reader);
-			return RR_HTTP_WHOLE;
+			return RR_HTTP_COMPLETE;
 		}
 		if (error != HPE_OK)
 			return reader->fault;
 	}
-	return RR_HTTP_MORE;
+	return RR_HTTP_INCOMPLETE;
 }
 
-enum rr_http_result rr_end_http(struct rr_http_reader *reader)
+enum rr_http_result rr_finish_http(struct rr_http_reader *reader)
 {
 	if (!reader->head_read || reader->type != HTTP_RESPONSE)
-		return RR_HTTP_BAD;
+		return RR_HTTP_MALFORMED;
 	http_parser_execute(&reader->parser, &callbacks, NULL, 0);
 	if (!reader->whole)
-		return RR_HTTP_BAD;
+		return RR_HTTP_MALFORMED;
 	fill_message(reader);
-	reader->message.until_close = true;
+	reader->message.close_delimited = true;
 	reader->message.keep_alive = false;
-	return RR_HTTP_WHOLE;
+	return RR_HTTP_COMPLETE;
 }
 
-bool rr_http_begun(const struct rr_http_reader *reader)
+bool rr_http_is_started(const struct rr_http_reader *reader)
 {
 	return reader->begun;
 }
 
-bool rr_http_head_read(const struct rr_http_reader *reader)
+bool rr_http_has_headers(const struct rr_http_reader *reader)
 {
 	return reader->head_read;
 }
@@ -362,8 +363,8 @@
 	return &reader->message;
 }
 
-const char *rr_http_value(const struct rr_http_message *message,
-			  const char *name)
+const char *rr_find_http_header(const struct rr_http_message *message,
+				const char *name)
 {
 	for (size_t i = 0; i < message->n_headers; i++) {
 		if (!g_ascii_strcasecmp(message->headers[i].name, name))
@@ -391,7 +392,8 @@
 	return false;
 }
 
-bool rr_is_hop_header(const struct rr_http_message *message, const char *name)
+bool rr_is_hop_by_hop_header(const struct rr_http_message *message,
+			     const char *name)
 {
 	static const char *const hop_headers[] = {
 		"Connection",
--- a/source/net/net-peer-keys.c
+++ b/source/net/net-peer-keys.c
@@ -57,7 +57,7 @@
 			    RR_MAX_ALLOWED_KEYS);
 		return false;
 	}
-	keys->set = true;
+	keys->configured = true;
 	return true;
 }
 
@@ -71,9 +71,9 @@
 
 void rr_set_server_keys(void *socket, const struct peer_keys *keys)
 {
-	if (!keys->set)
+	if (!keys->configured)
 		return;
-	rr_set_socket_int(socket, ZMQ_CURVE_SERVER, 1);
+	rr_set_zmq_int_option(socket, ZMQ_CURVE_SERVER, 1);
 	zmq_setsockopt(socket, ZMQ_ZAP_DOMAIN, ZAP_DOMAIN, strlen(ZAP_DOMAIN));
 	set_pair(socket, keys);
 }
@@ -81,7 +81,7 @@
 void rr_set_client_keys(void *socket, const struct peer_keys *keys,
 			uint32_t key_index)
 {
-	if (!keys->set)
+	if (!keys->configured)
 		return;
 	set_pair(socket, keys);
 	zmq_setsockopt(socket, ZMQ_CURVE_SERVERKEY,
@@ -106,13 +106,13 @@
 	zmq_send(zap, data, length, more | ZMQ_DONTWAIT);
 }
 
-bool rr_peer_key_allowed(const struct peer_keys *keys, const uint8_t *key)
+bool rr_is_peer_key_allowed(const struct peer_keys *keys, const uint8_t *key)
 {
 	return key_allowed(keys, key, RR_CURVE_KEY_BYTES);
 }
 
-bool rr_keeps_allowed(const struct peer_keys *before,
-		      const struct peer_keys *now)
+bool rr_are_keys_still_allowed(const struct peer_keys *before,
+			       const struct peer_keys *now)
 {
 	for (uint32_t i = 0; i < before->n_allowed; i++) {
 		if (!key_allowed(now, before->allowed[i], RR_CURVE_KEY_BYTES))
@@ -126,7 +126,7 @@
  * over a connection it made before its key was removed: the library hands out
  * the key that the check told it with every message.
  */
-bool rr_sender_allowed(struct rr_peer_port *port, zmq_msg_t *message)
+bool rr_is_sender_allowed(struct rr_peer_transport *port, zmq_msg_t *message)
 {
 	const char *text;
 	uint8_t key[RR_CURVE_KEY_BYTES];
@@ -139,29 +139,30 @@
 	       key_allowed(&port->keys, key, sizeof(key));
 }
 
-void rr_note_refused_peer(struct rr_peer_port *port)
+void rr_log_rejected_peer(struct rr_peer_transport *port)
 {
 	rr_count(port->ctx, RR_N_PEER_REFUSED, 1);
 	rr_log(port->ctx, RR_LOG_WARNING, "peer_refused",
 	       RR_FIELD_STRING("reason", "its key is not allowed"));
 }
 
-static void send_verdict(struct rr_peer_port *port, zmq_msg_t *id, bool allowed,
-			 zmq_msg_t *key)
+static void send_verdict(struct rr_peer_transport *port, zmq_msg_t *id,
+			 bool allowed, zmq_msg_t *key)
 {
 	const char *status = allowed ? "200" : "400";
 	char text[Z85_KEY_LENGTH + 1] = "";
 
-	send_frame(port->zap, "1.0", 3, ZMQ_SNDMORE);
-	send_frame(port->zap, zmq_msg_data(id), zmq_msg_size(id), ZMQ_SNDMORE);
-	send_frame(port->zap, status, 3, ZMQ_SNDMORE);
-	send_frame(port->zap, "", 0, ZMQ_SNDMORE);
+	send_frame(port->zap_socket, "1.0", 3, ZMQ_SNDMORE);
+	send_frame(port->zap_socket, zmq_msg_data(id), zmq_msg_size(id),
+		   ZMQ_SNDMORE);
+	send_frame(port->zap_socket, status, 3, ZMQ_SNDMORE);
+	send_frame(port->zap_socket, "", 0, ZMQ_SNDMORE);
 	if (allowed)
 		zmq_z85_encode(text, zmq_msg_data(key), zmq_msg_size(key));
-	send_frame(port->zap, text, strlen(text), ZMQ_SNDMORE);
-	send_frame(port->zap, "", 0, 0);
+	send_frame(port->zap_socket, text, strlen(text), ZMQ_SNDMORE);
+	send_frame(port->zap_socket, "", 0, 0);
 	if (!allowed)
-		rr_note_refused_peer(port);
+		rr_log_rejected_peer(port);
 }
 
 static bool is_curve(zmq_msg_t *mechanism)
@@ -171,7 +172,7 @@
 }
 
 /* Read one request whole; false when none waits. */
-static bool check_one_key(struct rr_peer_port *port)
+static bool check_one_key(struct rr_peer_transport *port)
 {
 	zmq_msg_t frames[ZAP_FRAMES];
 	int n = 0;
@@ -180,7 +181,8 @@
 
 	for (n = 0; n < ZAP_FRAMES && more; n++) {
 		zmq_msg_init(&frames[n]);
-		if (zmq_msg_recv(&frames[n], port->zap, ZMQ_DONTWAIT) < 0)
+		if (zmq_msg_recv(&frames[n], port->zap_socket, ZMQ_DONTWAIT) <
+		    0)
 			break;
 		more = zmq_msg_more(&frames[n]);
 	}
@@ -201,25 +203,26 @@
 
 static gboolean check_keys(void *data)
 {
-	struct rr_peer_port *port = data;
+	struct rr_peer_transport *port = data;
 
-	while (rr_socket_events(port->zap) & ZMQ_POLLIN) {
+	while (rr_get_zmq_events(port->zap_socket) & ZMQ_POLLIN) {
 		if (!check_one_key(port))
 			break;
 	}
 	return G_SOURCE_CONTINUE;
 }
 
-bool rr_open_key_check(struct rr_peer_port *port, GError **error)
+bool rr_start_zap_handler(struct rr_peer_transport *port, GError **error)
 {
-	port->zap = zmq_socket(port->zmq, ZMQ_REP);
-	if (!port->zap || zmq_bind(port->zap, ZAP_ADDRESS)) {
+	port->zap_socket = zmq_socket(port->zmq, ZMQ_REP);
+	if (!port->zap_socket || zmq_bind(port->zap_socket, ZAP_ADDRESS)) {
 		g_set_error(error, RR_ERROR, RR_ERROR_SYSTEM,
 			    "cannot check peers' keys: %s",
 			    zmq_strerror(errno));
 		return false;
 	}
-	rr_set_socket_int(port->zap, ZMQ_LINGER, 0);
-	port->zap_watch = rr_watch_socket(port->zap, check_keys, port);
+	rr_set_zmq_int_option(port->zap_socket, ZMQ_LINGER, 0);
+	port->zap_source =
+		rr_watch_zmq_socket(port->zap_socket, check_keys, port);
 	return true;
 }
--- a/source/net/net-peer-link.c
+++ b/source/net/net-peer-link.c
@@ -58,15 +58,15 @@
 {
 	if (!*socket)
 		return;
-	rr_set_socket_int(*socket, ZMQ_LINGER, linger_ms);
+	rr_set_zmq_int_option(*socket, ZMQ_LINGER, linger_ms);
 	zmq_close(*socket);
 	*socket = NULL;
 }
 
 static void close_socket(struct peer_link *link, int linger_ms)
 {
-	rr_drop_source(&link->watch);
-	close_one(&link->next, 0);
+	rr_drop_source(&link->write_source);
+	close_one(&link->next_socket, 0);
 	close_one(&link->socket, linger_ms);
 	link->connected = false;
 }
@@ -76,7 +76,7 @@
 	struct peer_link *link = data;
 
 	close_socket(link, 0);
-	g_queue_clear_full(&link->waiting, free_waiting);
+	g_queue_clear_full(&link->queue, free_waiting);
 	g_free(link->address);
 	g_free(link);
 }
@@ -88,25 +88,25 @@
  */
 static void *connect_socket(struct peer_link *link)
 {
-	struct rr_peer_port *port = link->port;
+	struct rr_peer_transport *port = link->transport;
 	void *socket = zmq_socket(port->zmq, ZMQ_DEALER);
 	char *endpoint;
 
 	if (!socket)
 		return NULL;
-	rr_set_socket_int(socket, ZMQ_IMMEDIATE, 1);
-	rr_set_socket_int(socket, ZMQ_LINGER, 0);
-	rr_set_socket_int(socket, ZMQ_SNDHWM, SEND_HIGH_WATER_MARK);
-	rr_set_socket_int(socket, ZMQ_RCVHWM, 1);
-	rr_set_socket_int(socket, ZMQ_TCP_MAXRT, TCP_GIVE_UP_MS);
-	rr_set_socket_int(socket, ZMQ_RECONNECT_IVL, RECONNECT_MS);
-	rr_set_socket_int(socket, ZMQ_RECONNECT_IVL_MAX, MAX_RECONNECT_MS);
+	rr_set_zmq_int_option(socket, ZMQ_IMMEDIATE, 1);
+	rr_set_zmq_int_option(socket, ZMQ_LINGER, 0);
+	rr_set_zmq_int_option(socket, ZMQ_SNDHWM, SEND_HIGH_WATER_MARK);
+	rr_set_zmq_int_option(socket, ZMQ_RCVHWM, 1);
+	rr_set_zmq_int_option(socket, ZMQ_TCP_MAXRT, TCP_GIVE_UP_MS);
+	rr_set_zmq_int_option(socket, ZMQ_RECONNECT_IVL, RECONNECT_MS);
+	rr_set_zmq_int_option(socket, ZMQ_RECONNECT_IVL_MAX, MAX_RECONNECT_MS);
 	rr_set_client_keys(socket, &port->keys, link->key_index);
 	endpoint = g_strdup_printf("tcp://%s", link->address);
 	if (zmq_connect(socket, endpoint))
 		close_one(&socket, 0);
 	g_free(endpoint);
-	link->tried_us = g_get_monotonic_time();
+	link->connect_started_us = g_get_monotonic_time();
 	return socket;
 }
 
@@ -134,21 +134,21 @@
 	struct waiting_message *first;
 
 	/* The descriptor tells a change once: look again after each send. */
-	while ((first = g_queue_peek_head(&link->waiting))) {
-		if (!(rr_socket_events(link->socket) & ZMQ_POLLOUT) ||
+	while ((first = g_queue_peek_head(&link->queue))) {
+		if (!(rr_get_zmq_events(link->socket) & ZMQ_POLLOUT) ||
 		    !write_now(link, first->bytes))
 			return G_SOURCE_CONTINUE;
-		free_waiting(g_queue_pop_head(&link->waiting));
+		free_waiting(g_queue_pop_head(&link->queue));
 	}
-	rr_drop_source(&link->watch);
+	rr_drop_source(&link->write_source);
 	return G_SOURCE_REMOVE;
 }
 
 static void watch_waiting(struct peer_link *link)
 {
-	if (link->waiting.length && link->socket && !link->watch)
-		link->watch =
-			rr_watch_socket(link->socket, write_waiting, link);
+	if (link->queue.length && link->socket && !link->write_source)
+		link->write_source =
+			rr_watch_zmq_socket(link->socket, write_waiting, link);
 }
 
 /*
@@ -157,29 +157,30 @@
  */
 static void try_next_key(struct peer_link *link)
 {
-	if (link->port->keys.n_allowed < 2)
+	if (link->transport->keys.n_allowed < 2)
 		return;
 	link->key_index++;
-	link->n_tries++;
+	link->n_key_tries++;
 	close_socket(link, 0);
-	if (link->waiting.length && open_socket(link))
+	if (link->queue.length && open_socket(link))
 		watch_waiting(link);
 }
 
 /* Whether the newest socket had its time to connect. */
 static bool key_tried(const struct peer_link *link, int64_t now_us)
 {
-	uint32_t n_allowed = MAX(link->port->keys.n_allowed, 1);
-	uint32_t rounds = MIN(link->n_tries / n_allowed, MAX_KEY_TRY_SHIFT);
+	uint32_t n_allowed = MAX(link->transport->keys.n_allowed, 1);
+	uint32_t rounds = MIN(link->n_key_tries / n_allowed, MAX_KEY_TRY_SHIFT);
 
-	return now_us - link->tried_us > ((int64_t)KEY_TRY_US << rounds);
+	return now_us - link->connect_started_us >
+	       ((int64_t)KEY_TRY_US << rounds);
 }
 
 static void take_next(struct peer_link *link)
 {
-	void *next = link->next;
+	void *next = link->next_socket;
 
-	link->next = NULL;
+	link->next_socket = NULL;
 	close_socket(link, CLOSE_LINGER_MS);
 	link->socket = next;
 	watch_waiting(link);
@@ -192,19 +193,20 @@
  */
 static bool renew_step(struct peer_link *link, int64_t now_us)
 {
-	if (!link->renew_us)
+	if (!link->rekey_started_us)
 		return false;
-	if ((link->next && rr_socket_events(link->next) & ZMQ_POLLOUT) ||
-	    now_us - link->renew_us > RENEW_LIMIT_US) {
-		link->renew_us = 0;
+	if ((link->next_socket &&
+	     rr_get_zmq_events(link->next_socket) & ZMQ_POLLOUT) ||
+	    now_us - link->rekey_started_us > RENEW_LIMIT_US) {
+		link->rekey_started_us = 0;
 		take_next(link);
 		return false;
 	}
-	if (!link->next || key_tried(link, now_us)) {
-		close_one(&link->next, 0);
+	if (!link->next_socket || key_tried(link, now_us)) {
+		close_one(&link->next_socket, 0);
 		link->key_index++;
-		link->n_tries++;
-		link->next = connect_socket(link);
+		link->n_key_tries++;
+		link->next_socket = connect_socket(link);
 	}
 	return true;
 }
@@ -215,19 +217,19 @@
 	struct waiting_message *first;
 	uint64_t dropped = 0;
 
-	while ((first = g_queue_peek_head(&link->waiting)) &&
+	while ((first = g_queue_peek_head(&link->queue)) &&
 	       now_us - first->since_us > MAX_WAITING_AGE_US) {
-		free_waiting(g_queue_pop_head(&link->waiting));
+		free_waiting(g_queue_pop_head(&link->queue));
 		dropped++;
 	}
 	if (!dropped)
-		return link->waiting.length;
-	rr_count(link->port->ctx, RR_N_PEER_DROPPED, dropped);
-	rr_log(link->port->ctx, RR_LOG_INFO, "peer_unreachable",
+		return link->queue.length;
+	rr_count(link->transport->ctx, RR_N_PEER_DROPPED, dropped);
+	rr_log(link->transport->ctx, RR_LOG_INFO, "peer_unreachable",
 	       RR_FIELD_STRING("address", link->address),
 	       RR_FIELD_U64("dropped", dropped));
 	try_next_key(link);
-	return link->waiting.length;
+	return link->queue.length;
 }
 
 /* Whether the link needs another look soon. */
@@ -243,7 +245,7 @@
 
 static gboolean look_after_links(void *data)
 {
-	struct rr_peer_port *port = data;
+	struct rr_peer_transport *port = data;
 	int64_t now_us = g_get_monotonic_time();
 	GHashTableIter iter;
 	gpointer link;
@@ -253,47 +255,47 @@
 	g_hash_table_iter_init(&iter, port->links);
 	while (g_hash_table_iter_next(&iter, NULL, &link)) {
 		again |= look_after(link, now_us);
-		n_renewals += ((struct peer_link *)link)->renew_us != 0;
+		n_renewals += ((struct peer_link *)link)->rekey_started_us != 0;
 	}
 	rr_set_gauge(port->ctx, RR_G_PEER_RENEWALS, n_renewals);
 	if (again)
 		return G_SOURCE_CONTINUE;
-	rr_drop_source(&port->age_timer);
+	rr_drop_source(&port->link_timer);
 	return G_SOURCE_REMOVE;
 }
 
-static void start_age_timer(struct rr_peer_port *port)
+static void start_age_timer(struct rr_peer_transport *port)
 {
-	if (port->age_timer)
+	if (port->link_timer)
 		return;
-	port->age_timer = g_timeout_source_new(AGE_PERIOD_MS);
-	g_source_set_callback(port->age_timer, look_after_links, port, NULL);
-	g_source_attach(port->age_timer, g_main_context_get_thread_default());
+	port->link_timer = g_timeout_source_new(AGE_PERIOD_MS);
+	g_source_set_callback(port->link_timer, look_after_links, port, NULL);
+	g_source_attach(port->link_timer, g_main_context_get_thread_default());
 }
 
 static void wait_for_connection(struct peer_link *link, GBytes *bytes)
 {
 	struct waiting_message *waiting;
 
-	if (link->waiting.length >= MAX_WAITING) {
-		rr_count(link->port->ctx, RR_N_PEER_DROPPED, 1);
+	if (link->queue.length >= MAX_WAITING) {
+		rr_count(link->transport->ctx, RR_N_PEER_DROPPED, 1);
 		return;
 	}
 	waiting = g_new(struct waiting_message, 1);
 	waiting->bytes = g_bytes_ref(bytes);
 	waiting->since_us = g_get_monotonic_time();
-	g_queue_push_tail(&link->waiting, waiting);
-	start_age_timer(link->port);
+	g_queue_push_tail(&link->queue, waiting);
+	start_age_timer(link->transport);
 	watch_waiting(link);
 }
 
-static void tell_links(struct rr_peer_port *port)
+static void tell_links(struct rr_peer_transport *port)
 {
 	rr_set_gauge(port->ctx, RR_G_PEER_LINKS,
 		     g_hash_table_size(port->links));
 }
 
-void rr_close_idle_links(struct rr_peer_port *port)
+void rr_close_idle_links(struct rr_peer_transport *port)
 {
 	int64_t now_us = g_get_monotonic_time();
 	GHashTableIter iter;
@@ -303,8 +305,8 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct peer_link *link = value;
 
-		if (link->waiting.length ||
-		    now_us - link->used_us <= MAX_IDLE_US)
+		if (link->queue.length ||
+		    now_us - link->last_used_us <= MAX_IDLE_US)
 			continue;
 		close_socket(link, CLOSE_LINGER_MS);
 		g_hash_table_iter_remove(&iter);
@@ -313,7 +315,7 @@
 }
 
 /* Close the link that has been unused for longest. */
-static void make_room(struct rr_peer_port *port)
+static void make_room(struct rr_peer_transport *port)
 {
 	struct peer_link *oldest = NULL;
 	GHashTableIter iter;
@@ -325,17 +327,17 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct peer_link *link = value;
 
-		if (!oldest || link->used_us < oldest->used_us)
+		if (!oldest || link->last_used_us < oldest->last_used_us)
 			oldest = link;
 	}
 	if (!oldest)
 		return;
-	rr_count(port->ctx, RR_N_PEER_DROPPED, oldest->waiting.length);
+	rr_count(port->ctx, RR_N_PEER_DROPPED, oldest->queue.length);
 	close_socket(oldest, CLOSE_LINGER_MS);
 	g_hash_table_remove(port->links, oldest->address);
 }
 
-static struct peer_link *find_link(struct rr_peer_port *port,
+static struct peer_link *find_link(struct rr_peer_transport *port,
 				   const char *address)
 {
 	struct peer_link *link = g_hash_table_lookup(port->links, address);
@@ -343,19 +345,19 @@
 	if (!link) {
 		make_room(port);
 		link = g_new0(struct peer_link, 1);
-		link->port = port;
+		link->transport = port;
 		link->address = g_strdup(address);
-		g_queue_init(&link->waiting);
+		g_queue_init(&link->queue);
 		g_hash_table_insert(port->links, link->address, link);
 		tell_links(port);
 	}
-	link->used_us = g_get_monotonic_time();
+	link->last_used_us = g_get_monotonic_time();
 	if (!link->socket && !open_socket(link))
 		return NULL;
 	return link;
 }
 
-void rr_renew_peer_links(struct rr_peer_port *port)
+void rr_rekey_peer_links(struct rr_peer_transport *port)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -368,19 +370,19 @@
 		if (!link->socket)
 			continue;
 		n_renewals++;
-		close_one(&link->next, 0);
-		link->n_tries = 0;
-		link->renew_us = g_get_monotonic_time();
-		link->next = connect_socket(link);
+		close_one(&link->next_socket, 0);
+		link->n_key_tries = 0;
+		link->rekey_started_us = g_get_monotonic_time();
+		link->next_socket = connect_socket(link);
 	}
 	rr_set_gauge(port->ctx, RR_G_PEER_RENEWALS, n_renewals);
 	start_age_timer(port);
 	tell_links(port);
 }
 
-void rr_send_peer(struct rr_context *ctx, struct rr_peer_port *port,
-		  const char *instance, const char *address,
-		  const struct rr_peer_message *message)
+void rr_send_to_peer(struct rr_context *ctx, struct rr_peer_transport *port,
+		     const char *instance, const char *address,
+		     const struct rr_peer_message *message)
 {
 	GBytes *bytes = rr_encode_peer_message(message);
 	struct peer_link *link = NULL;
@@ -395,7 +397,7 @@
 		       RR_FIELD_U64("bytes", g_bytes_get_size(bytes)));
 	} else {
 		/* Behind those that wait already, so that order holds. */
-		if (link->waiting.length || !write_now(link, bytes)) {
+		if (link->queue.length || !write_now(link, bytes)) {
 			wait_for_connection(link, bytes);
 			write_waiting(link);
 		}
--- a/source/net/net-peer-router.c
+++ b/source/net/net-peer-router.c
@@ -24,7 +24,7 @@
 /* A router under a removed pair is closed when it was quiet for so long. */
 #define QUIET_US 5000000
 
-static void handle_payload(struct rr_peer_port *port, zmq_msg_t *payload)
+static void handle_payload(struct rr_peer_transport *port, zmq_msg_t *payload)
 {
 	GError *error = NULL;
 	struct rr_peer_message *message = rr_decode_peer_message(
@@ -47,7 +47,7 @@
  */
 static bool receive_one(struct peer_router *router)
 {
-	struct rr_peer_port *port = router->port;
+	struct rr_peer_transport *port = router->transport;
 	zmq_msg_t payload;
 	int frames = 0;
 	bool more = true;
@@ -59,8 +59,8 @@
 		frames++;
 		more = zmq_msg_more(&payload);
 	}
-	if (frames && !rr_sender_allowed(port, &payload)) {
-		rr_note_refused_peer(port);
+	if (frames && !rr_is_sender_allowed(port, &payload)) {
+		rr_log_rejected_peer(port);
 	} else if (frames == 2) {
 		handle_payload(port, &payload);
 	} else if (frames) {
@@ -79,7 +79,7 @@
 {
 	struct peer_router *router = data;
 
-	rr_drop_source(&router->again);
+	rr_drop_source(&router->resume_source);
 	receive(router);
 	return G_SOURCE_REMOVE;
 }
@@ -94,17 +94,17 @@
 	struct peer_router *router = data;
 	int left = MAX_MESSAGES_A_TURN;
 
-	router->heard_us = g_get_monotonic_time();
-	while (rr_socket_events(router->socket) & ZMQ_POLLIN) {
+	router->last_receive_us = g_get_monotonic_time();
+	while (rr_get_zmq_events(router->socket) & ZMQ_POLLIN) {
 		if (!left--) {
-			if (router->again)
+			if (router->resume_source)
 				break;
-			router->again = g_idle_source_new();
-			g_source_set_priority(router->again,
+			router->resume_source = g_idle_source_new();
+			g_source_set_priority(router->resume_source,
 					      G_PRIORITY_DEFAULT);
-			g_source_set_callback(router->again, receive_again,
-					      router, NULL);
-			g_source_attach(router->again,
+			g_source_set_callback(router->resume_source,
+					      receive_again, router, NULL);
+			g_source_attach(router->resume_source,
 					g_main_context_get_thread_default());
 			break;
 		}
@@ -166,16 +166,17 @@
 	return -1;
 }
 
-static void *make_socket(struct rr_peer_port *port, int fd, const char *address)
+static void *make_socket(struct rr_peer_transport *port, int fd,
+			 const char *address)
 {
 	void *socket = zmq_socket(port->zmq, ZMQ_ROUTER);
 	char *endpoint = g_strdup_printf("tcp://%s", address);
 
-	rr_set_socket_int(socket, ZMQ_LINGER, 0);
-	rr_set_socket_int(socket, ZMQ_ROUTER_MANDATORY, 1);
-	rr_set_socket_int(socket, ZMQ_RCVHWM, RECEIVE_HIGH_WATER_MARK);
-	rr_set_socket_int(socket, ZMQ_SNDHWM, 1);
-	rr_set_socket_int(socket, ZMQ_USE_FD, fd);
+	rr_set_zmq_int_option(socket, ZMQ_LINGER, 0);
+	rr_set_zmq_int_option(socket, ZMQ_ROUTER_MANDATORY, 1);
+	rr_set_zmq_int_option(socket, ZMQ_RCVHWM, RECEIVE_HIGH_WATER_MARK);
+	rr_set_zmq_int_option(socket, ZMQ_SNDHWM, 1);
+	rr_set_zmq_int_option(socket, ZMQ_USE_FD, fd);
 	rr_set_server_keys(socket, &port->keys);
 	zmq_setsockopt(socket, ZMQ_MAXMSGSIZE, &(int64_t){ RR_MAX_PEER_BYTES },
 		       sizeof(int64_t));
@@ -187,7 +188,7 @@
 	return socket;
 }
 
-struct peer_router *rr_new_peer_router(struct rr_peer_port *port,
+struct peer_router *rr_new_peer_router(struct rr_peer_transport *port,
 				       const char *address, bool shared,
 				       GError **error)
 {
@@ -197,7 +198,7 @@
 	if (fd < 0)
 		return NULL;
 	router = g_new0(struct peer_router, 1);
-	router->port = port;
+	router->transport = port;
 	router->fd = fd;
 	router->address = read_bound_address(fd);
 	memcpy(router->public_key, port->keys.public_key, RR_CURVE_KEY_BYTES);
@@ -210,8 +211,9 @@
 		rr_drop_peer_router(router);
 		return NULL;
 	}
-	router->heard_us = g_get_monotonic_time();
-	router->watch = rr_watch_socket(router->socket, receive, router);
+	router->last_receive_us = g_get_monotonic_time();
+	router->read_source =
+		rr_watch_zmq_socket(router->socket, receive, router);
 	return router;
 }
 
@@ -219,8 +221,8 @@
 {
 	if (!router)
 		return;
-	rr_drop_source(&router->watch);
-	rr_drop_source(&router->again);
+	rr_drop_source(&router->read_source);
+	rr_drop_source(&router->resume_source);
 	if (router->socket)
 		zmq_close(router->socket);
 	g_free(router->address);
@@ -235,7 +237,7 @@
  * tries again.  Only while the second one binds may the address be shared:
  * two instances with one address must not come up.
  */
-bool rr_renew_peer_router(struct rr_peer_port *port, GError **error)
+bool rr_rekey_peer_router(struct rr_peer_transport *port, GError **error)
 {
 	struct peer_router *renewed;
 
@@ -251,12 +253,12 @@
 	return true;
 }
 
-void rr_close_old_router(struct rr_peer_port *port)
+void rr_close_old_router(struct rr_peer_transport *port)
 {
 	struct peer_router *old = port->old_router;
 
-	if (!old || rr_peer_key_allowed(&port->keys, old->public_key) ||
-	    g_get_monotonic_time() - old->heard_us < QUIET_US)
+	if (!old || rr_is_peer_key_allowed(&port->keys, old->public_key) ||
+	    g_get_monotonic_time() - old->last_receive_us < QUIET_US)
 		return;
 	rr_drop_peer_router(old);
 	port->old_router = NULL;
--- a/source/net/net-peer.c
+++ b/source/net/net-peer.c
@@ -29,7 +29,7 @@
 	return watch->ready(watch->data);
 }
 
-GSource *rr_watch_socket(void *socket, GSourceFunc ready, void *data)
+GSource *rr_watch_zmq_socket(void *socket, GSourceFunc ready, void *data)
 {
 	struct socket_watch *watch = g_new(struct socket_watch, 1);
 	int fd = -1;
@@ -55,7 +55,7 @@
 	*source = NULL;
 }
 
-int rr_socket_events(void *socket)
+int rr_get_zmq_events(void *socket)
 {
 	int events = 0;
 	size_t size = sizeof(events);
@@ -65,7 +65,7 @@
 	return events;
 }
 
-void rr_set_socket_int(void *socket, int option, int value)
+void rr_set_zmq_int_option(void *socket, int option, int value)
 {
 	zmq_setsockopt(socket, option, &value, sizeof(value));
 }
@@ -91,25 +91,26 @@
 
 static gboolean check_idle(void *data)
 {
-	struct rr_peer_port *port = data;
+	struct rr_peer_transport *port = data;
 
 	rr_close_idle_links(port);
 	rr_close_old_router(port);
 	return G_SOURCE_CONTINUE;
 }
 
-struct rr_peer_port *
-rr_new_peer_port(struct rr_context *ctx,
-		 const struct rr_peer_port_options *options, GError **error)
+struct rr_peer_transport *
+rr_new_peer_transport(struct rr_context *ctx,
+		      const struct rr_peer_transport_options *options,
+		      GError **error)
 {
-	struct rr_peer_port *port;
+	struct rr_peer_transport *port;
 	struct peer_keys keys = { 0 };
 
 	if (!address_valid(options->address, error))
 		return NULL;
 	if (options->keys && !rr_parse_peer_keys(options->keys, &keys, error))
 		return NULL;
-	port = g_new0(struct rr_peer_port, 1);
+	port = g_new0(struct rr_peer_transport, 1);
 	port->ctx = rr_keep_context(ctx);
 	port->keys = keys;
 	port->received = options->received;
@@ -118,10 +119,10 @@
 					    rr_drop_peer_link);
 	port->zmq = zmq_ctx_new();
 	zmq_ctx_set(port->zmq, ZMQ_MAX_SOCKETS, MAX_SOCKETS);
-	if ((port->keys.set && !rr_open_key_check(port, error)) ||
+	if ((port->keys.configured && !rr_start_zap_handler(port, error)) ||
 	    !(port->router = rr_new_peer_router(port, options->address, false,
 						error))) {
-		rr_drop_peer_port(port);
+		rr_drop_peer_transport(port);
 		return NULL;
 	}
 	port->idle_timer = g_timeout_source_new_seconds(IDLE_CHECK_S);
@@ -130,18 +131,18 @@
 	return port;
 }
 
-void rr_drop_peer_port(struct rr_peer_port *port)
+void rr_drop_peer_transport(struct rr_peer_transport *port)
 {
 	if (!port)
 		return;
-	rr_drop_source(&port->zap_watch);
-	rr_drop_source(&port->age_timer);
+	rr_drop_source(&port->zap_source);
+	rr_drop_source(&port->link_timer);
 	rr_drop_source(&port->idle_timer);
 	g_hash_table_unref(port->links);
 	rr_drop_peer_router(port->router);
 	rr_drop_peer_router(port->old_router);
-	if (port->zap)
-		zmq_close(port->zap);
+	if (port->zap_socket)
+		zmq_close(port->zap_socket);
 	zmq_ctx_shutdown(port->zmq);
 	zmq_ctx_term(port->zmq);
 	explicit_bzero(&port->keys, sizeof(port->keys));
@@ -149,12 +150,12 @@
 	g_free(port);
 }
 
-const char *rr_peer_port_address(const struct rr_peer_port *port)
+const char *rr_peer_transport_address(const struct rr_peer_transport *port)
 {
 	return port->router->address;
 }
 
-bool rr_set_peer_keys(struct rr_context *ctx, struct rr_peer_port *port,
+bool rr_set_peer_keys(struct rr_context *ctx, struct rr_peer_transport *port,
 		      const struct rr_peer_keys *keys, GError **error)
 {
 	struct peer_keys parsed;
@@ -163,7 +164,7 @@
 	bool removed;
 	bool done = false;
 
-	if (!port->keys.set) {
+	if (!port->keys.configured) {
 		g_set_error(error, RR_ERROR, RR_ERROR_CONFLICT,
 			    "the peer port was started without keys");
 		return false;
@@ -173,15 +174,15 @@
 	before = port->keys;
 	new_pair = memcmp(parsed.secret_key, before.secret_key,
 			  RR_CURVE_KEY_BYTES) != 0;
-	removed = !rr_keeps_allowed(&before, &parsed);
+	removed = !rr_are_keys_still_allowed(&before, &parsed);
 	port->keys = parsed;
-	if (new_pair && !rr_renew_peer_router(port, error)) {
+	if (new_pair && !rr_rekey_peer_router(port, error)) {
 		port->keys = before;
 		goto failed;
 	}
 	port->keys_removed |= removed;
 	if (new_pair || removed)
-		rr_renew_peer_links(port);
+		rr_rekey_peer_links(port);
 	rr_log(ctx, RR_LOG_INFO, "peer_keys",
 	       RR_FIELD_U64("allowed", parsed.n_allowed),
 	       RR_FIELD_BOOL("new_pair", new_pair),
--- a/source/net/platform-watch.c
+++ b/source/net/platform-watch.c
@@ -14,29 +14,29 @@
 static gboolean watch_record(gpointer data);
 static gboolean read_list(gpointer data);
 
-static void watch_after(struct rr_platform_port *port, uint32_t delay_ms)
+static void watch_after(struct rr_platform_client *port, uint32_t delay_ms)
 {
 	port->watch_timer = g_timeout_add(delay_ms, watch_record, port);
 }
 
-static void list_after(struct rr_platform_port *port, uint32_t delay_ms)
+static void list_after(struct rr_platform_client *port, uint32_t delay_ms)
 {
 	port->list_timer = g_timeout_add(delay_ms, read_list, port);
 }
 
-void rr_read_platform_reply(enum rr_feed_call_kind kind,
-			    const struct rr_exchange_result *result,
-			    struct rr_feed_reply *reply)
+void rr_decode_platform_reply(enum rr_feed_call_kind kind,
+			      const struct rr_exchange_result *result,
+			      struct rr_feed_reply *reply)
 {
 	*reply = (struct rr_feed_reply){ .status = RR_FEED_FAILED };
-	if (result->whole)
+	if (result->complete)
 		rr_decode_feed_reply(kind, (uint16_t)result->status,
 				     (const uint8_t *)result->body,
 				     result->length, reply);
 }
 
 /* The newest value of the record's own key, if there is news of it. */
-static void tell_record(struct rr_platform_port *port, const GPtrArray *items)
+static void tell_record(struct rr_platform_client *port, const GPtrArray *items)
 {
 	const struct rr_feed_item *newest = NULL;
 	gsize length;
@@ -51,18 +51,19 @@
 	if (!newest)
 		return;
 	value = g_base64_decode(newest->value, &length);
-	port->options.record(port->options.data, (const char *)value, length);
+	port->options.record_received(port->options.data, (const char *)value,
+				      length);
 	g_free(value);
 }
 
 static void take_record(void *data, const struct rr_exchange_result *result)
 {
-	struct rr_platform_port *port = data;
+	struct rr_platform_client *port = data;
 	struct rr_feed_reply reply;
 
-	rr_read_platform_reply(port->record_read ? RR_FEED_WATCH :
-						   RR_FEED_RANGE,
-			       result, &reply);
+	rr_decode_platform_reply(port->record_read ? RR_FEED_WATCH :
+						     RR_FEED_RANGE,
+				 result, &reply);
 	if (reply.status == RR_FEED_OK) {
 		port->record_read = true;
 		port->record_revision = reply.revision;
@@ -73,7 +74,7 @@
 		port->record_read = false;
 		watch_after(port, 0);
 	} else {
-		rr_note_platform_failure(port, "record-not-read", result);
+		rr_log_platform_failure(port, "record-not-read", result);
 		watch_after(port, port->options.retry_ms);
 	}
 	if (reply.items)
@@ -87,12 +88,13 @@
  */
 static gboolean watch_record(gpointer data)
 {
-	struct rr_platform_port *port = data;
+	struct rr_platform_client *port = data;
 	uint32_t timeout_ms = port->options.call_timeout_ms;
 	struct rr_store_request call;
 
 	port->watch_timer = 0;
-	if (port->record_read && !port->options.watches(port->options.data)) {
+	if (port->record_read &&
+	    !port->options.is_watcher(port->options.data)) {
 		watch_after(port, port->options.list_period_ms);
 		return G_SOURCE_REMOVE;
 	}
@@ -108,24 +110,24 @@
 	return G_SOURCE_REMOVE;
 }
 
-static void tell_replica(struct rr_platform_port *port,
+static void tell_replica(struct rr_platform_client *port,
 			 const struct rr_endpoint_info *replica)
 {
-	port->options.replica(
+	port->options.replica_listed(
 		port->options.data, replica->id, replica->started_ms,
 		replica->draining ? RR_UPSTREAM_DRAINING : RR_UPSTREAM_READY);
 }
 
-static void tell_member(struct rr_platform_port *port,
+static void tell_member(struct rr_platform_client *port,
 			const struct rr_instance *instance)
 {
 	if (instance->zone && instance->address &&
 	    g_strcmp0(instance->id, port->options.instance))
-		port->options.member(port->options.data, instance->id,
-				     instance->zone, instance->address);
+		port->options.member_listed(port->options.data, instance->id,
+					    instance->zone, instance->address);
 }
 
-static void tell_list(struct rr_platform_port *port, const GPtrArray *items)
+static void tell_list(struct rr_platform_client *port, const GPtrArray *items)
 {
 	for (guint i = 0; i < items->len; i++) {
 		const struct rr_feed_item *item = g_ptr_array_index(items, i);
@@ -146,32 +148,30 @@
  * 2,000 reads a second would go for it.  So those that do not watch read it
  * seldom, and spread: started together, they do not come together.
  */
-static int64_t next_seldom_read_us(struct rr_platform_port *port)
+static int64_t next_seldom_read_us(struct rr_platform_client *port)
 {
-	uint64_t period_us =
-		(uint64_t)port->options.list_seldom_period_ms * 1000;
+	uint64_t period_us = (uint64_t)port->options.list_slow_period_ms * 1000;
 
 	return g_get_monotonic_time() +
 	       (int64_t)(period_us * 3 / 4 +
 			 rr_random_u64(port->ctx) % (period_us / 2));
 }
 
-static void read_page(struct rr_platform_port *port,
+static void read_page(struct rr_platform_client *port,
 		      enum rr_feed_item_kind kind, const char *after_key);
 
 /* The pages of the instances come first, then those of the replicas. */
-static void take_page(struct rr_platform_port *port,
+static void take_page(struct rr_platform_client *port,
 		      enum rr_feed_item_kind kind,
 		      const struct rr_exchange_result *result)
 {
 	struct rr_feed_reply reply;
 	bool good;
 
-	rr_read_platform_reply(RR_FEED_RANGE, result, &reply);
+	rr_decode_platform_reply(RR_FEED_RANGE, result, &reply);
 	good = reply.status == RR_FEED_OK;
 	if (!good)
-		rr_note_platform_failure(port, "instance-list-not-read",
-					 result);
+		rr_log_platform_failure(port, "instance-list-not-read", result);
 	else
 		tell_list(port, reply.items);
 	if (good && reply.more && reply.items->len) {
@@ -182,7 +182,7 @@
 	} else if (good && kind == RR_FEED_INSTANCE) {
 		read_page(port, RR_FEED_REPLICA, NULL);
 	} else {
-		port->list_seldom_us = next_seldom_read_us(port);
+		port->slow_list_due_us = next_seldom_read_us(port);
 		list_after(port, port->options.list_period_ms);
 	}
 	if (reply.items)
@@ -199,7 +199,7 @@
 	take_page(data, RR_FEED_INSTANCE, result);
 }
 
-static void read_page(struct rr_platform_port *port,
+static void read_page(struct rr_platform_client *port,
 		      enum rr_feed_item_kind kind, const char *after_key)
 {
 	struct rr_store_request call;
@@ -217,11 +217,11 @@
  */
 static gboolean read_list(gpointer data)
 {
-	struct rr_platform_port *port = data;
+	struct rr_platform_client *port = data;
 
 	port->list_timer = 0;
-	if (g_get_monotonic_time() < port->list_seldom_us &&
-	    !port->options.watches(port->options.data)) {
+	if (g_get_monotonic_time() < port->slow_list_due_us &&
+	    !port->options.is_watcher(port->options.data)) {
 		list_after(port, port->options.list_period_ms);
 		return G_SOURCE_REMOVE;
 	}
@@ -229,13 +229,13 @@
 	return G_SOURCE_REMOVE;
 }
 
-void rr_start_platform_watch(struct rr_platform_port *port)
+void rr_start_platform_watch(struct rr_platform_client *port)
 {
 	watch_after(port, 0);
 	list_after(port, 0);
 }
 
-void rr_stop_platform_watch(struct rr_platform_port *port)
+void rr_stop_platform_watch(struct rr_platform_client *port)
 {
 	if (port->watch_timer)
 		g_source_remove(port->watch_timer);
--- a/source/net/platform.c
+++ b/source/net/platform.c
@@ -11,7 +11,7 @@
 #define IDLE_CONNECTION_S 120
 
 struct key_call {
-	struct rr_platform_port *port;
+	struct rr_platform_client *port;
 	uint64_t call_id;
 	char *key;
 	bool write;
@@ -31,10 +31,10 @@
 	*reply = (struct rr_key_reply){ .status = RR_STORE_UNKNOWN };
 	if (result->never_sent)
 		reply->status = RR_STORE_UNAVAILABLE;
-	else if (result->whole && call->write)
+	else if (result->complete && call->write)
 		rr_decode_cas_reply(call->key, status, result->body,
 				    result->length, reply);
-	else if (result->whole)
+	else if (result->complete)
 		rr_decode_get_reply(status, result->body, result->length,
 				    reply);
 }
@@ -42,7 +42,7 @@
 static void take_reply(void *data, const struct rr_exchange_result *result)
 {
 	struct key_call *call = data;
-	struct rr_platform_port *port = call->port;
+	struct rr_platform_client *port = call->port;
 	struct rr_key_reply decoded;
 	struct rr_store_reply reply = { .call_id = call->call_id };
 
@@ -53,7 +53,7 @@
 	reply.length = decoded.length;
 	if (reply.status == RR_STORE_UNAVAILABLE ||
 	    reply.status == RR_STORE_UNKNOWN)
-		rr_note_platform_failure(
+		rr_log_platform_failure(
 			port, call->write ? "write-failed" : "read-failed",
 			result);
 	port->options.replied(port->options.data, &reply);
@@ -62,8 +62,8 @@
 	g_free(call);
 }
 
-void rr_note_platform_failure(struct rr_platform_port *port, const char *what,
-			      const struct rr_exchange_result *result)
+void rr_log_platform_failure(struct rr_platform_client *port, const char *what,
+			     const struct rr_exchange_result *result)
 {
 	rr_count(port->ctx, RR_N_STORE_FAILURES, 1);
 	rr_log(port->ctx, RR_LOG_WARNING, what,
@@ -72,7 +72,7 @@
 }
 
 void rr_start_platform_call(
-	struct rr_platform_port *port, struct rr_store_request *call,
+	struct rr_platform_client *port, struct rr_store_request *call,
 	uint32_t timeout_ms,
 	void (*done)(void *data, const struct rr_exchange_result *result),
 	void *data)
@@ -91,11 +91,11 @@
 	};
 
 	rr_count(port->ctx, RR_N_STORE_CALLS, 1);
-	rr_start_exchange(port->exchanger, &options);
+	rr_start_exchange(port->session, &options);
 	rr_clear_store_request(call);
 }
 
-static void start_key_call(struct rr_platform_port *port, uint64_t call_id,
+static void start_key_call(struct rr_platform_client *port, uint64_t call_id,
 			   const char *key, struct rr_store_request *made)
 {
 	struct key_call *call = g_new0(struct key_call, 1);
@@ -126,7 +126,7 @@
 	start_key_call(data, call_id, key, &call);
 }
 
-struct rr_store_port rr_store_port_of(struct rr_platform_port *port)
+struct rr_store_port rr_make_store_port(struct rr_platform_client *port)
 {
 	return (struct rr_store_port){
 		.get = get_key,
@@ -141,13 +141,13 @@
 		*value = otherwise;
 }
 
-struct rr_platform_port *
-rr_new_platform_port(struct rr_context *ctx,
-		     const struct rr_platform_port_options *options)
+struct rr_platform_client *
+rr_new_platform_client(struct rr_context *ctx,
+		       const struct rr_platform_client_options *options)
 {
-	struct rr_platform_port *port = g_new0(struct rr_platform_port, 1);
+	struct rr_platform_client *port = g_new0(struct rr_platform_client, 1);
 
-	port->born_ms = g_get_real_time() / 1000;
+	port->started_ms = g_get_real_time() / 1000;
 	port->ctx = rr_keep_context(ctx);
 	port->options = *options;
 	port->address = g_strdup(options->address);
@@ -158,22 +158,22 @@
 	set_default(&port->options.call_timeout_ms, 3000);
 	set_default(&port->options.watch_ms, 20000);
 	set_default(&port->options.list_period_ms, 2000);
-	set_default(&port->options.list_seldom_period_ms, 60000);
+	set_default(&port->options.list_slow_period_ms, 60000);
 	set_default(&port->options.retry_ms, 1000);
 	set_default(&port->options.lease_ms, 12000);
-	port->exchanger = rr_new_exchanger(IDLE_CONNECTION_S);
+	port->session = rr_new_http_session(IDLE_CONNECTION_S);
 	rr_start_platform_watch(port);
-	rr_start_platform_entry(port);
+	rr_start_platform_registration(port);
 	return port;
 }
 
-void rr_drop_platform_port(struct rr_platform_port *port)
+void rr_drop_platform_client(struct rr_platform_client *port)
 {
 	if (!port)
 		return;
 	rr_stop_platform_watch(port);
-	rr_stop_platform_entry(port);
-	rr_drop_exchanger(port->exchanger);
+	rr_stop_platform_registration(port);
+	rr_drop_http_session(port->session);
 	rr_drop_context(port->ctx);
 	g_free(port->address);
 	g_free((char *)port->options.instance);
--- a/source/net/poller.c
+++ b/source/net/poller.c
@@ -26,7 +26,7 @@
 		epoll_wait(poller->fd, poller->events, MOST_EVENTS, 0);
 	for (poller->at = 0; poller->at < poller->n_events; poller->at++) {
 		struct epoll_event *event = &poller->events[poller->at];
-		struct rr_poll *poll = event->data.ptr;
+		struct rr_io_watcher *poll = event->data.ptr;
 
 		if (poll)
 			poll->ready(poll->data, event->events);
@@ -75,7 +75,7 @@
 	g_source_unref(&poller->source);
 }
 
-bool rr_add_poll(struct rr_poller *poller, struct rr_poll *poll)
+bool rr_add_io_watcher(struct rr_poller *poller, struct rr_io_watcher *poll)
 {
 	struct epoll_event event = {
 		.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET,
@@ -89,7 +89,7 @@
  * An event taken in this turn may be for a descriptor that another one's
  * handler closes: it must not be handed on to freed memory.
  */
-void rr_remove_poll(struct rr_poller *poller, struct rr_poll *poll)
+void rr_remove_io_watcher(struct rr_poller *poller, struct rr_io_watcher *poll)
 {
 	struct epoll_event unused = { 0 };
 
--- a/source/net/poller.h
+++ b/source/net/poller.h
@@ -18,7 +18,7 @@
 struct rr_poller;
 
 /* A descriptor that is watched; lives in what owns the descriptor. */
-struct rr_poll {
+struct rr_io_watcher {
 	int fd;
 	/*
 	 * EPOLLIN, EPOLLOUT and so on are in `events`.  It may free whatever
@@ -32,8 +32,8 @@
 struct rr_poller *rr_new_poller(GError **error);
 void rr_drop_poller(struct rr_poller *poller);
 /* False if the descriptor cannot be watched (errno says why). */
-bool rr_add_poll(struct rr_poller *poller, struct rr_poll *poll);
+bool rr_add_io_watcher(struct rr_poller *poller, struct rr_io_watcher *poll);
 /* Before the descriptor is closed; events that wait are dropped. */
-void rr_remove_poll(struct rr_poller *poller, struct rr_poll *poll);
+void rr_remove_io_watcher(struct rr_poller *poller, struct rr_io_watcher *poll);
 
 #endif
--- a/source/net/replica-conn.h
+++ b/source/net/replica-conn.h
@@ -9,7 +9,7 @@
 #include <stdint.h>
 
 #include "net/http-reader.h"
-#include "net/replica-port.h"
+#include "net/replica-client.h"
 #include "net/stream.h"
 
 enum conn_state {
@@ -18,67 +18,67 @@
 	CONN_BUSY, /* its attempt's request was sent, at least in part */
 };
 
-struct rr_conn_replica {
-	char *lifetime;
+struct rr_conn_pool {
+	char *incarnation;
 	char *address;
 	GQueue idle; /* struct conn, the one used last at the head */
-	uint32_t most_idle;
+	uint32_t max_idle;
 	uint32_t n_conns;
-	bool forgotten;
+	bool closing;
 };
 
-struct rr_conn {
-	struct rr_replica_port *port;
-	struct rr_conn_replica *replica;
+struct rr_replica_conn {
+	struct rr_replica_client *client;
+	struct rr_conn_pool *pool;
 	struct rr_stream *stream;
 	struct rr_http_reader *reader;
 	enum conn_state state;
-	int64_t since_us; /* connecting */
-	int64_t keep_until_us;
+	int64_t connect_started_us; /* connecting */
+	int64_t reuse_until_us;
 	uint64_t attempt; /* 0: none */
-	int64_t give_up_us;
+	int64_t deadline_us;
 	bool idempotent;
 	bool no_body;
-	bool probe;   /* its connecting is waited for */
-	bool reached; /* though it did not come to stand */
-	bool soiled;  /* not to be used again after this answer */
-	uint32_t n_foreign;
+	bool is_probe;	     /* its connecting is waited for */
+	bool peer_reachable; /* though it did not come to stand */
+	bool no_reuse;	     /* not to be used again after this answer */
+	uint32_t n_mismatched;
 	char *request_id;
-	GByteArray *request; /* waits for the connection */
-	GList link;	     /* in the port's list of connections in use */
-	bool linked;
+	GByteArray *pending_request; /* waits for the connection */
+	GList link; /* in the port's list of connections in use */
+	bool is_active;
 };
 
-struct rr_replica_port {
+struct rr_replica_client {
 	struct rr_context *ctx;
 	struct rr_poller *poller;
-	char *request_id; /* headers' names; NULL: not looked at */
-	char *seal;
-	char *not_run;
-	char *load;
-	bool (*read_load)(const char *text, struct rr_gate_load *load);
+	char *request_id_header; /* headers' names; NULL: not looked at */
+	char *signature_header;
+	char *not_run_header;
+	char *load_header;
+	bool (*parse_load)(const char *text, struct rr_gate_load *load);
 	void (*replied)(void *data, const struct rr_gate_reply *reply);
 	void (*probed)(void *data, const char *lifetime, bool reached);
 	void *data;
 	int64_t now_us;
-	GHashTable *replicas; /* lifetime -> struct rr_conn_replica */
-	GHashTable *attempts; /* id -> struct rr_conn */
-	GQueue used;	      /* struct conn: connecting or busy */
-	GQueue owed;	      /* struct owed */
+	GHashTable *pools;    /* lifetime -> struct rr_conn_pool */
+	GHashTable *attempts; /* id -> struct rr_replica_conn */
+	GQueue active;	      /* struct conn: connecting or busy */
+	GQueue deferred;      /* struct owed */
 };
 
 /* In the port's list of connections in use, or out of it. */
-void rr_link_conn(struct rr_conn *conn);
-void rr_unlink_conn(struct rr_conn *conn);
+void rr_add_active_conn(struct rr_replica_conn *conn);
+void rr_remove_active_conn(struct rr_replica_conn *conn);
 /* Begin to connect; NULL if that fails at once. */
-struct rr_conn *rr_connect_to(struct rr_replica_port *port,
-			      struct rr_conn_replica *replica);
+struct rr_replica_conn *rr_open_replica_conn(struct rr_replica_client *port,
+					     struct rr_conn_pool *replica);
 /* Its next request is sent on it now. */
-void rr_start_busy(struct rr_conn *conn);
+void rr_mark_conn_busy(struct rr_replica_conn *conn);
 /* Close and forget it; with the last one a forgotten replica goes as well. */
-void rr_free_conn(struct rr_conn *conn);
+void rr_free_conn(struct rr_replica_conn *conn);
 /* It is of no more use; its attempt and its probe, if any, are told so. */
-void rr_break_conn(struct rr_conn *conn, enum rr_gate_outcome outcome,
-		   const char *reason);
+void rr_fail_conn(struct rr_replica_conn *conn, enum rr_gate_outcome outcome,
+		  const char *reason);
 
 #endif
--- a/source/net/stream.c
+++ b/source/net/stream.c
@@ -27,8 +27,8 @@
 struct rr_stream {
 	int refs; /* of callbacks under way, and the owner's */
 	struct rr_poller *poller;
-	struct rr_poll poll;
-	struct rr_stream_owner owner;
+	struct rr_io_watcher poll;
+	struct rr_stream_callbacks owner;
 	GByteArray *out; /* what the system did not take yet */
 	bool connecting;
 	bool paused;
@@ -99,7 +99,7 @@
 			continue;
 		if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
 			return;
-		end_stream(stream, n ? RR_END_BROKEN : RR_END_ORDERLY);
+		end_stream(stream, n ? RR_STREAM_ERROR : RR_STREAM_EOF);
 	}
 }
 
@@ -127,7 +127,7 @@
 	while (stream->out->len) {
 		if (!send_some(stream, stream->out->data, stream->out->len,
 			       &sent)) {
-			end_stream(stream, RR_END_BROKEN);
+			end_stream(stream, RR_STREAM_ERROR);
 			return;
 		}
 		if (!sent)
@@ -151,8 +151,8 @@
 	    0)
 		error = errno;
 	if (error) {
-		end_stream(stream, error == ECONNREFUSED ? RR_END_REFUSED :
-							   RR_END_BROKEN);
+		end_stream(stream, error == ECONNREFUSED ? RR_STREAM_REFUSED :
+							   RR_STREAM_ERROR);
 		return false;
 	}
 	if (stream->owner.connected)
@@ -181,14 +181,14 @@
 	/* While paused, an end is told all the same. */
 	if (stream->paused && stream->end_seen && !is_dropped(stream))
 		end_stream(stream, events & (EPOLLHUP | EPOLLERR) ?
-					   RR_END_BROKEN :
-					   RR_END_ORDERLY);
+					   RR_STREAM_ERROR :
+					   RR_STREAM_EOF);
 done:
 	unref(stream);
 }
 
 static struct rr_stream *watch_fd(struct rr_poller *poller, int fd,
-				  const struct rr_stream_owner *owner)
+				  const struct rr_stream_callbacks *owner)
 {
 	struct rr_stream *stream = g_new0(struct rr_stream, 1);
 
@@ -199,7 +199,7 @@
 	stream->poll.fd = fd;
 	stream->poll.ready = take_events;
 	stream->poll.data = stream;
-	if (rr_add_poll(poller, &stream->poll))
+	if (rr_add_io_watcher(poller, &stream->poll))
 		return stream;
 	stream->poll.fd = -1;
 	unref(stream);
@@ -233,7 +233,7 @@
 
 struct rr_stream *rr_connect_stream(struct rr_poller *poller,
 				    const char *address,
-				    const struct rr_stream_owner *owner)
+				    const struct rr_stream_callbacks *owner)
 {
 	int fd = open_socket(address);
 	struct rr_stream *stream;
@@ -249,8 +249,9 @@
 	return stream;
 }
 
-struct rr_stream *rr_accept_stream(struct rr_poller *poller, int fd,
-				   const struct rr_stream_owner *owner)
+struct rr_stream *
+rr_new_accepted_stream(struct rr_poller *poller, int fd,
+		       const struct rr_stream_callbacks *owner)
 {
 	set_options(fd);
 	return watch_fd(poller, fd, owner);
@@ -260,7 +261,7 @@
 {
 	if (!stream || is_dropped(stream))
 		return;
-	rr_remove_poll(stream->poller, &stream->poll);
+	rr_remove_io_watcher(stream->poller, &stream->poll);
 	close(stream->poll.fd);
 	stream->poll.fd = -1;
 	unref(stream);
@@ -288,14 +289,14 @@
 	return stream->out->len;
 }
 
-void rr_finish_stream(struct rr_stream *stream)
+void rr_shutdown_stream_write(struct rr_stream *stream)
 {
 	stream->finishing = true;
 	if (!stream->out->len)
 		shutdown(stream->poll.fd, SHUT_WR);
 }
 
-void rr_pause_stream(struct rr_stream *stream, bool paused)
+void rr_set_stream_paused(struct rr_stream *stream, bool paused)
 {
 	stream->paused = paused;
 	if (paused || !stream->more)
@@ -306,7 +307,7 @@
 	unref(stream);
 }
 
-bool rr_stream_has_news(const struct rr_stream *stream)
+bool rr_stream_has_input(const struct rr_stream *stream)
 {
 	uint8_t byte;
 	ssize_t n = recv(stream->poll.fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
--- a/source/net/stream.h
+++ b/source/net/stream.h
@@ -17,12 +17,12 @@
 struct rr_stream;
 
 enum rr_stream_end {
-	RR_END_ORDERLY, /* the peer sends no more; it may still read */
-	RR_END_BROKEN,	/* reset, timed out or unreachable */
-	RR_END_REFUSED, /* nobody listens there */
+	RR_STREAM_EOF,	   /* the peer sends no more; it may still read */
+	RR_STREAM_ERROR,   /* reset, timed out or unreachable */
+	RR_STREAM_REFUSED, /* nobody listens there */
 };
 
-struct rr_stream_owner {
+struct rr_stream_callbacks {
 	/* The connection that was asked for stands; NULL if not needed. */
 	void (*connected)(void *data);
 	void (*received)(void *data, const uint8_t *bytes, size_t length);
@@ -39,10 +39,11 @@
  */
 struct rr_stream *rr_connect_stream(struct rr_poller *poller,
 				    const char *address,
-				    const struct rr_stream_owner *owner);
+				    const struct rr_stream_callbacks *owner);
 /* Take over an accepted descriptor, without blocking.  NULL on failure. */
-struct rr_stream *rr_accept_stream(struct rr_poller *poller, int fd,
-				   const struct rr_stream_owner *owner);
+struct rr_stream *
+rr_new_accepted_stream(struct rr_poller *poller, int fd,
+		       const struct rr_stream_callbacks *owner);
 /* Close it.  Bytes that were not sent yet are lost.  NULL is allowed. */
 void rr_drop_stream(struct rr_stream *stream);
 
@@ -55,14 +56,14 @@
 		     size_t length, bool *taken);
 size_t rr_unsent_bytes(const struct rr_stream *stream);
 /* Close the sending side once all bytes are out. */
-void rr_finish_stream(struct rr_stream *stream);
+void rr_shutdown_stream_write(struct rr_stream *stream);
 /*
  * Stop or go on reading: what a peer sends meanwhile waits with the system,
  * and then with the peer.
  */
-void rr_pause_stream(struct rr_stream *stream, bool paused);
+void rr_set_stream_paused(struct rr_stream *stream, bool paused);
 /* Whether bytes or an end wait to be read: nothing should, when idle. */
-bool rr_stream_has_news(const struct rr_stream *stream);
+bool rr_stream_has_input(const struct rr_stream *stream);
 /* The measured time there and back; 0 if the system does not tell. */
 int64_t rr_stream_rtt_us(const struct rr_stream *stream);
 
--- a/source/net/upstream-private.h
+++ b/source/net/upstream-private.h
@@ -14,14 +14,14 @@
  * points into and is dropped by the caller after use; NULL where there is
  * none.
  */
-void rr_read_upstream_result(struct rr_context *ctx,
-			     const struct rr_exchange_result *result,
-			     struct rr_reply *reply,
-			     struct rr_upstream_body **body);
+void rr_decode_upstream_result(struct rr_context *ctx,
+			       const struct rr_exchange_result *result,
+			       struct rr_reply *reply,
+			       struct rr_upstream_body **body);
 
 /* Fill *health from what came of a poll; its replica is set already. */
-void rr_read_health_result(struct rr_context *ctx,
-			   const struct rr_exchange_result *result,
-			   struct rr_health *health);
+void rr_decode_health_result(struct rr_context *ctx,
+			     const struct rr_exchange_result *result,
+			     struct rr_health *health);
 
 #endif
--- a/source/net/upstream-reply.c
+++ b/source/net/upstream-reply.c
@@ -67,10 +67,10 @@
 	rr_log(ctx, RR_LOG_WARNING, "bad-reply", RR_FIELD_STRING("what", what));
 }
 
-void rr_read_upstream_result(struct rr_context *ctx,
-			     const struct rr_exchange_result *result,
-			     struct rr_reply *reply,
-			     struct rr_upstream_body **body)
+void rr_decode_upstream_result(struct rr_context *ctx,
+			       const struct rr_exchange_result *result,
+			       struct rr_reply *reply,
+			       struct rr_upstream_body **body)
 {
 	GError *error = NULL;
 
@@ -94,7 +94,7 @@
 	 * row of it and names the shard "truncated".
 	 */
 	reply->status = RR_REPLY_OK;
-	if (result->whole)
+	if (result->complete)
 		*body = rr_decode_upstream_body(result->body, result->length,
 						&error);
 	if (!*body) {
@@ -145,15 +145,15 @@
 	return RR_UPSTREAM_UNKNOWN;
 }
 
-void rr_read_health_result(struct rr_context *ctx,
-			   const struct rr_exchange_result *result,
-			   struct rr_health *health)
+void rr_decode_health_result(struct rr_context *ctx,
+			     const struct rr_exchange_result *result,
+			     struct rr_health *health)
 {
 	JsonParser *parser;
 	JsonNode *root;
 
 	health->state = RR_UPSTREAM_DOWN;
-	if (!result->whole || result->status != SOUP_STATUS_OK)
+	if (!result->complete || result->status != SOUP_STATUS_OK)
 		return;
 	health->reachable = true;
 	health->state = RR_UPSTREAM_UNKNOWN;
--- a/source/net/upstream.c
+++ b/source/net/upstream.c
@@ -16,24 +16,24 @@
 #define MAX_HEALTH_BYTES 4096
 #define NUMBER_TEXT 24
 
-struct rr_upstream_port {
+struct rr_upstream_client {
 	struct rr_context *ctx;
-	struct rr_upstream_port_options options;
+	struct rr_upstream_client_options options;
 	char *instance;
-	struct rr_exchanger *exchanger;
+	struct rr_http_session *exchanger;
 	GHashTable *attempts; /* uint64_t id to struct open_attempt */
 };
 
 struct open_attempt {
 	uint64_t id; /* first: the hash table's key */
-	struct rr_upstream_port *port;
+	struct rr_upstream_client *port;
 	struct rr_exchange *exchange;
 	char *address;
 	bool withdrawn;
 };
 
 struct open_poll {
-	struct rr_upstream_port *port;
+	struct rr_upstream_client *port;
 	char *replica;
 };
 
@@ -45,11 +45,11 @@
 	g_free(attempt);
 }
 
-struct rr_upstream_port *
-rr_new_upstream_port(struct rr_context *ctx,
-		     const struct rr_upstream_port_options *options)
+struct rr_upstream_client *
+rr_new_upstream_client(struct rr_context *ctx,
+		       const struct rr_upstream_client_options *options)
 {
-	struct rr_upstream_port *port = g_new0(struct rr_upstream_port, 1);
+	struct rr_upstream_client *port = g_new0(struct rr_upstream_client, 1);
 
 	port->ctx = rr_keep_context(ctx);
 	port->options = *options;
@@ -59,17 +59,17 @@
 		port->options.cancel_grace_ms = DEFAULT_CANCEL_GRACE_MS;
 	if (!port->options.health_timeout_ms)
 		port->options.health_timeout_ms = DEFAULT_HEALTH_TIMEOUT_MS;
-	port->exchanger = rr_new_exchanger(IDLE_CONNECTION_S);
+	port->exchanger = rr_new_http_session(IDLE_CONNECTION_S);
 	port->attempts = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 					       NULL, free_attempt);
 	return port;
 }
 
-void rr_drop_upstream_port(struct rr_upstream_port *port)
+void rr_drop_upstream_client(struct rr_upstream_client *port)
 {
 	if (!port)
 		return;
-	rr_drop_exchanger(port->exchanger);
+	rr_drop_http_session(port->exchanger);
 	g_hash_table_destroy(port->attempts);
 	rr_drop_context(port->ctx);
 	g_free(port->instance);
@@ -79,12 +79,12 @@
 static void take_reply(void *data, const struct rr_exchange_result *result)
 {
 	struct open_attempt *attempt = data;
-	struct rr_upstream_port *port = attempt->port;
+	struct rr_upstream_client *port = attempt->port;
 	struct rr_upstream_body *body = NULL;
 	struct rr_reply reply;
 
 	if (!attempt->withdrawn) {
-		rr_read_upstream_result(port->ctx, result, &reply, &body);
+		rr_decode_upstream_result(port->ctx, result, &reply, &body);
 		reply.attempt_id = attempt->id;
 		port->options.replied(port->options.data, &reply);
 		rr_drop_upstream_body(body);
@@ -97,14 +97,14 @@
  * number.  With the number alone one's cancel could end the other's attempt at
  * their upstream, so the name goes with it.
  */
-static char *format_attempt_id(const struct rr_upstream_port *port,
+static char *format_attempt_id(const struct rr_upstream_client *port,
 			       uint64_t attempt_id)
 {
 	return g_strdup_printf("%s-%" G_GUINT64_FORMAT, port->instance,
 			       attempt_id);
 }
 
-void rr_post_attempt(struct rr_context *ctx, struct rr_upstream_port *port,
+void rr_send_attempt(struct rr_context *ctx, struct rr_upstream_client *port,
 		     const struct rr_attempt *attempt)
 {
 	struct open_attempt *open = g_new0(struct open_attempt, 1);
@@ -168,8 +168,8 @@
  * in the background; an upstream that does not end it within the grace (hung
  * or paused) loses the connection, so that none is held for ever.
  */
-void rr_withdraw_attempt(struct rr_context *ctx, struct rr_upstream_port *port,
-			 uint64_t attempt_id)
+void rr_cancel_attempt(struct rr_context *ctx, struct rr_upstream_client *port,
+		       uint64_t attempt_id)
 {
 	struct open_attempt *open =
 		g_hash_table_lookup(port->attempts, &attempt_id);
@@ -191,7 +191,7 @@
 		rr_abort_exchange(open->exchange);
 		return;
 	}
-	rr_limit_exchange(open->exchange, port->options.cancel_grace_ms);
+	rr_set_exchange_timeout(open->exchange, port->options.cancel_grace_ms);
 	id = format_attempt_id(port, attempt_id);
 	headers[1] = id;
 	options.address = open->address;
@@ -203,17 +203,18 @@
 static void take_health(void *data, const struct rr_exchange_result *result)
 {
 	struct open_poll *poll = data;
-	struct rr_upstream_port *port = poll->port;
+	struct rr_upstream_client *port = poll->port;
 	struct rr_health health = { .replica = poll->replica, .load = -1 };
 
-	rr_read_health_result(port->ctx, result, &health);
+	rr_decode_health_result(port->ctx, result, &health);
 	port->options.polled(port->options.data, &health);
 	g_free(poll->replica);
 	g_free(poll);
 }
 
-void rr_poll_upstream(struct rr_context *ctx, struct rr_upstream_port *port,
-		      const char *replica, const char *address)
+void rr_poll_upstream_health(struct rr_context *ctx,
+			     struct rr_upstream_client *port,
+			     const char *replica, const char *address)
 {
 	struct open_poll *poll = g_new0(struct open_poll, 1);
 	struct rr_exchange_options options = {
@@ -231,7 +232,7 @@
 	rr_start_exchange(port->exchanger, &options);
 }
 
-uint32_t rr_count_upstream_exchanges(const struct rr_upstream_port *port)
+uint32_t rr_count_upstream_exchanges(const struct rr_upstream_client *port)
 {
 	return rr_count_exchanges(port->exchanger);
 }
--- a/tests/standin/check.c
+++ b/tests/standin/check.c
@@ -231,7 +231,7 @@
 static void print_ports(int n)
 {
 	for (int i = 0; i < n; i++)
-		printf("%u\n", test_take_port());
+		printf("%u\n", test_reserve_port());
 }
 
 int main(int argc, char **argv)
--- a/tests/standin/platform.c
+++ b/tests/standin/platform.c
@@ -57,7 +57,7 @@
 
 static char *value_of(JsonObject *object)
 {
-	struct test_entry replica = {
+	struct test_replica_entry replica = {
 		.address = text_of(object, "address"),
 		.zone = text_of(object, "zone"),
 		.slots = 2,
@@ -65,7 +65,7 @@
 	};
 
 	if (strcmp(text_of(object, "kind"), "entry"))
-		return test_make_entry(&replica);
+		return test_make_replica_entry(&replica);
 	return g_strdup_printf(
 		"{\"zone\":\"%s\",\"address\":\"%s\",\"strength\":1000}",
 		text_of(object, "zone"), text_of(object, "address"));
@@ -152,12 +152,12 @@
 		text = "close";
 	hangs = !strcmp(text, "hang");
 	if (hangs)
-		store->state = TEST_STORE_SILENT;
+		store->state = TEST_STORE_UNRESPONSIVE;
 	else
 		test_store_set_state(store, !strcmp(text, "close") ?
 						    TEST_STORE_RESET :
 						    TEST_STORE_UP);
-	test_listen(&store->server, strcmp(text, "refuse") != 0);
+	test_set_listening(&store->server, strcmp(text, "refuse") != 0);
 }
 
 static void set_number(JsonObject *object, const char *name, uint32_t *number)
@@ -169,14 +169,14 @@
 static void obey(struct platform *platform, JsonObject *object)
 {
 	struct test_store *store = &platform->store;
-	uint32_t before_ms = store->late_ms;
+	uint32_t before_ms = store->write_delay_ms;
 
-	set_number(object, "slow_ms", &store->slow_ms);
-	set_number(object, "lose_replies", &store->lose_next);
-	set_number(object, "late_effect_ms", &store->late_ms);
-	if (store->late_ms != before_ms)
-		store->late_next = store->late_ms ? 1 : 0;
-	set_number(object, "late_effects", &store->late_next);
+	set_number(object, "slow_ms", &store->answer_delay_ms);
+	set_number(object, "lose_replies", &store->lose_next_writes);
+	set_number(object, "late_effect_ms", &store->write_delay_ms);
+	if (store->write_delay_ms != before_ms)
+		store->delay_next_writes = store->write_delay_ms ? 1 : 0;
+	set_number(object, "late_effects", &store->delay_next_writes);
 	set_number(object, "instances_lag_ms", &platform->list_lag_ms);
 	set_number(object, "rate_limit", &store->rate.limit);
 	if (json_object_has_member(object, "instances"))
--- a/tests/standin/upstream.c
+++ b/tests/standin/upstream.c
@@ -41,13 +41,13 @@
 static struct test_replica defaults = {
 	.slots = 2,
 	.queue = 16,
-	.cap = 25,
+	.max_connections = 25,
 	.service_ms = 2,
-	.straggle = 1,
-	.told_load = -1,
-	.oldest = 1,
-	.newest = 1,
-	.epoch = 1,
+	.service_time_factor = 1,
+	.reported_load = -1,
+	.oldest_version = 1,
+	.newest_version = 1,
+	.map_epoch = 1,
 	.range_to = G_MAXINT64,
 };
 static int cold_ms;
@@ -88,7 +88,7 @@
 		  const char *extra, const char *body)
 {
 	struct test_replica *replica = replica_of(connection);
-	bool half = replica->cut == CUT_HALF && status == 200 &&
+	bool half = replica->fault == TEST_FAULT_HALF_BODY && status == 200 &&
 		    g_str_has_prefix(connection->path, "/v1/shards/");
 
 	leave_slot(connection);
@@ -113,11 +113,11 @@
 		   const char *why)
 {
 	struct test_replica *replica = replica_of(connection);
-	char *extra =
-		g_strdup_printf("X-Not-Run: %s\r\nX-Retry-After-Ms: 50\r\n"
-				"X-Oldest-Version: %" G_GINT64_FORMAT "\r\n"
-				"X-Newest-Version: %" G_GINT64_FORMAT "\r\n",
-				why, replica->oldest, replica->newest);
+	char *extra = g_strdup_printf(
+		"X-Not-Run: %s\r\nX-Retry-After-Ms: 50\r\n"
+		"X-Oldest-Version: %" G_GINT64_FORMAT "\r\n"
+		"X-Newest-Version: %" G_GINT64_FORMAT "\r\n",
+		why, replica->oldest_version, replica->newest_version);
 
 	reply(connection, status, extra, "{}");
 	g_free(extra);
@@ -136,7 +136,7 @@
 	struct test_replica *replica = replica_of(connection);
 	char **parts = g_strsplit(connection->path, "/", -1);
 	const char *shard = parts[3];
-	const char *id = test_header(connection, "idempotency-key");
+	const char *id = test_request_header(connection, "idempotency-key");
 	JsonNode *root = json_from_string(connection->body, NULL);
 	JsonObject *asked = root && JSON_NODE_HOLDS_OBJECT(root) ?
 				    json_node_get_object(root) :
@@ -146,20 +146,21 @@
 	int64_t to = MIN(member_i64(asked, "key_to", 0), replica->range_to);
 	int64_t limit = member_i64(asked, "limit", 1000);
 	int64_t version =
-		(int64_t)test_header_i64(connection, "x-index-version");
+		(int64_t)test_request_header_i64(connection, "x-index-version");
 	bool reserve = g_strcmp0(parts[4], "reserve") == 0;
 	int64_t n = 0;
 	bool more = false;
 	GString *out = g_string_new(NULL);
 
 	if (!version)
-		version = replica->newest;
-	g_string_printf(
-		out,
-		"{\"version\":%" G_GINT64_FORMAT ",\"oldest\":%" G_GINT64_FORMAT
-		",\"newest\":%" G_GINT64_FORMAT ",\"epoch\":%" G_GINT64_FORMAT
-		",\"ranges\":[",
-		version, replica->oldest, replica->newest, replica->epoch);
+		version = replica->newest_version;
+	g_string_printf(out,
+			"{\"version\":%" G_GINT64_FORMAT
+			",\"oldest\":%" G_GINT64_FORMAT
+			",\"newest\":%" G_GINT64_FORMAT
+			",\"epoch\":%" G_GINT64_FORMAT ",\"ranges\":[",
+			version, replica->oldest_version,
+			replica->newest_version, replica->map_epoch);
 	if (from < to)
 		g_string_append_printf(
 			out, "[%" G_GINT64_FORMAT ",%" G_GINT64_FORMAT "]",
@@ -172,8 +173,8 @@
 			       "],\"row_count\":%" G_GINT64_FORMAT
 			       ",\"more\":%s,\"state\":\"%s\",\"load\":%.3f",
 			       n, more ? "true" : "false",
-			       test_told_state(replica),
-			       test_told_load(replica));
+			       test_reported_state(replica),
+			       test_reported_load(replica));
 	if (reserve)
 		g_string_append_printf(
 			out,
@@ -196,12 +197,12 @@
 
 	((struct work *)connection->user)->timer = 0;
 	body = make_answer(connection);
-	if (replica->cut == CUT_TRUNCATE)
+	if (replica->fault == TEST_FAULT_TRUNCATED_JSON)
 		body[strlen(body) * 2 / 3] = '\0';
-	if (replica->cut == CUT_REDIRECT)
+	if (replica->fault == TEST_FAULT_REDIRECT)
 		reply(connection, 307, "Location: /v1/shards/s/reserve\r\n",
 		      "{}");
-	else if (replica->cut == CUT_CHALLENGE)
+	else if (replica->fault == TEST_FAULT_CHALLENGE)
 		reply(connection, 401, "WWW-Authenticate: Basic realm=x\r\n",
 		      "{}");
 	else
@@ -212,7 +213,7 @@
 
 static guint service_time_ms(struct test_replica *replica)
 {
-	double ms = replica->service_ms * replica->straggle;
+	double ms = replica->service_ms * replica->service_time_factor;
 
 	if (replica->slow_share > 0 &&
 	    g_rand_double(dice) < replica->slow_share)
@@ -224,7 +225,7 @@
 
 static void count_run(struct test_connection *connection)
 {
-	const char *id = test_header(connection, "idempotency-key");
+	const char *id = test_request_header(connection, "idempotency-key");
 	gpointer times;
 
 	replica_of(connection)->ran++;
@@ -246,7 +247,7 @@
 		g_source_remove(work->deadline);
 	work->deadline = 0;
 	count_run(connection);
-	if (replica->cut == CUT_HANG_UP) {
+	if (replica->fault == TEST_FAULT_NO_REPLY) {
 		connection->busy = false;
 		test_close_connection(connection);
 		return;
@@ -273,12 +274,12 @@
 static void note_attempt(struct test_connection *connection)
 {
 	struct test_replica *replica = replica_of(connection);
-	const char *id = test_header(connection, "x-attempt-id");
+	const char *id = test_request_header(connection, "x-attempt-id");
 
 	replica->requests++;
-	if (replica->drained_at_us)
+	if (replica->draining_since_us)
 		replica->last_after_drain_ms =
-			(g_get_monotonic_time() - replica->drained_at_us) /
+			(g_get_monotonic_time() - replica->draining_since_us) /
 			1000;
 	if (id && !g_hash_table_add(attempts, g_strdup(id)))
 		repeated_attempts++;
@@ -289,16 +290,17 @@
 	struct test_replica *replica = replica_of(connection);
 	struct work *work = connection->user;
 	int64_t version =
-		(int64_t)test_header_i64(connection, "x-index-version");
-	int64_t deadline_ms = test_header_i64(connection, "x-deadline-ms");
+		(int64_t)test_request_header_i64(connection, "x-index-version");
+	int64_t deadline_ms =
+		test_request_header_i64(connection, "x-deadline-ms");
 
 	note_attempt(connection);
 	if (!strcmp(replica->state, "draining")) {
 		refuse(connection, 503, "draining");
 	} else if (replica->shed || replica->waiting.length >= replica->queue) {
 		refuse(connection, 503, "shed");
-	} else if (version &&
-		   (version < replica->oldest || version > replica->newest)) {
+	} else if (version && (version < replica->oldest_version ||
+			       version > replica->newest_version)) {
 		refuse(connection, 409, "no-version");
 	} else {
 		if (deadline_ms)
@@ -312,7 +314,7 @@
 static void cancel_attempt(struct test_connection *connection)
 {
 	struct test_replica *replica = replica_of(connection);
-	const char *id = test_header(connection, "x-attempt-id");
+	const char *id = test_request_header(connection, "x-attempt-id");
 
 	replica->cancel_calls++;
 	for (guint i = 0; id && i < replica->server.connections->len; i++) {
@@ -320,7 +322,8 @@
 			g_ptr_array_index(replica->server.connections, i);
 
 		if (other == connection || !other->busy ||
-		    g_strcmp0(test_header(other, "x-attempt-id"), id) != 0)
+		    g_strcmp0(test_request_header(other, "x-attempt-id"), id) !=
+			    0)
 			continue;
 		replica->cancelled++;
 		reply(other, 499, "", "{}");
@@ -336,8 +339,9 @@
 		"{\"state\":\"%s\",\"load\":%.3f,\"oldest\":%" G_GINT64_FORMAT
 		",\"newest\":%" G_GINT64_FORMAT ",\"epoch\":%" G_GINT64_FORMAT
 		"}",
-		test_told_state(replica), test_told_load(replica),
-		replica->oldest, replica->newest, replica->epoch);
+		test_reported_state(replica), test_reported_load(replica),
+		replica->oldest_version, replica->newest_version,
+		replica->map_epoch);
 
 	reply(connection, 200, "", body);
 	g_free(body);
@@ -363,7 +367,7 @@
 			continue;
 		json_object_iter_init(&iter, object);
 		while (json_object_iter_next(&iter, &name, &node))
-			test_set_fault(&replicas[i], name, node);
+			test_set_replica_option(&replicas[i], name, node);
 		listen_replica(&replicas[i]);
 	}
 	test_reply_to(connection, object ? 200 : 400, "", "{}", false);
@@ -448,7 +452,7 @@
 		work->timer = g_timeout_add((guint)replica->connect_ms,
 					    finish_connect, connection);
 	replica->accepted++;
-	replica->most_connections = MAX(replica->most_connections,
+	replica->peak_connections = MAX(replica->peak_connections,
 					replica->server.connections->len);
 	listen_replica(replica);
 }
@@ -456,10 +460,11 @@
 /* Over the cap connections are refused. */
 static void listen_replica(struct test_replica *replica)
 {
-	replica->server.reset = replica->cut == CUT_RESET;
-	test_listen(&replica->server,
-		    replica->cut != CUT_REFUSE &&
-			    replica->server.connections->len < replica->cap);
+	replica->server.reset = replica->fault == TEST_FAULT_RESET;
+	test_set_listening(&replica->server,
+			   replica->fault != TEST_FAULT_REFUSED &&
+				   replica->server.connections->len <
+					   replica->max_connections);
 }
 
 static void make_replica(struct test_replica *replica, int index)
@@ -489,9 +494,11 @@
 	for (int i = 0; i < n_replicas; i++) {
 		struct test_replica *replica = &replicas[i];
 
-		replica->newest++;
-		if (replica->newest >= replica->oldest + versions_kept)
-			replica->oldest = replica->newest - versions_kept + 1;
+		replica->newest_version++;
+		if (replica->newest_version >=
+		    replica->oldest_version + versions_kept)
+			replica->oldest_version =
+				replica->newest_version - versions_kept + 1;
 	}
 	return G_SOURCE_CONTINUE;
 }
@@ -511,7 +518,7 @@
 {
 	for (int i = 0; i < n_replicas; i++) {
 		replicas[i].state = "draining";
-		replicas[i].drained_at_us = g_get_monotonic_time();
+		replicas[i].draining_since_us = g_get_monotonic_time();
 	}
 	g_timeout_add(IDLE_CHECK_MS, leave_when_idle, NULL);
 	return G_SOURCE_REMOVE;
@@ -528,7 +535,8 @@
 	{ "slots", 0, 0, G_OPTION_ARG_INT64, &defaults.slots, "at once", "N" },
 	{ "queue", 0, 0, G_OPTION_ARG_INT64, &defaults.queue,
 	  "waiting before it sheds", "N" },
-	{ "connections", 0, 0, G_OPTION_ARG_INT64, &defaults.cap, "cap", "N" },
+	{ "connections", 0, 0, G_OPTION_ARG_INT64, &defaults.max_connections,
+	  "cap", "N" },
 	{ "connect-ms", 0, 0, G_OPTION_ARG_INT64, &defaults.connect_ms,
 	  "cost of a new connection", "MS" },
 	{ "service-ms", 0, 0, G_OPTION_ARG_INT64, &defaults.service_ms,
@@ -565,7 +573,7 @@
 	runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	attempts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	control.port = (uint16_t)control_port;
-	test_listen(&control, true);
+	test_set_listening(&control, true);
 	printf("control %u\n", control.port);
 	replicas = g_new0(struct test_replica, (gsize)n_replicas);
 	for (int i = 0; i < n_replicas; i++)
--- a/tests/support/deployment.c
+++ b/tests/support/deployment.c
@@ -207,8 +207,8 @@
 			test_start_upstreams(options->n_shards, NULL);
 	put_record(d);
 	for (int i = 0; i < options->n_entries; i++) {
-		d->ports[i] = test_take_port();
-		d->peer_ports[i] = test_take_port();
+		d->ports[i] = test_reserve_port();
+		d->peer_ports[i] = test_reserve_port();
 	}
 	for (int i = 0; i < options->n_entries; i++)
 		test_start_entry(d, i);
--- a/tests/support/port.c
+++ b/tests/support/port.c
@@ -51,7 +51,7 @@
 	return true;
 }
 
-uint16_t test_take_port(void)
+uint16_t test_reserve_port(void)
 {
 	uint16_t port;
 
@@ -61,9 +61,9 @@
 	return port;
 }
 
-char *test_free_address(void)
+char *test_reserve_address(void)
 {
-	return g_strdup_printf("127.0.0.1:%u", test_take_port());
+	return g_strdup_printf("127.0.0.1:%u", test_reserve_port());
 }
 
 GSocket *test_open_listener(uint16_t *port)
@@ -75,7 +75,7 @@
 			     G_SOCKET_PROTOCOL_TCP, NULL);
 
 	if (!*port)
-		*port = test_take_port();
+		*port = test_reserve_port();
 	address = g_inet_socket_address_new_from_string("127.0.0.1", *port);
 	g_socket_set_listen_backlog(listener, BACKLOG);
 	g_socket_set_blocking(listener, FALSE);
--- a/tests/support/port.h
+++ b/tests/support/port.h
@@ -12,9 +12,9 @@
  * another process that takes its ports here is given it, while whoever is
  * told of it (a daemon, a listener) can listen there.
  */
-uint16_t test_take_port(void);
+uint16_t test_reserve_port(void);
 /* IP:PORT of such a port, for g_free(). */
-char *test_free_address(void);
+char *test_reserve_address(void);
 
 /*
  * Listen at `*port`, or at a port taken for it where that is 0.  The socket
--- a/tests/support/raw-http.c
+++ b/tests/support/raw-http.c
@@ -13,14 +13,16 @@
 
 #define MAX_REQUEST_BYTES (1u << 20)
 
-const char *test_header(struct test_connection *connection, const char *name)
+const char *test_request_header(struct test_connection *connection,
+				const char *name)
 {
 	return g_hash_table_lookup(connection->headers, name);
 }
 
-int64_t test_header_i64(struct test_connection *connection, const char *name)
+int64_t test_request_header_i64(struct test_connection *connection,
+				const char *name)
 {
-	const char *text = test_header(connection, name);
+	const char *text = test_request_header(connection, name);
 
 	return text ? g_ascii_strtoll(text, NULL, 10) : 0;
 }
@@ -43,7 +45,7 @@
 	g_source_unref(connection->source);
 	g_socket_close(connection->socket, NULL);
 	g_object_unref(connection->socket);
-	g_string_free(connection->in, TRUE);
+	g_string_free(connection->input, TRUE);
 	clear_request(connection);
 	g_ptr_array_remove_fast(server->connections, connection);
 	g_free(connection->user);
@@ -87,7 +89,7 @@
 /* Hands out a whole request from the input if there is one. */
 static void parse_input(struct test_connection *connection)
 {
-	char *end = strstr(connection->in->str, "\r\n\r\n");
+	char *end = strstr(connection->input->str, "\r\n\r\n");
 	char *head;
 	char **lines;
 	char **words;
@@ -96,21 +98,21 @@
 
 	if (connection->busy || connection->held || !end)
 		return;
-	head_length = (gsize)(end - connection->in->str) + 4;
-	head = g_strndup(connection->in->str, head_length - 4);
+	head_length = (gsize)(end - connection->input->str) + 4;
+	head = g_strndup(connection->input->str, head_length - 4);
 	lines = g_strsplit(head, "\r\n", -1);
 	words = g_strsplit(lines[0], " ", 3);
 	g_free(head);
 	clear_request(connection);
 	connection->headers = parse_headers(lines + 1);
-	body_length = test_header_i64(connection, "content-length");
+	body_length = test_request_header_i64(connection, "content-length");
 	if (words[0] && words[1] &&
-	    connection->in->len >= head_length + body_length) {
+	    connection->input->len >= head_length + body_length) {
 		connection->method = g_strdup(words[0]);
 		connection->path = g_strdup(words[1]);
-		connection->body = g_strndup(connection->in->str + head_length,
-					     body_length);
-		g_string_erase(connection->in, 0,
+		connection->body = g_strndup(
+			connection->input->str + head_length, body_length);
+		g_string_erase(connection->input, 0,
 			       (gssize)(head_length + body_length));
 		g_strfreev(lines);
 		g_strfreev(words);
@@ -158,11 +160,11 @@
 	gssize length =
 		g_socket_receive(socket, bytes, sizeof(bytes), NULL, NULL);
 
-	if (length <= 0 || connection->in->len > MAX_REQUEST_BYTES) {
+	if (length <= 0 || connection->input->len > MAX_REQUEST_BYTES) {
 		test_close_connection(connection);
 		return G_SOURCE_REMOVE;
 	}
-	g_string_append_len(connection->in, bytes, length);
+	g_string_append_len(connection->input, bytes, length);
 	parse_input(connection);
 	return G_SOURCE_CONTINUE;
 }
@@ -184,7 +186,7 @@
 	connection = g_new0(struct test_connection, 1);
 	connection->server = server;
 	connection->socket = socket;
-	connection->in = g_string_new(NULL);
+	connection->input = g_string_new(NULL);
 	g_socket_set_blocking(socket, FALSE);
 	g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
 	connection->source = g_socket_create_source(socket, G_IO_IN, NULL);
@@ -197,7 +199,7 @@
 	return G_SOURCE_CONTINUE;
 }
 
-void test_listen(struct test_server *server, bool open)
+void test_set_listening(struct test_server *server, bool open)
 {
 	if (!server->connections)
 		server->connections = g_ptr_array_new();
@@ -217,18 +219,18 @@
 	}
 }
 
-void test_end_server(struct test_server *server)
+void test_stop_server(struct test_server *server)
 {
 	GPtrArray *open = g_ptr_array_copy(server->connections, NULL, NULL);
 
-	test_listen(server, false);
+	test_set_listening(server, false);
 	for (guint i = 0; i < open->len; i++)
 		test_close_connection(g_ptr_array_index(open, i));
 	g_ptr_array_unref(open);
 }
 
-void test_close_server(struct test_server *server)
+void test_destroy_server(struct test_server *server)
 {
-	test_end_server(server);
+	test_stop_server(server);
 	g_ptr_array_unref(server->connections);
 }
--- a/tests/support/raw-http.h
+++ b/tests/support/raw-http.h
@@ -23,7 +23,7 @@
 	char *body;
 	GSocket *socket;
 	GSource *source;
-	GString *in;
+	GString *input;
 };
 
 struct test_server {
@@ -43,15 +43,17 @@
 };
 
 /* Open or close the listener; with a closed one connections are refused. */
-void test_listen(struct test_server *server, bool open);
+void test_set_listening(struct test_server *server, bool open);
 /* As when its process ends: no listener, and no connections. */
-void test_end_server(struct test_server *server);
+void test_stop_server(struct test_server *server);
 /* The same, and it is not opened again. */
-void test_close_server(struct test_server *server);
+void test_destroy_server(struct test_server *server);
 
 /* A header of the request, NULL if absent. */
-const char *test_header(struct test_connection *connection, const char *name);
-int64_t test_header_i64(struct test_connection *connection, const char *name);
+const char *test_request_header(struct test_connection *connection,
+				const char *name);
+int64_t test_request_header_i64(struct test_connection *connection,
+				const char *name);
 
 /*
  * Reply; `extra` holds further header lines, each ended by CRLF.  With
--- a/tests/support/raw-peer.c
+++ b/tests/support/raw-peer.c
@@ -16,7 +16,7 @@
 		g_usleep(200);
 }
 
-void raw_turn_for(int64_t us)
+void raw_run_for(int64_t us)
 {
 	int64_t end_us = g_get_monotonic_time() + us;
 
@@ -24,9 +24,9 @@
 		turn();
 }
 
-void raw_turn_until(const int *flag, int n)
+void raw_run_until(const int *flag, int n)
 {
-	int64_t end_us = g_get_monotonic_time() + RAW_LIMIT_US;
+	int64_t end_us = g_get_monotonic_time() + RAW_TIMEOUT_US;
 
 	while (*flag < n) {
 		turn();
@@ -74,13 +74,13 @@
 	struct raw_peer *peer = g_new0(struct raw_peer, 1);
 
 	peer->fd = fd;
-	peer->in = g_string_new(NULL);
+	peer->received = g_string_new(NULL);
 	return peer;
 }
 
 struct raw_peer *raw_accept(struct raw_listener *listener)
 {
-	int64_t end_us = g_get_monotonic_time() + RAW_LIMIT_US;
+	int64_t end_us = g_get_monotonic_time() + RAW_TIMEOUT_US;
 
 	for (;;) {
 		int fd = accept(listener->fd, NULL, NULL);
@@ -97,7 +97,7 @@
 {
 	int fd;
 
-	raw_turn_for(30000);
+	raw_run_for(30000);
 	fd = accept(listener->fd, NULL, NULL);
 	if (fd >= 0)
 		close(fd);
@@ -145,7 +145,7 @@
 			(ssize_t)length);
 }
 
-void raw_finish(struct raw_peer *peer)
+void raw_shutdown_write(struct raw_peer *peer)
 {
 	shutdown(peer->fd, SHUT_WR);
 }
@@ -163,7 +163,7 @@
 {
 	if (peer->fd >= 0)
 		close(peer->fd);
-	g_string_free(peer->in, TRUE);
+	g_string_free(peer->received, TRUE);
 	g_free(peer);
 }
 
@@ -173,31 +173,31 @@
 	ssize_t n = recv(peer->fd, bytes, sizeof(bytes), MSG_DONTWAIT);
 
 	if (n > 0)
-		g_string_append_len(peer->in, bytes, n);
+		g_string_append_len(peer->received, bytes, n);
 	else if (n == 0)
-		peer->ended = true;
+		peer->closed = true;
 	else if (errno != EAGAIN)
-		peer->ended = peer->reset = true;
+		peer->closed = peer->reset = true;
 }
 
 void raw_expect(struct raw_peer *peer, const char *text)
 {
-	int64_t end_us = g_get_monotonic_time() + RAW_LIMIT_US;
+	int64_t end_us = g_get_monotonic_time() + RAW_TIMEOUT_US;
 
-	while (!strstr(peer->in->str, text)) {
+	while (!strstr(peer->received->str, text)) {
 		read_some(peer);
-		if (g_get_monotonic_time() > end_us || peer->ended)
+		if (g_get_monotonic_time() > end_us || peer->closed)
 			g_error("'%s' did not come, but '%s'", text,
-				peer->in->str);
+				peer->received->str);
 		turn();
 	}
 }
 
 void raw_expect_end(struct raw_peer *peer)
 {
-	int64_t end_us = g_get_monotonic_time() + RAW_LIMIT_US;
+	int64_t end_us = g_get_monotonic_time() + RAW_TIMEOUT_US;
 
-	while (!peer->ended) {
+	while (!peer->closed) {
 		read_some(peer);
 		if (g_get_monotonic_time() > end_us)
 			g_error("no end came");
@@ -205,13 +205,13 @@
 	}
 }
 
-char *raw_take(struct raw_peer *peer)
+char *raw_read_available(struct raw_peer *peer)
 {
 	char *text;
 
-	raw_turn_for(30000);
+	raw_run_for(30000);
 	read_some(peer);
-	text = g_strdup(peer->in->str);
-	g_string_truncate(peer->in, 0);
+	text = g_strdup(peer->received->str);
+	g_string_truncate(peer->received, 0);
 	return text;
 }
--- a/tests/support/raw-peer.h
+++ b/tests/support/raw-peer.h
@@ -9,7 +9,7 @@
 #include <stdint.h>
 
 /* How long anything may take before a test gives up. */
-#define RAW_LIMIT_US (10 * G_USEC_PER_SEC)
+#define RAW_TIMEOUT_US (10 * G_USEC_PER_SEC)
 
 struct raw_listener {
 	int fd;
@@ -18,8 +18,8 @@
 
 struct raw_peer {
 	int fd;
-	GString *in; /* what was read so far */
-	bool ended;  /* the other side closed or reset */
+	GString *received; /* what was read so far */
+	bool closed;	   /* the other side closed or reset */
 	bool reset;
 };
 
@@ -38,7 +38,7 @@
 bool raw_is_refused(const char *address);
 void raw_send(struct raw_peer *peer, const char *text);
 /* Close the sending side only. */
-void raw_finish(struct raw_peer *peer);
+void raw_shutdown_write(struct raw_peer *peer);
 void raw_reset(struct raw_peer *peer);
 void raw_drop(struct raw_peer *peer);
 
@@ -47,10 +47,10 @@
 /* Until the other side has ended. */
 void raw_expect_end(struct raw_peer *peer);
 /* Read what is there after some turns, and forget it. */
-char *raw_take(struct raw_peer *peer);
+char *raw_read_available(struct raw_peer *peer);
 /* Turn the main loop until *flag is at least n. */
-void raw_turn_until(const int *flag, int n);
+void raw_run_until(const int *flag, int n);
 /* Turn the main loop for a while. */
-void raw_turn_for(int64_t us);
+void raw_run_for(int64_t us);
 
 #endif
--- a/tests/support/replica-fixture.c
+++ b/tests/support/replica-fixture.c
@@ -36,12 +36,12 @@
 struct replica_fixture *replica_new_fixture(void)
 {
 	struct replica_fixture *scene = g_new0(struct replica_fixture, 1);
-	struct rr_replica_port_options options = {
-		.request_id = "Id",
-		.seal = "Seal",
-		.not_run = "Not-Run",
-		.load = "Load",
-		.read_load = rr_decode_load,
+	struct rr_replica_client_options options = {
+		.request_id_header = "Id",
+		.signature_header = "Seal",
+		.not_run_header = "Not-Run",
+		.load_header = "Load",
+		.parse_load = rr_decode_load,
 		.replied = take_reply,
 		.probed = take_probe,
 		.data = scene,
@@ -51,14 +51,14 @@
 	scene->poller = rr_new_poller(NULL);
 	scene->body = g_string_new(NULL);
 	options.poller = scene->poller;
-	scene->client = rr_new_replica_port(scene->ctx, &options);
+	scene->client = rr_new_replica_client(scene->ctx, &options);
 	scene->listener = raw_listen();
 	return scene;
 }
 
 void replica_drop_fixture(struct replica_fixture *scene)
 {
-	rr_drop_replica_port(scene->client);
+	rr_drop_replica_client(scene->client);
 	rr_drop_poller(scene->poller);
 	rr_drop_context(scene->ctx);
 	raw_drop_listener(scene->listener);
@@ -79,7 +79,7 @@
 		.idempotent = idempotent,
 		.max_idle_connections = 1,
 	};
-	struct rr_request_bytes request = {
+	struct rr_raw_request request = {
 		.head = head,
 		.head_length = strlen(head),
 		.body = (const uint8_t *)body,
@@ -116,8 +116,8 @@
 	peer = raw_accept(scene->listener);
 	raw_expect(peer, "\r\n\r\n");
 	raw_send(peer, REPLICA_OK "\r\nab");
-	raw_turn_until(&scene->replies, 1);
+	raw_run_until(&scene->replies, 1);
 	g_assert_cmpint(scene->outcome, ==, RR_GATE_ANSWERED);
-	g_string_truncate(peer->in, 0);
+	g_string_truncate(peer->received, 0);
 	return peer;
 }
--- a/tests/support/replica-fixture.h
+++ b/tests/support/replica-fixture.h
@@ -9,7 +9,7 @@
 #include <stdint.h>
 
 #include "net/poller.h"
-#include "net/replica-port.h"
+#include "net/replica-client.h"
 #include "support/raw-peer.h"
 
 #define REPLICA_GET "GET /1 HTTP/1.1\r\nHost: h\r\nId: one\r\n\r\n"
@@ -19,7 +19,7 @@
 struct replica_fixture {
 	struct rr_context *ctx;
 	struct rr_poller *poller;
-	struct rr_replica_port *client;
+	struct rr_replica_client *client;
 	struct raw_listener *listener;
 	uint64_t next_attempt;
 	int replies;
--- a/tests/support/standin-replica.c
+++ b/tests/support/standin-replica.c
@@ -12,19 +12,19 @@
 	"truncate", "refuse", "redirect", "challenge",
 };
 
-const char *test_told_state(const struct test_replica *replica)
+const char *test_reported_state(const struct test_replica *replica)
 {
-	if (replica->told_state)
-		return replica->told_state;
+	if (replica->reported_state)
+		return replica->reported_state;
 	if (replica->cold_until_us > g_get_monotonic_time())
 		return "cold";
 	return replica->state;
 }
 
-double test_told_load(const struct test_replica *replica)
+double test_reported_load(const struct test_replica *replica)
 {
-	if (replica->told_load >= 0)
-		return replica->told_load;
+	if (replica->reported_load >= 0)
+		return replica->reported_load;
 	return MIN(1.0, (double)(replica->running + replica->waiting.length) /
 				(2.0 * replica->slots));
 }
@@ -68,19 +68,21 @@
 } faults[] = {
 	{ "slots", false, offsetof(struct test_replica, slots) },
 	{ "queue", false, offsetof(struct test_replica, queue) },
-	{ "connections", false, offsetof(struct test_replica, cap) },
+	{ "connections", false,
+	  offsetof(struct test_replica, max_connections) },
 	{ "connect_ms", false, offsetof(struct test_replica, connect_ms) },
 	{ "service_ms", false, offsetof(struct test_replica, service_ms) },
 	{ "slow_ms", false, offsetof(struct test_replica, slow_ms) },
 	{ "shed", false, offsetof(struct test_replica, shed) },
-	{ "oldest", false, offsetof(struct test_replica, oldest) },
-	{ "newest", false, offsetof(struct test_replica, newest) },
-	{ "epoch", false, offsetof(struct test_replica, epoch) },
+	{ "oldest", false, offsetof(struct test_replica, oldest_version) },
+	{ "newest", false, offsetof(struct test_replica, newest_version) },
+	{ "epoch", false, offsetof(struct test_replica, map_epoch) },
 	{ "range_from", false, offsetof(struct test_replica, range_from) },
 	{ "range_to", false, offsetof(struct test_replica, range_to) },
-	{ "straggle", true, offsetof(struct test_replica, straggle) },
+	{ "straggle", true,
+	  offsetof(struct test_replica, service_time_factor) },
 	{ "slow_share", true, offsetof(struct test_replica, slow_share) },
-	{ "told_load", true, offsetof(struct test_replica, told_load) },
+	{ "told_load", true, offsetof(struct test_replica, reported_load) },
 };
 
 static void set_number(struct test_replica *replica, const char *name,
@@ -107,20 +109,21 @@
 	bool draining = !strcmp(word, "draining");
 
 	if (!strcmp(name, "told_state")) {
-		replica->told_state = g_intern_string(word);
+		replica->reported_state = g_intern_string(word);
 	} else if (!strcmp(name, "state")) {
 		replica->state = g_intern_string(word);
-		replica->drained_at_us = draining ? g_get_monotonic_time() : 0;
+		replica->draining_since_us =
+			draining ? g_get_monotonic_time() : 0;
 	} else if (!strcmp(name, "cut")) {
 		for (guint i = 0; i < G_N_ELEMENTS(cut_names); i++) {
 			if (!strcmp(word, cut_names[i]))
-				replica->cut = (enum cut_kind)i;
+				replica->fault = (enum test_fault_kind)i;
 		}
 	}
 }
 
-void test_set_fault(struct test_replica *replica, const char *name,
-		    JsonNode *node)
+void test_set_replica_option(struct test_replica *replica, const char *name,
+			     JsonNode *node)
 {
 	GType type = JSON_NODE_HOLDS_VALUE(node) ?
 			     json_node_get_value_type(node) :
@@ -150,7 +153,7 @@
 		replica->index, replica->server.port, replica->requests,
 		replica->ran, replica->cancelled, replica->cancel_calls,
 		replica->abandoned, replica->accepted,
-		replica->server.connections->len, replica->most_connections,
+		replica->server.connections->len, replica->peak_connections,
 		replica->running, replica->waiting.length,
 		replica->last_after_drain_ms);
 }
--- a/tests/support/standin-replica.h
+++ b/tests/support/standin-replica.h
@@ -9,15 +9,15 @@
 
 #include "support/raw-http.h"
 
-enum cut_kind {
-	CUT_NONE,
-	CUT_RESET,     /* close each connection as soon as it is made */
-	CUT_HANG_UP,   /* read and run the request, close without a reply */
-	CUT_HALF,      /* close in the middle of the reply's body */
-	CUT_TRUNCATE,  /* a well-framed reply whose JSON stops in the middle */
-	CUT_REFUSE,    /* close the listening socket */
-	CUT_REDIRECT,  /* run the request, answer 307 to the same place */
-	CUT_CHALLENGE, /* run the request, answer 401 with a challenge */
+enum test_fault_kind {
+	TEST_FAULT_NONE,
+	TEST_FAULT_RESET,    /* close each connection as soon as it is made */
+	TEST_FAULT_NO_REPLY, /* read and run the request, close without a reply */
+	TEST_FAULT_HALF_BODY, /* close in the middle of the reply's body */
+	TEST_FAULT_TRUNCATED_JSON, /* a well-framed reply whose JSON stops in the middle */
+	TEST_FAULT_REFUSED,  /* close the listening socket */
+	TEST_FAULT_REDIRECT, /* run the request, answer 307 to the same place */
+	TEST_FAULT_CHALLENGE, /* run the request, answer 401 with a challenge */
 };
 
 struct test_replica {
@@ -28,24 +28,25 @@
 	/* Settings and faults; all whole numbers are of 64 bits. */
 	int64_t slots;
 	int64_t queue;
-	int64_t cap;
+	int64_t max_connections;
 	int64_t connect_ms;
 	int64_t service_ms;
 	int64_t slow_ms;
 	int64_t shed;
-	int64_t oldest;
-	int64_t newest;
-	int64_t epoch;
+	int64_t oldest_version;
+	int64_t newest_version;
+	int64_t map_epoch;
 	int64_t range_from;
 	int64_t range_to;
-	double straggle;
+	double service_time_factor;
 	double slow_share;
-	double told_load; /* negative: the truth */
-	enum cut_kind cut;
+	double reported_load; /* negative: the truth */
+	enum test_fault_kind fault;
 	const char *state;
-	const char *told_state; /* health's and replies' lie; NULL: the truth */
+	const char *
+		reported_state; /* health's and replies' lie; NULL: the truth */
 	int64_t cold_until_us;
-	int64_t drained_at_us;
+	int64_t draining_since_us;
 	/* Counts. */
 	int64_t requests;
 	int64_t ran;
@@ -53,20 +54,20 @@
 	int64_t cancel_calls;
 	int64_t abandoned;
 	int64_t accepted;
-	int64_t most_connections;
+	int64_t peak_connections;
 	int64_t last_after_drain_ms;
 };
 
 /* State and load as replies and health tell them: true, or set to lie. */
-const char *test_told_state(const struct test_replica *replica);
-double test_told_load(const struct test_replica *replica);
+const char *test_reported_state(const struct test_replica *replica);
+double test_reported_load(const struct test_replica *replica);
 /* Appends the rows of [from, to) as JSON; returns their number. */
 int64_t test_append_rows(GString *out, const char *shard, int64_t from,
 			 int64_t to, int64_t step, int64_t version,
 			 int64_t limit, bool *more);
 /* Take one member of what POST /control sets; unknown ones do nothing. */
-void test_set_fault(struct test_replica *replica, const char *name,
-		    JsonNode *node);
+void test_set_replica_option(struct test_replica *replica, const char *name,
+			     JsonNode *node);
 /* Appends one replica's counts as a JSON object. */
 void test_append_replica_counts(GString *out,
 				const struct test_replica *replica);
--- a/tests/support/standin-store-private.h
+++ b/tests/support/standin-store-private.h
@@ -16,7 +16,7 @@
 struct test_store_lease {
 	uint64_t id;
 	int64_t ttl_us;
-	int64_t until_us;
+	int64_t expires_us;
 };
 
 void test_append_store_item(GString *out, const struct test_store_item *item);
@@ -25,21 +25,21 @@
 			    struct test_connection *connection, int status,
 			    const char *body);
 /* Answer the watches that there is news for, and what was slow. */
-void test_answer_store_waiters(struct test_store *store);
+void test_answer_due_store_calls(struct test_store *store);
 /* Where a call on a key is counted. */
-struct test_calls *test_store_calls_of(struct test_store *store,
-				       const char *key);
+struct test_calls *test_find_store_counts(struct test_store *store,
+					  const char *key);
 
 /* standin-store-write.c */
 void test_free_store_item(gpointer data);
-void test_end_store_leases(struct test_store *store);
-void test_take_grant(struct test_store *store,
+void test_expire_store_leases(struct test_store *store);
+void test_handle_lease_grant(struct test_store *store,
+			     struct test_connection *connection);
+void test_handle_lease_renew(struct test_store *store,
+			     struct test_connection *connection);
+void test_handle_lease_revoke(struct test_store *store,
+			      struct test_connection *connection);
+void test_handle_txn(struct test_store *store,
 		     struct test_connection *connection);
-void test_take_keep(struct test_store *store,
-		    struct test_connection *connection);
-void test_take_lease_end(struct test_store *store,
-			 struct test_connection *connection);
-void test_take_txn(struct test_store *store,
-		   struct test_connection *connection);
 
 #endif
--- a/tests/support/standin-store-write.c
+++ b/tests/support/standin-store-write.c
@@ -48,7 +48,7 @@
 
 	write_item(store, key, coded, 0);
 	g_free(coded);
-	test_answer_store_waiters(store);
+	test_answer_due_store_calls(store);
 }
 
 void test_store_remove(struct test_store *store, const char *key)
@@ -56,7 +56,7 @@
 	if (!g_hash_table_contains(store->items, key))
 		return;
 	write_item(store, key, NULL, 0);
-	test_answer_store_waiters(store);
+	test_answer_due_store_calls(store);
 }
 
 static void end_lease(struct test_store *store, uint64_t id)
@@ -78,14 +78,14 @@
 	g_hash_table_remove(store->leases, &id);
 }
 
-void test_end_store_leases(struct test_store *store)
+void test_expire_store_leases(struct test_store *store)
 {
 	GList *leases = g_hash_table_get_values(store->leases);
 
 	for (GList *l = leases; l; l = l->next) {
 		struct test_store_lease *lease = l->data;
 
-		if (lease->until_us <= g_get_monotonic_time())
+		if (lease->expires_us <= g_get_monotonic_time())
 			end_lease(store, lease->id);
 	}
 	g_list_free(leases);
@@ -101,16 +101,16 @@
 /* Whether the answer to a write is lost: its connection ends. */
 static bool loses(struct test_store *store, struct test_connection *connection)
 {
-	if (store->lose_next)
-		store->lose_next--;
-	else if (g_rand_double(store->rand) >= store->lost_share)
+	if (store->lose_next_writes)
+		store->lose_next_writes--;
+	else if (g_rand_double(store->rand) >= store->lost_write_share)
 		return false;
 	test_close_connection(connection);
 	return true;
 }
 
-void test_take_grant(struct test_store *store,
-		     struct test_connection *connection)
+void test_handle_lease_grant(struct test_store *store,
+			     struct test_connection *connection)
 {
 	struct test_store_lease *lease = g_new0(struct test_store_lease, 1);
 	JsonNode *root = json_from_string(connection->body, NULL);
@@ -120,7 +120,7 @@
 	lease->ttl_us = json_object_get_int_member(json_node_get_object(root),
 						   "ttlMs") *
 			1000;
-	lease->until_us = g_get_monotonic_time() + lease->ttl_us;
+	lease->expires_us = g_get_monotonic_time() + lease->ttl_us;
 	g_hash_table_insert(store->leases, &lease->id, lease);
 	json_node_unref(root);
 	if (loses(store, connection))
@@ -131,20 +131,20 @@
 	g_free(body);
 }
 
-void test_take_keep(struct test_store *store,
-		    struct test_connection *connection)
+void test_handle_lease_renew(struct test_store *store,
+			     struct test_connection *connection)
 {
 	uint64_t id = path_number(connection->path);
 	struct test_store_lease *lease =
 		g_hash_table_lookup(store->leases, &id);
 
 	if (lease)
-		lease->until_us = g_get_monotonic_time() + lease->ttl_us;
+		lease->expires_us = g_get_monotonic_time() + lease->ttl_us;
 	test_answer_store_call(store, connection, lease ? 200 : 404, "{}");
 }
 
-void test_take_lease_end(struct test_store *store,
-			 struct test_connection *connection)
+void test_handle_lease_revoke(struct test_store *store,
+			      struct test_connection *connection)
 {
 	end_lease(store, path_number(connection->path));
 	test_answer_store_call(store, connection, 200, "{}");
@@ -257,7 +257,7 @@
 	struct late_write *late = data;
 
 	commit(late->store, json_node_get_object(late->root));
-	test_answer_store_waiters(late->store);
+	test_answer_due_store_calls(late->store);
 	json_node_unref(late->root);
 	g_free(late);
 	return G_SOURCE_REMOVE;
@@ -274,22 +274,24 @@
 	return json_array_get_string_element(deletes, 0);
 }
 
-void test_take_txn(struct test_store *store, struct test_connection *connection)
+void test_handle_txn(struct test_store *store,
+		     struct test_connection *connection)
 {
 	JsonNode *root = json_from_string(connection->body, NULL);
 	JsonObject *txn = json_node_get_object(root);
-	struct test_calls *calls = test_store_calls_of(store, first_key(txn));
+	struct test_calls *calls =
+		test_find_store_counts(store, first_key(txn));
 	struct late_write *late;
 	char *body;
 	int status;
 
 	calls->writes++;
-	if (store->late_next) {
-		store->late_next--;
+	if (store->delay_next_writes) {
+		store->delay_next_writes--;
 		late = g_new0(struct late_write, 1);
 		late->store = store;
 		late->root = root;
-		g_timeout_add(store->late_ms, commit_late, late);
+		g_timeout_add(store->write_delay_ms, commit_late, late);
 		test_close_connection(connection);
 		return;
 	}
@@ -304,5 +306,5 @@
 	if (!loses(store, connection))
 		test_answer_store_call(store, connection, status, body);
 	g_free(body);
-	test_answer_store_waiters(store);
+	test_answer_due_store_calls(store);
 }
--- a/tests/support/standin-store.c
+++ b/tests/support/standin-store.c
@@ -99,9 +99,9 @@
 			    struct test_connection *connection, int status,
 			    const char *body)
 {
-	if (store->slow_ms)
-		add_waiter(store, connection, "", 0, store->slow_ms * 1000,
-			   status, body);
+	if (store->answer_delay_ms)
+		add_waiter(store, connection, "", 0,
+			   store->answer_delay_ms * 1000, status, body);
 	else
 		answer_now(store, connection, status, body);
 }
@@ -145,10 +145,11 @@
 {
 	if (waiter->until_us <= g_get_monotonic_time())
 		return true;
-	return !store->hushed && !waiter->answer && has_change(store, waiter);
+	return !store->watches_muted && !waiter->answer &&
+	       has_change(store, waiter);
 }
 
-void test_answer_store_waiters(struct test_store *store)
+void test_answer_due_store_calls(struct test_store *store)
 {
 	guint i = 0;
 
@@ -169,15 +170,15 @@
 	GHashTableIter iter;
 	gpointer lease;
 
-	if (store->state == TEST_STORE_UP || store->lapses)
-		test_end_store_leases(store);
-	if (store->state != TEST_STORE_UP && !store->lapses) {
+	if (store->state == TEST_STORE_UP || store->leases_expire_down)
+		test_expire_store_leases(store);
+	if (store->state != TEST_STORE_UP && !store->leases_expire_down) {
 		g_hash_table_iter_init(&iter, store->leases);
 		while (g_hash_table_iter_next(&iter, NULL, &lease))
-			((struct test_store_lease *)lease)->until_us +=
+			((struct test_store_lease *)lease)->expires_us +=
 				TICK_MS * 1000;
 	}
-	test_answer_store_waiters(store);
+	test_answer_due_store_calls(store);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -206,8 +207,8 @@
 	return decoded ? decoded : g_strdup("");
 }
 
-struct test_calls *test_store_calls_of(struct test_store *store,
-				       const char *key)
+struct test_calls *test_find_store_counts(struct test_store *store,
+					  const char *key)
 {
 	static struct test_calls uncounted;
 
@@ -223,7 +224,7 @@
 	char *prefix = query_text(connection->path, "?prefix=");
 	bool any = false;
 
-	test_store_calls_of(store, prefix)->reads++;
+	test_find_store_counts(store, prefix)->reads++;
 	keys = g_list_sort(keys, (GCompareFunc)strcmp);
 	for (GList *l = keys; l; l = l->next) {
 		if (!g_str_has_prefix(l->data, prefix))
@@ -252,7 +253,7 @@
 		g_hash_table_lookup(store->items, key);
 	GString *out = g_string_new(NULL);
 
-	test_store_calls_of(store, key)->reads++;
+	test_find_store_counts(store, key)->reads++;
 	if (item)
 		test_append_store_item(out, item);
 	else
@@ -270,17 +271,17 @@
 		(int64_t)query_number(connection->path, "&waitMs=") * 1000;
 	char *prefix = query_text(connection->path, "?prefix=");
 
-	test_store_calls_of(store, prefix)->watches++;
-	if (after < store->floor &&
-	    g_get_monotonic_time() < store->deaf_until_us)
+	test_find_store_counts(store, prefix)->watches++;
+	if (after < store->compacted_revision &&
+	    g_get_monotonic_time() < store->hold_watches_until_us)
 		add_waiter(store, connection, prefix, after, wait_us, 410,
 			   "{}");
-	else if (after < store->floor)
+	else if (after < store->compacted_revision)
 		test_answer_store_call(store, connection, 410, "{}");
 	else
 		add_waiter(store, connection, prefix, after, wait_us, 200,
 			   NULL);
-	test_answer_store_waiters(store);
+	test_answer_due_store_calls(store);
 	g_free(prefix);
 }
 
@@ -295,14 +296,15 @@
 		{ "/v1/kv-range", false, take_range },
 		{ "/v1/kv-watch", false, take_watch },
 		{ "/v1/kv-key", false, take_key },
-		{ "/v1/kv-txn", true, test_take_txn },
-		{ "/v1/kv-lease-end", true, test_take_lease_end },
-		{ "/v1/kv-lease", true, test_take_grant },
-		{ "/v1/kv-keep", false, test_take_keep },
+		{ "/v1/kv-txn", true, test_handle_txn },
+		{ "/v1/kv-lease-end", true, test_handle_lease_revoke },
+		{ "/v1/kv-lease", true, test_handle_lease_grant },
+		{ "/v1/kv-keep", false, test_handle_lease_renew },
 	};
 	struct test_store *store = connection->server->data;
 
-	if (store->state == TEST_STORE_SILENT || connection->server->reset)
+	if (store->state == TEST_STORE_UNRESPONSIVE ||
+	    connection->server->reset)
 		return;
 	if (store->state == TEST_STORE_BUSY) {
 		test_reply_to(connection, 503, "", "{}", false);
@@ -342,11 +344,11 @@
 			g_ptr_array_index(store->server.connections, 0));
 }
 
-void test_store_forget(struct test_store *store)
+void test_compact_store(struct test_store *store)
 {
-	store->floor = store->revision;
-	store->deaf_until_us = g_get_monotonic_time() + DEAF_MS * 1000;
-	store->hushed = false;
+	store->compacted_revision = store->revision;
+	store->hold_watches_until_us = g_get_monotonic_time() + DEAF_MS * 1000;
+	store->watches_muted = false;
 	g_ptr_array_set_size(store->changes, 0);
 	end_connections(store);
 }
@@ -359,7 +361,7 @@
 	end_connections(store);
 }
 
-bool test_store_is_followed(const struct test_store *store)
+bool test_store_has_current_watch(const struct test_store *store)
 {
 	for (guint i = 0; i < store->waiters->len; i++) {
 		const struct waiter *waiter =
@@ -396,12 +398,12 @@
 					      g_free);
 	store->waiters = g_ptr_array_new_with_free_func(free_waiter);
 	store->timer = g_timeout_add(TICK_MS, tick, store);
-	test_listen(&store->server, true);
+	test_set_listening(&store->server, true);
 }
 
 void test_close_store(struct test_store *store)
 {
-	test_listen(&store->server, false);
+	test_set_listening(&store->server, false);
 	end_connections(store);
 	g_ptr_array_unref(store->server.connections);
 	g_source_remove(store->timer);
@@ -417,7 +419,7 @@
 	return text ? text : otherwise;
 }
 
-char *test_make_entry(const struct test_entry *entry)
+char *test_make_replica_entry(const struct test_replica_entry *entry)
 {
 	GString *out = g_string_new(NULL);
 
@@ -430,17 +432,18 @@
 		text_or(entry->address, "127.0.0.1:1"),
 		text_or(entry->zone, "a"), MAX(entry->slots, 1),
 		entry->draining ? "draining" : "ready", entry->cold_ms);
-	if (entry->born_ms)
+	if (entry->started_ms)
 		g_string_append_printf(out, ",\"born\":%" G_GINT64_FORMAT,
-				       entry->born_ms);
+				       entry->started_ms);
 	g_string_append_c(out, '}');
 	return g_string_free(out, FALSE);
 }
 
-void test_store_list(struct test_store *store, const struct test_entry *entry)
+void test_store_put_replica(struct test_store *store,
+			    const struct test_replica_entry *entry)
 {
 	char *key = g_strdup_printf("servers/%s", entry->id);
-	char *value = test_make_entry(entry);
+	char *value = test_make_replica_entry(entry);
 
 	test_store_put(store, key, value);
 	g_free(value);
