--- a/tests/support/standin-store.h
+++ b/tests/support/standin-store.h
@@ -12,34 +12,34 @@
 
 enum test_store_state {
 	TEST_STORE_UP,
-	TEST_STORE_SILENT, /* calls are read and never answered */
-	TEST_STORE_RESET,  /* connections end */
-	TEST_STORE_BUSY,   /* 503: nothing was done */
+	TEST_STORE_UNRESPONSIVE, /* calls are read and never answered */
+	TEST_STORE_RESET,	 /* connections end */
+	TEST_STORE_BUSY,	 /* 503: nothing was done */
 };
 
 struct test_store {
 	struct test_server server;
 	enum test_store_state state;
-	uint32_t slow_ms;   /* each answer takes so much longer */
-	double lost_share;  /* of writes: done, and not answered */
-	uint32_t lose_next; /* so many writes: done, and not answered */
+	uint32_t answer_delay_ms;  /* each answer takes so much longer */
+	double lost_write_share;   /* of writes: done, and not answered */
+	uint32_t lose_next_writes; /* so many writes: done, and not answered */
 	/*
 	 * So many writes are not answered, and done that much later if their
 	 * condition still holds.
 	 */
-	uint32_t late_next;
-	uint32_t late_ms;
+	uint32_t delay_next_writes;
+	uint32_t write_delay_ms;
 	/* Calls over its rate get 429, with nothing done. */
 	struct test_call_rate rate;
 	struct test_call_counts *counts; /* NULL: not counted */
-	bool hushed;			 /* watches hear of no change */
+	bool watches_muted;		 /* watches hear of no change */
 	/* Leases run out while it is not up. */
-	bool lapses;
+	bool leases_expire_down;
 	uint64_t calls; /* that were answered */
 	/* Inside. */
 	uint64_t revision;
-	uint64_t floor; /* changes up to here are forgotten */
-	int64_t deaf_until_us;
+	uint64_t compacted_revision; /* changes up to here are forgotten */
+	int64_t hold_watches_until_us;
 	GHashTable *items;  /* key -> struct item */
 	GPtrArray *changes; /* struct item, the oldest first */
 	GHashTable *leases; /* id -> struct lease */
@@ -60,28 +60,29 @@
 void test_store_remove(struct test_store *store, const char *key);
 
 /* What a replica writes of itself; texts of NULL and slots of 0 have one. */
-struct test_entry {
+struct test_replica_entry {
 	const char *id;
 	const char *service;
 	const char *address;
 	const char *zone;
 	uint32_t slots;
 	bool draining;
-	int64_t born_ms;  /* 0: not told */
-	uint32_t cold_ms; /* it stays cold for that long */
+	int64_t started_ms; /* 0: not told */
+	uint32_t cold_ms;   /* it stays cold for that long */
 };
 
 /* The value of an entry, for g_free(). */
-char *test_make_entry(const struct test_entry *entry);
+char *test_make_replica_entry(const struct test_replica_entry *entry);
 /* As the replica writes it, under its key. */
-void test_store_list(struct test_store *store, const struct test_entry *entry);
+void test_store_put_replica(struct test_store *store,
+			    const struct test_replica_entry *entry);
 /* Whether a watch waits that knows of everything. */
-bool test_store_is_followed(const struct test_store *store);
+bool test_store_has_current_watch(const struct test_store *store);
 /*
  * Forget all changes so far, and end the watches that wait.  One that is
  * opened just then hears nothing, and learns at its end that it came too late.
  */
-void test_store_forget(struct test_store *store);
+void test_compact_store(struct test_store *store);
 /* Connections end; `state` holds from then on. */
 void test_store_set_state(struct test_store *store,
 			  enum test_store_state state);
--- a/tests/test-caller-keys.c
+++ b/tests/test-caller-keys.c
@@ -11,7 +11,7 @@
 #include <libsoup/soup.h>
 #include <unistd.h>
 
-#include "support/caller-scene.h"
+#include "support/caller-fixture.h"
 #include "support/process.h"
 
 /*
@@ -26,12 +26,12 @@
 	return "intercept_tls_get_addr=0";
 }
 
-static uint32_t status_with(struct caller_scene *f, const char *path,
+static uint32_t status_with(struct caller_fixture *f, const char *path,
 			    const char *authorization)
 {
 	const char *const headers[] = { "Authorization", authorization, NULL };
 	struct test_reply *reply = test_call_meanwhile(
-		"GET", f->number, path, authorization ? headers : NULL, NULL);
+		"GET", f->tcp_port, path, authorization ? headers : NULL, NULL);
 	uint32_t status = reply->status;
 
 	test_drop_reply(reply);
@@ -40,13 +40,13 @@
 
 static void test_asks_for_a_token(void **state)
 {
-	struct caller_scene *f = *state;
+	struct caller_fixture *f = *state;
 	char *file = NULL;
 	GError *error = NULL;
 
 	close(g_file_open_tmp("ragwort-token-XXXXXX", &file, NULL));
 	g_file_set_contents(file, "first-token\nsecond-token\n", -1, NULL);
-	caller_reopen(f, 4096, file);
+	caller_reopen_server(f, 4096, file);
 	assert_int_equal(status_with(f, "/status", NULL), 401);
 	assert_int_equal(status_with(f, "/status", "Bearer "), 401);
 	assert_int_equal(status_with(f, "/status", "Bearer first-toke"), 401);
@@ -58,10 +58,10 @@
 	assert_int_equal(status_with(f, "/healthz", NULL), 200);
 	/* A rotation; then a file that went wrong, which changes nothing. */
 	g_file_set_contents(file, "third-token\n", -1, NULL);
-	assert_true(rr_reload_caller_port(f->ctx, f->port, &error));
+	assert_true(rr_reload_caller_server(f->ctx, f->server, &error));
 	assert_int_equal(status_with(f, "/status", "Bearer first-token"), 401);
 	g_file_set_contents(file, "\n", -1, NULL);
-	assert_false(rr_reload_caller_port(f->ctx, f->port, &error));
+	assert_false(rr_reload_caller_server(f->ctx, f->server, &error));
 	g_clear_error(&error);
 	assert_int_equal(status_with(f, "/status", "Bearer third-token"), 200);
 	unlink(file);
@@ -123,9 +123,9 @@
 	return NULL;
 }
 
-static void check_subject(struct caller_scene *f, const char *subject)
+static void check_subject(struct caller_fixture *f, const char *subject)
 {
-	struct tls_call call = { .number = f->number };
+	struct tls_call call = { .number = f->tcp_port };
 	GThread *thread = g_thread_new("tls", run_tls_call, &call);
 
 	while (!g_atomic_int_get(&call.done))
@@ -142,14 +142,14 @@
  */
 static void test_serves_and_reloads_a_certificate(void **state)
 {
-	struct caller_scene *f = *state;
+	struct caller_fixture *f = *state;
 	char *directory = g_dir_make_tmp("ragwort-tls-XXXXXX", NULL);
 	char *file = g_build_filename(directory, "cert.pem", NULL);
 	char *key = g_build_filename(directory, "key.pem", NULL);
-	struct rr_caller_port_options options = {
+	struct rr_caller_server_options options = {
 		.address = "127.0.0.1:0",
 		.max_body_bytes = 4096,
-		.idle_ms = 60000,
+		.io_timeout_ms = 60000,
 		.tls_certificate_file = file,
 		.tls_key_file = key,
 		.data = f,
@@ -157,17 +157,17 @@
 	GError *error = NULL;
 
 	make_certificate(file, key, "/CN=first");
-	rr_drop_caller_port(f->port);
-	f->port = rr_new_caller_port(f->ctx, &options, &error);
+	rr_drop_caller_server(f->server);
+	f->server = rr_new_caller_server(f->ctx, &options, &error);
 	assert_null(error);
-	f->number = rr_caller_port_number(f->port);
+	f->tcp_port = rr_caller_server_tcp_port(f->server);
 	check_subject(f, "CN=first");
 	make_certificate(file, key, "/CN=second");
 	check_subject(f, "CN=first");
-	assert_true(rr_reload_caller_port(f->ctx, f->port, &error));
+	assert_true(rr_reload_caller_server(f->ctx, f->server, &error));
 	check_subject(f, "CN=second");
 	unlink(file);
-	assert_false(rr_reload_caller_port(f->ctx, f->port, &error));
+	assert_false(rr_reload_caller_server(f->ctx, f->server, &error));
 	g_clear_error(&error);
 	check_subject(f, "CN=second");
 	unlink(key);
--- a/tests/test-caller-limits.c
+++ b/tests/test-caller-limits.c
@@ -19,7 +19,7 @@
 
 struct fixture {
 	struct rr_context *ctx;
-	struct rr_caller_port *port;
+	struct rr_caller_server *port;
 	GString *page;
 };
 
@@ -48,22 +48,22 @@
 static void open_bounded_port(struct fixture *f, uint32_t rate_per_s,
 			      uint32_t idle_ms, uint32_t max_connections)
 {
-	struct rr_caller_port_options options = {
+	struct rr_caller_server_options options = {
 		.address = "127.0.0.1:0",
 		.max_body_bytes = 4096,
-		.idle_ms = idle_ms,
+		.io_timeout_ms = idle_ms,
 		.rate_per_s = rate_per_s,
 		.max_connections = max_connections,
 		.request = take_request,
-		.left = take_leaver,
-		.ready = tell_ready,
-		.status = tell_status,
+		.disconnected = take_leaver,
+		.is_ready = tell_ready,
+		.append_status = tell_status,
 		.data = f,
 	};
 
 	f->ctx = rr_new_context(NULL);
 	f->page = g_string_new("{}");
-	f->port = rr_new_caller_port(f->ctx, &options, NULL);
+	f->port = rr_new_caller_server(f->ctx, &options, NULL);
 	assert_non_null(f->port);
 }
 
@@ -74,7 +74,7 @@
 
 static void close_port(struct fixture *f)
 {
-	rr_drop_caller_port(f->port);
+	rr_drop_caller_server(f->port);
 	while (g_main_context_iteration(NULL, FALSE))
 		;
 	rr_drop_context(f->ctx);
@@ -87,7 +87,7 @@
 		g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM,
 			     G_SOCKET_PROTOCOL_TCP, NULL);
 	GSocketAddress *address = g_inet_socket_address_new_from_string(
-		"127.0.0.1", rr_caller_port_number(f->port));
+		"127.0.0.1", rr_caller_server_tcp_port(f->port));
 
 	assert_true(g_socket_connect(socket, address, NULL, NULL));
 	g_object_unref(address);
@@ -207,7 +207,7 @@
 	open_port(&f, 1, TEST_LIMIT_MS);
 	for (int i = 0; i < 100 && !n_refused; i++) {
 		reply = test_call_meanwhile("GET",
-					    rr_caller_port_number(f.port),
+					    rr_caller_server_tcp_port(f.port),
 					    "/status", NULL, NULL);
 		if (reply->status != 200) {
 			assert_int_equal(reply->status, 429);
@@ -222,7 +222,7 @@
 	assert_int_equal(rr_counter_value(f.ctx, RR_N_CALLS_OVER_RATE), 1);
 	for (int i = 0; i < 3; i++) {
 		reply = test_call_meanwhile("GET",
-					    rr_caller_port_number(f.port),
+					    rr_caller_server_tcp_port(f.port),
 					    "/healthz", NULL, NULL);
 		assert_int_equal(reply->status, 200);
 		test_drop_reply(reply);
@@ -242,8 +242,8 @@
 
 static struct test_reply *call(struct fixture *f, const char *path)
 {
-	return test_call_meanwhile("GET", rr_caller_port_number(f->port), path,
-				   NULL, NULL);
+	return test_call_meanwhile("GET", rr_caller_server_tcp_port(f->port),
+				   path, NULL, NULL);
 }
 
 /*
@@ -313,8 +313,8 @@
 	open_port(&f, 0, TEST_LIMIT_MS);
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		struct test_reply *reply = test_call_meanwhile(
-			"POST", rr_caller_port_number(f.port), cases[i].path,
-			cases[i].headers, cases[i].body);
+			"POST", rr_caller_server_tcp_port(f.port),
+			cases[i].path, cases[i].headers, cases[i].body);
 
 		assert_int_equal(reply->status, cases[i].status);
 		assert_string_equal(test_reply_text(reply, "outcome"),
--- a/tests/test-caller.c
+++ b/tests/test-caller.c
@@ -10,7 +10,7 @@
 #include <cmocka.h>
 #include <string.h>
 
-#include "support/caller-scene.h"
+#include "support/caller-fixture.h"
 #include "support/process.h"
 
 #define SEARCH "/v1/services/counter-desk/search"
@@ -30,10 +30,10 @@
 	return g_string_free(body, FALSE);
 }
 
-static struct test_reply *post(struct caller_scene *f, const char *path,
+static struct test_reply *post(struct caller_fixture *f, const char *path,
 			       const char *const *headers, const char *body)
 {
-	return test_call_meanwhile("POST", f->number, path, headers, body);
+	return test_call_meanwhile("POST", f->tcp_port, path, headers, body);
 }
 
 static void test_hands_in_a_search_and_writes_the_answer(void **state)
@@ -46,7 +46,7 @@
 	};
 	struct rr_rows *rows = rr_new_rows();
 	struct rr_answer_row taken[] = { { rows, 0 }, { rows, 1 } };
-	struct caller_scene *f = *state;
+	struct caller_fixture *f = *state;
 	struct test_reply *reply;
 
 	rr_append_row(rows, 17, "{\"a\":1}", 7);
@@ -98,7 +98,7 @@
 	};
 	static const char *const headers[] = { "Idempotency-Key",
 					       "1700000000-abcdefgh", NULL };
-	struct caller_scene *f = *state;
+	struct caller_fixture *f = *state;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		struct test_reply *reply;
@@ -110,7 +110,7 @@
 		reply = post(f, RESERVE, headers, "{\"key\": 17}");
 		assert_int_equal(reply->status, cases[i].status);
 		assert_int_equal(f->request.key, 17);
-		assert_string_equal(f->key, "1700000000-abcdefgh");
+		assert_string_equal(f->idempotency_key, "1700000000-abcdefgh");
 		if (cases[i].retry_after)
 			assert_string_equal(reply->retry_after,
 					    cases[i].retry_after);
@@ -131,9 +131,9 @@
 	static const char *const openings[] = { "{\"query\": /*\"*/",
 						"{\"query\": //\"\n",
 						"{\"query\": '\"'," };
-	struct caller_scene *f = *state;
+	struct caller_fixture *f = *state;
 
-	caller_reopen(f, LARGEST_BODY, NULL);
+	caller_reopen_server(f, LARGEST_BODY, NULL);
 	for (size_t i = 0; i < G_N_ELEMENTS(openings); i++) {
 		char *body = fill_body(openings[i], '[', 1000000, "");
 		struct test_reply *reply = post(f, SEARCH, NULL, body);
@@ -168,9 +168,9 @@
 		{ "{\"query\":\"", 9, LARGEST_BODY + 1, 413, 'x' },
 		{ "{\"query\":\"", 2000000, 0, 413, '\x7f' },
 	};
-	struct caller_scene *f = *state;
+	struct caller_fixture *f = *state;
 
-	caller_reopen(f, LARGEST_BODY, NULL);
+	caller_reopen_server(f, LARGEST_BODY, NULL);
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		char *body = fill_body(cases[i].opening, cases[i].fill,
 				       cases[i].fills, "\"}");
@@ -218,12 +218,12 @@
 		{ "POST", "/v1/services/s/serach", "{}", 404, "no such path" },
 		{ "POST", "/nothing", "{}", 404, "no such path" },
 	};
-	struct caller_scene *f = *state;
+	struct caller_fixture *f = *state;
 	GString *deep = g_string_new("{\"query\":");
 
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		struct test_reply *reply =
-			test_call_meanwhile(cases[i].method, f->number,
+			test_call_meanwhile(cases[i].method, f->tcp_port,
 					    cases[i].path, NULL, cases[i].body);
 
 		assert_int_equal(reply->status, cases[i].status);
@@ -256,45 +256,45 @@
 	static const char request[] =
 		"POST " SEARCH " HTTP/1.1\r\nHost: x\r\nContent-Length: 12"
 		"\r\n\r\n{\"query\": 1}";
-	struct caller_scene *f = *state;
+	struct caller_fixture *f = *state;
 	GSocketClient *client = g_socket_client_new();
 	GSocketConnection *connection;
 
-	f->hold = true;
+	f->hold_answers = true;
 	connection = g_socket_client_connect_to_host(client, "127.0.0.1",
-						     f->number, NULL, NULL);
+						     f->tcp_port, NULL, NULL);
 	g_output_stream_write_all(
 		g_io_stream_get_output_stream(G_IO_STREAM(connection)), request,
 		strlen(request), NULL, NULL, NULL);
 	while (!f->requests)
 		g_main_context_iteration(NULL, TRUE);
-	assert_int_equal(rr_count_calls(f->port), 1);
+	assert_int_equal(rr_count_open_calls(f->server), 1);
 	g_io_stream_close(G_IO_STREAM(connection), NULL, NULL);
-	test_run_until(&f->left);
-	while (rr_count_calls(f->port))
+	test_run_until(&f->disconnected);
+	while (rr_count_open_calls(f->server))
 		g_main_context_iteration(NULL, TRUE);
-	caller_answer(f);
+	caller_send_answer(f);
 	g_object_unref(connection);
 	g_object_unref(client);
 }
 
 static void test_serves_its_own_pages(void **state)
 {
-	struct caller_scene *f = *state;
+	struct caller_fixture *f = *state;
 	struct test_reply *reply;
 
-	reply = test_call_meanwhile("GET", f->number, "/healthz", NULL, NULL);
+	reply = test_call_meanwhile("GET", f->tcp_port, "/healthz", NULL, NULL);
 	assert_int_equal(reply->status, 200);
 	test_drop_reply(reply);
-	reply = test_call_meanwhile("GET", f->number, "/readyz", NULL, NULL);
+	reply = test_call_meanwhile("GET", f->tcp_port, "/readyz", NULL, NULL);
 	assert_int_equal(reply->status, 503);
 	assert_string_equal(test_reply_text(reply, "reason"),
 			    "no configuration");
 	test_drop_reply(reply);
-	reply = test_call_meanwhile("GET", f->number, "/metrics", NULL, NULL);
+	reply = test_call_meanwhile("GET", f->tcp_port, "/metrics", NULL, NULL);
 	assert_non_null(strstr(reply->body, "ragwort_requests_total 0"));
 	test_drop_reply(reply);
-	reply = test_call_meanwhile("GET", f->number, "/status", NULL, NULL);
+	reply = test_call_meanwhile("GET", f->tcp_port, "/status", NULL, NULL);
 	assert_string_equal(test_reply_text(reply, "instance"), "x");
 	test_drop_reply(reply);
 }
--- a/tests/test-front-port.c
+++ b/tests/test-http-listener.c
@@ -1,5 +1,5 @@
 /*
- * test-front-port.c - the server end of the data path, against raw bytes.
+ * test-http-listener.c - the server end of the data path, against raw bytes.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -10,7 +10,7 @@
 #include <glib.h>
 #include <string.h>
 
-#include "net/front-port.h"
+#include "net/http-listener.h"
 #include "net/poller.h"
 #include "support/port.h"
 #include "support/process.h"
@@ -22,9 +22,9 @@
 struct scene {
 	struct rr_context *ctx;
 	struct rr_poller *poller;
-	struct rr_front_port *port;
+	struct rr_http_listener *port;
 	char *address;
-	GPtrArray *open; /* struct rr_caller */
+	GPtrArray *open; /* struct rr_caller_conn */
 	GString *targets;
 	GString *body;
 	int requests;
@@ -32,7 +32,7 @@
 	int gone;
 };
 
-static void take_request(void *data, struct rr_caller *caller,
+static void take_request(void *data, struct rr_caller_conn *caller,
 			 const struct rr_http_message *message)
 {
 	struct scene *scene = data;
@@ -44,12 +44,12 @@
 	scene->requests++;
 }
 
-static void take_left(void *data, struct rr_caller *caller)
+static void take_left(void *data, struct rr_caller_conn *caller)
 {
 	((struct scene *)data)->left++;
 }
 
-static void take_gone(void *data, struct rr_caller *caller)
+static void take_gone(void *data, struct rr_caller_conn *caller)
 {
 	struct scene *scene = data;
 
@@ -60,11 +60,11 @@
 static struct scene *start(uint32_t max_connections)
 {
 	struct scene *scene = g_new0(struct scene, 1);
-	struct rr_front_port_options options = {
+	struct rr_http_listener_options options = {
 		.max_connections = max_connections,
 		.request = take_request,
-		.left = take_left,
-		.gone = take_gone,
+		.half_closed = take_left,
+		.disconnected = take_gone,
 		.data = scene,
 	};
 	const struct rr_caller_limits limits = {
@@ -79,18 +79,18 @@
 	scene->open = g_ptr_array_new();
 	scene->targets = g_string_new(NULL);
 	scene->body = g_string_new(NULL);
-	scene->address = g_strdup_printf("127.0.0.1:%u", test_take_port());
+	scene->address = g_strdup_printf("127.0.0.1:%u", test_reserve_port());
 	options.poller = scene->poller;
 	options.address = scene->address;
-	scene->port = rr_new_front_port(scene->ctx, &options, NULL);
+	scene->port = rr_new_http_listener(scene->ctx, &options, NULL);
 	assert_non_null(scene->port);
-	rr_bound_front_port(scene->port, &limits);
+	rr_set_http_listener_limits(scene->port, &limits);
 	return scene;
 }
 
 static void stop(struct scene *scene)
 {
-	rr_drop_front_port(scene->port);
+	rr_drop_http_listener(scene->port);
 	rr_drop_poller(scene->poller);
 	rr_drop_context(scene->ctx);
 	g_ptr_array_unref(scene->open);
@@ -103,17 +103,17 @@
 static void answer(struct scene *scene, uint16_t status, const char *body)
 {
 	const struct rr_http_header header = { "X-Mine", "1" };
-	struct rr_front_answer reply = {
+	struct rr_http_response reply = {
 		.status = status,
 		.headers = &header,
 		.n_headers = 1,
 		.body = (const uint8_t *)body,
 		.length = strlen(body),
 	};
-	struct rr_caller *caller = g_ptr_array_index(scene->open, 0);
+	struct rr_caller_conn *caller = g_ptr_array_index(scene->open, 0);
 
 	g_ptr_array_remove_index(scene->open, 0);
-	rr_answer_caller(caller, &reply);
+	rr_send_http_response(caller, &reply);
 }
 
 static void test_request_and_answer(void **state)
@@ -123,11 +123,11 @@
 
 	for (int i = 1; i <= 3; i++) {
 		raw_send(peer, GET("a"));
-		raw_turn_until(&scene->requests, i);
+		raw_run_until(&scene->requests, i);
 		answer(scene, 200, "hello");
 		raw_expect(peer, "HTTP/1.1 200 OK\r\nX-Mine: 1\r\n"
 				 "Content-Length: 5\r\n\r\nhello");
-		g_string_truncate(peer->in, 0);
+		g_string_truncate(peer->received, 0);
 	}
 	raw_drop(peer);
 	stop(scene);
@@ -139,19 +139,19 @@
 	struct raw_peer *peer = raw_connect(scene->address);
 
 	raw_send(peer, GET("a") GET("b") GET("c"));
-	raw_turn_until(&scene->requests, 1);
-	raw_turn_for(20000);
+	raw_run_until(&scene->requests, 1);
+	raw_run_for(20000);
 	/* One at a time: the next is read when this one is answered. */
 	assert_int_equal(scene->requests, 1);
 	answer(scene, 200, "1");
-	raw_turn_until(&scene->requests, 2);
+	raw_run_until(&scene->requests, 2);
 	answer(scene, 200, "2");
-	raw_turn_until(&scene->requests, 3);
+	raw_run_until(&scene->requests, 3);
 	answer(scene, 200, "3");
 	raw_expect(peer, "\r\n\r\n3");
 	assert_string_equal(scene->targets->str, "/a /b /c ");
-	assert_true(strstr(peer->in->str, "\r\n1HTTP") <
-		    strstr(peer->in->str, "\r\n2HTTP"));
+	assert_true(strstr(peer->received->str, "\r\n1HTTP") <
+		    strstr(peer->received->str, "\r\n2HTTP"));
 	raw_drop(peer);
 	stop(scene);
 }
@@ -162,12 +162,12 @@
 	struct raw_peer *peer = raw_connect(scene->address);
 
 	raw_send(peer, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Len");
-	raw_turn_for(20000);
+	raw_run_for(20000);
 	raw_send(peer, "gth: 5\r\n\r\nab");
-	raw_turn_for(20000);
+	raw_run_for(20000);
 	assert_int_equal(scene->requests, 0);
 	raw_send(peer, "cde");
-	raw_turn_until(&scene->requests, 1);
+	raw_run_until(&scene->requests, 1);
 	assert_string_equal(scene->body->str, "abcde");
 	answer(scene, 200, "");
 	raw_expect(peer, "Content-Length: 0\r\n\r\n");
@@ -226,7 +226,7 @@
 		       "Expect: 100-continue\r\n\r\n");
 	raw_expect(peer, "HTTP/1.1 100 Continue\r\n\r\n");
 	raw_send(peer, "ab");
-	raw_turn_until(&scene->requests, 1);
+	raw_run_until(&scene->requests, 1);
 	answer(scene, 200, "");
 	raw_expect(peer, "HTTP/1.1 200 OK");
 	raw_drop(peer);
@@ -240,16 +240,16 @@
 	char *text;
 
 	raw_send(peer, "HEAD /a HTTP/1.1\r\nHost: h\r\n\r\n");
-	raw_turn_until(&scene->requests, 1);
+	raw_run_until(&scene->requests, 1);
 	answer(scene, 200, "never");
-	text = raw_take(peer);
+	text = raw_read_available(peer);
 	assert_null(strstr(text, "never"));
 	assert_null(strstr(text, "Content-Length"));
 	g_free(text);
 	raw_send(peer, GET("a"));
-	raw_turn_until(&scene->requests, 2);
+	raw_run_until(&scene->requests, 2);
 	answer(scene, 304, "never");
-	text = raw_take(peer);
+	text = raw_read_available(peer);
 	assert_non_null(strstr(text, "304"));
 	assert_null(strstr(text, "never"));
 	g_free(text);
@@ -264,9 +264,9 @@
 	struct raw_peer *peer = raw_connect(scene->address);
 
 	raw_send(peer, GET("a"));
-	raw_turn_until(&scene->requests, 1);
-	raw_finish(peer);
-	raw_turn_until(&scene->left, 1);
+	raw_run_until(&scene->requests, 1);
+	raw_shutdown_write(peer);
+	raw_run_until(&scene->left, 1);
 	assert_int_equal(scene->gone, 0);
 	answer(scene, 200, "late");
 	raw_expect(peer, "late");
@@ -281,11 +281,11 @@
 	struct raw_peer *peer = raw_connect(scene->address);
 
 	raw_send(peer, GET("a"));
-	raw_turn_until(&scene->requests, 1);
+	raw_run_until(&scene->requests, 1);
 	raw_reset(peer);
-	raw_turn_until(&scene->gone, 1);
+	raw_run_until(&scene->gone, 1);
 	assert_int_equal(scene->open->len, 0);
-	assert_int_equal(rr_count_callers(scene->port), 0);
+	assert_int_equal(rr_count_caller_conns(scene->port), 0);
 	raw_drop(peer);
 	stop(scene);
 }
@@ -296,10 +296,10 @@
 	struct raw_peer *peer = raw_connect(scene->address);
 
 	raw_send(peer, "GET /a HTTP/1.1\r\nHo");
-	raw_turn_for(20000);
-	rr_tick_front_port(scene->port, g_get_monotonic_time() + 500000);
-	assert_int_equal(rr_count_callers(scene->port), 1);
-	rr_tick_front_port(scene->port, g_get_monotonic_time() + 1500000);
+	raw_run_for(20000);
+	rr_tick_http_listener(scene->port, g_get_monotonic_time() + 500000);
+	assert_int_equal(rr_count_caller_conns(scene->port), 1);
+	rr_tick_http_listener(scene->port, g_get_monotonic_time() + 1500000);
 	raw_expect(peer, "HTTP/1.1 408 ");
 	raw_drop(peer);
 	stop(scene);
@@ -310,12 +310,12 @@
 	struct scene *scene = start(0);
 	struct raw_peer *peer = raw_connect(scene->address);
 
-	raw_turn_for(20000);
-	rr_tick_front_port(scene->port, g_get_monotonic_time() + 4000000);
-	assert_int_equal(rr_count_callers(scene->port), 1);
-	rr_tick_front_port(scene->port, g_get_monotonic_time() + 5500000);
+	raw_run_for(20000);
+	rr_tick_http_listener(scene->port, g_get_monotonic_time() + 4000000);
+	assert_int_equal(rr_count_caller_conns(scene->port), 1);
+	rr_tick_http_listener(scene->port, g_get_monotonic_time() + 5500000);
 	raw_expect_end(peer);
-	assert_int_equal(peer->in->len, 0);
+	assert_int_equal(peer->received->len, 0);
 	raw_drop(peer);
 	stop(scene);
 }
@@ -332,14 +332,14 @@
 	for (int i = 0; i < 3; i++)
 		peers[i] = raw_connect(scene->address);
 	raw_send(peers[2], GET("c"));
-	raw_turn_for(30000);
-	assert_int_equal(rr_count_callers(scene->port), 2);
+	raw_run_for(30000);
+	assert_int_equal(rr_count_caller_conns(scene->port), 2);
 	assert_int_equal(scene->requests, 0);
 	raw_drop(peers[0]);
-	raw_turn_for(30000);
-	rr_tick_front_port(scene->port, g_get_monotonic_time() + 1000000);
-	raw_turn_until(&scene->requests, 1);
-	assert_int_equal(rr_count_callers(scene->port), 2);
+	raw_run_for(30000);
+	rr_tick_http_listener(scene->port, g_get_monotonic_time() + 1000000);
+	raw_run_until(&scene->requests, 1);
+	assert_int_equal(rr_count_caller_conns(scene->port), 2);
 	raw_drop(peers[1]);
 	raw_drop(peers[2]);
 	stop(scene);
@@ -353,9 +353,9 @@
 	struct raw_peer *idle = raw_connect(scene->address);
 
 	raw_send(busy, GET("a"));
-	raw_turn_until(&scene->requests, 1);
-	rr_close_front_port(scene->port);
-	rr_close_idle_callers(scene->port);
+	raw_run_until(&scene->requests, 1);
+	rr_drain_http_listener(scene->port);
+	rr_close_idle_caller_conns(scene->port);
 	raw_expect_end(idle);
 	answer(scene, 200, "bye");
 	raw_expect(busy, "Connection: close\r\n\r\nbye");
@@ -372,8 +372,8 @@
 	struct raw_peer *busy = raw_connect(scene->address);
 
 	raw_send(busy, GET("a"));
-	raw_turn_until(&scene->requests, 1);
-	rr_refuse_callers(scene->port);
+	raw_run_until(&scene->requests, 1);
+	rr_stop_accepting(scene->port);
 	assert_true(raw_is_refused(scene->address));
 	answer(scene, 200, "bye");
 	raw_expect(busy, "bye");
@@ -389,12 +389,12 @@
 	char *body = g_strnfill(16 * 1024 * 1024, 'b');
 
 	raw_send(peer, GET("a") GET("b"));
-	raw_turn_until(&scene->requests, 1);
+	raw_run_until(&scene->requests, 1);
 	answer(scene, 200, body);
-	raw_turn_for(30000);
+	raw_run_for(30000);
 	assert_int_equal(scene->requests, 1);
-	rr_tick_front_port(scene->port, g_get_monotonic_time() + 11000000);
-	assert_int_equal(rr_count_callers(scene->port), 0);
+	rr_tick_http_listener(scene->port, g_get_monotonic_time() + 11000000);
+	assert_int_equal(rr_count_caller_conns(scene->port), 0);
 	raw_drop(peer);
 	g_free(body);
 	stop(scene);
@@ -403,14 +403,14 @@
 static void test_address_in_use(void **state)
 {
 	struct scene *scene = start(0);
-	struct rr_front_port_options options = {
+	struct rr_http_listener_options options = {
 		.poller = scene->poller,
 		.address = scene->address,
 		.request = take_request,
 	};
 	GError *error = NULL;
 
-	assert_null(rr_new_front_port(scene->ctx, &options, &error));
+	assert_null(rr_new_http_listener(scene->ctx, &options, &error));
 	assert_non_null(error);
 	g_error_free(error);
 	stop(scene);
--- a/tests/test-net-peer.c
+++ b/tests/test-net-peer.c
@@ -18,7 +18,7 @@
 
 struct station {
 	struct rr_context *ctx;
-	struct rr_peer_port *port;
+	struct rr_peer_transport *port;
 	GArray *sequences; /* received, in order */
 	size_t record_bytes;
 };
@@ -39,7 +39,7 @@
 static void open_station(struct station *station, const char *address,
 			 const struct rr_peer_keys *keys)
 {
-	struct rr_peer_port_options options = {
+	struct rr_peer_transport_options options = {
 		.address = address ? address : "127.0.0.1:0",
 		.keys = keys,
 		.received = on_received,
@@ -50,14 +50,14 @@
 	memset(station, 0, sizeof(*station));
 	station->ctx = rr_new_context(NULL);
 	station->sequences = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	station->port = rr_new_peer_port(station->ctx, &options, &error);
+	station->port = rr_new_peer_transport(station->ctx, &options, &error);
 	if (!station->port)
 		fail_msg("%s", error->message);
 }
 
 static void close_station(struct station *station)
 {
-	rr_drop_peer_port(station->port);
+	rr_drop_peer_transport(station->port);
 	rr_drop_context(station->ctx);
 	g_array_unref(station->sequences);
 }
@@ -75,7 +75,7 @@
 		message->config_record = g_strnfill(record_bytes, 'x');
 		message->config_length = record_bytes;
 	}
-	rr_send_peer(from->ctx, from->port, "b", address, message);
+	rr_send_to_peer(from->ctx, from->port, "b", address, message);
 	rr_drop_peer_message(message);
 }
 
@@ -128,16 +128,17 @@
 	open_station(&b, NULL, NULL);
 	for (uint64_t round = 0; round < 10; round++) {
 		for (uint64_t i = 0; i < 200; i++) {
-			send_sequence(&a, rr_peer_port_address(b.port),
+			send_sequence(&a, rr_peer_transport_address(b.port),
 				      round * 200 + i, 0);
-			send_sequence(&b, rr_peer_port_address(a.port), i, 0);
+			send_sequence(&b, rr_peer_transport_address(a.port), i,
+				      0);
 		}
 		WAIT_FOR(b.sequences->len == (round + 1) * 200);
 		WAIT_FOR(a.sequences->len == (round + 1) * 200);
 	}
 	for (uint64_t i = 0; i < b.sequences->len; i++)
 		assert_int_equal(g_array_index(b.sequences, uint64_t, i), i);
-	send_sequence(&a, rr_peer_port_address(b.port), 1, 4u << 20);
+	send_sequence(&a, rr_peer_transport_address(b.port), 1, 4u << 20);
 	WAIT_FOR(b.record_bytes == 4u << 20);
 	assert_int_equal(counted(&a, RR_N_PEER_DROPPED), 0);
 	close_station(&a);
@@ -158,7 +159,7 @@
 	(void)state;
 	open_station(&a, NULL, NULL);
 	open_station(&b, NULL, NULL);
-	address = g_strdup(rr_peer_port_address(b.port));
+	address = g_strdup(rr_peer_transport_address(b.port));
 	close_station(&b);
 	send_sequence(&a, address, 1, 0);
 	WAIT_FOR(counted(&a, RR_N_PEER_DROPPED) == 1);
@@ -193,7 +194,7 @@
 	(void)state;
 	open_station(&a, NULL, NULL);
 	open_station(&b, "0.0.0.0:0", NULL);
-	port = strrchr(rr_peer_port_address(b.port), ':');
+	port = strrchr(rr_peer_transport_address(b.port), ':');
 	for (guint i = 0; i < 300; i++) {
 		char *address = g_strdup_printf("127.0.%u.%u%s", 1 + i / 200,
 						1 + i % 200, port);
@@ -217,7 +218,8 @@
 
 	(void)state;
 	open_station(&b, NULL, NULL);
-	endpoint = g_strdup_printf("tcp://%s", rr_peer_port_address(b.port));
+	endpoint =
+		g_strdup_printf("tcp://%s", rr_peer_transport_address(b.port));
 	zmq_connect(dealer, endpoint);
 	zmq_send(dealer, "garbage", 7, 0);
 	WAIT_FOR(counted(&b, RR_N_PEER_BAD) == 1);
@@ -240,7 +242,7 @@
 					   "",		"127.0.0.1:" };
 	struct rr_context *ctx = rr_new_context(NULL);
 	struct rr_peer_keys keys = { "short", "short", NULL };
-	struct rr_peer_port_options options = { 0 };
+	struct rr_peer_transport_options options = { 0 };
 
 	(void)state;
 	for (size_t i = 0; i <= G_N_ELEMENTS(bad); i++) {
@@ -251,7 +253,7 @@
 			options.address = bad[i];
 		else
 			options.keys = &keys;
-		assert_null(rr_new_peer_port(ctx, &options, &error));
+		assert_null(rr_new_peer_transport(ctx, &options, &error));
 		assert_non_null(error);
 		g_error_free(error);
 	}
@@ -279,7 +281,7 @@
 	guint limit = g_timeout_add(LIMIT_MS, set_flag, &late);
 
 	while (to->sequences->len == had && !late) {
-		send_sequence(from, rr_peer_port_address(to->port), 1, 0);
+		send_sequence(from, rr_peer_transport_address(to->port), 1, 0);
 		run_briefly();
 	}
 	g_source_remove(limit);
@@ -313,8 +315,8 @@
 	open_station(&c, NULL, &foreign_keys);
 	open_station(&plain, NULL, NULL);
 	expect_traffic(&a, &b);
-	send_sequence(&c, rr_peer_port_address(b.port), 66, 0);
-	send_sequence(&plain, rr_peer_port_address(b.port), 67, 0);
+	send_sequence(&c, rr_peer_transport_address(b.port), 66, 0);
+	send_sequence(&plain, rr_peer_transport_address(b.port), 67, 0);
 	WAIT_FOR(counted(&b, RR_N_PEER_REFUSED) > 0);
 	WAIT_FOR(counted(&c, RR_N_PEER_DROPPED) == 1);
 	WAIT_FOR(counted(&plain, RR_N_PEER_DROPPED) == 1);
@@ -375,7 +377,7 @@
 	/* Who missed the change gets in no more. */
 	keys = use_pair(&old_pair, both);
 	open_station(&stale, NULL, &keys);
-	send_sequence(&stale, rr_peer_port_address(b.port), 66, 0);
+	send_sequence(&stale, rr_peer_transport_address(b.port), 66, 0);
 	WAIT_FOR(counted(&stale, RR_N_PEER_DROPPED) > 0);
 	for (guint i = 0; i < b.sequences->len; i++)
 		assert_int_equal(g_array_index(b.sequences, uint64_t, i), 1);
--- a/tests/test-platform-port.c
+++ b/tests/test-platform-client.c
@@ -1,5 +1,5 @@
 /*
- * test-platform-port.c - the platform adapter against the stand-in: what
+ * test-platform-client.c - the platform adapter against the stand-in: what
  * each ending of a call proves, the watch and the list of instances.
  */
 #include <setjmp.h>
@@ -16,7 +16,7 @@
 
 struct fixture {
 	struct rr_context *ctx;
-	struct rr_platform_port *port;
+	struct rr_platform_client *port;
 	struct rr_store_port store;
 	struct test_platform *platform;
 	uint64_t next_call_id;
@@ -88,23 +88,23 @@
 static void open_port(struct fixture *f)
 {
 	char *address = g_strdup_printf("127.0.0.1:%u", f->platform->port);
-	struct rr_platform_port_options options = {
+	struct rr_platform_client_options options = {
 		.address = address,
 		.replied = take_reply,
-		.record = take_record,
-		.member = take_member,
-		.replica = take_replica,
-		.watches = tell_watches,
+		.record_received = take_record,
+		.member_listed = take_member,
+		.replica_listed = take_replica,
+		.is_watcher = tell_watches,
 		.data = f,
 		.call_timeout_ms = 500,
 		.watch_ms = 5000,
 		.list_period_ms = 50,
-		.list_seldom_period_ms = f->list_seldom_period_ms,
+		.list_slow_period_ms = f->list_seldom_period_ms,
 		.retry_ms = 50,
 	};
 
-	f->port = rr_new_platform_port(f->ctx, &options);
-	f->store = rr_store_port_of(f->port);
+	f->port = rr_new_platform_client(f->ctx, &options);
+	f->store = rr_make_store_port(f->port);
 	g_free(address);
 }
 
@@ -126,7 +126,7 @@
 {
 	struct fixture *f = *state;
 
-	rr_drop_platform_port(f->port);
+	rr_drop_platform_client(f->port);
 	while (g_main_context_iteration(NULL, FALSE))
 		;
 	test_drop_platform(f->platform);
@@ -267,11 +267,11 @@
 {
 	struct fixture *f = *state;
 
-	rr_drop_platform_port(f->port);
+	rr_drop_platform_client(f->port);
 	f->watches = false;
 	open_port(f);
 	assert_int_equal(swap(f, RR_RECORD_KEY, 0, "first"), RR_STORE_OK);
-	rr_drop_platform_port(f->port);
+	rr_drop_platform_client(f->port);
 	g_clear_pointer(&f->record, g_free);
 	f->record_read = false;
 	open_port(f);
@@ -329,7 +329,7 @@
 	other.watches = true;
 	other.member_told = false;
 	test_run_until(&other.member_told);
-	rr_drop_platform_port(other.port);
+	rr_drop_platform_client(other.port);
 	rr_drop_context(other.ctx);
 	g_free(other.member);
 }
--- a/tests/test-platform-formats.c
+++ b/tests/test-platform-formats.c
@@ -60,7 +60,7 @@
 	assert_call(&leave, "DELETE /v1/kv-lease-end/77120 HTTP/1.1\r\n", "");
 }
 
-static void test_entry(void **state)
+static void test_replica_entry(void **state)
 {
 	struct rr_instance entry = { .id = (char *)"front-1",
 				     .zone = (char *)"z" };
@@ -116,8 +116,8 @@
 static void test_range_reply(void **state)
 {
 	char *coded = g_base64_encode((const guchar *)config, strlen(config));
-	struct test_entry listed = { .id = "i-1" };
-	char *text = test_make_entry(&listed);
+	struct test_replica_entry listed = { .id = "i-1" };
+	char *text = test_make_replica_entry(&listed);
 	char *entry = g_base64_encode((const guchar *)text, strlen(text));
 	char *body = g_strdup_printf(
 		"{\"items\":[{\"key\":\"op/config\",\"value\":\"%s\","
@@ -497,7 +497,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_calls),
-		cmocka_unit_test(test_entry),
+		cmocka_unit_test(test_replica_entry),
 		cmocka_unit_test(test_range_reply),
 		cmocka_unit_test(test_watch_reply),
 		cmocka_unit_test(test_other_replies),
--- a/tests/test-port.c
+++ b/tests/test-port.c
@@ -27,7 +27,7 @@
 
 	(void)state;
 	for (int i = 0; i < N_PORTS; i++) {
-		uint16_t port = test_take_port();
+		uint16_t port = test_reserve_port();
 
 		assert_true(g_hash_table_add(taken, GUINT_TO_POINTER(port)));
 	}
@@ -43,7 +43,7 @@
 
 static void test_holder_of_the_port_can_listen_again(void **state)
 {
-	uint16_t port = test_take_port();
+	uint16_t port = test_reserve_port();
 
 	(void)state;
 	for (int i = 0; i < 3; i++) {
@@ -61,7 +61,7 @@
 {
 	struct sockaddr_in address = {
 		.sin_family = AF_INET,
-		.sin_port = htons(test_take_port()),
+		.sin_port = htons(test_reserve_port()),
 		.sin_addr.s_addr = htonl(INADDR_LOOPBACK),
 	};
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
--- a/tests/test-process-fleet.c
+++ b/tests/test-process-fleet.c
@@ -31,9 +31,9 @@
 /* The first is stronger than the others. */
 static void start_gateway(struct world *world, int i)
 {
-	char *callers = test_free_address();
-	char *ready = test_free_address();
-	char *peers = test_free_address();
+	char *callers = test_reserve_address();
+	char *ready = test_reserve_address();
+	char *peers = test_reserve_address();
 	char *text = g_strdup_printf(
 		"instance: gw-%d\nzone: a\ncaller_address: \"%s\"\n"
 		"ready_address: \"%s\"\npeer_address: \"%s\"\n"
@@ -62,7 +62,7 @@
 static void wait_for_entry(struct world *world, int i, bool there)
 {
 	while (has_entry(world, i) != there)
-		raw_turn_for(1000);
+		raw_run_for(1000);
 }
 
 static int set_up(void **state)
--- a/tests/test-process-gateway.c
+++ b/tests/test-process-gateway.c
@@ -39,10 +39,10 @@
 {
 	struct world *world = connection->server->data;
 	long shard = connection->server - world->replicas;
-	char *extra =
-		g_strdup_printf("Response-Seal: seal%ld\r\n"
-				"Request-Id: %s\r\n",
-				shard, test_header(connection, "request-id"));
+	char *extra = g_strdup_printf(
+		"Response-Seal: seal%ld\r\n"
+		"Request-Id: %s\r\n",
+		shard, test_request_header(connection, "request-id"));
 	char body[17];
 
 	memset(body, (char)('a' + shard), 16);
@@ -86,17 +86,17 @@
 	char *zone = g_strdup_printf("z%d", i);
 	char *address =
 		g_strdup_printf("127.0.0.1:%u", world->replicas[i].port);
-	struct test_entry entry = {
+	struct test_replica_entry entry = {
 		.id = id,
 		.service = service,
 		.address = address,
 		.zone = world->apart ? zone : NULL,
 		.slots = 2,
 		.draining = draining,
-		.born_ms = born_ms,
+		.started_ms = born_ms,
 	};
 
-	test_store_list(&world->store, &entry);
+	test_store_put_replica(&world->store, &entry);
 	g_free(zone);
 	g_free(address);
 	g_free(service);
@@ -116,8 +116,8 @@
 /* The gateway knows all that the store holds. */
 static void wait_until_followed(struct world *world)
 {
-	while (!test_store_is_followed(&world->store))
-		raw_turn_for(1000);
+	while (!test_store_has_current_watch(&world->store))
+		raw_run_for(1000);
 }
 
 static void start_gateway(struct world *world)
@@ -143,11 +143,11 @@
 	for (int i = 0; i < SHARDS; i++) {
 		world->replicas[i].data = world;
 		world->replicas[i].request = take_run;
-		test_listen(&world->replicas[i], true);
+		test_set_listening(&world->replicas[i], true);
 	}
 	fill_store(world);
-	world->caller_address = test_free_address();
-	world->ready_address = test_free_address();
+	world->caller_address = test_reserve_address();
+	world->ready_address = test_reserve_address();
 	start_gateway(world);
 	*state = world;
 	return 0;
@@ -160,7 +160,7 @@
 	test_drop_process(world->gateway);
 	test_close_store(&world->store);
 	for (int i = 0; i < SHARDS; i++)
-		test_close_server(&world->replicas[i]);
+		test_destroy_server(&world->replicas[i]);
 	test_remove_file(world->start_file);
 	g_free(world->caller_address);
 	g_free(world->ready_address);
@@ -187,9 +187,9 @@
 	struct raw_peer *caller = ask(world, "GET /all/x");
 
 	raw_expect(caller, "ccccccccccccccccbbbbbbbbbbbbbbbb");
-	assert_non_null(strstr(caller->in->str, "HTTP/1.1 200 OK"));
-	assert_non_null(strstr(caller->in->str, "Part-Seals: "));
-	assert_null(strstr(caller->in->str, "Missing-Parts"));
+	assert_non_null(strstr(caller->received->str, "HTTP/1.1 200 OK"));
+	assert_non_null(strstr(caller->received->str, "Part-Seals: "));
+	assert_null(strstr(caller->received->str, "Missing-Parts"));
 	assert_int_equal(world->runs, SHARDS);
 	raw_drop(caller);
 }
@@ -200,7 +200,7 @@
 	struct raw_peer *caller = ask(world, "POST /one/x");
 
 	raw_expect(caller, "aaaaaaaaaaaaaaaa");
-	assert_non_null(strstr(caller->in->str, "Response-Seal: seal0"));
+	assert_non_null(strstr(caller->received->str, "Response-Seal: seal0"));
 	raw_drop(caller);
 }
 
@@ -329,7 +329,7 @@
 
 	raw_send(asker, "GET /v1/ready HTTP/1.1\r\nHost: h\r\n\r\n");
 	raw_expect(asker, "\r\n\r\n");
-	ready = strstr(asker->in->str, "HTTP/1.1 200") != NULL;
+	ready = strstr(asker->received->str, "HTTP/1.1 200") != NULL;
 	raw_drop(asker);
 	return ready;
 }
@@ -348,10 +348,10 @@
 	assert_true(is_ready(world));
 	world->hold = true;
 	busy = ask(world, "POST /one/x");
-	raw_turn_until(&world->runs, 1);
+	raw_run_until(&world->runs, 1);
 	test_signal_process(world->gateway, SIGTERM);
 	while (is_ready(world))
-		raw_turn_for(1000);
+		raw_run_for(1000);
 	world->hold = false;
 	late = ask(world, "GET /all/x");
 	raw_expect(late, "Connection: close\r\n");
--- a/tests/test-process-quarantine.c
+++ b/tests/test-process-quarantine.c
@@ -97,7 +97,7 @@
 			g_strdup("k");
 	char *address = g_strdup_printf("127.0.0.1:%u", replica->server.port);
 	char zone[] = { (char)('a' + replica->index / SHARDS), '\0' };
-	struct test_entry entry = {
+	struct test_replica_entry entry = {
 		.id = id,
 		.service = service,
 		.address = address,
@@ -105,7 +105,7 @@
 		.slots = 2,
 	};
 
-	test_store_list(&replica->world->store, &entry);
+	test_store_put_replica(&replica->world->store, &entry);
 	g_free(address);
 	g_free(service);
 	g_free(id);
@@ -120,7 +120,7 @@
 	test_store_remove(&replica->world->store, key);
 	replica->generation++;
 	replica->restart = 0;
-	test_listen(&replica->server, true);
+	test_set_listening(&replica->server, true);
 	list_replica(replica);
 	g_free(key);
 	g_free(id);
@@ -131,7 +131,7 @@
 {
 	struct world *world = replica->world;
 
-	test_end_server(&replica->server);
+	test_stop_server(&replica->server);
 	replica->restart = g_timeout_add(RESTART_MS, restart, replica);
 	if (++world->crashes == 3)
 		world->third_us = g_get_monotonic_time();
@@ -139,10 +139,10 @@
 
 static void answer(struct replica *replica, struct test_connection *connection)
 {
-	char *extra = g_strdup_printf("Response-Seal: seal%d\r\n"
-				      "Request-Id: %s\r\n",
-				      replica->index,
-				      test_header(connection, "request-id"));
+	char *extra = g_strdup_printf(
+		"Response-Seal: seal%d\r\n"
+		"Request-Id: %s\r\n",
+		replica->index, test_request_header(connection, "request-id"));
 	char body[17];
 
 	memset(body, 'a' + replica->index, 16);
@@ -204,17 +204,17 @@
 	if (strstr(connection->path, "deadly") && world->third_us &&
 	    g_get_monotonic_time() >=
 		    MAX(world->third_us, world->calm_us) + SETTLED_US)
-		g_hash_table_add(
-			world->late,
-			g_strdup(test_header(connection, "request-id")));
+		g_hash_table_add(world->late,
+				 g_strdup(test_request_header(connection,
+							      "request-id")));
 }
 
 /* Gateways. */
 
 static void start_gateway(struct world *world, int i)
 {
-	char *ready = test_free_address();
-	char *peers = test_free_address();
+	char *ready = test_reserve_address();
+	char *peers = test_reserve_address();
 	bool weak = world->hands_over && i;
 	char *text = g_strdup_printf(
 		"instance: gw-%d\nzone: %c\ncaller_address: \"%s\"\n"
@@ -258,7 +258,8 @@
 	bool same;
 
 	raw_expect(caller, "\r\n\r\n");
-	same = g_str_has_prefix(caller->in->str + strlen("HTTP/1.1 "), status);
+	same = g_str_has_prefix(caller->received->str + strlen("HTTP/1.1 "),
+				status);
 	raw_drop(caller);
 	return same;
 }
@@ -268,7 +269,7 @@
 	while (raw_is_refused(world->callers[gateway]) ||
 	       !is_answered(world, gateway, "GET /all/fine", "200") ||
 	       !is_answered(world, gateway, "GET /one/fine", "200"))
-		raw_turn_for(20 * 1000);
+		raw_run_for(20 * 1000);
 }
 
 static int set_up_world(void **state, bool hands_over)
@@ -289,11 +290,11 @@
 		replica->server.data = replica;
 		replica->server.request = take_run;
 		replica->server.closing = drop_run;
-		test_listen(&replica->server, true);
+		test_set_listening(&replica->server, true);
 		list_replica(replica);
 	}
 	for (int i = 0; i < GATEWAYS; i++) {
-		world->callers[i] = test_free_address();
+		world->callers[i] = test_reserve_address();
 		start_gateway(world, i);
 	}
 	for (int i = 0; i < GATEWAYS; i++)
@@ -326,7 +327,7 @@
 
 		if (replica->restart)
 			g_source_remove(replica->restart);
-		test_close_server(&replica->server);
+		test_destroy_server(&replica->server);
 	}
 	g_ptr_array_unref(world->runs);
 	g_hash_table_unref(world->late);
@@ -340,7 +341,7 @@
 {
 	for (int i = 0; i < visits; i++) {
 		raw_drop(ask(world, i % GATEWAYS, line));
-		raw_turn_for(VISIT_MS * 1000);
+		raw_run_for(VISIT_MS * 1000);
 	}
 }
 
@@ -352,7 +353,7 @@
 
 		raw_expect(caller, "\r\n\r\n");
 		raw_drop(caller);
-		raw_turn_for(VISIT_MS * 1000);
+		raw_run_for(VISIT_MS * 1000);
 	}
 }
 
@@ -410,7 +411,7 @@
 	struct world *world = *state;
 
 	ask_in_turn(world, "GET /all/deadly", 3);
-	raw_turn_for(2 * SETTLED_US);
+	raw_run_for(2 * SETTLED_US);
 	for (int i = 0; i < GATEWAYS; i++) {
 		test_signal_process(world->gateways[i], SIGKILL);
 		test_wait_process(world->gateways[i]);
--- a/tests/test-replica-port.c
+++ b/tests/test-replica-client.c
@@ -1,5 +1,5 @@
 /*
- * test-replica-port.c - the client end of the data path, against raw bytes:
+ * test-replica-client.c - the client end of the data path, against raw bytes:
  * each request leaves once, and only whole answers to it come back.
  */
 #include <setjmp.h>
@@ -25,7 +25,7 @@
 	replica_send_get(scene);
 	raw_expect(peer, REPLICA_GET);
 	raw_send(peer, REPLICA_OK "\r\ncd");
-	raw_turn_until(&scene->replies, 2);
+	raw_run_until(&scene->replies, 2);
 	assert_string_equal(scene->body->str, "cd");
 	assert_false(raw_has_connection(scene->listener));
 	raw_drop(peer);
@@ -40,13 +40,13 @@
 
 	(void)state;
 	raw_send(peer, REPLICA_OK "Load: 2,5,2,800\r\n\r\nab");
-	raw_turn_until(&scene->replies, 1);
+	raw_run_until(&scene->replies, 1);
 	assert_true(scene->load.reported);
 	assert_int_equal(scene->load.pace_percent, 800);
 	replica_send_get(scene);
 	raw_expect(peer, REPLICA_GET);
 	raw_send(peer, REPLICA_OK "Load: busy\r\n\r\ncd");
-	raw_turn_until(&scene->replies, 2);
+	raw_run_until(&scene->replies, 2);
 	assert_false(scene->load.reported);
 	assert_int_equal(scene->outcome, RR_GATE_ANSWERED);
 	assert_int_equal(rr_counter_value(scene->ctx, RR_N_BAD_LOADS), 1);
@@ -71,7 +71,7 @@
 
 		raw_send(peer, texts[i]);
 		raw_drop(peer);
-		raw_turn_until(&scene->replies, 1);
+		raw_run_until(&scene->replies, 1);
 		assert_int_equal(scene->outcome, RR_GATE_BROKEN);
 		assert_false(scene->unreachable);
 		replica_drop_fixture(scene);
@@ -89,12 +89,12 @@
 		struct raw_peer *peer = replica_send_and_accept(scene);
 
 		raw_send(peer, "HTTP/1.1 200 OK\r\nSeal: s\r\n\r\nabc");
-		raw_turn_for(20000);
+		raw_run_for(20000);
 		if (reset)
 			raw_reset(peer);
 		else
-			raw_finish(peer);
-		raw_turn_until(&scene->replies, 1);
+			raw_shutdown_write(peer);
+		raw_run_until(&scene->replies, 1);
 		assert_int_equal(scene->outcome,
 				 reset ? RR_GATE_BROKEN : RR_GATE_ANSWERED);
 		raw_drop(peer);
@@ -113,7 +113,7 @@
 
 	raw_send(peer, "HTTP/1.1 200 OK\r\nId: other\r\nSeal: x\r\n"
 		       "Content-Length: 2\r\n\r\nno" REPLICA_OK "\r\nab");
-	raw_turn_until(&scene->replies, 1);
+	raw_run_until(&scene->replies, 1);
 	assert_int_equal(scene->outcome, RR_GATE_ANSWERED);
 	assert_string_equal(scene->body->str, "ab");
 	/* What strays once may stray again. */
@@ -130,7 +130,7 @@
 	for (int i = 0; i < 3; i++)
 		raw_send(peer, "HTTP/1.1 200 OK\r\nId: other\r\nSeal: x\r\n"
 			       "Content-Length: 2\r\n\r\nno");
-	raw_turn_until(&scene->replies, 1);
+	raw_run_until(&scene->replies, 1);
 	assert_int_equal(scene->outcome, RR_GATE_BROKEN);
 	raw_drop(peer);
 	replica_drop_fixture(scene);
@@ -144,7 +144,7 @@
 	struct raw_peer *peer = replica_send_and_accept(scene);
 
 	raw_send(peer, REPLICA_OK "\r\nabHTTP/1.1 200 OK\r\n");
-	raw_turn_until(&scene->replies, 1);
+	raw_run_until(&scene->replies, 1);
 	assert_int_equal(scene->outcome, RR_GATE_ANSWERED);
 	raw_expect_end(peer);
 	raw_drop(peer);
@@ -181,7 +181,7 @@
 		struct raw_peer *peer = replica_send_and_accept(scene);
 
 		raw_send(peer, texts[i]);
-		raw_turn_until(&scene->replies, 1);
+		raw_run_until(&scene->replies, 1);
 		assert_int_equal(scene->outcome, RR_GATE_BROKEN);
 		raw_drop(peer);
 		replica_drop_fixture(scene);
@@ -206,7 +206,7 @@
 		struct raw_peer *peer = replica_send_and_accept(scene);
 
 		raw_send(peer, cases[i].text);
-		raw_turn_until(&scene->replies, 1);
+		raw_run_until(&scene->replies, 1);
 		assert_int_equal(scene->outcome, RR_GATE_REJECTED);
 		assert_int_equal(scene->wrong_incarnation, cases[i].other);
 		raw_drop(peer);
@@ -221,7 +221,7 @@
 	struct raw_peer *peer = replica_send_and_accept(scene);
 
 	raw_send(peer, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-	raw_turn_until(&scene->replies, 1);
+	raw_run_until(&scene->replies, 1);
 	assert_int_equal(scene->outcome, RR_GATE_ANSWERED);
 	assert_int_equal(scene->status, 503);
 	raw_drop(peer);
@@ -243,7 +243,7 @@
 		     "xy", false, false);
 	raw_expect(peer, "POST /2");
 	raw_drop(peer);
-	raw_turn_until(&scene->replies, 2);
+	raw_run_until(&scene->replies, 2);
 	assert_int_equal(scene->outcome, RR_GATE_BROKEN);
 	assert_false(raw_has_connection(scene->listener));
 	replica_drop_fixture(scene);
@@ -267,7 +267,7 @@
 	peer = raw_accept(scene->listener);
 	raw_expect(peer, "POST /2");
 	raw_send(peer, REPLICA_OK "\r\nab");
-	raw_turn_until(&scene->replies, 1);
+	raw_run_until(&scene->replies, 1);
 	assert_int_equal(scene->outcome, RR_GATE_ANSWERED);
 	raw_expect_end(peer);
 	raw_drop(peer);
@@ -288,10 +288,10 @@
 	raw_send(peer, "HTTP/1.1 103 Early\r\n\r\n"
 		       "HTTP/1.1 200 OK\r\nSeal: s\r\n"
 		       "Content-Length: 500\r\n\r\n");
-	raw_turn_until(&scene->replies, 1);
+	raw_run_until(&scene->replies, 1);
 	assert_int_equal(scene->outcome, RR_GATE_ANSWERED);
 	/* And the connection is still in step. */
-	g_string_truncate(peer->in, 0);
+	g_string_truncate(peer->received, 0);
 	replica_send_get(scene);
 	raw_expect(peer, REPLICA_GET);
 	raw_drop(peer);
--- a/tests/test-replica-pool.c
+++ b/tests/test-replica-pool.c
@@ -35,7 +35,7 @@
 	struct raw_peer *peer = replica_send_and_accept(scene);
 
 	raw_send(peer, REPLICA_OK "Connection: close\r\n\r\nab");
-	raw_turn_until(&scene->replies, 1);
+	raw_run_until(&scene->replies, 1);
 	assert_int_equal(scene->outcome, RR_GATE_ANSWERED);
 	raw_expect_end(peer);
 	raw_drop(peer);
@@ -53,8 +53,8 @@
 	first = raw_accept(scene->listener);
 	raw_expect(first, REPLICA_GET);
 	raw_send(first, REPLICA_OK "Keep-Alive: timeout=1\r\n\r\nab");
-	raw_turn_until(&scene->replies, 1);
-	raw_turn_for(500000);
+	raw_run_until(&scene->replies, 1);
+	raw_run_for(500000);
 	replica_send_get(scene);
 	second = raw_accept(scene->listener);
 	raw_expect(second, REPLICA_GET);
@@ -71,7 +71,7 @@
 
 	peer = raw_accept(scene->listener);
 	raw_expect(peer, REPLICA_GET);
-	rr_withdraw_from_replica(scene->client, attempt);
+	rr_cancel_replica_attempt(scene->client, attempt);
 	raw_expect_end(peer);
 	assert_int_equal(scene->replies, 0);
 	raw_drop(peer);
@@ -84,14 +84,14 @@
 	struct replica_fixture *scene = replica_new_fixture();
 	uint64_t attempt = replica_send_get(scene);
 
-	assert_true(rr_recall_from_replica(scene->client, attempt));
-	raw_turn_for(30000);
+	assert_true(rr_cancel_unsent_attempt(scene->client, attempt));
+	raw_run_for(30000);
 	assert_int_equal(scene->replies, 0);
 	replica_drop_fixture(scene);
 	scene = replica_new_fixture();
 	raw_drop(replica_send_and_accept(scene));
 	assert_false(
-		rr_recall_from_replica(scene->client, scene->next_attempt));
+		rr_cancel_unsent_attempt(scene->client, scene->next_attempt));
 	replica_drop_fixture(scene);
 }
 
@@ -104,11 +104,11 @@
 	replica_send(scene, REPLICA_GET, NULL, false, false);
 	peer = raw_accept(scene->listener);
 	raw_expect(peer, REPLICA_GET);
-	rr_tick_replica_port(scene->client,
-			     g_get_monotonic_time() + 900 * 1000);
+	rr_tick_replica_client(scene->client,
+			       g_get_monotonic_time() + 900 * 1000);
 	assert_int_equal(scene->replies, 0);
-	rr_tick_replica_port(scene->client,
-			     g_get_monotonic_time() + 1600 * 1000);
+	rr_tick_replica_client(scene->client,
+			       g_get_monotonic_time() + 1600 * 1000);
 	assert_int_equal(scene->replies, 1);
 	assert_int_equal(scene->outcome, RR_GATE_NO_REPLY);
 	raw_drop(peer);
@@ -120,15 +120,15 @@
 	struct replica_fixture *scene = replica_new_fixture();
 	struct raw_peer *peer;
 
-	rr_open_replica(scene->client, g_get_monotonic_time(), "r",
-			scene->listener->address);
+	rr_preconnect_replica(scene->client, g_get_monotonic_time(), "r",
+			      scene->listener->address);
 	peer = raw_accept(scene->listener);
-	raw_turn_for(20000);
+	raw_run_for(20000);
 	replica_send_get(scene);
 	raw_expect(peer, REPLICA_GET);
 	raw_send(peer, REPLICA_OK "\r\nab");
-	raw_turn_until(&scene->replies, 1);
-	rr_forget_replica(scene->client, "r");
+	raw_run_until(&scene->replies, 1);
+	rr_close_replica_conns(scene->client, "r");
 	raw_expect_end(peer);
 	raw_drop(peer);
 	replica_drop_fixture(scene);
@@ -151,10 +151,10 @@
 	for (int i = 0; i < 2; i++) {
 		raw_expect(peers[i], REPLICA_GET);
 		raw_send(peers[i], REPLICA_OK "\r\nab");
-		raw_turn_until(&scene->replies, i + 1);
+		raw_run_until(&scene->replies, i + 1);
 	}
 	raw_expect_end(peers[1]);
-	g_string_truncate(peers[0]->in, 0);
+	g_string_truncate(peers[0]->received, 0);
 	replica_send_get(scene);
 	raw_expect(peers[0], REPLICA_GET);
 	raw_drop(peers[0]);
@@ -168,14 +168,14 @@
 
 	rr_probe_replica(scene->client, g_get_monotonic_time(), "r",
 			 scene->listener->address);
-	raw_turn_until(&scene->probes, 1);
+	raw_run_until(&scene->probes, 1);
 	assert_true(scene->probe_reached);
 	raw_close_listener(scene->listener);
 	rr_probe_replica(scene->client, g_get_monotonic_time(), "r",
 			 scene->listener->address);
 	for (int i = 0; scene->probes < 2 && i < 1000; i++) {
-		raw_turn_for(1000);
-		rr_tick_replica_port(scene->client, g_get_monotonic_time());
+		raw_run_for(1000);
+		rr_tick_replica_client(scene->client, g_get_monotonic_time());
 	}
 	assert_int_equal(scene->probes, 2);
 	assert_false(scene->probe_reached);
@@ -189,8 +189,8 @@
 	raw_close_listener(scene->listener);
 	replica_send_get(scene);
 	for (int i = 0; !scene->replies && i < 1000; i++) {
-		raw_turn_for(1000);
-		rr_tick_replica_port(scene->client, g_get_monotonic_time());
+		raw_run_for(1000);
+		rr_tick_replica_client(scene->client, g_get_monotonic_time());
 	}
 	assert_int_equal(scene->replies, 1);
 	assert_int_equal(scene->outcome, RR_GATE_UNSENT);
--- a/tests/test-tool.c
+++ b/tests/test-tool.c
@@ -211,7 +211,7 @@
 
 static void test_nobody_answers(void **state)
 {
-	char *address = g_strdup_printf("127.0.0.1:%u", test_take_port());
+	char *address = g_strdup_printf("127.0.0.1:%u", test_reserve_port());
 
 	(void)state;
 	test_expect(test_run_tool("query", "--instance", address, "--service",
@@ -484,7 +484,7 @@
 	struct instance instance;
 	char *text = g_strdup_printf(TEST_BASE_FORMAT, 64, 300, 10);
 	char *path = test_write_file(text);
-	char *nobody = g_strdup_printf("127.0.0.1:%u", test_take_port());
+	char *nobody = g_strdup_printf("127.0.0.1:%u", test_reserve_port());
 
 	start_instance(&instance);
 	test_expect(test_run_tool("config", "push", "--platform",
--- a/tests/test-upstream.c
+++ b/tests/test-upstream.c
@@ -14,7 +14,7 @@
 
 struct fixture {
 	struct rr_context *ctx;
-	struct rr_upstream_port *port;
+	struct rr_upstream_client *port;
 	struct test_upstreams *upstreams;
 	char address[32];
 	uint64_t next_id;
@@ -44,10 +44,10 @@
 	f->replied = true;
 }
 
-static struct rr_upstream_port *open_port(struct fixture *f,
-					  const char *instance)
+static struct rr_upstream_client *open_port(struct fixture *f,
+					    const char *instance)
 {
-	struct rr_upstream_port_options options = {
+	struct rr_upstream_client_options options = {
 		.instance = instance,
 		.replied = take_reply,
 		.polled = take_health,
@@ -55,7 +55,7 @@
 		.cancel_grace_ms = 500,
 	};
 
-	return rr_new_upstream_port(f->ctx, &options);
+	return rr_new_upstream_client(f->ctx, &options);
 }
 
 static int set_up(void **state)
@@ -76,7 +76,7 @@
 {
 	struct fixture *f = *state;
 
-	rr_drop_upstream_port(f->port);
+	rr_drop_upstream_client(f->port);
 	while (g_main_context_iteration(NULL, FALSE))
 		;
 	test_drop_upstreams(f->upstreams);
@@ -104,7 +104,7 @@
 	};
 
 	f->replied = false;
-	rr_post_attempt(f->ctx, f->port, &attempt);
+	rr_send_attempt(f->ctx, f->port, &attempt);
 	return attempt.id;
 }
 
@@ -259,7 +259,7 @@
 	id = post(f, RR_SEARCH, NULL);
 	while (!test_count(f->upstreams, 0, "running"))
 		g_main_context_iteration(NULL, FALSE);
-	rr_withdraw_attempt(f->ctx, f->port, id);
+	rr_cancel_attempt(f->ctx, f->port, id);
 	while (rr_count_upstream_exchanges(f->port))
 		g_main_context_iteration(NULL, TRUE);
 	assert_int_equal(f->replies, 0);
@@ -279,7 +279,8 @@
 static void test_withdraws_its_own_attempt_only(void **state)
 {
 	struct fixture *f = *state;
-	struct rr_upstream_port *ports[] = { f->port, open_port(f, "athi-2") };
+	struct rr_upstream_client *ports[] = { f->port,
+					       open_port(f, "athi-2") };
 	uint64_t id = f->next_id;
 
 	test_control(f->upstreams->control_port,
@@ -292,14 +293,14 @@
 			g_main_context_iteration(NULL, FALSE);
 	}
 	f->port = ports[0];
-	rr_withdraw_attempt(f->ctx, ports[1], id);
+	rr_cancel_attempt(f->ctx, ports[1], id);
 	while (rr_count_upstream_exchanges(ports[1]))
 		g_main_context_iteration(NULL, TRUE);
 	assert_int_equal(test_count(f->upstreams, 0, "cancelled"), 1);
 	assert_int_equal(test_count(f->upstreams, -1, "repeated_attempts"), 0);
 	assert_int_equal(rr_count_upstream_exchanges(ports[0]), 1);
 	assert_int_equal(f->replies, 0);
-	rr_drop_upstream_port(ports[1]);
+	rr_drop_upstream_client(ports[1]);
 }
 
 static void test_polls_health(void **state)
@@ -309,7 +310,7 @@
 	test_control(f->upstreams->control_port,
 		     "{\"told_state\":\"cold\",\"told_load\":0.75}");
 	f->replied = false;
-	rr_poll_upstream(f->ctx, f->port, "r", f->address);
+	rr_poll_upstream_health(f->ctx, f->port, "r", f->address);
 	test_run_until(&f->replied);
 	assert_true(f->health.reachable);
 	assert_int_equal(f->health.state, RR_UPSTREAM_COLD);
@@ -318,7 +319,7 @@
 	test_signal_process(f->upstreams->process, 9);
 	test_wait_process(f->upstreams->process);
 	f->replied = false;
-	rr_poll_upstream(f->ctx, f->port, "r", f->address);
+	rr_poll_upstream_health(f->ctx, f->port, "r", f->address);
 	test_run_until(&f->replied);
 	assert_false(f->health.reachable);
 	assert_int_equal(f->health.state, RR_UPSTREAM_DOWN);
