--- a/bench/peer.c
+++ b/bench/peer.c
@@ -227,7 +227,8 @@
 	for (int i = 0; i < LINKS; i++)
 		rr_send_to_peer(ctx, from, "b",
 				rr_peer_transport_address(to[i]), message);
-	while (received + rr_counter_value(ctx, RR_N_PEER_DROPPED) < LINKS)
+	while (received + rr_counter_value(ctx, RR_N_PEER_MESSAGES_DROPPED) <
+	       LINKS)
 		g_main_context_iteration(NULL, TRUE);
 	printf("{\"bench\":\"peer\",\"links\":\"%s\",\"opened\":%d,"
 	       "\"arrived\":%" G_GUINT64_FORMAT
--- a/bench/policy/model.c
+++ b/bench/policy/model.c
@@ -336,7 +336,7 @@
 	while (model->now_us < options->length_us + 2 * SECOND &&
 	       run_next_event(model->events, &model->now_us, model))
 		;
-	result->restarts = rr_counter_value(model->ctx, RR_N_RESTARTS);
+	result->restarts = rr_counter_value(model->ctx, RR_N_SNAPSHOT_RESTARTS);
 	rr_drop_core(model->core);
 	rr_drop_context(model->ctx);
 	/* The experiment's own leftovers go with the process. */
--- a/fuzz/cursor.c
+++ b/fuzz/cursor.c
@@ -28,7 +28,7 @@
 	if (valid && (decoded.version != cursor.version ||
 		      decoded.map_epoch != cursor.map_epoch ||
 		      decoded.next_key != cursor.next_key ||
-		      decoded.skip != cursor.skip))
+		      decoded.skip_rows != cursor.skip_rows))
 		abort();
 	g_free(text);
 }
--- a/fuzz/ledger-value.c
+++ b/fuzz/ledger-value.c
@@ -18,7 +18,7 @@
 	if (!again ||
 	    g_hash_table_size(again->entries) !=
 		    g_hash_table_size(value->entries) ||
-	    again->floor_s != value->floor_s)
+	    again->min_created_s != value->min_created_s)
 		abort();
 	rr_drop_ledger_value(again);
 	g_free(bytes);
--- a/fuzz/upstream.c
+++ b/fuzz/upstream.c
@@ -44,7 +44,7 @@
 	if ((body == NULL) != (error != NULL))
 		abort();
 	if (body)
-		check_reply(rr_upstream_reply(body));
+		check_reply(rr_get_upstream_reply(body));
 	g_clear_error(&error);
 	rr_drop_upstream_body(body);
 	return 0;
--- a/include/ragwort/counters.h
+++ b/include/ragwort/counters.h
@@ -26,7 +26,7 @@
 /* Set a gauge. */
 void rr_set_gauge(struct rr_context *ctx, enum rr_counter gauge, uint64_t n);
 /* Set the gauges of this process's own processor time and memory. */
-void rr_measure_process(struct rr_context *ctx);
+void rr_update_process_gauges(struct rr_context *ctx);
 uint64_t rr_counter_value(struct rr_context *ctx, enum rr_counter counter);
 
 /* Record the time one answer of a service took, in microseconds. */
@@ -36,8 +36,8 @@
  * The quantile (0 to 1) of a service's latencies in microseconds; 0 where
  * there is none.  Exact to the histogram's bucket (about 9 %).
  */
-int64_t rr_latency_quantile(struct rr_context *ctx, const char *service,
-			    double quantile);
+int64_t rr_latency_quantile_us(struct rr_context *ctx, const char *service,
+			       double quantile);
 
 /* Append all of it as Prometheus text, format version 0.0.4. */
 void rr_format_metrics(struct rr_context *ctx, GString *out);
--- a/include/ragwort/invariant.h
+++ b/include/ragwort/invariant.h
@@ -11,15 +11,15 @@
  * does not hold.  The promise is one of the names in docs/PROOFS.md, such as
  * "one-snapshot".
  */
-#define rr_invariant(promise, condition)                                    \
-	do {                                                                \
-		if (!(condition))                                           \
-			rr_break_invariant((promise), #condition, __FILE__, \
-					   __LINE__);                       \
+#define rr_invariant(promise, condition)                                   \
+	do {                                                               \
+		if (!(condition))                                          \
+			rr_fail_invariant((promise), #condition, __FILE__, \
+					  __LINE__);                       \
 	} while (0)
 
-__attribute__((noreturn)) void rr_break_invariant(const char *promise,
-						  const char *condition,
-						  const char *file, int line);
+__attribute__((noreturn)) void rr_fail_invariant(const char *promise,
+						 const char *condition,
+						 const char *file, int line);
 
 #endif
--- a/include/ragwort/log.h
+++ b/include/ragwort/log.h
@@ -28,7 +28,7 @@
 	RR_LOG_JSON,
 };
 
-enum rr_log_type {
+enum rr_log_field_type {
 	RR_LOG_STRING,
 	RR_LOG_U64,
 	RR_LOG_I64,
@@ -38,7 +38,7 @@
 
 struct rr_log_field {
 	const char *key;
-	enum rr_log_type type;
+	enum rr_log_field_type type;
 	union {
 		const char *string;
 		uint64_t u64;
--- a/include/ragwort/net-peer.h
+++ b/include/ragwort/net-peer.h
@@ -55,7 +55,7 @@
  * Send a message to the instance at an address; never blocks.  The message
  * stays the caller's.  One that cannot be written waits for the connection
  * for a second at most; it is dropped then, or when too many wait, and
- * counted in RR_N_PEER_DROPPED.
+ * counted in RR_N_PEER_MESSAGES_DROPPED.
  */
 void rr_send_to_peer(struct rr_context *ctx, struct rr_peer_transport *port,
 		     const char *instance, const char *address,
--- a/include/ragwort/program.h
+++ b/include/ragwort/program.h
@@ -9,17 +9,17 @@
 #include <stdint.h>
 
 enum rr_program_exit {
-	RR_PROGRAM_OK = 0,	 /* stopped as asked, or the check passed */
-	RR_PROGRAM_FAILED = 1,	 /* the system said no: an address in use */
-	RR_PROGRAM_SETTINGS = 2, /* bad command line or start file */
+	RR_PROGRAM_OK = 0,     /* stopped as asked, or the check passed */
+	RR_PROGRAM_FAILED = 1, /* the system said no: an address in use */
+	RR_PROGRAM_USAGE = 2,  /* bad command line or start file */
 };
 
 struct rr_program {
 	const char *name;
-	const char *file_help; /* of --settings */
+	const char *settings_help; /* of --settings */
 	/* Names the start file where the command line does not; or NULL. */
-	const char *file_variable;
-	const char *signals; /* what they do: whole lines of --help */
+	const char *settings_env_var;
+	const char *signals_help; /* what they do: whole lines of --help */
 	/* Read the start file, and run by it unless it is to be checked. */
 	enum rr_program_exit (*run)(const char *file, bool check_only);
 };
--- a/include/ragwort/wire.h
+++ b/include/ragwort/wire.h
@@ -42,7 +42,7 @@
  */
 struct rr_upstream_body *rr_decode_upstream_body(const char *text,
 						 size_t length, GError **error);
-struct rr_reply *rr_upstream_reply(struct rr_upstream_body *body);
+struct rr_reply *rr_get_upstream_reply(struct rr_upstream_body *body);
 void rr_drop_upstream_body(struct rr_upstream_body *body);
 
 /* Where a paged list goes on. */
@@ -51,7 +51,7 @@
 	uint64_t map_epoch;
 	uint64_t next_key;
 	/* Rows of next_key already given: keys may have several rows. */
-	uint32_t skip;
+	uint32_t skip_rows;
 };
 
 /* Freed with g_free(). The service's name is part of the check sum. */
--- a/source/base/context-private.h
+++ b/source/base/context-private.h
@@ -13,8 +13,8 @@
 	struct rr_log_options log;
 	GHashTable *log_windows; /* event name to struct log_window */
 	/* The last stamp but for its fraction: making one costs a line's time. */
-	int64_t stamp_second;
-	char stamp[32];
+	int64_t timestamp_s;
+	char timestamp_prefix[32];
 	uint64_t counters[RR_COUNTER_COUNT];
 	GHashTable *latencies; /* service name to struct rr_histogram */
 };
--- a/source/base/counters.c
+++ b/source/base/counters.c
@@ -86,8 +86,8 @@
 	histogram->sum_us += (uint64_t)MAX(latency_us, 0);
 }
 
-int64_t rr_latency_quantile(struct rr_context *ctx, const char *service,
-			    double quantile)
+int64_t rr_latency_quantile_us(struct rr_context *ctx, const char *service,
+			       double quantile)
 {
 	struct rr_histogram *histogram;
 	uint64_t wanted;
--- a/source/base/invariant.c
+++ b/source/base/invariant.c
@@ -6,8 +6,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-void rr_break_invariant(const char *promise, const char *condition,
-			const char *file, int line)
+void rr_fail_invariant(const char *promise, const char *condition,
+		       const char *file, int line)
 {
 	fprintf(stderr, "ragwort: invariant broken: %s: %s (%s:%d)\n", promise,
 		condition, file, line);
--- a/source/base/log.c
+++ b/source/base/log.c
@@ -60,7 +60,7 @@
 	}
 	if (window->lines >= ctx->log.max_lines_per_s) {
 		window->dropped++;
-		rr_count(ctx, RR_N_LOG_DROPPED, 1);
+		rr_count(ctx, RR_N_LOG_LINES_DROPPED, 1);
 		return false;
 	}
 	window->lines++;
@@ -74,16 +74,17 @@
 {
 	int64_t second = now_us / G_USEC_PER_SEC;
 
-	if (second != ctx->stamp_second || !ctx->stamp[0]) {
+	if (second != ctx->timestamp_s || !ctx->timestamp_prefix[0]) {
 		GDateTime *time = g_date_time_new_from_unix_utc(second);
 		char *text = g_date_time_format(time, "%Y-%m-%dT%H:%M:%S");
 
-		g_strlcpy(ctx->stamp, text, sizeof(ctx->stamp));
-		ctx->stamp_second = second;
+		g_strlcpy(ctx->timestamp_prefix, text,
+			  sizeof(ctx->timestamp_prefix));
+		ctx->timestamp_s = second;
 		g_free(text);
 		g_date_time_unref(time);
 	}
-	g_snprintf(stamp, size, "%s.%06dZ", ctx->stamp,
+	g_snprintf(stamp, size, "%s.%06dZ", ctx->timestamp_prefix,
 		   (int)(now_us % G_USEC_PER_SEC));
 }
 
--- a/source/base/process.c
+++ b/source/base/process.c
@@ -28,12 +28,12 @@
 	       (uint64_t)sysconf(_SC_PAGESIZE);
 }
 
-void rr_measure_process(struct rr_context *ctx)
+void rr_update_process_gauges(struct rr_context *ctx)
 {
 	struct rusage usage;
 
 	if (!getrusage(RUSAGE_SELF, &usage))
 		rr_set_gauge(ctx, RR_G_CPU_MS,
 			     to_ms(&usage.ru_utime) + to_ms(&usage.ru_stime));
-	rr_set_gauge(ctx, RR_G_RESIDENT, resident_bytes());
+	rr_set_gauge(ctx, RR_G_RESIDENT_BYTES, resident_bytes());
 }
--- a/source/base/program.c
+++ b/source/base/program.c
@@ -15,13 +15,13 @@
 	arg_print_syntax(stdout, table, "\n\n");
 	arg_print_glossary(stdout, table, "  %-20s %s\n");
 	printf("\n");
-	if (program->file_variable)
+	if (program->settings_env_var)
 		printf("Without --settings the variable %s names the file.\n",
-		       program->file_variable);
+		       program->settings_env_var);
 	printf("Exit codes: 0 stopped as asked or check passed, 1 the system "
 	       "refused\nsomething such as an address in use, 2 bad command "
 	       "line or start file.\n%s",
-	       program->signals);
+	       program->signals_help);
 }
 
 static const char *find_file(const struct rr_program *program,
@@ -29,13 +29,14 @@
 {
 	if (file->count)
 		return file->filename[0];
-	return program->file_variable ? g_getenv(program->file_variable) : NULL;
+	return program->settings_env_var ? g_getenv(program->settings_env_var) :
+					   NULL;
 }
 
 int rr_run_program(const struct rr_program *program, int argc, char **argv)
 {
 	struct arg_file *file =
-		arg_file0(NULL, "settings", "FILE", program->file_help);
+		arg_file0(NULL, "settings", "FILE", program->settings_help);
 	struct arg_lit *check =
 		arg_lit0(NULL, "check", "check the start file and exit");
 	struct arg_lit *help = arg_lit0("h", "help", "print this and exit");
@@ -55,7 +56,7 @@
 		arg_print_errors(stderr, end, program->name);
 		fprintf(stderr, "%s: --settings FILE is needed; see --help\n",
 			program->name);
-		code = RR_PROGRAM_SETTINGS;
+		code = RR_PROGRAM_USAGE;
 	} else {
 		code = program->run(name, check->count > 0);
 	}
--- a/source/core/answer.c
+++ b/source/core/answer.c
@@ -35,16 +35,16 @@
 {
 	switch (outcome) {
 	case RR_COMPLETE:
-		rr_count(ctx, RR_N_COMPLETE, 1);
+		rr_count(ctx, RR_N_ANSWERS_COMPLETE, 1);
 		return;
 	case RR_PARTIAL:
-		rr_count(ctx, RR_N_PARTIAL, 1);
+		rr_count(ctx, RR_N_ANSWERS_PARTIAL, 1);
 		return;
 	case RR_NOT_RUN:
-		rr_count(ctx, RR_N_NOT_RUN, 1);
+		rr_count(ctx, RR_N_ANSWERS_NOT_RUN, 1);
 		return;
 	case RR_UNKNOWN:
-		rr_count(ctx, RR_N_UNKNOWN, 1);
+		rr_count(ctx, RR_N_ANSWERS_UNKNOWN, 1);
 		return;
 	case RR_INVALID:
 	case RR_GONE:
--- a/source/core/attempt.c
+++ b/source/core/attempt.c
@@ -103,7 +103,7 @@
 	if (attempt->hedge && attempt->status == RR_ATTEMPT_QUEUED)
 		attempt->query->service->hedge_budget.tokens += 1;
 	if (attempt->status == RR_ATTEMPT_SENT) {
-		rr_count(ctx, RR_N_WITHDRAWN, 1);
+		rr_count(ctx, RR_N_ATTEMPTS_CANCELLED, 1);
 		core->actions.cancel_attempt(core->actions.data, attempt->id);
 	}
 	end_attempt(core, attempt);
@@ -334,7 +334,7 @@
 		return;
 	query = attempt->query;
 	task = attempt->task;
-	rr_count(ctx, RR_N_LOST, 1);
+	rr_count(ctx, RR_N_ATTEMPTS_LOST, 1);
 	query->tasks[task].tried_mask |= 1ull << (attempt->replica_index & 63);
 	rr_record_loss(ctx, core, attempt->replica);
 	rr_cancel_live_attempt(ctx, core, attempt);
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -435,10 +435,10 @@
 	 */
 	if (message->to_incarnation &&
 	    message->to_incarnation != core->incarnation) {
-		rr_count(ctx, RR_N_PEER_STALE, 1);
+		rr_count(ctx, RR_N_PEER_MESSAGES_STALE, 1);
 		return;
 	}
-	rr_count(ctx, RR_N_PEER_MESSAGES_TAKEN, 1);
+	rr_count(ctx, RR_N_PEER_MESSAGES_RECEIVED, 1);
 	hear_peer(core, message->from);
 	rr_handle_member_message(ctx, core->members, core->now_us, message);
 	rr_check_peer_config_revision(ctx, core, message);
--- a/source/core/feed-items.c
+++ b/source/core/feed-items.c
@@ -103,7 +103,7 @@
 static void tell_fault(struct rr_context *ctx, struct rr_feed_key_state *known,
 		       const struct rr_feed_item *item)
 {
-	rr_count(ctx, RR_N_ENTRIES_UNREADABLE, 1);
+	rr_count(ctx, RR_N_STORE_VALUES_INVALID, 1);
 	/* Written again and again, it is told once. */
 	if (known->decode_error != item->decode_error)
 		rr_log(ctx, RR_LOG_ERROR, "item-unreadable",
--- a/source/core/feed.c
+++ b/source/core/feed.c
@@ -109,11 +109,11 @@
 static const enum rr_counter call_counters[] = {
 	[RR_FEED_RANGE] = RR_N_STORE_READS,
 	[RR_FEED_WATCH] = RR_N_STORE_WATCHES,
-	[RR_FEED_LEASE_GRANT] = RR_N_STORE_LEASES,
-	[RR_FEED_LEASE_RENEW] = RR_N_STORE_RENEWALS,
-	[RR_FEED_WRITE_ENTRIES] = RR_N_STORE_ENTRIES,
-	[RR_FEED_LEASE_REVOKE] = RR_N_STORE_LEASES,
-	[RR_FEED_REPORT] = RR_N_STORE_REPORTS,
+	[RR_FEED_LEASE_GRANT] = RR_N_STORE_LEASE_CHANGES,
+	[RR_FEED_LEASE_RENEW] = RR_N_STORE_LEASE_RENEWALS,
+	[RR_FEED_WRITE_ENTRIES] = RR_N_STORE_ENTRY_WRITES,
+	[RR_FEED_LEASE_REVOKE] = RR_N_STORE_LEASE_CHANGES,
+	[RR_FEED_REPORT] = RR_N_STORE_REPORT_WRITES,
 };
 
 static const char *const status_names[] = {
@@ -159,7 +159,7 @@
 		(call->peer ? feed->max_staleness_ms / PEER_TIMEOUT_PART :
 			      CALL_TIMEOUT_MS);
 	if (call->peer) {
-		rr_count(ctx, RR_N_PEER_NEWS_CALLS, 1);
+		rr_count(ctx, RR_N_PEER_FEED_CALLS, 1);
 	} else {
 		rr_count(ctx, RR_N_STORE_CALLS, 1);
 		rr_count(ctx, call_counters[call->kind], 1);
--- a/source/core/gate-attempt.c
+++ b/source/core/gate-attempt.c
@@ -69,7 +69,7 @@
 	if (attempt->request)
 		rr_trace_attempt(gate, attempt->request, attempt,
 				 RR_TRACE_CANCELLED, reason, 0);
-	rr_count(ctx, RR_N_WITHDRAWN, 1);
+	rr_count(ctx, RR_N_ATTEMPTS_CANCELLED, 1);
 	gate->actions.cancel(gate->actions.data, attempt->id);
 	rr_remove_attempt(gate, attempt);
 	rr_note_attempt_cancelled(ctx, gate, attempt->endpoint);
--- a/source/core/gate-loop-delay.c
+++ b/source/core/gate-loop-delay.c
@@ -80,7 +80,7 @@
 			  int64_t now_us, int64_t delay_us)
 {
 	gate->now_us = now_us;
-	rr_count(ctx, RR_N_HELD_UP, 1);
+	rr_count(ctx, RR_N_LOOP_STALLS, 1);
 	if (delay_us >= TOLD_US)
 		rr_log(ctx, RR_LOG_INFO, "held-up",
 		       RR_FIELD_I64("delay_us", delay_us),
--- a/source/core/gate-quarantine.c
+++ b/source/core/gate-quarantine.c
@@ -49,7 +49,7 @@
 static void set_quarantine_gauge(struct rr_context *ctx,
 				 const struct rr_gate *gate)
 {
-	rr_set_gauge(ctx, RR_G_QUARANTINED,
+	rr_set_gauge(ctx, RR_G_REQUESTS_IN_QUARANTINE,
 		     rr_count_quarantined(gate->quarantine));
 }
 
@@ -133,7 +133,7 @@
 
 	if (rr_quarantine_if_confirmed(gate->quarantine, gate->now_us,
 				       record)) {
-		rr_count(ctx, RR_N_QUARANTINED, 1);
+		rr_count(ctx, RR_N_REQUESTS_QUARANTINED, 1);
 		log_record(ctx, gate, record, RR_LOG_WARNING,
 			   "request-quarantined", CRASHES_REPLICAS);
 		set_quarantine_gauge(ctx, gate);
@@ -318,7 +318,7 @@
 	reached = false;
 #endif
 	if (!reached) {
-		rr_count(ctx, RR_N_CRASHES, 1);
+		rr_count(ctx, RR_N_REPLICA_CRASHES, 1);
 		rr_log(ctx, RR_LOG_WARNING, "replica-crashed",
 		       RR_FIELD_STRING("endpoint", endpoint->incarnation),
 		       RR_FIELD_STRING("service", endpoint->service->name),
@@ -371,7 +371,7 @@
 	if (wait_us > 0)
 		run->retry_after_ms = (uint32_t)MIN(wait_us / 1000, G_MAXINT32);
 	run->final_rejection = true;
-	rr_count(ctx, RR_N_REFUSED_QUARANTINED, 1);
+	rr_count(ctx, RR_N_QUARANTINE_REJECTED, 1);
 	rr_fail_request(ctx, gate, run, IN_QUARANTINE);
 }
 
--- a/source/core/gate-request.c
+++ b/source/core/gate-request.c
@@ -119,7 +119,9 @@
 	};
 
 	rr_invariant("coverage", run->n_answered >= run->n_required);
-	rr_count(ctx, answer.missing ? RR_N_PARTIAL : RR_N_COMPLETE, 1);
+	rr_count(ctx,
+		 answer.missing ? RR_N_ANSWERS_PARTIAL : RR_N_ANSWERS_COMPLETE,
+		 1);
 	give_answer(ctx, gate, run, &answer);
 }
 
@@ -348,7 +350,7 @@
 	bool no_room = admission == RR_ADMIT_OVERLOADED;
 
 	if (admission != RR_ADMITTED && !run->n_may_have_run) {
-		rr_count(ctx, RR_N_REFUSED_EARLY, 1);
+		rr_count(ctx, RR_N_REQUESTS_REJECTED, 1);
 		refuse_run(ctx, gate, run, name_admission(admission), no_room);
 		return;
 	}
--- a/source/core/ledger-bucket.c
+++ b/source/core/ledger-bucket.c
@@ -80,7 +80,7 @@
 /* The newest id that a clock, of whichever instance, let pass. */
 static int64_t find_newest_s(const struct rr_ledger_bucket *bucket)
 {
-	int64_t newest_s = bucket->value->newest_s;
+	int64_t newest_s = bucket->value->max_created_s;
 
 	for (GList *link = bucket->pending_claims.head; link;
 	     link = link->next) {
@@ -294,7 +294,7 @@
 	}
 	bucket->value = decode_read(bucket, reply, &error);
 	if (!bucket->value) {
-		rr_count(ctx, RR_N_LEDGER_BAD, 1);
+		rr_count(ctx, RR_N_LEDGER_VALUES_BAD, 1);
 		rr_log(ctx, RR_LOG_ERROR, "ledger-unreadable",
 		       RR_FIELD_STRING("key", bucket->key),
 		       RR_FIELD_STRING("error", error->message));
@@ -427,7 +427,7 @@
 static void give_up_claim(struct rr_context *ctx, struct rr_ledger *ledger,
 			  struct rr_claim *claim)
 {
-	rr_count(ctx, RR_N_CLAIMS_UNSETTLED, 1);
+	rr_count(ctx, RR_N_CLAIMS_UNRESOLVED, 1);
 	rr_queue_claim_result(ledger, claim->id, RR_CLAIM_UNRESOLVED,
 			      "store-lost-reply", MAX_BACKOFF_MS);
 	claim->state = RR_CLAIM_STATE_RELEASING;
--- a/source/core/ledger-claim.c
+++ b/source/core/ledger-claim.c
@@ -43,7 +43,7 @@
 		return false;
 	entry = rr_find_ledger_entry(value, claim->name);
 	if (!entry)
-		return value->bytes >= FULL_BYTES;
+		return value->encoded_size_bound >= FULL_BYTES;
 	return !entry->done && !entry->uncommitted;
 }
 
@@ -53,7 +53,7 @@
 {
 	struct rr_queued_claim_result *outcome;
 
-	rr_count(ctx, RR_N_CLAIM_DUPLICATES, 1);
+	rr_count(ctx, RR_N_CLAIMS_DUPLICATE, 1);
 	if (entry->fingerprint != claim->fingerprint) {
 		rr_queue_claim_result(ledger, claim->id, RR_CLAIM_REJECTED,
 				      "id-used-for-another-request", 0);
@@ -87,7 +87,7 @@
 	struct rr_ledger_value *value = claim->bucket->value;
 	struct rr_ledger_entry entry = {
 		.name = claim->name,
-		.made_s = claim->created_s,
+		.created_s = claim->created_s,
 		.fingerprint = claim->fingerprint,
 		.instance = ledger->instance,
 		.incarnation = ledger->options.incarnation,
@@ -96,7 +96,7 @@
 	};
 
 	rr_invariant("at-most-once", !rr_find_ledger_entry(value, claim->name));
-	rr_invariant("at-most-once", claim->created_s >= value->floor_s);
+	rr_invariant("at-most-once", claim->created_s >= value->min_created_s);
 	rr_add_ledger_entry(value, &entry);
 }
 
@@ -112,9 +112,9 @@
 	 * whatever clock: it could have run already.  The floor is part of
 	 * the value, so every instance sees it with the pruned entries.
 	 */
-	if (claim->created_s < value->floor_s)
+	if (claim->created_s < value->min_created_s)
 		return "id-too-old";
-	if (value->bytes >= FULL_BYTES) {
+	if (value->encoded_size_bound >= FULL_BYTES) {
 		*retry_after_ms = FULL_RETRY_MS;
 		return "ledger-full";
 	}
@@ -164,7 +164,8 @@
 			 const struct rr_claim *claim)
 {
 	bool fits = claim->result_length <= MAX_RESULT_BYTES &&
-		    value->bytes + claim->result_length <= MAX_VALUE_BYTES;
+		    value->encoded_size_bound + claim->result_length <=
+			    MAX_VALUE_BYTES;
 
 	rr_finish_ledger_entry(value, entry, fits ? claim->result : NULL,
 			       fits ? claim->result_length : 0);
--- a/source/core/ledger-table.c
+++ b/source/core/ledger-table.c
@@ -73,7 +73,7 @@
 		return;
 	g_queue_delete_link(&ledger->idle_buckets, bucket->idle_link);
 	bucket->idle_link = NULL;
-	ledger->idle_bytes -= bucket->value->bytes;
+	ledger->idle_bytes -= bucket->value->encoded_size_bound;
 }
 
 void rr_enqueue_claim(struct rr_ledger *ledger, struct rr_claim *claim)
@@ -106,7 +106,7 @@
 	}
 	g_queue_push_tail(&ledger->idle_buckets, bucket);
 	bucket->idle_link = ledger->idle_buckets.tail;
-	ledger->idle_bytes += bucket->value->bytes;
+	ledger->idle_bytes += bucket->value->encoded_size_bound;
 	while (ledger->idle_bytes > MAX_IDLE_BYTES ||
 	       ledger->idle_buckets.length > MAX_IDLE_BUCKETS)
 		forget_bucket(ledger, g_queue_peek_head(&ledger->idle_buckets));
--- a/source/core/list.c
+++ b/source/core/list.c
@@ -31,7 +31,7 @@
 
 uint32_t rr_list_row_limit(const struct rr_query *query)
 {
-	uint64_t wanted = (uint64_t)query->max_rows + query->cursor.skip;
+	uint64_t wanted = (uint64_t)query->max_rows + query->cursor.skip_rows;
 
 	return (uint32_t)(wanted > query->n_rows ? wanted - query->n_rows : 1);
 }
@@ -72,17 +72,17 @@
 	uint64_t key = rr_row_key(last->rows, last->index);
 
 	page->next.next_key = key;
-	page->next.skip = 0;
+	page->next.skip_rows = 0;
 	for (guint i = page->rows->len; i > 0; i--) {
 		struct rr_answer_row *row =
 			&g_array_index(page->rows, struct rr_answer_row, i - 1);
 
 		if (rr_row_key(row->rows, row->index) != key)
 			break;
-		page->next.skip++;
+		page->next.skip_rows++;
 	}
 	if (key == query->cursor.next_key)
-		page->next.skip += query->cursor.skip;
+		page->next.skip_rows += query->cursor.skip_rows;
 	page->has_next = true;
 }
 
@@ -90,7 +90,7 @@
 {
 	uint32_t skip = 0;
 
-	while (skip < query->cursor.skip && skip < rows->len) {
+	while (skip < query->cursor.skip_rows && skip < rows->len) {
 		struct rr_answer_row *row =
 			&g_array_index(rows, struct rr_answer_row, skip);
 
@@ -104,7 +104,7 @@
 static void set_cursor_at_key(struct page *page, uint64_t key)
 {
 	page->next.next_key = key;
-	page->next.skip = 0;
+	page->next.skip_rows = 0;
 	page->has_next = true;
 }
 
@@ -173,7 +173,7 @@
 		page->has_next = true;
 	} else if (hole && resume_key == query->cursor.next_key) {
 		page->next.next_key = resume_key;
-		page->next.skip = query->cursor.skip;
+		page->next.skip_rows = query->cursor.skip_rows;
 		page->has_next = true;
 	} else if (hole) {
 		set_cursor_at_key(page, resume_key);
@@ -207,7 +207,8 @@
 static bool is_page_full(const struct rr_query *query)
 {
 	return query->has_more ||
-	       query->n_rows >= (uint64_t)query->max_rows + query->cursor.skip;
+	       query->n_rows >=
+		       (uint64_t)query->max_rows + query->cursor.skip_rows;
 }
 
 /* The task of the last shard asked failed: the page ends before it. */
--- a/source/core/member.c
+++ b/source/core/member.c
@@ -163,7 +163,7 @@
 
 	/* An earlier process of that name: what it says is out of date. */
 	if (from && message->from_incarnation < from->incarnation) {
-		rr_count(ctx, RR_N_PEER_STALE, 1);
+		rr_count(ctx, RR_N_PEER_MESSAGES_STALE, 1);
 		return;
 	}
 	apply_updates(ctx, members, now_us, message);
--- a/source/core/relay-serve.c
+++ b/source/core/relay-serve.c
@@ -242,13 +242,13 @@
 	struct rr_service *service;
 
 	if (!relay || !relay->service || seen_before(core, message)) {
-		rr_count(ctx, RR_N_PEER_STALE, 1);
+		rr_count(ctx, RR_N_PEER_MESSAGES_STALE, 1);
 		return;
 	}
 	if (!rr_find_member(core->members, message->from, &address,
 			    &incarnation))
 		address = "";
-	rr_count(ctx, RR_N_RELAYS_TAKEN, 1);
+	rr_count(ctx, RR_N_RELAYS_RECEIVED, 1);
 	service = rr_find_service_state(core, relay->service);
 	why = refuse_outright(core, message, service);
 	if (why) {
--- a/source/core/reply.c
+++ b/source/core/reply.c
@@ -143,9 +143,9 @@
 #endif
 	if (proven) {
 		prove_not_run(query, task);
-		rr_count(ctx, RR_N_SHED, 1);
+		rr_count(ctx, RR_N_ATTEMPTS_SHED, 1);
 	} else {
-		rr_count(ctx, RR_N_LOST, 1);
+		rr_count(ctx, RR_N_ATTEMPTS_LOST, 1);
 	}
 	switch (reply->status) {
 	case RR_REPLY_SHED:
--- a/source/core/request.c
+++ b/source/core/request.c
@@ -110,7 +110,7 @@
 		return false;
 	if (check_admission(core, *service, request, refusal))
 		return true;
-	rr_count(ctx, RR_N_REFUSED_EARLY, 1);
+	rr_count(ctx, RR_N_REQUESTS_REJECTED, 1);
 	return false;
 }
 
--- a/source/core/snapshot.c
+++ b/source/core/snapshot.c
@@ -225,7 +225,7 @@
 	       RR_FIELD_U64("query", query->id),
 	       RR_FIELD_U64("from_version", query->pin_version),
 	       RR_FIELD_U64("version", version));
-	rr_count(ctx, RR_N_RESTARTS, 1);
+	rr_count(ctx, RR_N_SNAPSHOT_RESTARTS, 1);
 	query->restarts++;
 	rr_cancel_relays(ctx, core, query);
 	rr_clear_merge(query);
--- a/source/daemon/main.c
+++ b/source/daemon/main.c
@@ -62,7 +62,7 @@
 	enum rr_program_exit code = RR_PROGRAM_OK;
 
 	if (!settings)
-		return RR_PROGRAM_SETTINGS;
+		return RR_PROGRAM_USAGE;
 	if (!check_only)
 		code = run_by(file, settings);
 	rr_drop_start_settings(settings);
@@ -73,9 +73,9 @@
 {
 	static const struct rr_program program = {
 		.name = PROGRAM,
-		.file_help = "the instance's start file",
-		.signals = "SIGTERM stops gracefully, SIGHUP reads "
-			   "certificate, tokens and peers' keys again.\n",
+		.settings_help = "the instance's start file",
+		.signals_help = "SIGTERM stops gracefully, SIGHUP reads "
+				"certificate, tokens and peers' keys again.\n",
 		.run = run,
 	};
 
--- a/source/daemon/reload.c
+++ b/source/daemon/reload.c
@@ -40,7 +40,7 @@
 	bool ok;
 
 	if (keyed != (settings->peer_public_key != NULL)) {
-		g_set_error(error, RR_ERROR, RR_ERROR_CONFLICT,
+		g_set_error(error, RR_ERROR, RR_ERROR_RESTART_REQUIRED,
 			    "'curve' was %s the start file: that needs a "
 			    "restart",
 			    keyed ? "taken out of" : "put into");
@@ -88,5 +88,5 @@
 		reload_peers(ctx, parts->peers, settings, parts->keyed, &error);
 	ok = tell(ctx, "peers' keys", &error) && ok;
 	rr_drop_start_settings(settings);
-	rr_count(ctx, ok ? RR_N_RELOADED : RR_N_RELOAD_FAILED, 1);
+	rr_count(ctx, ok ? RR_N_RELOADS : RR_N_RELOAD_FAILURES, 1);
 }
--- a/source/gateway/gateway-callers.c
+++ b/source/gateway/gateway-callers.c
@@ -363,7 +363,7 @@
 	};
 	GString *text = g_string_new(NULL);
 
-	rr_measure_process(gateway->ctx);
+	rr_update_process_gauges(gateway->ctx);
 	rr_set_gauge(gateway->ctx, RR_G_OPEN_QUERIES,
 		     rr_gate_count_requests(gateway->gate));
 	rr_format_metrics(gateway->ctx, text);
--- a/source/gateway/gateway-change-feed.c
+++ b/source/gateway/gateway-change-feed.c
@@ -38,7 +38,7 @@
 	body = rr_encode_change_feed_reply(call, items, revision);
 	answer.body = (const uint8_t *)body->str;
 	answer.length = body->len;
-	rr_count(gateway->ctx, RR_N_NEWS_PASSED_ON, 1);
+	rr_count(gateway->ctx, RR_N_FEED_REPLIES_SERVED, 1);
 	rr_send_http_response(caller, &answer);
 	g_string_free(body, TRUE);
 	g_array_unref(items);
@@ -120,7 +120,7 @@
 		(const char *)message->body, message->body_length, &fault);
 
 	if (!call) {
-		rr_count(gateway->ctx, RR_N_PEER_BAD, 1);
+		rr_count(gateway->ctx, RR_N_PEER_MESSAGES_BAD, 1);
 		rr_log(gateway->ctx, RR_LOG_WARNING, "entry-call-refused",
 		       RR_FIELD_STRING("reason", fault));
 		refuse(gateway, caller, 400);
--- a/source/gateway/main.c
+++ b/source/gateway/main.c
@@ -86,7 +86,7 @@
 	enum rr_program_exit code = RR_PROGRAM_OK;
 
 	if (!settings)
-		code = RR_PROGRAM_SETTINGS;
+		code = RR_PROGRAM_USAGE;
 	else if (!check_only)
 		code = run_by(settings, faults);
 	rr_drop_gateway_settings(settings);
@@ -98,9 +98,9 @@
 {
 	static const struct rr_program program = {
 		.name = PROGRAM,
-		.file_help = "the gateway's start file",
-		.file_variable = "RAGWORTROUTE_BOOT",
-		.signals = "SIGTERM stops gracefully.\n",
+		.settings_help = "the gateway's start file",
+		.settings_env_var = "RAGWORTROUTE_BOOT",
+		.signals_help = "SIGTERM stops gracefully.\n",
 		.run = run,
 	};
 
--- a/source/net/caller-connections.c
+++ b/source/net/caller-connections.c
@@ -124,7 +124,7 @@
 		if (connection->works || connection->ended ||
 		    now_us - connection->since_us <= callers->idle_us)
 			continue;
-		rr_count(callers->ctx, RR_N_CALLERS_TIMED_OUT, 1);
+		rr_count(callers->ctx, RR_N_CALLER_CONNS_TIMED_OUT, 1);
 		end_connection(connection);
 	}
 	return G_SOURCE_CONTINUE;
@@ -146,7 +146,7 @@
 	if (open <= callers->max_connections)
 		return;
 	connection->over = true;
-	rr_count(callers->ctx, RR_N_CALLERS_OVER_BOUND, 1);
+	rr_count(callers->ctx, RR_N_CALLER_CONNS_REJECTED, 1);
 	rr_log(callers->ctx, RR_LOG_WARNING, "caller-over-bound",
 	       RR_FIELD_U64("connections", open),
 	       RR_FIELD_U64("caller_max_connections",
--- a/source/net/caller-request.c
+++ b/source/net/caller-request.c
@@ -193,7 +193,7 @@
 		if (*value >= min && *value <= max)
 			return true;
 	}
-	g_set_error(error, RR_ERROR, RR_ERROR_RANGE,
+	g_set_error(error, RR_ERROR, RR_ERROR_OUT_OF_RANGE,
 		    "%s: an integer from %" G_GINT64_FORMAT
 		    " to %" G_GINT64_FORMAT " is needed",
 		    name, min, max);
@@ -223,7 +223,7 @@
 		call->request.key = (uint64_t)value;
 		return true;
 	}
-	g_set_error(error, RR_ERROR, RR_ERROR_UNKNOWN,
+	g_set_error(error, RR_ERROR, RR_ERROR_UNSUPPORTED,
 		    "%s: unknown member; query, max_rows%s are allowed", name,
 		    keyed ? ", key" : "");
 	return false;
--- a/source/net/caller.c
+++ b/source/net/caller.c
@@ -224,7 +224,7 @@
 
 	if (!strcmp(path, "/metrics")) {
 		text = g_string_new(NULL);
-		rr_measure_process(port->ctx);
+		rr_update_process_gauges(port->ctx);
 		rr_format_metrics(port->ctx, text);
 		set_reply(port, message, SOUP_STATUS_OK, METRICS_TYPE, text);
 		return true;
--- a/source/net/http-listener.c
+++ b/source/net/http-listener.c
@@ -548,7 +548,7 @@
 {
 	struct rr_http_response answer = { .status = 408, .close = true };
 
-	rr_count(caller->port->ctx, RR_N_CALLERS_TIMED_OUT, 1);
+	rr_count(caller->port->ctx, RR_N_CALLER_CONNS_TIMED_OUT, 1);
 	if (caller->state != CALLER_READING ||
 	    !rr_http_is_started(caller->reader)) {
 		free_caller(caller);
--- a/source/net/net-peer-keys.c
+++ b/source/net/net-peer-keys.c
@@ -41,7 +41,7 @@
 		return false;
 	for (size_t i = 0; from->allowed_keys && from->allowed_keys[i]; i++) {
 		if (i >= RR_MAX_ALLOWED_KEYS) {
-			g_set_error(error, RR_ERROR, RR_ERROR_RANGE,
+			g_set_error(error, RR_ERROR, RR_ERROR_OUT_OF_RANGE,
 				    "more than %d allowed keys",
 				    RR_MAX_ALLOWED_KEYS);
 			return false;
@@ -52,7 +52,7 @@
 		keys->n_allowed++;
 	}
 	if (!keys->n_allowed) {
-		g_set_error(error, RR_ERROR, RR_ERROR_RANGE,
+		g_set_error(error, RR_ERROR, RR_ERROR_OUT_OF_RANGE,
 			    "no allowed key: 1 to %d are needed",
 			    RR_MAX_ALLOWED_KEYS);
 		return false;
@@ -141,7 +141,7 @@
 
 void rr_log_rejected_peer(struct rr_peer_transport *port)
 {
-	rr_count(port->ctx, RR_N_PEER_REFUSED, 1);
+	rr_count(port->ctx, RR_N_PEER_AUTH_FAILURES, 1);
 	rr_log(port->ctx, RR_LOG_WARNING, "peer_refused",
 	       RR_FIELD_STRING("reason", "its key is not allowed"));
 }
--- a/source/net/net-peer-link.c
+++ b/source/net/net-peer-link.c
@@ -224,7 +224,7 @@
 	}
 	if (!dropped)
 		return link->queue.length;
-	rr_count(link->transport->ctx, RR_N_PEER_DROPPED, dropped);
+	rr_count(link->transport->ctx, RR_N_PEER_MESSAGES_DROPPED, dropped);
 	rr_log(link->transport->ctx, RR_LOG_INFO, "peer_unreachable",
 	       RR_FIELD_STRING("address", link->address),
 	       RR_FIELD_U64("dropped", dropped));
@@ -257,7 +257,7 @@
 		again |= look_after(link, now_us);
 		n_renewals += ((struct peer_link *)link)->rekey_started_us != 0;
 	}
-	rr_set_gauge(port->ctx, RR_G_PEER_RENEWALS, n_renewals);
+	rr_set_gauge(port->ctx, RR_G_PEER_REKEYS, n_renewals);
 	if (again)
 		return G_SOURCE_CONTINUE;
 	rr_drop_source(&port->link_timer);
@@ -278,7 +278,7 @@
 	struct waiting_message *waiting;
 
 	if (link->queue.length >= MAX_WAITING) {
-		rr_count(link->transport->ctx, RR_N_PEER_DROPPED, 1);
+		rr_count(link->transport->ctx, RR_N_PEER_MESSAGES_DROPPED, 1);
 		return;
 	}
 	waiting = g_new(struct waiting_message, 1);
@@ -332,7 +332,7 @@
 	}
 	if (!oldest)
 		return;
-	rr_count(port->ctx, RR_N_PEER_DROPPED, oldest->queue.length);
+	rr_count(port->ctx, RR_N_PEER_MESSAGES_DROPPED, oldest->queue.length);
 	close_socket(oldest, CLOSE_LINGER_MS);
 	g_hash_table_remove(port->links, oldest->address);
 }
@@ -375,7 +375,7 @@
 		link->rekey_started_us = g_get_monotonic_time();
 		link->next_socket = connect_socket(link);
 	}
-	rr_set_gauge(port->ctx, RR_G_PEER_RENEWALS, n_renewals);
+	rr_set_gauge(port->ctx, RR_G_PEER_REKEYS, n_renewals);
 	start_age_timer(port);
 	tell_links(port);
 }
@@ -390,7 +390,7 @@
 	if (g_bytes_get_size(bytes) <= RR_MAX_PEER_BYTES)
 		link = find_link(port, address);
 	if (!link) {
-		rr_count(ctx, RR_N_PEER_DROPPED, 1);
+		rr_count(ctx, RR_N_PEER_MESSAGES_DROPPED, 1);
 		rr_log(ctx, RR_LOG_WARNING, "peer_not_sent",
 		       RR_FIELD_STRING("instance", instance),
 		       RR_FIELD_STRING("address", address),
--- a/source/net/net-peer-router.c
+++ b/source/net/net-peer-router.c
@@ -31,7 +31,7 @@
 		zmq_msg_data(payload), zmq_msg_size(payload), &error);
 
 	if (!message) {
-		rr_count(port->ctx, RR_N_PEER_BAD, 1);
+		rr_count(port->ctx, RR_N_PEER_MESSAGES_BAD, 1);
 		rr_log(port->ctx, RR_LOG_WARNING, "peer_message_bad",
 		       RR_FIELD_STRING("reason", error->message));
 		g_error_free(error);
@@ -64,7 +64,7 @@
 	} else if (frames == 2) {
 		handle_payload(port, &payload);
 	} else if (frames) {
-		rr_count(port->ctx, RR_N_PEER_BAD, 1);
+		rr_count(port->ctx, RR_N_PEER_MESSAGES_BAD, 1);
 		rr_log(port->ctx, RR_LOG_WARNING, "peer_message_bad",
 		       RR_FIELD_STRING("reason", "not one frame"),
 		       RR_FIELD_I64("frames", frames - 1));
--- a/source/net/net-peer.c
+++ b/source/net/net-peer.c
@@ -165,7 +165,7 @@
 	bool done = false;
 
 	if (!port->keys.configured) {
-		g_set_error(error, RR_ERROR, RR_ERROR_CONFLICT,
+		g_set_error(error, RR_ERROR, RR_ERROR_RESTART_REQUIRED,
 			    "the peer port was started without keys");
 		return false;
 	}
--- a/source/net/replica-conn.c
+++ b/source/net/replica-conn.c
@@ -163,7 +163,7 @@
 	const char *text = value_of(message, port->load_header);
 
 	if (text && !port->parse_load(text, load))
-		rr_count(port->ctx, RR_N_BAD_LOADS, 1);
+		rr_count(port->ctx, RR_N_BAD_LOAD_REPORTS, 1);
 }
 
 static void fill_reply(const struct rr_replica_conn *conn,
--- a/source/net/upstream-reply.c
+++ b/source/net/upstream-reply.c
@@ -104,7 +104,7 @@
 		g_clear_error(&error);
 		return;
 	}
-	*reply = *rr_upstream_reply(*body);
+	*reply = *rr_get_upstream_reply(*body);
 }
 
 static const char *const state_words[] = {
--- a/source/wire/pack.c
+++ b/source/wire/compress.c
@@ -1,7 +1,7 @@
 /*
- * pack.c - zlib and base64, both GLib's.
+ * compress.c - zlib and base64, both GLib's.
  */
-#include "wire/pack.h"
+#include "wire/compress.h"
 
 #include <gio/gio.h>
 #include <stdbool.h>
@@ -40,7 +40,7 @@
 	return length == 0;
 }
 
-char *rr_pack_text(const uint8_t *bytes, size_t length)
+char *rr_compress_to_base64(const uint8_t *bytes, size_t length)
 {
 	GConverter *packer = G_CONVERTER(
 		g_zlib_compressor_new(G_ZLIB_COMPRESSOR_FORMAT_ZLIB, LEVEL));
@@ -54,7 +54,7 @@
 	return text;
 }
 
-char *rr_unpack_text(const char *text, size_t most_bytes, size_t *length)
+char *rr_decompress_base64(const char *text, size_t most_bytes, size_t *length)
 {
 	GConverter *unpacker = G_CONVERTER(
 		g_zlib_decompressor_new(G_ZLIB_COMPRESSOR_FORMAT_ZLIB));
--- a/source/wire/ledger-value.c
+++ b/source/wire/ledger-value.c
@@ -29,7 +29,7 @@
 
 	value->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					       free_entry);
-	value->bytes = VALUE_OVERHEAD_BYTES;
+	value->encoded_size_bound = VALUE_OVERHEAD_BYTES;
 	return value;
 }
 
@@ -62,8 +62,8 @@
 	copy->name = g_strdup(entry->name);
 	copy->instance = g_strdup(entry->instance);
 	copy->result = g_memdup2(entry->result, entry->result_length);
-	value->bytes += entry_bytes(copy);
-	value->newest_s = MAX(value->newest_s, copy->made_s);
+	value->encoded_size_bound += entry_bytes(copy);
+	value->max_created_s = MAX(value->max_created_s, copy->created_s);
 	g_hash_table_insert(value->entries, copy->name, copy);
 }
 
@@ -71,12 +71,12 @@
 			    struct rr_ledger_entry *entry, const char *result,
 			    size_t length)
 {
-	value->bytes -= entry_bytes(entry);
+	value->encoded_size_bound -= entry_bytes(entry);
 	g_free(entry->result);
 	entry->done = true;
 	entry->result = g_memdup2(result, length);
 	entry->result_length = length;
-	value->bytes += entry_bytes(entry);
+	value->encoded_size_bound += entry_bytes(entry);
 }
 
 void rr_remove_ledger_entry(struct rr_ledger_value *value, const char *name)
@@ -85,7 +85,7 @@
 
 	if (!entry)
 		return;
-	value->bytes -= entry_bytes(entry);
+	value->encoded_size_bound -= entry_bytes(entry);
 	g_hash_table_remove(value->entries, name);
 }
 
@@ -97,16 +97,16 @@
 	GHashTableIter iter;
 	gpointer item;
 
-	if (floor_s <= value->floor_s)
+	if (floor_s <= value->min_created_s)
 		return;
-	value->floor_s = floor_s;
+	value->min_created_s = floor_s;
 	g_hash_table_iter_init(&iter, value->entries);
 	while (g_hash_table_iter_next(&iter, NULL, &item)) {
 		struct rr_ledger_entry *entry = item;
 
-		if (entry->made_s >= floor_s || keep(data, entry))
+		if (entry->created_s >= floor_s || keep(data, entry))
 			continue;
-		value->bytes -= entry_bytes(entry);
+		value->encoded_size_bound -= entry_bytes(entry);
 		g_hash_table_iter_remove(&iter);
 	}
 }
@@ -116,7 +116,7 @@
 {
 	ragwort__ledger__entry__init(message);
 	message->name = entry->name;
-	message->made_s = entry->made_s;
+	message->made_s = entry->created_s;
 	message->fingerprint = entry->fingerprint;
 	message->instance = entry->instance;
 	message->incarnation = entry->incarnation;
@@ -145,7 +145,7 @@
 		i++;
 	}
 	bucket.format = LEDGER_FORMAT;
-	bucket.floor_s = value->floor_s;
+	bucket.floor_s = value->min_created_s;
 	bucket.n_entries = n;
 	bucket.entries = pointers;
 	*length = ragwort__ledger__bucket__get_packed_size(&bucket);
@@ -177,17 +177,17 @@
 		       const Ragwort__Ledger__Bucket *bucket, GError **error)
 {
 	if (bucket->format != LEDGER_FORMAT) {
-		g_set_error(error, RR_ERROR, RR_ERROR_UNKNOWN,
+		g_set_error(error, RR_ERROR, RR_ERROR_UNSUPPORTED,
 			    "ledger bucket of format %u, only %d is known",
 			    bucket->format, LEDGER_FORMAT);
 		return false;
 	}
-	value->floor_s = bucket->floor_s;
+	value->min_created_s = bucket->floor_s;
 	for (size_t i = 0; i < bucket->n_entries; i++) {
 		const Ragwort__Ledger__Entry *message = bucket->entries[i];
 		struct rr_ledger_entry entry = {
 			.name = message->name,
-			.made_s = message->made_s,
+			.created_s = message->made_s,
 			.fingerprint = message->fingerprint,
 			.instance = message->instance,
 			.incarnation = message->incarnation,
--- a/source/wire/ledger-value.h
+++ b/source/wire/ledger-value.h
@@ -12,7 +12,7 @@
 
 struct rr_ledger_entry {
 	char *name; /* SERVICE/ID */
-	int64_t made_s;
+	int64_t created_s;
 	uint64_t fingerprint;
 	/* The nonce of the claimant. */
 	char *instance;
@@ -28,11 +28,11 @@
 struct rr_ledger_value {
 	GHashTable *entries; /* name to struct rr_ledger_entry */
 	/* Ids made before this may have been pruned. */
-	int64_t floor_s;
+	int64_t min_created_s;
 	/* When the newest id in it was made. */
-	int64_t newest_s;
+	int64_t max_created_s;
 	/* An upper bound of the encoded size. */
-	size_t bytes;
+	size_t encoded_size_bound;
 };
 
 struct rr_ledger_value *rr_new_ledger_value(void);
--- a/source/wire/wire-cursor.c
+++ b/source/wire/wire-cursor.c
@@ -30,7 +30,7 @@
 			"%x.%" G_GINT64_MODIFIER "x.%" G_GINT64_MODIFIER
 			"x.%" G_GINT64_MODIFIER "x.%x",
 			CURSOR_FORMAT, cursor->version, cursor->map_epoch,
-			cursor->next_key, cursor->skip);
+			cursor->next_key, cursor->skip_rows);
 	g_string_append_printf(text, ".%016" G_GINT64_MODIFIER "x",
 			       sum_cursor(service, text->str, text->len));
 	return g_string_free(text, FALSE);
@@ -75,7 +75,7 @@
 		return false;
 	}
 	if (fields[0] != CURSOR_FORMAT) {
-		g_set_error(error, RR_ERROR, RR_ERROR_UNKNOWN,
+		g_set_error(error, RR_ERROR, RR_ERROR_UNSUPPORTED,
 			    "cursor is of format %" G_GUINT64_FORMAT
 			    ", allowed is %d",
 			    fields[0], CURSOR_FORMAT);
@@ -90,13 +90,13 @@
 		return false;
 	}
 	if (!fields[1] || fields[3] > RR_KEY_LIMIT || fields[4] > UINT32_MAX) {
-		g_set_error(error, RR_ERROR, RR_ERROR_RANGE,
+		g_set_error(error, RR_ERROR, RR_ERROR_OUT_OF_RANGE,
 			    "cursor has a version, key or offset out of range");
 		return false;
 	}
 	cursor->version = fields[1];
 	cursor->map_epoch = fields[2];
 	cursor->next_key = fields[3];
-	cursor->skip = (uint32_t)fields[4];
+	cursor->skip_rows = (uint32_t)fields[4];
 	return true;
 }
--- a/source/wire/wire-peer.c
+++ b/source/wire/wire-peer.c
@@ -50,7 +50,7 @@
 
 static bool check_name(const char *text, const char *field, GError **error)
 {
-	if (rr_wire_name_valid(text))
+	if (rr_is_valid_name(text))
 		return true;
 	return fail(error, "%s is missing or no name", field);
 }
@@ -79,7 +79,7 @@
 		return false;
 	if (!dead && !check_name(from->zone, "member update's zone", error))
 		return false;
-	if (!dead && !rr_wire_address_valid(from->address))
+	if (!dead && !rr_is_valid_address(from->address))
 		return fail(error, "member update's address is no IP:PORT");
 	update->instance = g_strdup(from->instance);
 	update->zone = dead ? NULL : g_strdup(from->zone);
@@ -146,7 +146,7 @@
 			    from->kind, RR_SEARCH, RR_LIST);
 	if (!check_name(from->service, "relay's service", error))
 		return false;
-	if (!rr_wire_range_valid(from->key_from, from->key_to))
+	if (!rr_is_valid_key_range(from->key_from, from->key_to))
 		return fail(error, "relay's keys are no range");
 	if (from->kind == RR_RESERVE && !*from->idempotency_key)
 		return fail(error, "reservation without idempotency key");
@@ -223,8 +223,8 @@
 	for (size_t i = 0; i < outcome->n_ranges; i++) {
 		outcome->ranges[i].from = from->ranges[2 * i];
 		outcome->ranges[i].to = from->ranges[2 * i + 1];
-		if (!rr_wire_range_valid(outcome->ranges[i].from,
-					 outcome->ranges[i].to))
+		if (!rr_is_valid_key_range(outcome->ranges[i].from,
+					   outcome->ranges[i].to))
 			return fail(error, "an outcome's range is no range");
 	}
 	return true;
--- a/source/wire/wire-private.h
+++ b/source/wire/wire-private.h
@@ -13,10 +13,10 @@
 #define RR_MAX_NAME_LENGTH 63
 
 /* Whether the text is a name as docs/FORMATS.md has it. */
-bool rr_wire_name_valid(const char *text);
+bool rr_is_valid_name(const char *text);
 /* Whether the text is a numeric IPv4 address and a port from 1. */
-bool rr_wire_address_valid(const char *text);
+bool rr_is_valid_address(const char *text);
 /* Check [from, to): from < to and both keys in range. */
-bool rr_wire_range_valid(uint64_t from, uint64_t to);
+bool rr_is_valid_key_range(uint64_t from, uint64_t to);
 
 #endif
--- a/source/wire/wire-upstream.c
+++ b/source/wire/wire-upstream.c
@@ -240,7 +240,7 @@
 {
 	struct rr_key_range range = { d->bounds[0], d->bounds[1] };
 
-	if (d->n_bounds != 2 || !rr_wire_range_valid(range.from, range.to))
+	if (d->n_bounds != 2 || !rr_is_valid_key_range(range.from, range.to))
 		return fail(d, "range %u is not [from, to) with from < to",
 			    d->body->ranges->len);
 	if (d->body->ranges->len >= RR_MAX_RANGES)
@@ -533,7 +533,7 @@
 	return body;
 }
 
-struct rr_reply *rr_upstream_reply(struct rr_upstream_body *body)
+struct rr_reply *rr_get_upstream_reply(struct rr_upstream_body *body)
 {
 	return &body->reply;
 }
--- a/source/wire/wire-common.c
+++ b/source/wire/wire-validate.c
@@ -1,5 +1,5 @@
 /*
- * wire-common.c - checks that several decoders use.
+ * wire-validate.c - checks that several decoders use.
  */
 #include "wire/wire-private.h"
 
@@ -7,7 +7,7 @@
 
 #define MAX_PORT 65535
 
-bool rr_wire_name_valid(const char *text)
+bool rr_is_valid_name(const char *text)
 {
 	size_t length;
 
@@ -44,7 +44,7 @@
 	return at;
 }
 
-bool rr_wire_address_valid(const char *text)
+bool rr_is_valid_address(const char *text)
 {
 	uint32_t number;
 
@@ -60,7 +60,7 @@
 	return text && !*text && number > 0;
 }
 
-bool rr_wire_range_valid(uint64_t from, uint64_t to)
+bool rr_is_valid_key_range(uint64_t from, uint64_t to)
 {
 	return from < to && to <= RR_KEY_LIMIT;
 }
--- a/tests/test-caller-limits.c
+++ b/tests/test-caller-limits.c
@@ -157,7 +157,8 @@
 			 "Content-Length: 100\r\n\r\n{\"que");
 	expect_close(half);
 	expect_close(silent);
-	assert_int_equal(rr_counter_value(f.ctx, RR_N_CALLERS_TIMED_OUT), 2);
+	assert_int_equal(rr_counter_value(f.ctx, RR_N_CALLER_CONNS_TIMED_OUT),
+			 2);
 	drop(half);
 	drop(silent);
 	close_port(&f);
@@ -179,7 +180,7 @@
 	open_port(&f, 0, IDLE_MS);
 	g_string_append_printf(f.page, "%*s", 32 * 1024 * 1024, "");
 	deaf = begin(&f, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
-	while (!late && !rr_counter_value(f.ctx, RR_N_CALLERS_TIMED_OUT))
+	while (!late && !rr_counter_value(f.ctx, RR_N_CALLER_CONNS_TIMED_OUT))
 		g_main_context_iteration(NULL, TRUE);
 	assert_false(late);
 	g_source_remove(limit);
@@ -275,7 +276,7 @@
 	for (size_t i = 100; i < G_N_ELEMENTS(open); i++)
 		open[i] = begin_accepted(&f);
 	expect_close(open[G_N_ELEMENTS(open) - 1]);
-	n_closed = rr_counter_value(f.ctx, RR_N_CALLERS_OVER_BOUND);
+	n_closed = rr_counter_value(f.ctx, RR_N_CALLER_CONNS_REJECTED);
 	assert_in_range(n_closed, 101, 103);
 	for (size_t i = 0; i < G_N_ELEMENTS(open); i++)
 		drop(open[i]);
--- a/tests/test-pack.c
+++ b/tests/test-compress.c
@@ -1,5 +1,5 @@
 /*
- * test-pack.c - what is packed comes back, and nothing else does.
+ * test-compress.c - what is packed comes back, and nothing else does.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -10,15 +10,15 @@
 #include <glib.h>
 #include <string.h>
 
-#include "wire/pack.h"
+#include "wire/compress.h"
 
 #define MOST 1000000
 
 static void assert_comes_back(const char *bytes, size_t length)
 {
-	char *text = rr_pack_text((const uint8_t *)bytes, length);
+	char *text = rr_compress_to_base64((const uint8_t *)bytes, length);
 	size_t got;
-	char *back = rr_unpack_text(text, MOST, &got);
+	char *back = rr_decompress_base64(text, MOST, &got);
 
 	assert_non_null(back);
 	assert_int_equal(got, length);
@@ -31,7 +31,7 @@
 static void test_what_was_packed_comes_back(void **state)
 {
 	char *repeated = g_strnfill(500000, 'r');
-	char *packed = rr_pack_text((const uint8_t *)repeated, 500000);
+	char *packed = rr_compress_to_base64((const uint8_t *)repeated, 500000);
 
 	(void)state;
 	assert_comes_back("", 0);
@@ -51,7 +51,7 @@
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++)
-		assert_null(rr_unpack_text(texts[i], MOST, &length));
+		assert_null(rr_decompress_base64(texts[i], MOST, &length));
 }
 
 /*
@@ -61,13 +61,13 @@
 static void test_too_much_is_refused(void **state)
 {
 	char *repeated = g_strnfill(20000, 'r');
-	char *packed = rr_pack_text((const uint8_t *)repeated, 20000);
+	char *packed = rr_compress_to_base64((const uint8_t *)repeated, 20000);
 	size_t length;
-	char *back = rr_unpack_text(packed, 20000, &length);
+	char *back = rr_decompress_base64(packed, 20000, &length);
 
 	(void)state;
 	assert_non_null(back);
-	assert_null(rr_unpack_text(packed, 19999, &length));
+	assert_null(rr_decompress_base64(packed, 19999, &length));
 	g_free(back);
 	g_free(packed);
 	g_free(repeated);
--- a/tests/test-core-policy.c
+++ b/tests/test-core-policy.c
@@ -85,8 +85,9 @@
 		fake_run_for(scene.world, 50 * FAKE_MS);
 	}
 	assert_true(fake_counter_value(scene.desk, RR_N_HEDGES) > 0);
-	assert_int_equal(fake_counter_value(scene.desk, RR_N_HEDGES),
-			 fake_counter_value(scene.desk, RR_N_WITHDRAWN));
+	assert_int_equal(
+		fake_counter_value(scene.desk, RR_N_HEDGES),
+		fake_counter_value(scene.desk, RR_N_ATTEMPTS_CANCELLED));
 	clear_scene(&scene);
 }
 
@@ -337,7 +338,8 @@
 	}
 	assert_int_equal(refused, 250);
 	assert_true(fake_wait_for_answers(scene.desk, 320));
-	assert_int_equal(fake_counter_value(scene.desk, RR_N_COMPLETE), 70);
+	assert_int_equal(fake_counter_value(scene.desk, RR_N_ANSWERS_COMPLETE),
+			 70);
 	clear_scene(&scene);
 }
 
--- a/tests/test-core-relay.c
+++ b/tests/test-core-relay.c
@@ -235,8 +235,9 @@
 		       query);
 	fake_run_for(scene.world, 100 * FAKE_MS);
 	assert_int_equal(
-		fake_counter_value(scene.there, RR_N_WITHDRAWN) +
-			fake_counter_value(scene.there_too, RR_N_WITHDRAWN),
+		fake_counter_value(scene.there, RR_N_ATTEMPTS_CANCELLED) +
+			fake_counter_value(scene.there_too,
+					   RR_N_ATTEMPTS_CANCELLED),
 		10);
 	clear_scene(&scene);
 }
@@ -367,7 +368,8 @@
 	hand_relay(&scene, 0);
 	fake_run_for(scene.world, 100 * FAKE_MS);
 	assert_int_equal(count_runs(scene.world, ID), 0);
-	assert_int_equal(fake_counter_value(scene.here, RR_N_PEER_STALE), 1);
+	assert_int_equal(
+		fake_counter_value(scene.here, RR_N_PEER_MESSAGES_STALE), 1);
 	clear_scene(&scene);
 }
 
--- a/tests/test-core-search.c
+++ b/tests/test-core-search.c
@@ -170,7 +170,8 @@
 	assert_int_equal(answer->version, 8);
 	assert_one_version(answer);
 	assert_int_equal(answer->keys->len, 40);
-	assert_int_equal(fake_counter_value(scene.desk, RR_N_RESTARTS), 1);
+	assert_int_equal(fake_counter_value(scene.desk, RR_N_SNAPSHOT_RESTARTS),
+			 1);
 	clear_scene(&scene);
 }
 
@@ -323,7 +324,8 @@
 	assert_int_equal(answer->outcome, RR_PARTIAL);
 	assert_true(fake_is_missing(answer, "s3:enough"));
 	assert_int_equal(answer->answered_us - before_us, (3 + 5) * FAKE_MS);
-	assert_int_equal(fake_counter_value(scene.desk, RR_N_WITHDRAWN), 1);
+	assert_int_equal(
+		fake_counter_value(scene.desk, RR_N_ATTEMPTS_CANCELLED), 1);
 	clear_scene(&scene);
 }
 
@@ -393,7 +395,8 @@
 		       id);
 	fake_run_for(scene.world, 1000 * FAKE_MS);
 	assert_int_equal(scene.desk->answers->len, 0);
-	assert_int_equal(fake_counter_value(scene.desk, RR_N_WITHDRAWN), 4);
+	assert_int_equal(
+		fake_counter_value(scene.desk, RR_N_ATTEMPTS_CANCELLED), 4);
 	assert_int_equal(fake_counter_value(scene.desk, RR_N_LATE_REPLIES), 4);
 	clear_scene(&scene);
 }
--- a/tests/test-counters.c
+++ b/tests/test-counters.c
@@ -84,21 +84,21 @@
 	struct rr_context *ctx = rr_new_context(NULL);
 
 	(void)state;
-	assert_int_equal(rr_latency_quantile(ctx, "desk", 0.5), 0);
+	assert_int_equal(rr_latency_quantile_us(ctx, "desk", 0.5), 0);
 	for (int64_t us = 1; us <= 100000; us++)
 		rr_observe_latency(ctx, "desk", us);
 	for (int tenth = 1; tenth < 10; tenth++) {
 		double quantile = tenth / 10.0;
 		double exact = quantile * 100000;
-		int64_t told = rr_latency_quantile(ctx, "desk", quantile);
+		int64_t told = rr_latency_quantile_us(ctx, "desk", quantile);
 
 		assert_true((double)told >= exact);
 		assert_true((double)told <= exact * 1.1);
 	}
 	rr_observe_latency(ctx, "odd", -5);
 	rr_observe_latency(ctx, "odd", INT64_MAX);
-	assert_true(rr_latency_quantile(ctx, "odd", 0) <= 2);
-	assert_true(rr_latency_quantile(ctx, "odd", 1) > 1000000000);
+	assert_true(rr_latency_quantile_us(ctx, "odd", 0) <= 2);
+	assert_true(rr_latency_quantile_us(ctx, "odd", 1) > 1000000000);
 	rr_drop_context(ctx);
 }
 
--- a/tests/test-feed.c
+++ b/tests/test-feed.c
@@ -267,8 +267,8 @@
 	(void)state;
 	feed_answer_ok(scene, RR_FEED_WATCH, "?evacuate/z1@21", 21);
 	feed_assert_events(scene, "evacuate z1 21 ");
-	assert_int_equal(rr_counter_value(scene->ctx, RR_N_ENTRIES_UNREADABLE),
-			 1);
+	assert_int_equal(
+		rr_counter_value(scene->ctx, RR_N_STORE_VALUES_INVALID), 1);
 	feed_drop_fixture(scene);
 }
 
--- a/tests/test-ledger.c
+++ b/tests/test-ledger.c
@@ -435,12 +435,12 @@
 	size_t length;
 	char *bytes;
 
-	for (int i = 0; value->bytes < 900000; i++) {
+	for (int i = 0; value->encoded_size_bound < 900000; i++) {
 		char *name =
 			g_strdup_printf("invoicing/%d-old-%06d", WALL_S, i);
 		const struct rr_ledger_entry entry = {
 			.name = name,
-			.made_s = WALL_S,
+			.created_s = WALL_S,
 			.instance = "c",
 		};
 
@@ -474,7 +474,8 @@
 	number = claim(scene->a, ID, 1);
 	run(scene->a, NULL, 100000);
 	assert_told(scene->a, number, RR_CLAIM_REJECTED, "ledger-unreadable");
-	assert_int_equal(rr_counter_value(scene->a->ctx, RR_N_LEDGER_BAD), 1);
+	assert_int_equal(
+		rr_counter_value(scene->a->ctx, RR_N_LEDGER_VALUES_BAD), 1);
 	bytes = peek_fake_value(scene->store, KEY, &length, &revision);
 	assert_int_equal(length, 8);
 	assert_memory_equal(bytes, "nonsense", 8);
--- a/tests/test-log.c
+++ b/tests/test-log.c
@@ -158,7 +158,7 @@
 	rr_log(ctx, RR_LOG_INFO, "other", RR_FIELD_I64("i", 0));
 	assert_int_equal(book.lines->len, 11);
 	assert_null(strstr(line_of(&book, 10), "left_out"));
-	assert_int_equal(rr_counter_value(ctx, RR_N_LOG_DROPPED), 90);
+	assert_int_equal(rr_counter_value(ctx, RR_N_LOG_LINES_DROPPED), 90);
 	book.now_us += G_USEC_PER_SEC;
 	rr_log(ctx, RR_LOG_INFO, "flood", RR_FIELD_I64("i", 100));
 	assert_non_null(strstr(line_of(&book, 11), "i=100 left_out=90"));
--- a/tests/test-member.c
+++ b/tests/test-member.c
@@ -207,9 +207,9 @@
 	late->from_incarnation = node->incarnation;
 	start_node(node, 1);
 	assert_true(run_until_converged(net, 30 * NET_SECOND) >= 0);
-	stale = rr_counter_value(net->ctx, RR_N_PEER_STALE);
+	stale = rr_counter_value(net->ctx, RR_N_PEER_MESSAGES_STALE);
 	rr_handle_member_message(net->ctx, other->members, net->now_us, late);
-	assert_int_equal(rr_counter_value(net->ctx, RR_N_PEER_STALE),
+	assert_int_equal(rr_counter_value(net->ctx, RR_N_PEER_MESSAGES_STALE),
 			 stale + 1);
 	rr_drop_peer_message(late);
 	drop_member_net(net);
--- a/tests/test-net-peer.c
+++ b/tests/test-net-peer.c
@@ -140,7 +140,7 @@
 		assert_int_equal(g_array_index(b.sequences, uint64_t, i), i);
 	send_sequence(&a, rr_peer_transport_address(b.port), 1, 4u << 20);
 	WAIT_FOR(b.record_bytes == 4u << 20);
-	assert_int_equal(counted(&a, RR_N_PEER_DROPPED), 0);
+	assert_int_equal(counted(&a, RR_N_PEER_MESSAGES_DROPPED), 0);
 	close_station(&a);
 	close_station(&b);
 }
@@ -162,7 +162,7 @@
 	address = g_strdup(rr_peer_transport_address(b.port));
 	close_station(&b);
 	send_sequence(&a, address, 1, 0);
-	WAIT_FOR(counted(&a, RR_N_PEER_DROPPED) == 1);
+	WAIT_FOR(counted(&a, RR_N_PEER_MESSAGES_DROPPED) == 1);
 	open_station(&b, address, NULL);
 	send_sequence(&a, address, 2, 0);
 	WAIT_FOR(b.sequences->len > 0);
@@ -204,7 +204,7 @@
 		g_free(address);
 	}
 	assert_int_equal(counted(&a, RR_G_PEER_LINKS), 256);
-	assert_int_equal(counted(&a, RR_N_PEER_DROPPED), 0);
+	assert_int_equal(counted(&a, RR_N_PEER_MESSAGES_DROPPED), 0);
 	close_station(&a);
 	close_station(&b);
 }
@@ -222,12 +222,12 @@
 		g_strdup_printf("tcp://%s", rr_peer_transport_address(b.port));
 	zmq_connect(dealer, endpoint);
 	zmq_send(dealer, "garbage", 7, 0);
-	WAIT_FOR(counted(&b, RR_N_PEER_BAD) == 1);
+	WAIT_FOR(counted(&b, RR_N_PEER_MESSAGES_BAD) == 1);
 	zmq_send(dealer, "two", 3, ZMQ_SNDMORE);
 	zmq_send(dealer, "frames", 6, 0);
-	WAIT_FOR(counted(&b, RR_N_PEER_BAD) == 2);
+	WAIT_FOR(counted(&b, RR_N_PEER_MESSAGES_BAD) == 2);
 	zmq_send(dealer, "", 0, 0);
-	WAIT_FOR(counted(&b, RR_N_PEER_BAD) == 3);
+	WAIT_FOR(counted(&b, RR_N_PEER_MESSAGES_BAD) == 3);
 	assert_int_equal(b.sequences->len, 0);
 	zmq_close(dealer);
 	zmq_ctx_term(zmq);
@@ -317,9 +317,9 @@
 	expect_traffic(&a, &b);
 	send_sequence(&c, rr_peer_transport_address(b.port), 66, 0);
 	send_sequence(&plain, rr_peer_transport_address(b.port), 67, 0);
-	WAIT_FOR(counted(&b, RR_N_PEER_REFUSED) > 0);
-	WAIT_FOR(counted(&c, RR_N_PEER_DROPPED) == 1);
-	WAIT_FOR(counted(&plain, RR_N_PEER_DROPPED) == 1);
+	WAIT_FOR(counted(&b, RR_N_PEER_AUTH_FAILURES) > 0);
+	WAIT_FOR(counted(&c, RR_N_PEER_MESSAGES_DROPPED) == 1);
+	WAIT_FOR(counted(&plain, RR_N_PEER_MESSAGES_DROPPED) == 1);
 	for (guint i = 0; i < b.sequences->len; i++)
 		assert_int_equal(g_array_index(b.sequences, uint64_t, i), 1);
 	close_station(&a);
@@ -378,7 +378,7 @@
 	keys = use_pair(&old_pair, both);
 	open_station(&stale, NULL, &keys);
 	send_sequence(&stale, rr_peer_transport_address(b.port), 66, 0);
-	WAIT_FOR(counted(&stale, RR_N_PEER_DROPPED) > 0);
+	WAIT_FOR(counted(&stale, RR_N_PEER_MESSAGES_DROPPED) > 0);
 	for (guint i = 0; i < b.sequences->len; i++)
 		assert_int_equal(g_array_index(b.sequences, uint64_t, i), 1);
 	close_station(&a);
--- a/tests/test-replica-client.c
+++ b/tests/test-replica-client.c
@@ -49,7 +49,8 @@
 	raw_run_until(&scene->replies, 2);
 	assert_false(scene->load.reported);
 	assert_int_equal(scene->outcome, RR_GATE_ANSWERED);
-	assert_int_equal(rr_counter_value(scene->ctx, RR_N_BAD_LOADS), 1);
+	assert_int_equal(rr_counter_value(scene->ctx, RR_N_BAD_LOAD_REPORTS),
+			 1);
 	raw_drop(peer);
 	replica_drop_fixture(scene);
 }
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -366,7 +366,7 @@
 	(void)state;
 	body = rr_decode_upstream_body(whole_body, strlen(whole_body), NULL);
 	assert_non_null(body);
-	reply = rr_upstream_reply(body);
+	reply = rr_get_upstream_reply(body);
 	assert_int_equal(reply->status, RR_REPLY_OK);
 	assert_int_equal(reply->version, 7);
 	assert_int_equal(reply->oldest_version, 5);
@@ -490,7 +490,7 @@
 
 		assert_true((body == NULL) == (error != NULL));
 		if (body) {
-			struct rr_reply *reply = rr_upstream_reply(body);
+			struct rr_reply *reply = rr_get_upstream_reply(body);
 
 			assert_int_equal(reply->row_count,
 					 rr_count_rows(reply->rows));
@@ -545,7 +545,7 @@
 	assert_int_equal(decoded.version, cursor.version);
 	assert_int_equal(decoded.map_epoch, cursor.map_epoch);
 	assert_int_equal(decoded.next_key, cursor.next_key);
-	assert_int_equal(decoded.skip, cursor.skip);
+	assert_int_equal(decoded.skip_rows, cursor.skip_rows);
 	assert_false(rr_decode_cursor("officina", text, &decoded, &error));
 	assert_non_null(strstr(error->message, "officina"));
 	g_clear_error(&error);
