--- a/bench/gate.c
+++ b/bench/gate.c
@@ -44,13 +44,15 @@
 	       ",\"evacuated\":%" G_GUINT64_FORMAT
 	       ",\"cold_excess\":%" G_GUINT64_FORMAT
 	       ",\"slot_use\":%.3f,\"p50_ms\":%.1f,\"p99_ms\":%.1f}\n",
-	       scenario->name, experiment->label, seed, mean_value(result),
-	       result->asked, result->in_time, result->late, result->partial,
-	       result->returned, result->refused, result->failed,
-	       result->attempts, result->crashes, result->reports,
-	       result->deadly_late, result->evacuated, result->cold_excess,
-	       result->slot_use, wait_quantile_ms(result, 0.5),
-	       wait_quantile_ms(result, 0.99));
+	       scenario->name, experiment->label, seed,
+	       mean_answer_value(result), result->requests, result->in_time,
+	       result->late, result->partial, result->caller_retries,
+	       result->rejected, result->failed, result->attempts,
+	       result->crashes, result->quarantine_reports,
+	       result->late_queries_of_death, result->evacuated_arrivals,
+	       result->cold_excess, result->slot_use,
+	       latency_quantile_ms(result, 0.5),
+	       latency_quantile_ms(result, 0.99));
 	fflush(stdout);
 }
 
@@ -81,9 +83,10 @@
 	for (uint32_t i = 0; i < experiment->seeds; i++) {
 		struct emulated_result result;
 
-		emulate(scenario, policy, experiment->seed + i, &result);
+		emulate_scenario(scenario, policy, experiment->seed + i,
+				 &result);
 		print_run(scenario, experiment, experiment->seed + i, &result);
-		sum += mean_value(&result);
+		sum += mean_answer_value(&result);
 		clear_emulated_result(&result);
 	}
 	return sum / experiment->seeds;
@@ -147,7 +150,7 @@
 {
 	struct rr_gate_policy policy;
 
-	init_plain_policy(&policy);
+	init_baseline_policy(&policy);
 	scenario.routes[0].max_attempts = 1;
 	experiment.label = "plain";
 	return run_scenario(&scenario, &policy, &experiment);
@@ -164,7 +167,7 @@
 		struct emulated_scenario scenario;
 		double gain;
 
-		draw_scenario(i, &scenario);
+		generate_scenario(i, &scenario);
 		gain = run_scenario(&scenario, &experiment.policy,
 				    &experiment) -
 		       run_plain(scenario, experiment);
@@ -225,7 +228,7 @@
 {
 	struct emulated_scenario scenario;
 
-	draw_scenario((uint32_t)arguments->draw->ival[0], &scenario);
+	generate_scenario((uint32_t)arguments->draw->ival[0], &scenario);
 	print_scenario(&scenario);
 	run_plain(scenario, *experiment);
 	return run_one(&scenario, arguments, experiment);
--- a/bench/gate/emulated-caller.c
+++ b/bench/gate/emulated-caller.c
@@ -24,8 +24,9 @@
 
 static bool is_in_rotation(struct instance *instance)
 {
-	return !instance->unready_us ||
-	       instance->world->now_us - instance->unready_us < NOTICED_US;
+	return !instance->unready_since_us ||
+	       instance->world->now_us - instance->unready_since_us <
+		       NOTICED_US;
 }
 
 /* One of the zone that is in rotation, else of the next zone. */
@@ -57,33 +58,35 @@
 {
 	struct request *request = data;
 	struct world *world = request->world;
-	struct instance *instance = instance_at(world, request->instance);
-	char path[MOST_NAME + 4];
+	struct instance *instance =
+		instance_at(world, request->instance_number);
+	char path[NAME_SIZE + 4];
 	struct rr_gate_request_info ask = {
 		.host = "h",
 		.path = path,
 		.request_id = "id",
-		.fingerprint = { request->deadly ? 1 : 2, request->asks },
+		.fingerprint = { request->is_query_of_death ? 1 : 2,
+				 request->content_id },
 		.deadline_ms =
-			MAX((request->last_us - world->now_us) / 1000, 0),
+			MAX((request->deadline_us - world->now_us) / 1000, 0),
 		.caller_rtt_us = 2 * ms_to_us(world->scenario->caller_ms),
-		.new_connection = request->is_new,
+		.new_connection = request->new_connection,
 		.forward_deadline_us = -1,
 	};
 	uint64_t id;
 
 	ask.path_length = (size_t)g_snprintf(path, sizeof(path), "/%s/1",
 					     request->route->name);
-	instance->taking = request;
+	instance->submitting = request;
 	id = rr_gate_submit(instance->ctx, instance->gate, world->now_us, &ask);
-	if (instance->taking) {
+	if (instance->submitting) {
 		uint64_t *key = g_new(uint64_t, 1);
 
 		*key = id;
-		g_hash_table_insert(instance->open, key, request);
-		instance->taking = NULL;
+		g_hash_table_insert(instance->open_requests, key, request);
+		instance->submitting = NULL;
 	}
-	set_tick(instance);
+	schedule_tick(instance);
 }
 
 static void send_request(struct request *request, int64_t after_us)
@@ -91,11 +94,12 @@
 	struct world *world = request->world;
 	int64_t way = ms_to_us(world->scenario->caller_ms);
 
-	request->number = ++world->next_number;
-	request->instance = draw_instance(world, request->zone)->number;
+	request->number = ++world->last_request_number;
+	request->instance_number = draw_instance(world, request->zone)->number;
 	/* A connection takes a round trip before the request's own way. */
 	push_event(world->events,
-		   world->now_us + after_us + (request->is_new ? 3 : 1) * way,
+		   world->now_us + after_us +
+			   (request->new_connection ? 3 : 1) * way,
 		   take_at_instance, request);
 }
 
@@ -115,7 +119,7 @@
 	bool in_time = wait_us <= ms_to_us(request->route->objective_ms);
 
 	/* Queries of death are not counted. */
-	if (request->deadly) {
+	if (request->is_query_of_death) {
 		g_free(request);
 		return;
 	}
@@ -125,8 +129,8 @@
 		result->late++;
 	if (in_time && share < 1)
 		result->partial++;
-	result->value += value_of_answer(share, in_time);
-	g_array_append_val(result->waits_us, wait_us);
+	result->total_value += value_of_answer(share, in_time);
+	g_array_append_val(result->latencies_us, wait_us);
 	g_free(request);
 }
 
@@ -139,22 +143,22 @@
 
 	if (arrival->status == 200) {
 		take_success(world, request, arrival->share);
-	} else if (++request->tries < MOST_TRIES &&
-		   world->now_us + again_us < request->last_us) {
-		request->is_new = true;
-		world->result->returned += !request->deadly;
+	} else if (++request->n_tries < MOST_TRIES &&
+		   world->now_us + again_us < request->deadline_us) {
+		request->new_connection = true;
+		world->result->caller_retries += !request->is_query_of_death;
 		send_request(request, again_us);
 	} else {
 		/* What is neither answered nor refused is counted as failed. */
 		if (arrival->status == 503)
-			world->result->refused += !request->deadly;
+			world->result->rejected += !request->is_query_of_death;
 		g_free(request);
 	}
 	g_free(arrival);
 }
 
-void take_gate_answer(struct instance *instance, struct request *request,
-		      const struct rr_gate_answer *answer)
+void handle_gate_answer(struct instance *instance, struct request *request,
+			const struct rr_gate_answer *answer)
 {
 	struct world *world = instance->world;
 	struct arrival *arrival = g_new0(struct arrival, 1);
@@ -185,11 +189,11 @@
 	request->world = world;
 	request->route = route;
 	request->zone = (uint32_t)g_rand_int_range(
-		world->arrivals, 0, (gint32)world->scenario->zones);
+		world->arrivals_rand, 0, (gint32)world->scenario->zones);
 	request->started_us = world->now_us;
-	request->last_us = world->now_us + ms_to_us(route->deadline_ms);
-	request->is_new =
-		g_rand_double(world->arrivals) < world->scenario->new_callers;
+	request->deadline_us = world->now_us + ms_to_us(route->deadline_ms);
+	request->new_connection = g_rand_double(world->arrivals_rand) <
+				  world->scenario->new_callers;
 	return request;
 }
 
@@ -198,8 +202,8 @@
 	struct stream *stream = data;
 	struct world *world = stream->world;
 	const struct emulated_route *route = stream->route;
-	double gap_s = -log(1 - g_rand_double(world->arrivals)) / route->per_s /
-		       world->burst;
+	double gap_s = -log(1 - g_rand_double(world->arrivals_rand)) /
+		       route->per_s / world->load_factor;
 	struct request *request;
 
 	if (world->now_us >= world->end_us) {
@@ -209,17 +213,17 @@
 	push_event(world->events, world->now_us + (int64_t)(gap_s * US_PER_S),
 		   begin_request, stream);
 	request = new_request(world, route);
-	request->asks = world->result->asked++;
+	request->content_id = world->result->requests++;
 	send_request(request, 0);
 }
 
-void ask_deadly(struct world *world, uint64_t asks)
+void send_query_of_death(struct world *world, uint64_t asks)
 {
 	struct request *request =
 		new_request(world, &world->scenario->routes[0]);
 
-	request->asks = asks;
-	request->deadly = true;
+	request->content_id = asks;
+	request->is_query_of_death = true;
 	send_request(request, 0);
 }
 
--- a/bench/gate/emulated-crash.c
+++ b/bench/gate/emulated-crash.c
@@ -22,35 +22,35 @@
 		GHashTableIter iter;
 		gpointer value;
 
-		instance->idle[replica->number] = 0;
-		g_hash_table_iter_init(&iter, instance->works);
+		instance->idle_conns[replica->number] = 0;
+		g_hash_table_iter_init(&iter, instance->attempts);
 		while (g_hash_table_iter_next(&iter, NULL, &value)) {
 			struct work *work = value;
 
-			if (work->replica == replica && work->taken &&
-			    !work->over)
+			if (work->replica == replica && work->accepted &&
+			    !work->done)
 				g_ptr_array_add(closed, work);
 		}
 	}
 	for (guint i = 0; i < closed->len; i++)
-		close_work(g_ptr_array_index(closed, i));
+		abort_attempt(g_ptr_array_index(closed, i));
 	g_ptr_array_unref(closed);
 }
 
 void crash_replica(struct replica *replica)
 {
-	if (replica->gone)
+	if (replica->is_down)
 		return;
-	replica->gone = true;
+	replica->is_down = true;
 	replica->world->result->crashes++;
 	close_works(replica);
 }
 
 void restart_replica(struct replica *replica, int64_t after_us)
 {
-	replica->gone = false;
-	replica->born_ms += 1 + after_us / 1000;
-	tell_rebirth_later(replica);
+	replica->is_down = false;
+	replica->started_ms += 1 + after_us / 1000;
+	announce_restart_later(replica);
 }
 
 static void restart(void *context, void *data)
@@ -58,28 +58,30 @@
 	restart_replica(data, RESTART_US);
 }
 
-void crash_under(struct work *work)
+void crash_on_query_of_death(struct work *work)
 {
 	struct replica *replica = work->replica;
 	struct world *world = replica->world;
 
-	if (replica->gone)
+	if (replica->is_down)
 		return;
 	crash_replica(replica);
-	if (++world->deadly_crashes == 3)
-		world->third_us = world->now_us;
+	if (++world->query_of_death_crashes == 3)
+		world->third_crash_us = world->now_us;
 	push_event(world->events, world->now_us + RESTART_US, restart, replica);
 }
 
-void note_deadly_arrival(const struct work *work)
+void count_late_query_of_death(const struct work *work)
 {
 	struct world *world = work->world;
 
-	if (!world->third_us || world->now_us < world->third_us + SETTLED_US)
+	if (!world->third_crash_us ||
+	    world->now_us < world->third_crash_us + SETTLED_US)
 		return;
-	if (g_hash_table_add(world->late,
-			     g_memdup2(&work->request, sizeof(work->request))))
-		world->result->deadly_late++;
+	if (g_hash_table_add(world->late_numbers,
+			     g_memdup2(&work->request_number,
+				       sizeof(work->request_number))))
+		world->result->late_queries_of_death++;
 }
 
 /* Requests that were sent before an evacuation have arrived after this. */
@@ -100,18 +102,18 @@
 	return n;
 }
 
-void check_arrival(const struct work *work)
+void count_limit_violations(const struct work *work)
 {
 	struct replica *replica = work->replica;
 	struct world *world = replica->world;
 
 	if ((int)replica->zone == world->evacuated_zone &&
-	    world->now_us - world->evacuated_us >= IN_TRANSIT_US)
-		world->result->evacuated++;
+	    world->now_us - world->evacuation_changed_us >= IN_TRANSIT_US)
+		world->result->evacuated_arrivals++;
 	if (world->now_us >= replica->cold_until_us)
 		return;
 	g_array_append_val(replica->arrivals_us, world->now_us);
-	if (count_last_second(replica) > cold_bound(world))
+	if (count_last_second(replica) > max_cold_per_s(world))
 		world->result->cold_excess++;
 }
 
@@ -134,7 +136,7 @@
 		rr_gate_apply_quarantine(instance->ctx, instance->gate,
 					 world->now_us, &news->fingerprint,
 					 news->entry);
-		set_tick(instance);
+		schedule_tick(instance);
 	}
 	rr_free_quarantine_entry(news->entry);
 	g_free(news);
@@ -144,8 +146,8 @@
 static bool is_known(const struct world *world,
 		     const struct rr_quarantine_entry *entry)
 {
-	const struct rr_quarantine_entry *known =
-		g_hash_table_lookup(world->entries, &entry->fingerprint.low);
+	const struct rr_quarantine_entry *known = g_hash_table_lookup(
+		world->quarantine_entries, &entry->fingerprint.low);
 
 	return known && known->quarantined >= entry->quarantined &&
 	       g_strv_length(known->crashed) >= g_strv_length(entry->crashed);
@@ -156,7 +158,8 @@
 {
 	struct rr_quarantine_entry *copy = rr_copy_quarantine_entry(entry);
 
-	g_hash_table_replace(world->entries, &copy->fingerprint.low, copy);
+	g_hash_table_replace(world->quarantine_entries, &copy->fingerprint.low,
+			     copy);
 }
 
 void free_entry(gpointer data)
@@ -164,13 +167,14 @@
 	rr_free_quarantine_entry(data);
 }
 
-void report_to_store(void *data, const struct rr_quarantine_report *report)
+void write_quarantine_report(void *data,
+			     const struct rr_quarantine_report *report)
 {
 	const struct instance *instance = data;
 	struct world *world = instance->world;
 	struct news *news;
 
-	world->result->reports++;
+	world->result->quarantine_reports++;
 	/* Runs are shorter than the wait for a trial. */
 	if (report->claim ||
 	    (!report->released && is_known(world, report->entry)))
@@ -179,7 +183,8 @@
 	news->world = world;
 	news->fingerprint = report->entry->fingerprint;
 	if (report->released) {
-		g_hash_table_remove(world->entries, &news->fingerprint.low);
+		g_hash_table_remove(world->quarantine_entries,
+				    &news->fingerprint.low);
 	} else {
 		news->entry = rr_copy_quarantine_entry(report->entry);
 		write_entry(world, report->entry);
--- a/bench/gate/emulated-fault.c
+++ b/bench/gate/emulated-fault.c
@@ -16,34 +16,34 @@
 			   const struct emulated_fault *fault, bool on)
 {
 	switch (fault->kind) {
-	case TROUBLE_SLOW:
-		replica->slow = on ? fault->x : 1;
+	case FAULT_SLOW:
+		replica->slowdown_factor = on ? fault->x : 1;
 		return;
-	case TROUBLE_SILENT:
-		replica->silent = on;
+	case FAULT_UNRESPONSIVE:
+		replica->unresponsive = on;
 		return;
-	case TROUBLE_GONE:
-	case TROUBLE_REBORN:
-		replica->gone = on;
+	case FAULT_DOWN:
+	case FAULT_RESTART:
+		replica->is_down = on;
 		return;
-	case TROUBLE_CRASH:
+	case FAULT_CRASH:
 		if (on)
 			crash_replica(replica);
 		else
 			restart_replica(replica,
 					(int64_t)(fault->for_s * US_PER_S));
 		return;
-	case TROUBLE_SHED:
-		replica->shed = on ? fault->x : 0;
+	case FAULT_SHED:
+		replica->shed_share = on ? fault->x : 0;
 		return;
-	case TROUBLE_FAIL:
-		replica->fail = on ? fault->x : 0;
+	case FAULT_ERRORS:
+		replica->error_share = on ? fault->x : 0;
 		return;
-	case TROUBLE_CUT:
-	case TROUBLE_BURST:
-	case TROUBLE_DEADLY:
-	case TROUBLE_EVACUATE:
-	case N_TROUBLES:
+	case FAULT_ZONE_ISOLATED:
+	case FAULT_BURST:
+	case FAULT_QUERY_OF_DEATH:
+	case FAULT_EVACUATE:
+	case N_FAULT_KINDS:
 		return;
 	}
 }
@@ -55,13 +55,13 @@
 
 	/* Its id is that of the lifetime before: it is known only from here. */
 	if (world->scenario->cold_per_s > 0)
-		replica->cold_until_us = world->now_us + COLD_US;
+		replica->cold_until_us = world->now_us + COLD_PERIOD_US;
 	for (guint i = 0; i < world->instances->len; i++)
-		list_replica(g_ptr_array_index(world->instances, i), replica,
-			     false);
+		announce_replica(g_ptr_array_index(world->instances, i),
+				 replica, false);
 }
 
-void tell_rebirth_later(struct replica *replica)
+void announce_restart_later(struct replica *replica)
 {
 	push_event(replica->world->events, replica->world->now_us + NEWS_US,
 		   tell_rebirth, replica);
@@ -73,7 +73,7 @@
 
 	g_snprintf(name, sizeof(name), "z%u", zone);
 	world->evacuated_zone = in_force ? (int)zone : -1;
-	world->evacuated_us = world->now_us;
+	world->evacuation_changed_us = world->now_us;
 	for (guint i = 0; i < world->instances->len; i++) {
 		struct instance *instance =
 			g_ptr_array_index(world->instances, i);
@@ -81,7 +81,7 @@
 		rr_gate_set_evacuation(instance->ctx, instance->gate,
 				       world->now_us, name,
 				       (uint64_t)world->now_us, in_force);
-		set_tick(instance);
+		schedule_tick(instance);
 	}
 }
 
@@ -90,20 +90,21 @@
 	struct trouble *trouble = data;
 	struct world *world = trouble->world;
 
-	if (trouble->fault->kind == TROUBLE_CUT)
-		world->cut_zone = -1;
-	if (trouble->fault->kind == TROUBLE_BURST)
-		world->burst = 1;
-	if (trouble->fault->kind == TROUBLE_EVACUATE)
+	if (trouble->fault->kind == FAULT_ZONE_ISOLATED)
+		world->isolated_zone = -1;
+	if (trouble->fault->kind == FAULT_BURST)
+		world->load_factor = 1;
+	if (trouble->fault->kind == FAULT_EVACUATE)
 		set_evacuated(world, (uint32_t)trouble->fault->x, false);
 	for (guint i = 0; i < trouble->hit->len; i++) {
 		struct replica *replica = g_ptr_array_index(trouble->hit, i);
 
 		set_on_replica(replica, trouble->fault, false);
-		if (trouble->fault->kind != TROUBLE_REBORN)
+		if (trouble->fault->kind != FAULT_RESTART)
 			continue;
-		replica->born_ms += 1 + (int64_t)(trouble->fault->for_s * 1000);
-		tell_rebirth_later(replica);
+		replica->started_ms +=
+			1 + (int64_t)(trouble->fault->for_s * 1000);
+		announce_restart_later(replica);
 	}
 	g_ptr_array_unref(trouble->hit);
 	g_free(trouble);
@@ -125,7 +126,7 @@
 		g_free(visits);
 		return;
 	}
-	ask_deadly(world, (uint64_t)(visits->fault - faults));
+	send_query_of_death(world, (uint64_t)(visits->fault - faults));
 	push_event(world->events,
 		   world->now_us + (int64_t)(visits->fault->x * US_PER_S),
 		   visit, visits);
@@ -147,7 +148,7 @@
 {
 	if (fault->shard >= 0 && replica->shard != (uint32_t)fault->shard)
 		return false;
-	return g_rand_double(world->layout) < fault->share;
+	return g_rand_double(world->layout_rand) < fault->share;
 }
 
 static void begin_trouble(void *context, void *data)
@@ -156,13 +157,13 @@
 	struct world *world = trouble->world;
 	const struct emulated_fault *fault = trouble->fault;
 
-	if (fault->kind == TROUBLE_CUT)
-		world->cut_zone = (int)fault->x;
-	if (fault->kind == TROUBLE_BURST)
-		world->burst = MAX(fault->x, 0.01);
-	if (fault->kind == TROUBLE_EVACUATE)
+	if (fault->kind == FAULT_ZONE_ISOLATED)
+		world->isolated_zone = (int)fault->x;
+	if (fault->kind == FAULT_BURST)
+		world->load_factor = MAX(fault->x, 0.01);
+	if (fault->kind == FAULT_EVACUATE)
 		set_evacuated(world, (uint32_t)fault->x, true);
-	if (fault->kind == TROUBLE_DEADLY)
+	if (fault->kind == FAULT_QUERY_OF_DEATH)
 		begin_visits(world, fault);
 	for (guint i = 0; i < world->replicas->len; i++) {
 		struct replica *replica = g_ptr_array_index(world->replicas, i);
@@ -177,7 +178,7 @@
 		   end_trouble, trouble);
 }
 
-void start_faults(struct world *world)
+void schedule_faults(struct world *world)
 {
 	for (uint32_t i = 0; i < world->scenario->n_faults; i++) {
 		struct trouble *trouble = g_new0(struct trouble, 1);
--- a/bench/gate/emulated-replica.c
+++ b/bench/gate/emulated-replica.c
@@ -10,12 +10,12 @@
 #define SPEED_SPREAD 0.5
 #define LEAST_SPEED 0.8
 
-void keep_work(struct work *work)
+void keep_attempt(struct work *work)
 {
 	work->refs++;
 }
 
-void drop_work(struct work *work)
+void drop_attempt(struct work *work)
 {
 	if (!--work->refs)
 		g_free(work);
@@ -36,16 +36,17 @@
 		replica->zone = (replica->shard + i % per_shard) %
 				(uint32_t)scenario->zones;
 		replica->id = g_strdup_printf("r%u", i);
-		replica->born_ms = FIRST_BORN_MS;
-		replica->speed = LEAST_SPEED +
-				 SPEED_SPREAD * g_rand_double(world->layout);
-		replica->slow = 1;
+		replica->started_ms = FIRST_BORN_MS;
+		replica->service_time_factor =
+			LEAST_SPEED +
+			SPEED_SPREAD * g_rand_double(world->layout_rand);
+		replica->slowdown_factor = 1;
 		replica->pause_offset_us =
-			(int64_t)(g_rand_double(world->layout) *
+			(int64_t)(g_rand_double(world->layout_rand) *
 				  ms_to_us(scenario->pause_every_ms));
 		replica->arrivals_us =
 			g_array_new(FALSE, FALSE, sizeof(int64_t));
-		g_queue_init(&replica->waiting);
+		g_queue_init(&replica->queue);
 		g_ptr_array_add(world->replicas, replica);
 	}
 }
@@ -55,22 +56,22 @@
 	struct replica *replica = data;
 	struct work *work;
 
-	while ((work = g_queue_pop_head(&replica->waiting)))
-		drop_work(work);
+	while ((work = g_queue_pop_head(&replica->queue)))
+		drop_attempt(work);
 	g_array_unref(replica->arrivals_us);
 	g_free(replica->id);
 	g_free(replica);
 }
 
-void list_replica(struct instance *instance, const struct replica *replica,
-		  bool draining)
+void announce_replica(struct instance *instance, const struct replica *replica,
+		      bool draining)
 {
 	char service[16];
 	char address[32];
 	char zone[16];
 	struct rr_endpoint_info listing = {
 		.id = replica->id,
-		.started_ms = replica->born_ms,
+		.started_ms = replica->started_ms,
 		.service = service,
 		.address = address,
 		.zone = zone,
@@ -88,7 +89,7 @@
 	g_snprintf(zone, sizeof(zone), "z%u", replica->zone);
 	rr_gate_update_endpoint(instance->ctx, instance->gate,
 				instance->world->now_us, &listing);
-	set_tick(instance);
+	schedule_tick(instance);
 }
 
 /* When work of so long ends that begins now: a pause stops it. */
@@ -117,13 +118,14 @@
 static void start_work(struct replica *replica, struct work *work)
 {
 	struct world *world = replica->world;
-	double work_us = work->work_us * replica->speed * replica->slow;
+	double work_us = work->work_us * replica->service_time_factor *
+			 replica->slowdown_factor;
 	int64_t end_us = end_of(replica, work_us);
 
 	work->running = true;
-	replica->busy++;
-	replica->used_us += (int64_t)work_us;
-	keep_work(work);
+	replica->busy_slots++;
+	replica->slot_used_us += (int64_t)work_us;
+	keep_attempt(work);
 	push_event(world->events, end_us, end_work, work);
 }
 
@@ -131,11 +133,11 @@
 {
 	uint32_t slots = (uint32_t)replica->world->scenario->slots;
 
-	while (replica->busy < slots && replica->waiting.length) {
-		struct work *work = g_queue_pop_head(&replica->waiting);
+	while (replica->busy_slots < slots && replica->queue.length) {
+		struct work *work = g_queue_pop_head(&replica->queue);
 
 		start_work(replica, work);
-		drop_work(work);
+		drop_attempt(work);
 	}
 }
 
@@ -153,7 +155,7 @@
 
 	reply_to_gate(reply->work, reply->outcome, reply->status,
 		      reply->unreachable);
-	drop_work(reply->work);
+	drop_attempt(reply->work);
 	g_free(reply);
 }
 
@@ -162,19 +164,19 @@
 {
 	struct world *world = work->world;
 	const struct instance *instance =
-		g_ptr_array_index(world->instances, work->instance);
+		g_ptr_array_index(world->instances, work->instance_number);
 	int64_t back_us = way_us(world, work->replica->zone, instance->zone);
 	struct reply *reply;
 
-	work->over = true;
-	if (work->withdrawn || back_us < 0)
+	work->done = true;
+	if (work->cancelled || back_us < 0)
 		return;
 	reply = g_new0(struct reply, 1);
 	reply->work = work;
 	reply->outcome = outcome;
 	reply->status = status;
 	reply->unreachable = unreachable;
-	keep_work(work);
+	keep_attempt(work);
 	push_event(world->events, world->now_us + back_us, deliver, reply);
 }
 
@@ -185,69 +187,70 @@
 
 	if (work->running) {
 		work->running = false;
-		replica->busy--;
-		if (work->deadly)
-			crash_under(work);
-		if (!replica->silent && !replica->gone)
+		replica->busy_slots--;
+		if (work->is_query_of_death)
+			crash_on_query_of_death(work);
+		if (!replica->unresponsive && !replica->is_down)
 			send_reply(work, RR_GATE_ANSWERED,
-				   draw_unit(replica->world) < replica->fail ?
+				   draw_uniform(replica->world) <
+						   replica->error_share ?
 					   500 :
 					   200,
 				   false);
 		start_next(replica);
 	}
-	drop_work(work);
+	drop_attempt(work);
 }
 
-void close_work(struct work *work)
+void abort_attempt(struct work *work)
 {
 	struct replica *replica = work->replica;
 
 	if (work->running) {
 		work->running = false;
-		replica->busy--;
-	} else if (g_queue_remove(&replica->waiting, work)) {
+		replica->busy_slots--;
+	} else if (g_queue_remove(&replica->queue, work)) {
 		work->refs--; /* the queue's, and not the last one */
 	}
 	send_reply(work, RR_GATE_BROKEN, 0, false);
 }
 
-void arrive_at_replica(void *context, void *data)
+void handle_attempt_arrival(void *context, void *data)
 {
 	struct work *work = data;
 	struct replica *replica = work->replica;
 
-	if (replica->gone) {
+	if (replica->is_down) {
 		send_reply(work, RR_GATE_UNSENT, 0, true);
-	} else if (!replica->silent && !work->withdrawn) {
-		check_arrival(work);
-		if (draw_unit(replica->world) < replica->shed ||
-		    replica->waiting.length >=
+	} else if (!replica->unresponsive && !work->cancelled) {
+		count_limit_violations(work);
+		if (draw_uniform(replica->world) < replica->shed_share ||
+		    replica->queue.length >=
 			    (guint)replica->world->scenario->queue) {
 			send_reply(work, RR_GATE_REJECTED, 503, false);
 		} else {
-			if (work->deadly)
-				note_deadly_arrival(work);
-			work->taken = true;
-			keep_work(work);
-			g_queue_push_tail(&replica->waiting, work);
+			if (work->is_query_of_death)
+				count_late_query_of_death(work);
+			work->accepted = true;
+			keep_attempt(work);
+			g_queue_push_tail(&replica->queue, work);
 			start_next(replica);
 		}
 	}
-	drop_work(work);
+	drop_attempt(work);
 }
 
-void leave_replica(void *context, void *data)
+void handle_attempt_cancel(void *context, void *data)
 {
 	struct work *work = data;
 	struct replica *replica = work->replica;
 
 	if (work->running) {
 		work->running = false;
-		replica->busy--;
+		replica->busy_slots--;
 		start_next(replica);
-	} else if (g_queue_remove(&replica->waiting, work)) {
+	} else if (g_queue_remove(&replica->queue, work)) {
 		work->refs--; /* the queue's, and not the last one */
 	}
-	drop_work(work);
+	drop_attempt(work);
 }
--- a/bench/gate/emulator-private.h
+++ b/bench/gate/emulator-private.h
@@ -11,7 +11,7 @@
 #define US_PER_MS 1000.0
 #define US_PER_S 1000000.0
 /* How long a replica is cold after a restart. */
-#define COLD_US INT64_C(3000000)
+#define COLD_PERIOD_US INT64_C(3000000)
 
 struct world;
 struct work;
@@ -22,34 +22,34 @@
 	uint32_t shard;
 	uint32_t zone;
 	char *id;
-	int64_t born_ms;
+	int64_t started_ms;
 	int64_t cold_until_us;
 	GArray *arrivals_us; /* int64_t, while it is cold */
-	double speed;
+	double service_time_factor;
 	int64_t pause_offset_us;
-	double slow;
-	bool silent;
-	bool gone;
-	double shed;
-	double fail;
-	uint32_t busy;
-	GQueue waiting;	 /* struct work */
-	int64_t used_us; /* of its slots */
+	double slowdown_factor;
+	bool unresponsive;
+	bool is_down;
+	double shed_share;
+	double error_share;
+	uint32_t busy_slots;
+	GQueue queue;	      /* struct work */
+	int64_t slot_used_us; /* of its slots */
 };
 
 /* An attempt, from its sending to its reply. */
 struct work {
 	struct world *world;
-	uint64_t attempt;
-	uint64_t request; /* number of its caller's attempt */
-	uint32_t instance;
+	uint64_t attempt_id;
+	uint64_t request_number; /* number of its caller's attempt */
+	uint32_t instance_number;
 	struct replica *replica;
 	double work_us;
-	bool deadly;
-	bool taken; /* by its replica */
+	bool is_query_of_death;
+	bool accepted; /* by its replica */
 	bool running;
-	bool withdrawn;
-	bool over; /* its reply is on the way, or lost */
+	bool cancelled;
+	bool done; /* its reply is on the way, or lost */
 	int refs;
 };
 
@@ -59,26 +59,26 @@
 	uint32_t zone;
 	struct rr_context *ctx;
 	struct rr_gate *gate;
-	GHashTable *open;  /* gate's id -> struct request */
-	GHashTable *works; /* attempt -> struct work */
-	struct request *taking;
-	uint32_t *idle;	 /* connections at rest, by replica */
-	int64_t tick_us; /* of the next tick that is set */
-	int64_t unready_us;
+	GHashTable *open_requests; /* gate's id -> struct request */
+	GHashTable *attempts;	   /* attempt -> struct work */
+	struct request *submitting;
+	uint32_t *idle_conns; /* connections at rest, by replica */
+	int64_t next_tick_us; /* of the next tick that is set */
+	int64_t unready_since_us;
 };
 
 struct request {
 	struct world *world;
 	const struct emulated_route *route;
-	uint64_t number; /* of this attempt of its caller */
-	uint64_t asks;	 /* content, the same in each attempt */
-	bool deadly;
+	uint64_t number;     /* of this attempt of its caller */
+	uint64_t content_id; /* content, the same in each attempt */
+	bool is_query_of_death;
 	uint32_t zone;
-	uint32_t tries;
-	uint32_t instance;
+	uint32_t n_tries;
+	uint32_t instance_number;
 	int64_t started_us;
-	int64_t last_us; /* then its caller gives up */
-	bool is_new;	 /* its connection */
+	int64_t deadline_us; /* then its caller gives up */
+	bool new_connection; /* its connection */
 };
 
 struct world {
@@ -90,30 +90,30 @@
 	int64_t end_us;
 	GRand *rand;
 	/* Of their own, so that they are the same ones by any policy. */
-	GRand *arrivals;
-	GRand *layout;	      /* speeds, pauses, and whom a trouble hits */
+	GRand *arrivals_rand;
+	GRand *layout_rand;   /* speeds, pauses, and whom a trouble hits */
 	GPtrArray *replicas;  /* struct replica */
 	GPtrArray *instances; /* struct instance */
-	int cut_zone;	      /* -1: none */
-	double burst;
+	int isolated_zone;    /* -1: none */
+	double load_factor;
 	int evacuated_zone; /* or -1 */
-	int64_t evacuated_us;
-	uint64_t next_number; /* of requests */
-	uint64_t deadly_crashes;
-	int64_t third_us; /* when the third of these was; 0: not yet */
-	GHashTable *late; /* numbers counted in deadly_late */
-	GHashTable
-		*entries; /* low half of a fingerprint -> the store's entry */
+	int64_t evacuation_changed_us;
+	uint64_t last_request_number; /* of requests */
+	uint64_t query_of_death_crashes;
+	int64_t third_crash_us;	  /* when the third of these was; 0: not yet */
+	GHashTable *late_numbers; /* numbers counted in deadly_late */
+	GHashTable *
+		quarantine_entries; /* low half of a fingerprint -> the store's entry */
 };
 
 /* emulator.c */
 int64_t ms_to_us(double ms);
-double draw_unit(struct world *world);
+double draw_uniform(struct world *world);
 /* Bound on requests to a cold replica in any second, or 0. */
-double cold_bound(const struct world *world);
+double max_cold_per_s(const struct world *world);
 /* One way; -1 where nothing passes. */
 int64_t way_us(const struct world *world, uint32_t from, uint32_t to);
-void set_tick(struct instance *instance);
+void schedule_tick(struct instance *instance);
 void reply_to_gate(struct work *work, enum rr_gate_outcome outcome,
 		   uint16_t status, bool unreachable);
 
@@ -121,16 +121,16 @@
 void start_replicas(struct world *world);
 void drop_replica(gpointer replica);
 /* An attempt arrives. */
-void arrive_at_replica(void *context, void *work);
+void handle_attempt_arrival(void *context, void *work);
 /* Its connection has closed. */
-void leave_replica(void *context, void *work);
-void keep_work(struct work *work);
-void drop_work(struct work *work);
-void list_replica(struct instance *instance, const struct replica *replica,
-		  bool draining);
+void handle_attempt_cancel(void *context, void *work);
+void keep_attempt(struct work *work);
+void drop_attempt(struct work *work);
+void announce_replica(struct instance *instance, const struct replica *replica,
+		      bool draining);
 
 /* Its connection closes: it has no answer, and never will. */
-void close_work(struct work *work);
+void abort_attempt(struct work *work);
 
 /* emulated-crash.c */
 /* Its connections close, and new ones are refused. */
@@ -138,23 +138,24 @@
 /* Start a new lifetime after so much downtime. */
 void restart_replica(struct replica *replica, int64_t after_us);
 /* A query of death crashes its replica. */
-void crash_under(struct work *work);
-void note_deadly_arrival(const struct work *work);
+void crash_on_query_of_death(struct work *work);
+void count_late_query_of_death(const struct work *work);
 /* Count a request against the bounds of evacuated zones and cold replicas. */
-void check_arrival(const struct work *work);
+void count_limit_violations(const struct work *work);
 void free_entry(gpointer entry);
-void report_to_store(void *instance, const struct rr_quarantine_report *report);
+void write_quarantine_report(void *instance,
+			     const struct rr_quarantine_report *report);
 
 /* emulated-caller.c */
 void start_callers(struct world *world);
 /* Send a query of death with this content. */
-void ask_deadly(struct world *world, uint64_t asks);
-void take_gate_answer(struct instance *instance, struct request *request,
-		      const struct rr_gate_answer *answer);
+void send_query_of_death(struct world *world, uint64_t asks);
+void handle_gate_answer(struct instance *instance, struct request *request,
+			const struct rr_gate_answer *answer);
 
 /* emulated-fault.c */
-void start_faults(struct world *world);
+void schedule_faults(struct world *world);
 /* Announce its new lifetime to all instances. */
-void tell_rebirth_later(struct replica *replica);
+void announce_restart_later(struct replica *replica);
 
 #endif
--- a/bench/gate/emulator.c
+++ b/bench/gate/emulator.c
@@ -21,7 +21,7 @@
 	return (int64_t)(ms * US_PER_MS);
 }
 
-double draw_unit(struct world *world)
+double draw_uniform(struct world *world)
 {
 	return g_rand_double(world->rand);
 }
@@ -30,12 +30,13 @@
 {
 	if (from == to)
 		return NEAR_US;
-	if ((int)from == world->cut_zone || (int)to == world->cut_zone)
+	if ((int)from == world->isolated_zone ||
+	    (int)to == world->isolated_zone)
 		return -1;
 	return ms_to_us(world->scenario->far_ms);
 }
 
-double cold_bound(const struct world *world)
+double max_cold_per_s(const struct world *world)
 {
 	double per_s = world->scenario->cold_per_s;
 
@@ -50,30 +51,30 @@
 	int64_t now_us = instance->world->now_us;
 
 	/* One set for later: an earlier tick has come since. */
-	if (instance->tick_us != now_us)
+	if (instance->next_tick_us != now_us)
 		return;
-	instance->tick_us = INT64_MAX;
+	instance->next_tick_us = INT64_MAX;
 	if (rr_gate_next_tick_us(instance->gate) <= now_us)
 		rr_gate_tick(instance->ctx, instance->gate, now_us);
-	set_tick(instance);
+	schedule_tick(instance);
 }
 
-void set_tick(struct instance *instance)
+void schedule_tick(struct instance *instance)
 {
 	struct world *world = instance->world;
 	int64_t wake_us = rr_gate_next_tick_us(instance->gate);
 	const char *reason;
 
 	if (rr_gate_is_ready(instance->gate, &reason))
-		instance->unready_us = 0;
-	else if (!instance->unready_us)
-		instance->unready_us = world->now_us;
+		instance->unready_since_us = 0;
+	else if (!instance->unready_since_us)
+		instance->unready_since_us = world->now_us;
 	if (wake_us == INT64_MAX)
 		return;
 	wake_us = MAX(wake_us, world->now_us);
-	if (wake_us >= instance->tick_us)
+	if (wake_us >= instance->next_tick_us)
 		return;
-	instance->tick_us = wake_us;
+	instance->next_tick_us = wake_us;
 	push_event(world->events, wake_us, tick, instance);
 }
 
@@ -91,7 +92,7 @@
 {
 	double mean_us = route->work_ms * US_PER_MS;
 
-	return mean_us * (0.5 - 0.5 * log(1 - draw_unit(world)));
+	return mean_us * (0.5 - 0.5 * log(1 - draw_uniform(world)));
 }
 
 static void give_up_connecting(void *context, void *data)
@@ -99,7 +100,7 @@
 	struct work *work = data;
 
 	reply_to_gate(work, RR_GATE_UNSENT, 0, true);
-	drop_work(work);
+	drop_attempt(work);
 }
 
 /* How long until the request is at the replica; -1: it never is. */
@@ -107,22 +108,23 @@
 {
 	struct world *world = instance->world;
 	int64_t way = way_us(world, instance->zone, replica->zone);
-	uint32_t *idle = &instance->idle[replica->number];
+	uint32_t *idle = &instance->idle_conns[replica->number];
 
-	if (*idle && !replica->gone) {
+	if (*idle && !replica->is_down) {
 		--*idle;
-		return way < 0 || replica->silent ? INT64_MAX : way;
+		return way < 0 || replica->unresponsive ? INT64_MAX : way;
 	}
-	if (way < 0 || replica->silent)
+	if (way < 0 || replica->unresponsive)
 		return -1;
 	return 3 * way + ms_to_us(world->scenario->connect_ms);
 }
 
 static struct request *find_request(struct instance *instance, uint64_t id)
 {
-	struct request *request = g_hash_table_lookup(instance->open, &id);
+	struct request *request =
+		g_hash_table_lookup(instance->open_requests, &id);
 
-	return request ? request : instance->taking;
+	return request ? request : instance->submitting;
 }
 
 static void send_attempt(void *data, const struct rr_gate_attempt_info *send)
@@ -134,44 +136,45 @@
 	int64_t after_us;
 
 	work->world = world;
-	work->attempt = send->attempt;
-	work->instance = instance->number;
+	work->attempt_id = send->attempt;
+	work->instance_number = instance->number;
 	work->replica = replica_of(world, send->incarnation);
-	work->request = request->number;
-	work->deadly = request->deadly;
+	work->request_number = request->number;
+	work->is_query_of_death = request->is_query_of_death;
 	work->work_us = draw_work_us(world, request->route);
 	work->refs = 1;
-	g_hash_table_insert(instance->works, &work->attempt, work);
+	g_hash_table_insert(instance->attempts, &work->attempt_id, work);
 	world->result->attempts++;
 	after_us = time_to(instance, work->replica);
 	if (after_us == INT64_MAX)
 		return;
-	keep_work(work);
+	keep_attempt(work);
 	if (after_us < 0)
 		push_event(world->events, world->now_us + CONNECT_TIMEOUT_US,
 			   give_up_connecting, work);
 	else
 		push_event(world->events, world->now_us + after_us,
-			   arrive_at_replica, work);
+			   handle_attempt_arrival, work);
 }
 
 static void withdraw(void *data, uint64_t attempt)
 {
 	struct instance *instance = data;
 	struct world *world = instance->world;
-	struct work *work = g_hash_table_lookup(instance->works, &attempt);
+	struct work *work = g_hash_table_lookup(instance->attempts, &attempt);
 	int64_t way;
 
 	if (!work)
 		return;
-	work->withdrawn = true;
+	work->cancelled = true;
 	way = way_us(world, instance->zone, work->replica->zone);
-	g_hash_table_remove(instance->works, &attempt);
+	g_hash_table_remove(instance->attempts, &attempt);
 	if (way < 0) {
-		drop_work(work);
+		drop_attempt(work);
 		return;
 	}
-	push_event(world->events, world->now_us + way, leave_replica, work);
+	push_event(world->events, world->now_us + way, handle_attempt_cancel,
+		   work);
 }
 
 static bool recall(void *data, uint64_t attempt)
@@ -184,10 +187,10 @@
 	struct instance *instance = data;
 	struct request *request = find_request(instance, answer->request);
 
-	if (request == instance->taking)
-		instance->taking = NULL;
-	g_hash_table_remove(instance->open, &answer->request);
-	take_gate_answer(instance, request, answer);
+	if (request == instance->submitting)
+		instance->submitting = NULL;
+	g_hash_table_remove(instance->open_requests, &answer->request);
+	handle_gate_answer(instance, request, answer);
 }
 
 static void open_connection(void *data, const char *lifetime,
@@ -196,7 +199,7 @@
 	struct instance *instance = data;
 	const struct replica *replica = replica_of(instance->world, lifetime);
 
-	instance->idle[replica->number] = 1;
+	instance->idle_conns[replica->number] = 1;
 }
 
 struct probe {
@@ -213,7 +216,7 @@
 	rr_gate_handle_probe_result(instance->ctx, instance->gate,
 				    instance->world->now_us, probe->lifetime,
 				    probe->reached);
-	set_tick(instance);
+	schedule_tick(instance);
 	g_free(probe->lifetime);
 	g_free(probe);
 }
@@ -228,9 +231,10 @@
 
 	probe->instance = instance;
 	probe->lifetime = g_strdup(lifetime);
-	probe->reached = way >= 0 && !replica->silent && !replica->gone;
+	probe->reached =
+		way >= 0 && !replica->unresponsive && !replica->is_down;
 	push_event(world->events,
-		   world->now_us + (probe->reached || replica->gone ?
+		   world->now_us + (probe->reached || replica->is_down ?
 					    2 * MAX(way, NEAR_US) :
 					    CONNECT_TIMEOUT_US),
 		   end_probe, probe);
@@ -240,7 +244,7 @@
 {
 	struct instance *instance = data;
 
-	instance->idle[replica_of(instance->world, lifetime)->number] = 0;
+	instance->idle_conns[replica_of(instance->world, lifetime)->number] = 0;
 }
 
 void reply_to_gate(struct work *work, enum rr_gate_outcome outcome,
@@ -248,10 +252,10 @@
 {
 	struct world *world = work->world;
 	struct instance *instance =
-		g_ptr_array_index(world->instances, work->instance);
+		g_ptr_array_index(world->instances, work->instance_number);
 	static const uint8_t record[16] = { 'r' };
 	struct rr_gate_reply reply = {
-		.attempt = work->attempt,
+		.attempt = work->attempt_id,
 		.outcome = outcome,
 		.status = status,
 		.signature = "seal",
@@ -261,14 +265,14 @@
 		.connection_closed = outcome == RR_GATE_BROKEN,
 	};
 
-	if (work->withdrawn)
+	if (work->cancelled)
 		return;
 	if (outcome == RR_GATE_ANSWERED || outcome == RR_GATE_REJECTED)
-		instance->idle[work->replica->number]++;
-	g_hash_table_remove(instance->works, &work->attempt);
+		instance->idle_conns[work->replica->number]++;
+	g_hash_table_remove(instance->attempts, &work->attempt_id);
 	rr_gate_reply(instance->ctx, instance->gate, world->now_us, &reply);
-	set_tick(instance);
-	drop_work(work);
+	schedule_tick(instance);
+	drop_attempt(work);
 }
 
 /* Making the world. */
@@ -313,7 +317,7 @@
 		service->name = g_strdup_printf("s%u", i);
 		service->max_connections = (uint32_t)scenario->connections;
 		service->cold_per_s = scenario->cold_per_s;
-		service->cold_ms = COLD_US / 1000;
+		service->cold_ms = COLD_PERIOD_US / 1000;
 		rr_add_route_service(table, service);
 	}
 	rr_gate_set_routes(instance->ctx, instance->gate,
@@ -339,7 +343,7 @@
 			.preconnect = open_connection,
 			.probe = send_probe,
 			.close_idle = forget,
-			.report = report_to_store,
+			.report = write_quarantine_report,
 			.data = instance,
 		},
 		.extra_ratio = scenario->extra_ratio,
@@ -356,16 +360,16 @@
 	instance->world = world;
 	instance->number = number;
 	instance->zone = number % (uint32_t)scenario->zones;
-	instance->tick_us = INT64_MAX;
+	instance->next_tick_us = INT64_MAX;
 	g_snprintf(zone, sizeof(zone), "z%u", instance->zone);
 	g_snprintf(name, sizeof(name), "g%u", number);
 	/* Only then is there a share for each to be known by. */
 	if (scenario->cold_per_s > 0)
 		options.instance = name;
-	instance->open = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-					       g_free, NULL);
-	instance->works = g_hash_table_new(g_int64_hash, g_int64_equal);
-	instance->idle = g_new0(uint32_t, world->replicas->len);
+	instance->open_requests = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, g_free, NULL);
+	instance->attempts = g_hash_table_new(g_int64_hash, g_int64_equal);
+	instance->idle_conns = g_new0(uint32_t, world->replicas->len);
 	instance->ctx = rr_new_context(&context);
 	instance->gate = rr_new_gate(instance->ctx, &options);
 	return instance;
@@ -393,13 +397,13 @@
 
 	set_routes(instance);
 	for (guint i = 0; i < world->replicas->len; i++)
-		list_replica(instance, g_ptr_array_index(world->replicas, i),
-			     false);
+		announce_replica(instance,
+				 g_ptr_array_index(world->replicas, i), false);
 	rr_gate_set_instance_count(instance->ctx, instance->gate,
 				   world->instances->len);
 	if (world->scenario->cold_per_s > 0)
 		note_instances(instance);
-	set_tick(instance);
+	schedule_tick(instance);
 }
 
 static void drop_instance(gpointer data)
@@ -408,17 +412,17 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, instance->open);
+	g_hash_table_iter_init(&iter, instance->open_requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		g_free(value);
-	g_hash_table_iter_init(&iter, instance->works);
+	g_hash_table_iter_init(&iter, instance->attempts);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		drop_work(value);
-	g_hash_table_unref(instance->works);
-	g_hash_table_unref(instance->open);
+		drop_attempt(value);
+	g_hash_table_unref(instance->attempts);
+	g_hash_table_unref(instance->open_requests);
 	rr_drop_gate(instance->gate);
 	rr_drop_context(instance->ctx);
-	g_free(instance->idle);
+	g_free(instance->idle_conns);
 	g_free(instance);
 }
 
@@ -432,7 +436,7 @@
 		const struct replica *replica =
 			g_ptr_array_index(world->replicas, i);
 
-		used_us += (double)replica->used_us;
+		used_us += (double)replica->slot_used_us;
 	}
 	return used_us / had_us;
 }
@@ -440,13 +444,13 @@
 /* What never was answered has failed. */
 static void count_unanswered(struct emulated_result *result)
 {
-	result->failed = result->asked - result->in_time - result->late -
-			 result->refused;
+	result->failed = result->requests - result->in_time - result->late -
+			 result->rejected;
 }
 
-void emulate(const struct emulated_scenario *scenario,
-	     const struct rr_gate_policy *policy, uint32_t seed,
-	     struct emulated_result *result)
+void emulate_scenario(const struct emulated_scenario *scenario,
+		      const struct rr_gate_policy *policy, uint32_t seed,
+		      struct emulated_result *result)
 {
 	struct world world = {
 		.scenario = scenario,
@@ -456,19 +460,19 @@
 		.now_us = BEGIN_US,
 		.end_us = BEGIN_US + (int64_t)(scenario->seconds * US_PER_S),
 		.rand = g_rand_new_with_seed(seed),
-		.arrivals = g_rand_new_with_seed(~seed),
-		.layout = g_rand_new_with_seed(seed ^ 0x5a5a5a5a),
-		.cut_zone = -1,
+		.arrivals_rand = g_rand_new_with_seed(~seed),
+		.layout_rand = g_rand_new_with_seed(seed ^ 0x5a5a5a5a),
+		.isolated_zone = -1,
 		.evacuated_zone = -1,
-		.burst = 1,
+		.load_factor = 1,
 	};
 
 	*result = (struct emulated_result){ 0 };
-	result->waits_us = g_array_new(FALSE, FALSE, sizeof(double));
-	world.late = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-					   NULL);
-	world.entries = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
-					      free_entry);
+	result->latencies_us = g_array_new(FALSE, FALSE, sizeof(double));
+	world.late_numbers = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						   g_free, NULL);
+	world.quarantine_entries = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, NULL, free_entry);
 	world.replicas = g_ptr_array_new_with_free_func(drop_replica);
 	world.instances = g_ptr_array_new_with_free_func(drop_instance);
 	start_replicas(&world);
@@ -477,7 +481,7 @@
 	for (guint i = 0; i < world.instances->len; i++)
 		start_instance(g_ptr_array_index(world.instances, i));
 	start_callers(&world);
-	start_faults(&world);
+	schedule_faults(&world);
 	while (next_event_us(world.events) <= world.end_us + RUN_OUT_US)
 		run_next_event(world.events, &world.now_us, &world);
 	count_unanswered(result);
@@ -485,21 +489,23 @@
 	drop_event_queue(world.events, NULL);
 	g_ptr_array_unref(world.instances);
 	g_ptr_array_unref(world.replicas);
-	g_hash_table_unref(world.late);
-	g_hash_table_unref(world.entries);
+	g_hash_table_unref(world.late_numbers);
+	g_hash_table_unref(world.quarantine_entries);
 	g_rand_free(world.rand);
-	g_rand_free(world.arrivals);
-	g_rand_free(world.layout);
+	g_rand_free(world.arrivals_rand);
+	g_rand_free(world.layout_rand);
 }
 
 void clear_emulated_result(struct emulated_result *result)
 {
-	g_array_unref(result->waits_us);
+	g_array_unref(result->latencies_us);
 }
 
-double mean_value(const struct emulated_result *result)
+double mean_answer_value(const struct emulated_result *result)
 {
-	return result->asked ? result->value / (double)result->asked : 0;
+	return result->requests ?
+		       result->total_value / (double)result->requests :
+		       0;
 }
 
 static gint compare_doubles(gconstpointer a, gconstpointer b)
@@ -510,14 +516,15 @@
 	return (first > second) - (first < second);
 }
 
-double wait_quantile_ms(const struct emulated_result *result, double quantile)
+double latency_quantile_ms(const struct emulated_result *result,
+			   double quantile)
 {
-	guint n = result->waits_us->len;
+	guint n = result->latencies_us->len;
 
 	if (!n)
 		return 0;
-	g_array_sort(result->waits_us, compare_doubles);
-	return g_array_index(result->waits_us, double,
+	g_array_sort(result->latencies_us, compare_doubles);
+	return g_array_index(result->latencies_us, double,
 			     (guint)(quantile * (n - 1))) /
 	       US_PER_MS;
 }
--- a/bench/gate/scenario.c
+++ b/bench/gate/scenario.c
@@ -62,13 +62,13 @@
 	OF_FAULT(shard, 0, 2000),
 };
 
-static const char *const trouble_names[N_TROUBLES] = {
-	[TROUBLE_SLOW] = "slow",	 [TROUBLE_SILENT] = "silent",
-	[TROUBLE_GONE] = "gone",	 [TROUBLE_SHED] = "shed",
-	[TROUBLE_FAIL] = "fail",	 [TROUBLE_CUT] = "cut",
-	[TROUBLE_BURST] = "burst",	 [TROUBLE_REBORN] = "reborn",
-	[TROUBLE_CRASH] = "crash",	 [TROUBLE_DEADLY] = "deadly",
-	[TROUBLE_EVACUATE] = "evacuate",
+static const char *const trouble_names[N_FAULT_KINDS] = {
+	[FAULT_SLOW] = "slow",	       [FAULT_UNRESPONSIVE] = "silent",
+	[FAULT_DOWN] = "gone",	       [FAULT_SHED] = "shed",
+	[FAULT_ERRORS] = "fail",       [FAULT_ZONE_ISOLATED] = "cut",
+	[FAULT_BURST] = "burst",       [FAULT_RESTART] = "reborn",
+	[FAULT_CRASH] = "crash",       [FAULT_QUERY_OF_DEATH] = "deadly",
+	[FAULT_EVACUATE] = "evacuate",
 };
 
 void init_scenario(struct emulated_scenario *scenario)
@@ -129,7 +129,7 @@
 static void store_name(const struct rr_yaml_entry *entry, char *name)
 {
 	if (entry->value->kind == RR_YAML_SCALAR)
-		g_strlcpy(name, entry->value->text, MOST_NAME);
+		g_strlcpy(name, entry->value->text, NAME_SIZE);
 }
 
 static void store_route(const struct rr_yaml_node *node, const char *file,
@@ -156,10 +156,10 @@
 static void store_kind(const struct rr_yaml_entry *entry, const char *file,
 		       struct emulated_fault *fault, GPtrArray *faults)
 {
-	for (int i = 0; i < N_TROUBLES; i++) {
+	for (int i = 0; i < N_FAULT_KINDS; i++) {
 		if (g_strcmp0(entry->value->text, trouble_names[i]))
 			continue;
-		fault->kind = (enum emulated_trouble)i;
+		fault->kind = (enum emulated_fault_kind)i;
 		return;
 	}
 	rr_add_diagnostic(faults, file, entry->line,
@@ -185,7 +185,7 @@
 		       struct emulated_scenario *scenario, GPtrArray *faults)
 {
 	bool is_routes = !strcmp(entry->key, "routes");
-	guint most = is_routes ? MOST_ROUTES : MOST_FAULTS;
+	guint most = is_routes ? MAX_ROUTES : MAX_FAULTS;
 	const GPtrArray *items = entry->value->items;
 
 	if (entry->value->kind != RR_YAML_LIST || items->len > most) {
@@ -268,9 +268,9 @@
 {
 	scenario->n_faults = (uint32_t)draw_whole(rand, 0, 3);
 	for (uint32_t i = 0; i < scenario->n_faults; i++) {
-		static const enum emulated_trouble kinds[] = {
-			TROUBLE_SLOW, TROUBLE_SILENT, TROUBLE_GONE,
-			TROUBLE_SHED, TROUBLE_REBORN,
+		static const enum emulated_fault_kind kinds[] = {
+			FAULT_SLOW, FAULT_UNRESPONSIVE, FAULT_DOWN,
+			FAULT_SHED, FAULT_RESTART,
 		};
 		struct emulated_fault *fault = &scenario->faults[i];
 
@@ -279,14 +279,13 @@
 		fault->at_s = 1 + 6 * g_rand_double(rand);
 		fault->for_s = 1 + 4 * g_rand_double(rand);
 		fault->share = 0.3 * g_rand_double(rand);
-		fault->x = fault->kind == TROUBLE_SLOW ?
-				   draw_scale(rand, 2, 20) :
-				   g_rand_double(rand);
+		fault->x = fault->kind == FAULT_SLOW ? draw_scale(rand, 2, 20) :
+						       g_rand_double(rand);
 		fault->shard = -1;
 	}
 }
 
-void draw_scenario(uint32_t seed, struct emulated_scenario *scenario)
+void generate_scenario(uint32_t seed, struct emulated_scenario *scenario)
 {
 	GRand *rand = g_rand_new_with_seed(seed);
 	struct emulated_route *route = &scenario->routes[0];
@@ -324,7 +323,7 @@
 	g_rand_free(rand);
 }
 
-void init_plain_policy(struct rr_gate_policy *policy)
+void init_baseline_policy(struct rr_gate_policy *policy)
 {
 	static const char *const off[] = {
 		"admit_by_wait",    "choose_by_slowness",
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -26,14 +26,14 @@
 	{ .name = "replica-lost", .load = 0.3, .replica_lost = true },
 	{ .name = "cold-start", .load = 0.3, .replica_cold = true },
 	{ .name = "shedding", .load = 0.9, .shedding = true },
-	{ .name = "false-load", .load = 0.5, .false_load = true },
+	{ .name = "false-load", .load = 0.5, .inverted_load = true },
 	{ .name = "overload-1", .load = 1.0 },
 	{ .name = "overload-1.5", .load = 1.5 },
 	{ .name = "overload-3", .load = 3.0 },
-	{ .name = "zone-cut", .load = 0.3, .zone_cut = true },
+	{ .name = "zone-cut", .load = 0.3, .zone_isolated = true },
 	{ .name = "index-moves", .load = 0.5, .index_period_us = SECOND },
 	{ .name = "nightly-list", .load = 0.5, .nightly_list = true },
-	{ .name = "caps", .load = 0.5, .connections = 4 },
+	{ .name = "caps", .load = 0.5, .connection_cap = 4 },
 };
 
 static const struct policy policies[] = {
@@ -81,10 +81,11 @@
 	       result->peak_connections, result->connection_cap,
 	       result->connections_opened, result->connections_refused,
 	       (double)result->answered_in_time / result->seconds,
-	       (double)result->asked / result->seconds,
-	       share(result->refused, result->asked),
-	       quantile_ms(result->refusals_us, 0.99), result->restarts,
-	       result->mixed, result->list_rows);
+	       (double)result->requests / result->seconds,
+	       share(result->rejected, result->requests),
+	       quantile_ms(result->rejection_latencies_us, 0.99),
+	       result->snapshot_restarts, result->mixed_versions,
+	       result->list_rows);
 	fflush(stdout);
 }
 
@@ -132,7 +133,7 @@
 				.scenario = &scenarios[s],
 				.policy = &policies[p],
 				.seed = seed,
-				.length_us = seconds * SECOND,
+				.duration_us = seconds * SECOND,
 				.warm_up_us = seconds * SECOND / 6,
 			};
 			struct run_result result;
--- a/bench/policy/model-private.h
+++ b/bench/policy/model-private.h
@@ -10,15 +10,16 @@
 #define SLOTS 2
 #define CONNECTIONS 25
 #define CONNECT_US (6 * MS)
-#define SERVICE_US (4 * MS) /* mean time a slot works on an attempt */
-#define SERVICE_SIGMA 0.5   /* of the logarithm */
-#define OWN_ZONE_US 300	    /* one way */
-#define OTHER_ZONE_US (1500)
+#define SERVICE_US (4 * MS)    /* mean time a slot works on an attempt */
+#define SERVICE_SIGMA 0.5      /* of the logarithm */
+#define SAME_ZONE_DELAY_US 300 /* one way */
+#define CROSS_ZONE_DELAY_US (1500)
 #define DEADLINE_MS 400
 #define ATTEMPT_TIMEOUT_MS 150
 #define IDLE_CLOSE_US (30 * SECOND)
-#define SHED_QUEUE 4 /* attempts waiting before a shedding replica refuses */
-#define COLD_US (3 * SECOND)
+#define SHED_QUEUE_LIMIT \
+	4 /* attempts waiting before a shedding replica refuses */
+#define COLD_PERIOD_US (3 * SECOND)
 #define COLD_FACTOR 8.0
 #define VERSIONS_KEPT 3
 #define N_REPLICAS_ALL (POLICY_SHARDS * POLICY_REPLICAS)
@@ -32,11 +33,11 @@
 	uint64_t version;
 	uint64_t key_from;
 	uint64_t key_to;
-	uint32_t limit;
+	uint32_t row_limit;
 	bool cancelled;
 	bool started;
-	bool stopped; /* cancelled while it ran: its slot is free */
-	int64_t due_us;
+	bool slot_released; /* cancelled while it ran: its slot is free */
+	int64_t deadline_us;
 };
 
 struct upstream {
@@ -44,19 +45,19 @@
 	char id[24];
 	char address[24];
 	int shard;
-	int copy; /* 0 in the instance's zone */
-	uint64_t newest;
+	int replica_index; /* 0 in the instance's zone */
+	uint64_t newest_version;
 	uint32_t busy_slots;
 	GQueue queue;	      /* struct job */
 	uint32_t connections; /* open, in use or idle */
-	uint32_t in_use;
+	uint32_t conns_in_use;
 	int64_t cold_until_us;
 };
 
 struct query {
-	int64_t asked_us;
+	int64_t started_us;
 	bool measured;
-	bool list;
+	bool is_list;
 };
 
 struct model {
@@ -65,7 +66,7 @@
 	struct run_result *result;
 	struct event_queue *events;
 	int64_t now_us;
-	int64_t tick_at_us;
+	int64_t next_tick_us;
 	GRand *random;
 	struct rr_context *ctx;
 	struct rr_core *core;
@@ -73,18 +74,18 @@
 	uint64_t version;
 	GHashTable *jobs;    /* attempt id to struct job */
 	GHashTable *queries; /* query id to struct query */
-	struct query *asking;
+	struct query *submitting;
 	GPtrArray *posts; /* events for the core */
 	bool stopping;
 	char *list_cursor;
-	bool list_waiting;
+	bool list_pending;
 };
 
 /* Call `run(model, data)` after a delay. */
 void push(struct model *model, int64_t delay_us,
 	  void (*run)(void *context, void *data), void *data);
 /* Plan the core's next tick; to be called after each of its events. */
-void after_event(struct model *model);
+void schedule_core_tick(struct model *model);
 
 /* The core's actions towards replicas; `data` is the model. */
 void on_send_attempt(void *data, const struct rr_attempt *attempt);
--- a/bench/policy/model.c
+++ b/bench/policy/model.c
@@ -9,7 +9,7 @@
 
 #include "ragwort/counters.h"
 
-double policy_capacity(void)
+double policy_capacity_per_s(void)
 {
 	return (double)POLICY_REPLICAS * SLOTS * SECOND / (double)SERVICE_US;
 }
@@ -34,7 +34,7 @@
 		if (!first)
 			first = version;
 		if (version != first) {
-			model->result->mixed++;
+			model->result->mixed_versions++;
 			return;
 		}
 	}
@@ -44,16 +44,16 @@
 {
 	struct model *model = data;
 	struct run_result *result = model->result;
-	struct query *query = model->asking;
+	struct query *query = model->submitting;
 	int64_t latency_us;
 
 	if (!query) {
 		query = g_hash_table_lookup(model->queries, &answer->query_id);
 		g_hash_table_steal(model->queries, &answer->query_id);
 	}
-	model->asking = NULL;
-	if (query->list) {
-		model->list_waiting = false;
+	model->submitting = NULL;
+	if (query->is_list) {
+		model->list_pending = false;
 		g_clear_pointer(&model->list_cursor, g_free);
 		model->list_cursor = g_strdup(answer->next_cursor);
 		result->list_rows += answer->n_rows;
@@ -62,10 +62,10 @@
 	if (!query->measured)
 		return;
 	count_versions(model, answer);
-	latency_us = model->now_us - query->asked_us;
+	latency_us = model->now_us - query->started_us;
 	if (answer->outcome == RR_NOT_RUN) {
-		result->refused++;
-		g_array_append_val(result->refusals_us, latency_us);
+		result->rejected++;
+		g_array_append_val(result->rejection_latencies_us, latency_us);
 		return;
 	}
 	g_array_append_val(result->latencies_us, latency_us);
@@ -98,21 +98,21 @@
 {
 	struct model *model = context;
 
-	if (model->tick_at_us > model->now_us)
+	if (model->next_tick_us > model->now_us)
 		return;
-	model->tick_at_us = INT64_MAX;
+	model->next_tick_us = INT64_MAX;
 	rr_core_tick(model->ctx, model->core, model->now_us);
-	after_event(model);
+	schedule_core_tick(model);
 }
 
-void after_event(struct model *model)
+void schedule_core_tick(struct model *model)
 {
 	int64_t wake_us = rr_core_wake_us(model->core);
 
-	if (wake_us >= model->tick_at_us)
+	if (wake_us >= model->next_tick_us)
 		return;
-	model->tick_at_us = MAX(wake_us, model->now_us + 1);
-	push_event(model->events, model->tick_at_us, tick, NULL);
+	model->next_tick_us = MAX(wake_us, model->now_us + 1);
+	push_event(model->events, model->next_tick_us, tick, NULL);
 }
 
 static void ask(struct model *model, struct rr_request *request)
@@ -127,34 +127,34 @@
 	request->request_id = request_id;
 	request->service = POLICY_SERVICE;
 	request->body = "{}";
-	query->asked_us = model->now_us;
+	query->started_us = model->now_us;
 	query->measured = model->now_us >= model->options->warm_up_us;
-	query->list = request->kind == RR_LIST;
-	if (query->measured && !query->list)
-		model->result->asked++;
-	model->asking = query;
+	query->is_list = request->kind == RR_LIST;
+	if (query->measured && !query->is_list)
+		model->result->requests++;
+	model->submitting = query;
 	*query_id =
 		rr_core_handle_request(model->ctx, model->core, model->now_us,
 				       WALL_START_US + model->now_us, request);
 	request->request_id = NULL;
-	if (model->asking) {
+	if (model->submitting) {
 		g_hash_table_insert(model->queries, query_id, query);
 	} else {
 		/* Answered before the call returned. */
 		g_free(query_id);
 		g_free(query);
 	}
-	model->asking = NULL;
-	after_event(model);
+	model->submitting = NULL;
+	schedule_core_tick(model);
 }
 
 static void next_search(void *context, void *data)
 {
 	struct model *model = context;
-	double rate = model->scenario->load * policy_capacity();
+	double rate = model->scenario->load * policy_capacity_per_s();
 	struct rr_request request = { .kind = RR_SEARCH };
 
-	if (model->now_us >= model->options->length_us)
+	if (model->now_us >= model->options->duration_us)
 		return;
 	push(model,
 	     (int64_t)(-log(1.0 - g_rand_double(model->random)) *
@@ -172,12 +172,12 @@
 		.max_rows = 5,
 	};
 
-	if (model->now_us >= model->options->length_us)
+	if (model->now_us >= model->options->duration_us)
 		return;
 	push(model, 2 * MS, next_page, NULL);
-	if (model->list_waiting)
+	if (model->list_pending)
 		return;
-	model->list_waiting = true;
+	model->list_pending = true;
 	request.cursor = model->list_cursor;
 	ask(model, &request);
 }
@@ -186,7 +186,7 @@
 {
 	struct upstream *upstream = data;
 
-	upstream->newest++;
+	upstream->newest_version++;
 }
 
 static void next_version(void *context, void *data)
@@ -199,7 +199,7 @@
 		     (int64_t)(g_rand_double(model->random) * 0.6 *
 			       (double)model->scenario->index_period_us),
 		     catch_up, &model->upstreams[i]);
-	if (model->now_us < model->options->length_us)
+	if (model->now_us < model->options->duration_us)
 		push(model, model->scenario->index_period_us, next_version,
 		     NULL);
 }
@@ -209,8 +209,8 @@
 	struct model *model = context;
 	struct upstream *upstream = data;
 
-	upstream->cold_until_us = model->now_us + COLD_US;
-	upstream->connections = upstream->in_use;
+	upstream->cold_until_us = model->now_us + COLD_PERIOD_US;
+	upstream->connections = upstream->conns_in_use;
 }
 
 static struct rr_config *make_config(struct model *model)
@@ -239,8 +239,8 @@
 
 		shard->name = g_strdup_printf("shard-%02d", s);
 		shard->public_name = g_strdup(shard->name);
-		shard->key_from = (uint64_t)s * POLICY_KEYS;
-		shard->key_to = shard->key_from + POLICY_KEYS;
+		shard->key_from = (uint64_t)s * POLICY_KEYS_PER_SHARD;
+		shard->key_to = shard->key_from + POLICY_KEYS_PER_SHARD;
 		shard->n_replicas = POLICY_REPLICAS;
 		shard->replicas =
 			g_new0(struct rr_replica_config, POLICY_REPLICAS);
@@ -264,10 +264,10 @@
 
 		upstream->model = model;
 		upstream->shard = i / POLICY_REPLICAS;
-		upstream->copy = i % POLICY_REPLICAS;
-		upstream->newest = model->version;
+		upstream->replica_index = i % POLICY_REPLICAS;
+		upstream->newest_version = model->version;
 		snprintf(upstream->id, sizeof(upstream->id), "r%d-%d",
-			 upstream->shard, upstream->copy);
+			 upstream->shard, upstream->replica_index);
 		snprintf(upstream->address, sizeof(upstream->address),
 			 "127.0.0.1:%d", 7000 + i);
 		g_queue_init(&upstream->queue);
@@ -306,24 +306,26 @@
 
 	memset(result, 0, sizeof(*result));
 	result->latencies_us = g_array_new(FALSE, FALSE, sizeof(int64_t));
-	result->refusals_us = g_array_new(FALSE, FALSE, sizeof(int64_t));
-	result->connection_cap =
-		scenario->connections ? scenario->connections : CONNECTIONS;
-	result->seconds = (double)(options->length_us - options->warm_up_us) /
+	result->rejection_latencies_us =
+		g_array_new(FALSE, FALSE, sizeof(int64_t));
+	result->connection_cap = scenario->connection_cap ?
+					 scenario->connection_cap :
+					 CONNECTIONS;
+	result->seconds = (double)(options->duration_us - options->warm_up_us) /
 			  (double)SECOND;
 	model->options = options;
 	model->scenario = scenario;
 	model->result = result;
 	model->events = new_event_queue();
 	model->random = g_rand_new_with_seed(options->seed);
-	model->tick_at_us = INT64_MAX;
+	model->next_tick_us = INT64_MAX;
 	model->version = 10;
 	model->jobs = g_hash_table_new(g_int64_hash, g_int64_equal);
 	model->queries = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 					       g_free, g_free);
 	init_upstreams(model);
 	start_core(model);
-	after_event(model);
+	schedule_core_tick(model);
 	/* Health is known before the load begins, as in a ready instance. */
 	push(model, SECOND, next_search, NULL);
 	if (scenario->nightly_list)
@@ -331,12 +333,13 @@
 	if (scenario->index_period_us)
 		push(model, SECOND, next_version, NULL);
 	if (scenario->replica_cold)
-		push(model, options->length_us / 3, replace_replica,
+		push(model, options->duration_us / 3, replace_replica,
 		     &model->upstreams[3]);
-	while (model->now_us < options->length_us + 2 * SECOND &&
+	while (model->now_us < options->duration_us + 2 * SECOND &&
 	       run_next_event(model->events, &model->now_us, model))
 		;
-	result->restarts = rr_counter_value(model->ctx, RR_N_SNAPSHOT_RESTARTS);
+	result->snapshot_restarts =
+		rr_counter_value(model->ctx, RR_N_SNAPSHOT_RESTARTS);
 	rr_drop_core(model->core);
 	rr_drop_context(model->ctx);
 	/* The experiment's own leftovers go with the process. */
@@ -345,7 +348,7 @@
 void clear_result(struct run_result *result)
 {
 	g_array_unref(result->latencies_us);
-	g_array_unref(result->refusals_us);
+	g_array_unref(result->rejection_latencies_us);
 }
 
 static int compare_times(gconstpointer a, gconstpointer b)
--- a/bench/policy/model.h
+++ b/bench/policy/model.h
@@ -20,7 +20,7 @@
 #define WALL_START_US ((int64_t)1700000000 * G_USEC_PER_SEC)
 #define POLICY_SHARDS 20
 #define POLICY_REPLICAS 2
-#define POLICY_KEYS 100 /* of a shard; every tenth has a row */
+#define POLICY_KEYS_PER_SHARD 100 /* of a shard; every tenth has a row */
 #define POLICY_SERVICE "counter-desk"
 
 /* What a scenario changes; all zero is the steady run. */
@@ -30,14 +30,14 @@
 	double straggler_factor; /* replica 0 of shard 0 */
 	double slow_share;	 /* of attempts, at random */
 	double slow_factor;
-	bool replica_lost; /* replica 1 of shard 1, from a third on */
-	bool replica_cold; /* the same, replaced and cold */
-	bool shedding;	   /* replicas refuse beyond their slots' queue */
-	bool false_load;   /* reports are the opposite of the truth */
-	bool zone_cut;	   /* the second replicas' zone, in the middle third */
+	bool replica_lost;  /* replica 1 of shard 1, from a third on */
+	bool replica_cold;  /* the same, replaced and cold */
+	bool shedding;	    /* replicas refuse beyond their slots' queue */
+	bool inverted_load; /* reports are the opposite of the truth */
+	bool zone_isolated; /* the second replicas' zone, in the middle third */
 	int64_t index_period_us; /* a new version that often */
 	bool nightly_list;
-	uint32_t connections; /* another cap than 25; 0 for 25 */
+	uint32_t connection_cap; /* another cap than 25; 0 for 25 */
 };
 
 struct policy {
@@ -50,20 +50,20 @@
 	const struct scenario *scenario;
 	const struct policy *policy;
 	uint32_t seed;
-	int64_t length_us;
+	int64_t duration_us;
 	int64_t warm_up_us; /* not measured */
 };
 
 struct run_result {
-	uint64_t asked;
+	uint64_t requests;
 	uint64_t answered_in_time; /* complete, within the deadline */
-	uint64_t refused;
+	uint64_t rejected;
 	uint64_t shards_needed;
 	uint64_t shards_covered;
 	uint64_t attempts;
 	uint64_t needed_attempts;
-	uint64_t restarts;
-	uint64_t mixed; /* answers with rows of two versions */
+	uint64_t snapshot_restarts;
+	uint64_t mixed_versions; /* answers with rows of two versions */
 	uint64_t list_rows;
 	uint32_t peak_connections;
 	uint32_t connection_cap;
@@ -71,7 +71,7 @@
 	uint64_t connections_refused;
 	double seconds;
 	GArray *latencies_us; /* int64_t, of answers that were not refused */
-	GArray *refusals_us;  /* int64_t */
+	GArray *rejection_latencies_us; /* int64_t */
 };
 
 void run_policy(const struct run_options *options, struct run_result *result);
@@ -80,6 +80,6 @@
 double quantile_ms(GArray *times_us, double quantile);
 
 /* Capacity of the service in searches a second: slots over service time. */
-double policy_capacity(void);
+double policy_capacity_per_s(void);
 
 #endif
--- a/bench/policy/upstream.c
+++ b/bench/policy/upstream.c
@@ -10,7 +10,7 @@
 
 static bool in_third(const struct model *model, int third)
 {
-	int64_t length_us = model->options->length_us;
+	int64_t length_us = model->options->duration_us;
 
 	return model->now_us >= length_us * (third - 1) / 3 &&
 	       model->now_us < length_us * third / 3;
@@ -18,19 +18,20 @@
 
 static bool is_lost(const struct model *model, const struct upstream *upstream)
 {
-	return upstream->shard == 1 && upstream->copy == 1 &&
+	return upstream->shard == 1 && upstream->replica_index == 1 &&
 	       model->scenario->replica_lost && !in_third(model, 1);
 }
 
 static bool is_cut(const struct model *model, const struct upstream *upstream)
 {
-	return upstream->copy == 1 && model->scenario->zone_cut &&
+	return upstream->replica_index == 1 && model->scenario->zone_isolated &&
 	       in_third(model, 2);
 }
 
 static int64_t one_way_us(const struct upstream *upstream)
 {
-	return upstream->copy ? OTHER_ZONE_US : OWN_ZONE_US;
+	return upstream->replica_index ? CROSS_ZONE_DELAY_US :
+					 SAME_ZONE_DELAY_US;
 }
 
 static double normal(GRand *random)
@@ -49,7 +50,7 @@
 					 SERVICE_SIGMA * SERVICE_SIGMA / 2.0);
 
 	if (scenario->straggler_factor > 0 && !upstream->shard &&
-	    !upstream->copy)
+	    !upstream->replica_index)
 		time_us *= scenario->straggler_factor;
 	if (scenario->slow_share > 0 &&
 	    g_rand_double(model->random) < scenario->slow_share)
@@ -76,7 +77,7 @@
 			     &post->reply);
 	rr_drop_rows(post->reply.rows);
 	g_free(post);
-	after_event(model);
+	schedule_core_tick(model);
 }
 
 static double told_load(struct upstream *upstream)
@@ -85,7 +86,7 @@
 		1.0, (upstream->busy_slots + (double)upstream->queue.length) /
 			     (4.0 * SLOTS));
 
-	if (upstream->model->scenario->false_load)
+	if (upstream->model->scenario->inverted_load)
 		return 1.0 - load;
 	return load;
 }
@@ -97,8 +98,9 @@
 
 	post->reply.attempt_id = attempt_id;
 	post->reply.status = status;
-	post->reply.newest_version = upstream->newest;
-	post->reply.oldest_version = upstream->newest - VERSIONS_KEPT + 1;
+	post->reply.newest_version = upstream->newest_version;
+	post->reply.oldest_version =
+		upstream->newest_version - VERSIONS_KEPT + 1;
 	post->reply.map_epoch = 1;
 	post->reply.state = upstream->cold_until_us > upstream->model->now_us ?
 				    RR_UPSTREAM_COLD :
@@ -109,8 +111,8 @@
 
 static void fill_post(struct post *post, const struct job *job)
 {
-	uint64_t from = (uint64_t)job->upstream->shard * POLICY_KEYS;
-	uint64_t to = from + POLICY_KEYS;
+	uint64_t from = (uint64_t)job->upstream->shard * POLICY_KEYS_PER_SHARD;
+	uint64_t to = from + POLICY_KEYS_PER_SHARD;
 
 	from = MAX(from, job->key_from);
 	to = MIN(to, job->key_to);
@@ -124,8 +126,8 @@
 			snprintf(text, sizeof(text),
 				 "{\"v\":%" G_GUINT64_FORMAT "}", job->version);
 
-		if (job->limit &&
-		    rr_count_rows(post->reply.rows) == job->limit) {
+		if (job->row_limit &&
+		    rr_count_rows(post->reply.rows) == job->row_limit) {
 			post->reply.has_more = true;
 			break;
 		}
@@ -138,7 +140,7 @@
 static void end_job(struct job *job)
 {
 	g_hash_table_remove(job->model->jobs, &job->attempt_id);
-	job->upstream->in_use--;
+	job->upstream->conns_in_use--;
 	g_free(job);
 }
 
@@ -150,7 +152,7 @@
 	struct job *job = data;
 	struct upstream *upstream = job->upstream;
 
-	if (job->stopped) {
+	if (job->slot_released) {
 		g_free(job);
 		return;
 	}
@@ -175,7 +177,7 @@
 		struct job *job = g_queue_pop_head(&upstream->queue);
 
 		/* Withdrawn, or past the deadline it was told: no work. */
-		if (job->cancelled || job->due_us < model->now_us) {
+		if (job->cancelled || job->deadline_us < model->now_us) {
 			end_job(job);
 			continue;
 		}
@@ -217,13 +219,14 @@
 		return;
 	}
 	if (!job->version)
-		job->version = upstream->newest;
-	if (job->version > upstream->newest ||
-	    job->version + VERSIONS_KEPT <= upstream->newest) {
+		job->version = upstream->newest_version;
+	if (job->version > upstream->newest_version ||
+	    job->version + VERSIONS_KEPT <= upstream->newest_version) {
 		refuse_job(job, RR_REPLY_NO_VERSION, 0);
 		return;
 	}
-	if (model->scenario->shedding && upstream->queue.length >= SHED_QUEUE) {
+	if (model->scenario->shedding &&
+	    upstream->queue.length >= SHED_QUEUE_LIMIT) {
 		refuse_job(job, RR_REPLY_SHED, 20);
 		return;
 	}
@@ -237,7 +240,7 @@
 	struct run_result *result = upstream->model->result;
 
 	*cost_us = 0;
-	if (upstream->in_use >= upstream->connections) {
+	if (upstream->conns_in_use >= upstream->connections) {
 		if (upstream->connections >= result->connection_cap) {
 			result->connections_refused++;
 			return false;
@@ -248,7 +251,7 @@
 			MAX(result->peak_connections, upstream->connections);
 		*cost_us = CONNECT_US;
 	}
-	upstream->in_use++;
+	upstream->conns_in_use++;
 	return true;
 }
 
@@ -285,8 +288,8 @@
 	job->version = attempt->version;
 	job->key_from = attempt->key_from;
 	job->key_to = attempt->key_to;
-	job->limit = attempt->row_limit;
-	job->due_us = model->now_us + (int64_t)attempt->deadline_ms * MS;
+	job->row_limit = attempt->row_limit;
+	job->deadline_us = model->now_us + (int64_t)attempt->deadline_ms * MS;
 	g_hash_table_insert(model->jobs, &job->attempt_id, job);
 	push(model, cost_us + one_way_us(upstream), arrive_job, job);
 }
@@ -300,9 +303,9 @@
 		job->cancelled = true;
 	if (job && job->started) {
 		/* Upstreams accept cancellation: the slot is free at once. */
-		job->stopped = true;
+		job->slot_released = true;
 		job->upstream->busy_slots--;
-		job->upstream->in_use--;
+		job->upstream->conns_in_use--;
 		g_hash_table_remove(model->jobs, data);
 		start_jobs(job->upstream);
 	}
@@ -313,7 +316,7 @@
 {
 	struct model *model = data;
 
-	push(model, OWN_ZONE_US, cancel_job,
+	push(model, SAME_ZONE_DELAY_US, cancel_job,
 	     g_memdup2(&attempt_id, sizeof(attempt_id)));
 }
 
@@ -326,8 +329,8 @@
 		.reachable = !is_lost(model, upstream),
 		.state = RR_UPSTREAM_READY,
 		.load = told_load(upstream),
-		.newest_version = upstream->newest,
-		.oldest_version = upstream->newest - VERSIONS_KEPT + 1,
+		.newest_version = upstream->newest_version,
+		.oldest_version = upstream->newest_version - VERSIONS_KEPT + 1,
 		.map_epoch = 1,
 	};
 
@@ -336,7 +339,7 @@
 	else if (upstream->cold_until_us > model->now_us)
 		health.state = RR_UPSTREAM_COLD;
 	rr_core_handle_health(model->ctx, model->core, model->now_us, &health);
-	after_event(model);
+	schedule_core_tick(model);
 }
 
 void on_poll_health(void *data, const char *replica, const char *address)
--- a/soak/soak-caller.c
+++ b/soak/soak-caller.c
@@ -91,11 +91,11 @@
 			 const struct answer *answer)
 {
 	GString *all = g_string_new(NULL);
-	char part[PART_RECORDS * RECORD_BYTES + 1];
+	char part[RECORDS_PER_PART * RECORD_BYTES + 1];
 	bool good;
 
 	for (; *services; services++) {
-		soak_part_records(request->id, *services, part);
+		soak_make_part_records(request->id, *services, part);
 		g_string_append(all, part);
 	}
 	qsort(all->str, all->len / RECORD_BYTES, RECORD_BYTES, compare_records);
@@ -143,21 +143,23 @@
 		own = services[i] != NULL;
 	}
 	if (!own)
-		soak_violation(soak, "MIXED", "%s got parts of another: %s",
-			       request->id, answer->part_seals);
+		soak_report_violation(soak, "MIXED",
+				      "%s got parts of another: %s",
+				      request->id, answer->part_seals);
 	else if (has_twins(services) || !is_one_set(services))
-		soak_violation(soak, "MIXED", "%s got parts %s", request->id,
-			       answer->part_seals);
-	else if (n < LEAST_PARTS || (int)n + answer->missing != SHARDS)
-		soak_violation(soak, "MIXED", "%s got %u parts, %d missing",
-			       request->id, n, answer->missing);
+		soak_report_violation(soak, "MIXED", "%s got parts %s",
+				      request->id, answer->part_seals);
+	else if (n < MIN_PARTS || (int)n + answer->missing != SHARDS)
+		soak_report_violation(soak, "MIXED",
+				      "%s got %u parts, %d missing",
+				      request->id, n, answer->missing);
 	else if (!has_greatest(request, services, answer))
-		soak_violation(soak, "MIXED", "%s got other records",
-			       request->id);
+		soak_report_violation(soak, "MIXED", "%s got other records",
+				      request->id);
 	if (answer->missing)
 		soak->partial++;
 	else
-		soak->whole++;
+		soak->complete++;
 	g_strfreev(services);
 	g_strfreev(seals);
 }
@@ -168,29 +170,31 @@
 {
 	char *service =
 		answer->seal ? service_of(answer->seal, request->id) : NULL;
-	char body[PART_RECORDS * RECORD_BYTES + 1];
+	char body[RECORDS_PER_PART * RECORD_BYTES + 1];
 
 	if (!service) {
-		soak_violation(soak, "MIXED", "%s got the seal %s", request->id,
-			       answer->seal ? answer->seal : "none");
+		soak_report_violation(soak, "MIXED", "%s got the seal %s",
+				      request->id,
+				      answer->seal ? answer->seal : "none");
 		return;
 	}
-	soak_part_records(request->id, service, body);
+	soak_make_part_records(request->id, service, body);
 	if (answer->length != sizeof(body) - 1 ||
 	    memcmp(answer->body, body, answer->length))
-		soak_violation(soak, "MIXED", "%s got another body",
-			       request->id);
-	soak->whole++;
+		soak_report_violation(soak, "MIXED", "%s got another body",
+				      request->id);
+	soak->complete++;
 	g_free(service);
 }
 
 static void check_refusal(struct soak *soak, struct soak_request *request)
 {
-	soak->refused++;
-	request->promised = true;
-	if (request->kind == SOAK_ONCE && request->n_runs)
-		soak_violation(soak, "REFUSED", "%s was refused and has run",
-			       request->id);
+	soak->rejected++;
+	request->rejected = true;
+	if (request->kind == SOAK_NON_IDEMPOTENT && request->n_executions)
+		soak_report_violation(soak, "REFUSED",
+				      "%s was refused and has run",
+				      request->id);
 }
 
 static void check_answer(struct soak *soak, struct soak_request *request,
@@ -210,11 +214,11 @@
 		return;
 	case 502:
 	case 504:
-		soak->unknown++;
+		soak->unknown_outcome++;
 		return;
 	default:
-		soak_violation(soak, "DENIED", "%s got %d", request->id,
-			       answer->status);
+		soak_report_violation(soak, "DENIED", "%s got %d", request->id,
+				      answer->status);
 	}
 }
 
@@ -252,8 +256,8 @@
 	if (caller->open)
 		check_answer(caller->soak, caller->open, &answer);
 	else
-		soak_violation(caller->soak, "MIXED",
-			       "an answer that nobody waits for");
+		soak_report_violation(caller->soak, "MIXED",
+				      "an answer that nobody waits for");
 	caller->open = NULL;
 	g_string_erase(caller->in, 0, (gssize)whole);
 	g_free(answer.seal);
@@ -270,7 +274,7 @@
  */
 static bool was_taken(const struct soak_request *request)
 {
-	return request->n_runs ||
+	return request->n_executions ||
 	       g_get_monotonic_time() - request->sent_us > CROSSING_US;
 }
 
@@ -285,18 +289,20 @@
 	const struct soak_request *request = caller->open;
 	int64_t now_us = g_get_monotonic_time();
 
-	soak->cut++;
-	if (soak->options.timing && instance->stopping_us &&
+	soak->unanswered++;
+	if (soak->options.check_timing && instance->stop_requested_us &&
 	    was_taken(request) &&
-	    soak_is_calm_since(soak, instance,
-			       MIN(instance->stopping_us, request->sent_us)))
-		soak_violation(
+	    soak_is_fault_free_since(
+		    soak, instance,
+		    MIN(instance->stop_requested_us, request->sent_us)))
+		soak_report_violation(
 			soak, "LOST",
 			"%s, sent %d ms after the stop of %s, ran %u "
 			"times and was cut %d ms later",
 			request->id,
-			(int)((request->sent_us - instance->stopping_us) / MS),
-			instance->name, request->n_runs,
+			(int)((request->sent_us - instance->stop_requested_us) /
+			      MS),
+			instance->name, request->n_executions,
 			(int)((now_us - request->sent_us) / MS));
 	caller->open = NULL;
 }
@@ -319,9 +325,9 @@
 	g_string_append_len(caller->in, bytes, n);
 	if (!take_answer(caller, &closes))
 		return G_SOURCE_CONTINUE;
-	think(caller,
-	      LEAST_THINK_MS +
-		      soak_draw(caller->soak, MOST_THINK_MS - LEAST_THINK_MS));
+	think(caller, LEAST_THINK_MS + soak_random_below(
+					       caller->soak,
+					       MOST_THINK_MS - LEAST_THINK_MS));
 	if (!closes)
 		return G_SOURCE_CONTINUE;
 	close_connection(caller);
@@ -356,11 +362,12 @@
 {
 	struct soak_request *request = g_new0(struct soak_request, 1);
 
-	request->id =
-		g_strdup_printf("q%" G_GUINT64_FORMAT, ++soak->next_request);
-	request->kind = (enum soak_kind)soak_draw(soak, SOAK_KINDS);
+	request->id = g_strdup_printf("q%" G_GUINT64_FORMAT,
+				      ++soak->last_request_number);
+	request->kind = (enum soak_request_kind)soak_random_below(
+		soak, SOAK_N_REQUEST_KINDS);
 	request->sent_us = g_get_monotonic_time();
-	soak_draw_deadly(soak, request);
+	soak_draw_query_of_death(soak, request);
 	g_hash_table_insert(soak->requests, request->id, request);
 	return request;
 }
@@ -374,9 +381,11 @@
 		"%s%s HTTP/1.1\r\nHost: soak\r\nRequest-Id: %s\r\n"
 		"Deadline-Ms: %d\r\n%s\r\n",
 		lines[request->kind],
-		request->deadly[0] ? request->deadly : request->id, request->id,
-		DEADLINE_MS,
-		request->kind == SOAK_ONCE ? "Content-Length: 0\r\n" : "");
+		request->query_of_death[0] ? request->query_of_death :
+					     request->id,
+		request->id, DEADLINE_MS,
+		request->kind == SOAK_NON_IDEMPOTENT ? "Content-Length: 0\r\n" :
+						       "");
 
 	caller->open = request;
 	if (g_socket_send(caller->socket, text, strlen(text), NULL, NULL) < 0) {
@@ -398,10 +407,10 @@
 		think(caller, MOST_THINK_MS);
 		return;
 	}
-	if (soak->options.timing && !instance->frozen &&
-	    soak_is_calm_since(soak, instance, caller->open->sent_us))
-		soak_violation(soak, "CONFIG", "%s has no answer of %s",
-			       caller->open->id, instance->name);
+	if (soak->options.check_timing && !instance->frozen &&
+	    soak_is_fault_free_since(soak, instance, caller->open->sent_us))
+		soak_report_violation(soak, "CONFIG", "%s has no answer of %s",
+				      caller->open->id, instance->name);
 	note_cut(caller);
 	close_connection(caller);
 	think(caller, LEAST_THINK_MS);
@@ -419,7 +428,8 @@
 	}
 	/* One that is led elsewhere, or finds nobody, goes to any instance. */
 	if (!caller->socket && !connect_caller(caller)) {
-		caller->instance = soak_draw(soak, soak->instances->len);
+		caller->instance =
+			soak_random_below(soak, soak->instances->len);
 		think(caller, REFUSED_MS);
 		return G_SOURCE_REMOVE;
 	}
@@ -443,7 +453,7 @@
 	caller->soak = soak;
 	caller->instance = instance;
 	caller->in = g_string_new(NULL);
-	think(caller, LEAST_THINK_MS + soak_draw(soak, MOST_THINK_MS));
+	think(caller, LEAST_THINK_MS + soak_random_below(soak, MOST_THINK_MS));
 	return caller;
 }
 
--- a/soak/soak-fault.c
+++ b/soak/soak-fault.c
@@ -25,34 +25,36 @@
 
 static uint32_t draw_fault_ms(struct soak *soak)
 {
-	return LEAST_FAULT_MS + soak_draw(soak, MOST_FAULT_MS - LEAST_FAULT_MS);
+	return LEAST_FAULT_MS +
+	       soak_random_below(soak, MOST_FAULT_MS - LEAST_FAULT_MS);
 }
 
 static uint32_t draw_down_ms(struct soak *soak)
 {
-	return LEAST_DOWN_MS + soak_draw(soak, MOST_DOWN_MS - LEAST_DOWN_MS);
+	return LEAST_DOWN_MS +
+	       soak_random_below(soak, MOST_DOWN_MS - LEAST_DOWN_MS);
 }
 
 static struct soak_instance *draw_instance(struct soak *soak)
 {
 	return g_ptr_array_index(soak->instances,
-				 soak_draw(soak, soak->instances->len));
+				 soak_random_below(soak, soak->instances->len));
 }
 
 static struct soak_replica *draw_replica(struct soak *soak)
 {
 	return g_ptr_array_index(soak->replicas,
-				 soak_draw(soak, soak->replicas->len));
+				 soak_random_below(soak, soak->replicas->len));
 }
 
 static void harm_instance(struct soak_instance *instance)
 {
-	instance->disturbed_us = g_get_monotonic_time();
+	instance->last_fault_us = g_get_monotonic_time();
 }
 
 static void harm_world(struct soak *soak)
 {
-	soak->harmed_us = g_get_monotonic_time();
+	soak->last_fault_us = g_get_monotonic_time();
 }
 
 /* Instances. */
@@ -65,7 +67,7 @@
 		const struct soak_instance *instance =
 			g_ptr_array_index(soak->instances, i);
 
-		down += !instance->process || instance->stopping_us ||
+		down += !instance->process || instance->stop_requested_us ||
 			instance->frozen;
 	}
 	return down < MOST_DOWN_PART * soak->instances->len;
@@ -75,7 +77,7 @@
 {
 	struct soak_instance *instance = data;
 
-	if (!soak_instance_ended(instance))
+	if (!soak_reap_instance(instance))
 		return G_SOURCE_CONTINUE;
 	soak_start_instance(instance);
 	return G_SOURCE_REMOVE;
@@ -83,7 +85,7 @@
 
 static bool is_steady(const struct soak_instance *instance)
 {
-	return instance->process && !instance->stopping_us &&
+	return instance->process && !instance->stop_requested_us &&
 	       !instance->frozen && !instance->killed;
 }
 
@@ -93,7 +95,7 @@
 
 	if (!is_steady(instance) || !may_take_down(soak))
 		return;
-	instance->stopping_us = g_get_monotonic_time();
+	instance->stop_requested_us = g_get_monotonic_time();
 	test_signal_process(instance->process, SIGTERM);
 	/* A signal that comes twice changes nothing. */
 	if (soak_chance(soak, 0.2))
@@ -156,14 +158,15 @@
 {
 	struct soak_instance *instance = data;
 
-	soak_set_link(instance->store, SOAK_LINK_UP, 0);
+	soak_set_link_state(instance->store_link, SOAK_LINK_UP, 0);
 	harm_instance(instance);
 	return G_SOURCE_REMOVE;
 }
 
 static enum soak_link_state draw_link_state(struct soak *soak)
 {
-	return (enum soak_link_state)soak_draw(soak, SOAK_LINK_REFUSED + 1);
+	return (enum soak_link_state)soak_random_below(soak,
+						       SOAK_LINK_REFUSED + 1);
 }
 
 static void harm_store_link(struct soak *soak)
@@ -171,8 +174,8 @@
 	struct soak_instance *instance = draw_instance(soak);
 
 	harm_instance(instance);
-	soak_set_link(instance->store, draw_link_state(soak),
-		      soak_draw(soak, 200));
+	soak_set_link_state(instance->store_link, draw_link_state(soak),
+			    soak_random_below(soak, 200));
 	g_timeout_add(draw_fault_ms(soak), heal_store_link, instance);
 }
 
@@ -180,11 +183,11 @@
 {
 	struct soak_replica *replica = data;
 
-	soak_set_link(replica->link, SOAK_LINK_UP, 0);
-	replica->slow_ms = 0;
-	replica->shed = 0;
-	replica->lose = 0;
-	replica->garble = 0;
+	soak_set_link_state(replica->link, SOAK_LINK_UP, 0);
+	replica->extra_work_ms = 0;
+	replica->shed_share = 0;
+	replica->no_answer_share = 0;
+	replica->bad_answer_share = 0;
 	harm_world(replica->soak);
 	return G_SOURCE_REMOVE;
 }
@@ -199,21 +202,21 @@
 {
 	struct soak_replica *replica = draw_replica(soak);
 
-	soak_set_link(replica->link, draw_link_state(soak),
-		      soak_draw(soak, 80));
+	soak_set_link_state(replica->link, draw_link_state(soak),
+			    soak_random_below(soak, 80));
 	heal_later(replica);
 }
 
 static void reset_replica_link(struct soak *soak)
 {
 	harm_world(soak);
-	soak_reset_link(draw_replica(soak)->link);
+	soak_close_link_conns(draw_replica(soak)->link);
 }
 
 /* All of one zone at once. */
 static void cut_zone(struct soak *soak)
 {
-	uint32_t zone = soak_draw(soak, ZONES);
+	uint32_t zone = soak_random_below(soak, ZONES);
 
 	for (guint i = 0; i < soak->replicas->len; i++) {
 		struct soak_replica *replica =
@@ -221,7 +224,7 @@
 
 		if (replica->zone != zone)
 			continue;
-		soak_set_link(replica->link, SOAK_LINK_SILENT, 0);
+		soak_set_link_state(replica->link, SOAK_LINK_STALLED, 0);
 		heal_later(replica);
 	}
 }
@@ -232,7 +235,7 @@
 {
 	struct soak_replica *replica = draw_replica(soak);
 
-	replica->slow_ms = 20 + soak_draw(soak, 200);
+	replica->extra_work_ms = 20 + soak_random_below(soak, 200);
 	heal_later(replica);
 }
 
@@ -240,14 +243,15 @@
 {
 	harm_world(soak);
 	draw_replica(soak)->paused_until_us =
-		g_get_monotonic_time() + (50 + soak_draw(soak, 250)) * MS;
+		g_get_monotonic_time() +
+		(50 + soak_random_below(soak, 250)) * MS;
 }
 
 static void shed_at_replica(struct soak *soak)
 {
 	struct soak_replica *replica = draw_replica(soak);
 
-	replica->shed = 0.6;
+	replica->shed_share = 0.6;
 	heal_later(replica);
 }
 
@@ -255,7 +259,7 @@
 {
 	struct soak_replica *replica = draw_replica(soak);
 
-	replica->lose = 0.3;
+	replica->no_answer_share = 0.3;
 	heal_later(replica);
 }
 
@@ -263,7 +267,7 @@
 {
 	struct soak_replica *replica = draw_replica(soak);
 
-	replica->garble = 0.3;
+	replica->bad_answer_share = 0.3;
 	heal_later(replica);
 }
 
@@ -275,7 +279,7 @@
 	harm_world(replica->soak);
 	g_strlcpy(service, replica->service, sizeof(service));
 	if (!replica->up)
-		soak_revive_replica(replica, service);
+		soak_restart_replica(replica, service);
 	return G_SOURCE_REMOVE;
 }
 
@@ -283,7 +287,7 @@
 {
 	struct soak_replica *replica = draw_replica(soak);
 
-	if (!replica->up || replica->draining_us)
+	if (!replica->up || replica->draining_since_us)
 		return;
 	harm_world(soak);
 	soak_crash_replica(replica);
@@ -297,15 +301,15 @@
 	struct soak_replica *other = draw_replica(soak);
 	char service[sizeof(one->service)];
 
-	if (one == other || !one->up || !other->up || one->draining_us ||
-	    other->draining_us)
+	if (one == other || !one->up || !other->up || one->draining_since_us ||
+	    other->draining_since_us)
 		return;
 	harm_world(soak);
 	soak_crash_replica(one);
 	soak_crash_replica(other);
 	g_strlcpy(service, one->service, sizeof(service));
-	soak_revive_replica(one, other->service);
-	soak_revive_replica(other, service);
+	soak_restart_replica(one, other->service);
+	soak_restart_replica(other, service);
 }
 
 static gboolean leave(gpointer data)
@@ -313,11 +317,11 @@
 	struct soak_replica *replica = data;
 	char service[sizeof(replica->service)];
 
-	if (!replica->draining_us)
+	if (!replica->draining_since_us)
 		return G_SOURCE_REMOVE;
 	g_strlcpy(service, replica->service, sizeof(service));
 	soak_crash_replica(replica);
-	soak_revive_replica(replica, service);
+	soak_restart_replica(replica, service);
 	return G_SOURCE_REMOVE;
 }
 
@@ -325,11 +329,11 @@
 {
 	struct soak_replica *replica = draw_replica(soak);
 
-	if (!replica->up || replica->draining_us ||
+	if (!replica->up || replica->draining_since_us ||
 	    soak->store.state != TEST_STORE_UP)
 		return;
-	replica->draining_us = g_get_monotonic_time();
-	soak_list_replica(replica);
+	replica->draining_since_us = g_get_monotonic_time();
+	soak_register_replica(replica);
 	g_timeout_add(DRAIN_MS, leave, replica);
 }
 
@@ -340,7 +344,7 @@
 
 	harm_world(replica->soak);
 	if (replica->up)
-		soak_list_replica(replica);
+		soak_register_replica(replica);
 	return G_SOURCE_REMOVE;
 }
 
@@ -349,7 +353,7 @@
 	struct soak_replica *replica = draw_replica(soak);
 
 	harm_world(soak);
-	soak_write_odd_entry(replica);
+	soak_write_invalid_entry(replica);
 	g_timeout_add(draw_fault_ms(soak), list_again, replica);
 }
 
@@ -373,14 +377,15 @@
 	soak->store.leases_expire_down = soak_chance(soak, 0.5);
 	test_store_set_state(
 		&soak->store,
-		(enum test_store_state)(1 + soak_draw(soak, TEST_STORE_BUSY)));
+		(enum test_store_state)(
+			1 + soak_random_below(soak, TEST_STORE_BUSY)));
 	g_timeout_add(draw_fault_ms(soak), heal_store, soak);
 }
 
 static void slow_store(struct soak *soak)
 {
 	harm_world(soak);
-	soak->store.answer_delay_ms = 50 + soak_draw(soak, 400);
+	soak->store.answer_delay_ms = 50 + soak_random_below(soak, 400);
 	soak->store.lost_write_share = 0.3;
 	g_timeout_add(draw_fault_ms(soak), heal_store, soak);
 }
@@ -413,9 +418,9 @@
 {
 	char *key = evacuation_key(zone);
 
-	if (soak->evacuated_us[zone])
+	if (soak->evacuated_since_us[zone])
 		test_store_remove(&soak->store, key);
-	soak->evacuated_us[zone] = 0;
+	soak->evacuated_since_us[zone] = 0;
 	g_free(key);
 }
 
@@ -425,8 +430,8 @@
 	struct soak *soak = data;
 
 	for (uint32_t zone = 0; zone < ZONES; zone++) {
-		if (soak->evacuated_us[zone] &&
-		    g_get_monotonic_time() - soak->evacuated_us[zone] >=
+		if (soak->evacuated_since_us[zone] &&
+		    g_get_monotonic_time() - soak->evacuated_since_us[zone] >=
 			    EVACUATED_MS * MS)
 			take_back_zone(soak, zone);
 	}
@@ -435,13 +440,13 @@
 
 static void evacuate_zone(struct soak *soak)
 {
-	uint32_t zone = soak_draw(soak, ZONES);
+	uint32_t zone = soak_random_below(soak, ZONES);
 	char *key = evacuation_key(zone);
 
-	if (!soak->evacuated_us[zone]) {
+	if (!soak->evacuated_since_us[zone]) {
 		test_store_put(&soak->store, key,
 			       soak_chance(soak, 0.2) ? "odd" : "{}");
-		soak->evacuated_us[zone] = g_get_monotonic_time();
+		soak->evacuated_since_us[zone] = g_get_monotonic_time();
 		g_timeout_add(EVACUATED_MS + 1, end_evacuation, soak);
 	}
 	g_free(key);
@@ -458,7 +463,7 @@
 		"\"routeType\":\"%s\",\"timeoutMs\":%d,\"targetLatencyMs\":150,"
 		"\"priority\":1,\"maxAttempts\":%d,%s}",
 		out->str[out->len - 1] == '[' ? "" : ",", name, name, type,
-		DEADLINE_MS, MOST_ATTEMPTS, target);
+		DEADLINE_MS, MAX_ATTEMPTS, target);
 }
 
 static void append_services(GString *out)
@@ -486,17 +491,17 @@
 	GString *out = g_string_new(NULL);
 	GString *shards = g_string_new("\"shardServices\":[");
 	char *single = g_strdup_printf("\"service\":\"%s\"",
-				       soak->other_single ? "b1" : "a1");
+				       soak->use_second_service ? "b1" : "a1");
 
 	for (int i = 0; i < SHARDS; i++)
 		g_string_append_printf(shards, "%s\"%c%d\"", i ? "," : "",
-				       soak->other_shards ? 't' : 's', i);
+				       soak->use_second_shards ? 't' : 's', i);
 	g_string_append_printf(shards, "],\"topK\":%d,\"minShardRatio\":0.6",
 			       TOP_RECORDS);
-	soak->version += 1 + soak_draw(soak, 5);
+	soak->config_version += 1 + soak_random_below(soak, 5);
 	g_string_append_printf(
 		out, "{\"version\":%" G_GUINT64_FORMAT ",\"routes\":[",
-		soak->version);
+		soak->config_version);
 	append_route(out, "search", "idempotent", shards->str);
 	append_route(out, "often", "idempotent", single);
 	append_route(out, "once", "non_idempotent", single);
@@ -512,8 +517,8 @@
 
 static void change_config(struct soak *soak)
 {
-	soak->other_shards = soak_chance(soak, 0.5);
-	soak->other_single = soak_chance(soak, 0.5);
+	soak->use_second_shards = soak_chance(soak, 0.5);
+	soak->use_second_service = soak_chance(soak, 0.5);
 	soak_write_config(soak);
 }
 
@@ -527,11 +532,11 @@
 static void begin_one(struct soak *soak, void (*const *faults)(struct soak *),
 		      uint32_t n)
 {
-	soak->faults++;
-	faults[soak_draw(soak, n)](soak);
+	soak->n_faults++;
+	faults[soak_random_below(soak, n)](soak);
 }
 
-void soak_begin_fault(struct soak *soak, enum soak_phase phase)
+void soak_inject_fault(struct soak *soak, enum soak_phase phase)
 {
 	static void (*const all[])(struct soak * soak) = {
 		stop_instance,	   stop_instance,      kill_instance,
@@ -562,24 +567,24 @@
 	};
 
 	switch (phase) {
-	case SOAK_STORM:
+	case SOAK_RANDOM_FAULTS:
 		begin_one(soak, all, G_N_ELEMENTS(all));
 		return;
-	case SOAK_STOPS:
+	case SOAK_INSTANCE_STOPS:
 		begin_one(soak, stops, G_N_ELEMENTS(stops));
 		return;
-	case SOAK_DRAINS:
+	case SOAK_REPLICA_DRAINS:
 		begin_one(soak, drains, G_N_ELEMENTS(drains));
 		return;
-	case SOAK_EVACUATIONS:
+	case SOAK_ZONE_EVACUATIONS:
 		begin_one(soak, evacuations, G_N_ELEMENTS(evacuations));
 		return;
-	case SOAK_PHASES:
+	case SOAK_N_PHASES:
 		return;
 	}
 }
 
-void soak_heal_all(struct soak *soak)
+void soak_clear_faults(struct soak *soak)
 {
 	heal_store(soak);
 	for (uint32_t zone = 0; zone < ZONES; zone++)
--- a/soak/soak-instance.c
+++ b/soak/soak-instance.c
@@ -37,7 +37,7 @@
 		"news_bound_ms: 3000\nstop_timeout_s: 6\nseed_peers: [",
 		instance->name, instance->number % ZONES, instance->port,
 		instance->ready_port, instance->peer_port,
-		soak_link_port(instance->store),
+		soak_link_port(instance->store_link),
 		instance->number < ZONES ? "0.5" : "0.2", COLD_OVERAGE,
 		COLD_SLACK);
 	for (uint32_t i = 0; i < MIN(SEEDS, soak->instances->len); i++)
@@ -57,7 +57,7 @@
 	instance->port = test_reserve_port();
 	instance->ready_port = test_reserve_port();
 	instance->peer_port = test_reserve_port();
-	instance->store = soak_new_link(soak, soak->store.server.port);
+	instance->store_link = soak_new_link(soak, soak->store.server.port);
 	return instance;
 }
 
@@ -65,24 +65,24 @@
 {
 	const char *arguments[] = { "--settings", NULL, NULL };
 	const char *log_dir = instance->soak->options.log_dir;
-	char *log_file =
-		log_dir ? g_strdup_printf("%s/%s-%u.log", log_dir,
-					  instance->name, instance->starts++) :
-			  g_strdup("/dev/null");
+	char *log_file = log_dir ? g_strdup_printf("%s/%s-%u.log", log_dir,
+						   instance->name,
+						   instance->n_starts++) :
+				   g_strdup("/dev/null");
 
-	if (!instance->start_file) {
+	if (!instance->settings_file) {
 		char *text = make_start_file(instance);
 
-		instance->start_file = test_write_temp_file(text);
+		instance->settings_file = test_write_temp_file(text);
 		g_free(text);
 	}
-	arguments[1] = instance->start_file;
+	arguments[1] = instance->settings_file;
 	instance->process = test_start_logged_process("ragwort-gateway",
 						      arguments, log_file);
-	instance->stopping_us = 0;
+	instance->stop_requested_us = 0;
 	instance->frozen = false;
 	instance->killed = false;
-	instance->disturbed_us = g_get_monotonic_time();
+	instance->last_fault_us = g_get_monotonic_time();
 	g_free(log_file);
 }
 
@@ -96,15 +96,15 @@
 	       info.si_pid;
 }
 
-void soak_check_instance(struct soak_instance *instance)
+void soak_check_instance_alive(struct soak_instance *instance)
 {
-	if (instance->process && !instance->killed && !instance->stopping_us &&
-	    has_ended(instance))
-		soak_violation(instance->soak, "ENDED", "%s ended by itself",
-			       instance->name);
+	if (instance->process && !instance->killed &&
+	    !instance->stop_requested_us && has_ended(instance))
+		soak_report_violation(instance->soak, "ENDED",
+				      "%s ended by itself", instance->name);
 }
 
-bool soak_instance_ended(struct soak_instance *instance)
+bool soak_reap_instance(struct soak_instance *instance)
 {
 	if (!instance->process)
 		return true;
@@ -119,9 +119,9 @@
 {
 	if (instance->process)
 		test_drop_process(instance->process);
-	if (instance->start_file)
-		test_remove_temp_file(instance->start_file);
-	soak_drop_link(instance->store);
+	if (instance->settings_file)
+		test_remove_temp_file(instance->settings_file);
+	soak_drop_link(instance->store_link);
 	g_free(instance->name);
 	g_free(instance);
 }
--- a/soak/soak-link.c
+++ b/soak/soak-link.c
@@ -84,11 +84,11 @@
 	switch (link->state) {
 	case SOAK_LINK_UP:
 		return true;
-	case SOAK_LINK_NO_CALLS:
+	case SOAK_LINK_REQUESTS_STALLED:
 		return !forth;
-	case SOAK_LINK_NO_REPLIES:
+	case SOAK_LINK_REPLIES_STALLED:
 		return forth;
-	case SOAK_LINK_SILENT:
+	case SOAK_LINK_STALLED:
 	case SOAK_LINK_REFUSED:
 		return false;
 	}
@@ -253,7 +253,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-void soak_listen_link(struct soak_link *link, bool open)
+void soak_set_link_listening(struct soak_link *link, bool open)
 {
 	if (open == (link->listener != NULL))
 		return;
@@ -277,7 +277,7 @@
 
 	link->target_port = target_port;
 	link->pairs = g_ptr_array_new();
-	soak_listen_link(link, true);
+	soak_set_link_listening(link, true);
 	return link;
 }
 
@@ -285,8 +285,8 @@
 {
 	if (link->timer)
 		g_source_remove(link->timer);
-	soak_listen_link(link, false);
-	soak_reset_link(link);
+	soak_set_link_listening(link, false);
+	soak_close_link_conns(link);
 	g_ptr_array_unref(link->pairs);
 	g_free(link);
 }
@@ -296,16 +296,16 @@
 	return link->port;
 }
 
-void soak_set_link(struct soak_link *link, enum soak_link_state state,
-		   uint32_t delay_ms)
+void soak_set_link_state(struct soak_link *link, enum soak_link_state state,
+			 uint32_t delay_ms)
 {
 	link->state = state;
 	link->delay_ms = delay_ms;
 	if (state == SOAK_LINK_REFUSED)
-		soak_reset_link(link);
+		soak_close_link_conns(link);
 }
 
-void soak_reset_link(struct soak_link *link)
+void soak_close_link_conns(struct soak_link *link)
 {
 	GPtrArray *pairs = link->pairs;
 
--- a/soak/soak-deadly.c
+++ b/soak/soak-query-of-death.c
@@ -1,5 +1,5 @@
 /*
- * soak-deadly.c - queries of death: callers repeat them, with a new id each
+ * soak-query-of-death.c - queries of death: callers repeat them, with a new id each
  * time, and replicas count how often they receive them.
  */
 #include <string.h>
@@ -23,47 +23,49 @@
 	uint32_t late;	  /* requests received later than SETTLED_US */
 };
 
-void soak_draw_deadly(struct soak *soak, struct soak_request *request)
+void soak_draw_query_of_death(struct soak *soak, struct soak_request *request)
 {
 	int64_t epoch = g_get_monotonic_time() / EPOCH_US;
 
 	if (soak_chance(soak, SHARE))
-		g_snprintf(request->deadly, sizeof(request->deadly),
-			   "deadly-%d-%d", (int)(epoch % 10000),
-			   (int)request->kind);
+		g_snprintf(request->query_of_death,
+			   sizeof(request->query_of_death), "deadly-%d-%d",
+			   (int)(epoch % 10000), (int)request->kind);
 }
 
 static struct deadly *deadly_of(struct soak *soak,
 				const struct soak_request *request)
 {
-	struct deadly *deadly =
-		g_hash_table_lookup(soak->deadly, request->deadly);
+	struct deadly *deadly = g_hash_table_lookup(soak->queries_of_death,
+						    request->query_of_death);
 
 	if (!deadly) {
 		deadly = g_new0(struct deadly, 1);
-		g_hash_table_insert(soak->deadly, g_strdup(request->deadly),
-				    deadly);
+		g_hash_table_insert(soak->queries_of_death,
+				    g_strdup(request->query_of_death), deadly);
 	}
 	return deadly;
 }
 
-void soak_check_deadly(struct soak *soak, const struct soak_request *request)
+void soak_check_query_of_death(struct soak *soak,
+			       const struct soak_request *request)
 {
 	struct deadly *deadly;
 	int64_t now_us = g_get_monotonic_time();
 
-	if (!request->deadly[0] || request->n_runs)
+	if (!request->query_of_death[0] || request->n_executions)
 		return;
 	deadly = deadly_of(soak, request);
-	if (!soak->options.timing || !deadly->third_us ||
+	if (!soak->options.check_timing || !deadly->third_us ||
 	    now_us - deadly->third_us < SETTLED_US ||
-	    !soak_is_calm_since(soak, NULL, now_us - MARGIN_US))
+	    !soak_is_fault_free_since(soak, NULL, now_us - MARGIN_US))
 		return;
 	if (++deadly->late > MOST_LATE)
-		soak_violation(soak, "BUDGET",
-			       "%s came as %s %u times after three replicas "
-			       "had crashed under it",
-			       request->deadly, request->id, deadly->late);
+		soak_report_violation(
+			soak, "BUDGET",
+			"%s came as %s %u times after three replicas "
+			"had crashed under it",
+			request->query_of_death, request->id, deadly->late);
 }
 
 static gboolean restart(gpointer data)
@@ -73,11 +75,12 @@
 
 	g_strlcpy(service, replica->service, sizeof(service));
 	if (!replica->up)
-		soak_revive_replica(replica, service);
+		soak_restart_replica(replica, service);
 	return G_SOURCE_REMOVE;
 }
 
-void soak_crash_under(struct soak_replica *replica, const char *request_id)
+void soak_crash_on_query_of_death(struct soak_replica *replica,
+				  const char *request_id)
 {
 	struct soak *soak = replica->soak;
 	struct deadly *deadly = deadly_of(
--- a/soak/soak-replica.c
+++ b/soak/soak-replica.c
@@ -18,9 +18,10 @@
 	char *request_id;
 };
 
-void soak_part_records(const char *request_id, const char *service, char *out)
+void soak_make_part_records(const char *request_id, const char *service,
+			    char *out)
 {
-	for (int i = 0; i < PART_RECORDS; i++) {
+	for (int i = 0; i < RECORDS_PER_PART; i++) {
 		char *text =
 			g_strdup_printf("%s/%s/%d", request_id, service, i);
 		char *sum =
@@ -30,7 +31,7 @@
 		g_free(sum);
 		g_free(text);
 	}
-	out[PART_RECORDS * RECORD_BYTES] = '\0';
+	out[RECORDS_PER_PART * RECORD_BYTES] = '\0';
 }
 
 static void free_work(struct work *work)
@@ -49,7 +50,7 @@
 	char *foreign;
 	char *text;
 
-	switch (soak_draw(soak, 3)) {
+	switch (soak_random_below(soak, 3)) {
 	case 0: /* breaks off in the middle */
 		test_reply_to(connection, 200, extra, body, true);
 		return;
@@ -66,7 +67,7 @@
 			"HTTP/1.1 200 -\r\nContent-Length: %d\r\n"
 			"%s\r\n%sHTTP/1.1 200 -\r\n"
 			"Content-Length: 1\r\n\r\nx",
-			PART_RECORDS * RECORD_BYTES, extra, body);
+			RECORDS_PER_PART * RECORD_BYTES, extra, body);
 		g_socket_send(connection->socket, text, strlen(text), NULL,
 			      NULL);
 		test_close_connection(connection);
@@ -78,16 +79,16 @@
 static void answer_work(struct soak *soak, struct work *work)
 {
 	struct soak_replica *replica = work->replica;
-	char body[PART_RECORDS * RECORD_BYTES + 1];
+	char body[RECORDS_PER_PART * RECORD_BYTES + 1];
 	char *extra =
 		g_strdup_printf("Response-Seal: %s.%s.%s\r\nRequest-Id: %s\r\n",
 				replica->service, replica->id, work->request_id,
 				work->request_id);
 
-	soak_part_records(work->request_id, replica->service, body);
-	if (soak_chance(soak, replica->lose))
+	soak_make_part_records(work->request_id, replica->service, body);
+	if (soak_chance(soak, replica->no_answer_share))
 		test_close_connection(work->connection);
-	else if (soak_chance(soak, replica->garble))
+	else if (soak_chance(soak, replica->bad_answer_share))
 		answer_garbled(soak, work, extra, body);
 	else
 		test_reply_to(work->connection, 200, extra, body, false);
@@ -102,7 +103,8 @@
 	if (connection) {
 		connection->user = NULL;
 		if (strstr(connection->path, "deadly"))
-			soak_crash_under(work->replica, work->request_id);
+			soak_crash_on_query_of_death(work->replica,
+						     work->request_id);
 		else
 			answer_work(work->replica->soak, work);
 		work->connection = NULL;
@@ -126,8 +128,8 @@
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < request->n_runs; i++)
-		n += !strcmp(request->runs[i].service, service);
+	for (uint32_t i = 0; i < request->n_executions; i++)
+		n += !strcmp(request->executions[i].service, service);
 	return n;
 }
 
@@ -143,29 +145,30 @@
 
 	if (!g_str_has_prefix(connection->path, prefix) ||
 	    strcmp(connection->path + strlen(prefix),
-		   request->deadly[0] ? request->deadly : request->id) ||
+		   request->query_of_death[0] ? request->query_of_death :
+						request->id) ||
 	    strcmp(connection->method,
-		   request->kind == SOAK_ONCE ? "POST" : "GET"))
-		soak_violation(soak, "UNASKED", "%s %s ran for %s",
-			       connection->method, connection->path,
-			       request->id);
-	if (request->kind == SOAK_ONCE && request->n_runs)
-		soak_violation(soak, "TWICE", "%s ran at %s after %s",
-			       request->id, replica->id,
-			       request->runs[0].service);
-	if (request->promised && request->kind == SOAK_ONCE)
-		soak_violation(soak, "REFUSED",
-			       "%s ran at %s after the promise", request->id,
-			       replica->id);
-	if (!request->lost_a_replica &&
-	    count_replicas(request, replica->service) >= MOST_ATTEMPTS)
-		soak_violation(soak, "BUDGET", "%s ran %u times at %s",
-			       request->id, MOST_ATTEMPTS + 1,
-			       replica->service);
+		   request->kind == SOAK_NON_IDEMPOTENT ? "POST" : "GET"))
+		soak_report_violation(soak, "UNASKED", "%s %s ran for %s",
+				      connection->method, connection->path,
+				      request->id);
+	if (request->kind == SOAK_NON_IDEMPOTENT && request->n_executions)
+		soak_report_violation(soak, "TWICE", "%s ran at %s after %s",
+				      request->id, replica->id,
+				      request->executions[0].service);
+	if (request->rejected && request->kind == SOAK_NON_IDEMPOTENT)
+		soak_report_violation(soak, "REFUSED",
+				      "%s ran at %s after the promise",
+				      request->id, replica->id);
+	if (!request->on_lost_replica &&
+	    count_replicas(request, replica->service) >= MAX_ATTEMPTS)
+		soak_report_violation(soak, "BUDGET", "%s ran %u times at %s",
+				      request->id, MAX_ATTEMPTS + 1,
+				      replica->service);
 	if ((request->kind == SOAK_SEARCH) !=
 	    (replica->service[0] == 's' || replica->service[0] == 't'))
-		soak_violation(soak, "ROUTE", "%s ran at service %s",
-			       connection->path, replica->service);
+		soak_report_violation(soak, "ROUTE", "%s ran at service %s",
+				      connection->path, replica->service);
 }
 
 static void check_drain(struct soak_replica *replica, const char *id)
@@ -173,30 +176,32 @@
 	struct soak *soak = replica->soak;
 	int64_t now_us = g_get_monotonic_time();
 
-	if (!soak->options.timing || !replica->draining_us ||
-	    now_us - replica->draining_us < DRAIN_BOUND_US)
+	if (!soak->options.check_timing || !replica->draining_since_us ||
+	    now_us - replica->draining_since_us < DRAIN_BOUND_US)
 		return;
-	if (soak_is_calm_since(soak, NULL, replica->draining_us))
-		soak_violation(soak, "DRAIN", "%s came to %s after %d ms", id,
-			       replica->id,
-			       (int)((now_us - replica->draining_us) / MS));
+	if (soak_is_fault_free_since(soak, NULL, replica->draining_since_us))
+		soak_report_violation(
+			soak, "DRAIN", "%s came to %s after %d ms", id,
+			replica->id,
+			(int)((now_us - replica->draining_since_us) / MS));
 }
 
 /* As for a drain: an evacuation is another change in the store. */
 static void check_evacuation(struct soak_replica *replica, const char *id)
 {
 	struct soak *soak = replica->soak;
-	int64_t since_us = soak->evacuated_us[replica->zone];
+	int64_t since_us = soak->evacuated_since_us[replica->zone];
 	int64_t late_us = g_get_monotonic_time() - since_us;
 
-	if (!soak->options.timing || !since_us || late_us < DRAIN_BOUND_US)
+	if (!soak->options.check_timing || !since_us ||
+	    late_us < DRAIN_BOUND_US)
 		return;
-	if (soak_is_calm_since(soak, NULL, since_us))
-		soak_violation(soak, "EVAC",
-			       "%s came to %s of zone %u after "
-			       "%d ms",
-			       id, replica->id, replica->zone,
-			       (int)(late_us / MS));
+	if (soak_is_fault_free_since(soak, NULL, since_us))
+		soak_report_violation(soak, "EVAC",
+				      "%s came to %s of zone %u after "
+				      "%d ms",
+				      id, replica->id, replica->zone,
+				      (int)(late_us / MS));
 }
 
 /*
@@ -216,26 +221,28 @@
 	before_us = replica->n_arrivals < most ?
 			    0 :
 			    replica->arrivals_us[(replica->n_arrivals - most) %
-						 ARRIVALS];
-	replica->arrivals_us[replica->n_arrivals++ % ARRIVALS] = now_us;
-	if (soak->options.timing && before_us &&
+						 ARRIVAL_RING_SIZE];
+	replica->arrivals_us[replica->n_arrivals++ % ARRIVAL_RING_SIZE] =
+		now_us;
+	if (soak->options.check_timing && before_us &&
 	    now_us - before_us < 1000 * MS &&
-	    soak_is_calm_since(soak, NULL, before_us))
-		soak_violation(soak, "FAILBACK",
-			       "%s is number %u in %d ms at %s, which is cold",
-			       id, most + 1, (int)((now_us - before_us) / MS),
-			       replica->id);
+	    soak_is_fault_free_since(soak, NULL, before_us))
+		soak_report_violation(
+			soak, "FAILBACK",
+			"%s is number %u in %d ms at %s, which is cold", id,
+			most + 1, (int)((now_us - before_us) / MS),
+			replica->id);
 }
 
 static void note_run(struct soak_replica *replica, struct soak_request *request)
 {
-	struct soak_run *run;
+	struct soak_execution *run;
 
-	replica->soak->runs++;
-	if (request->n_runs == MOST_RUNS)
+	replica->soak->executions++;
+	if (request->n_executions == MAX_EXECUTIONS)
 		return;
-	run = &request->runs[request->n_runs++];
-	run->replica = replica->number;
+	run = &request->executions[request->n_executions++];
+	run->incarnation = replica->incarnation;
 	g_strlcpy(run->service, replica->service, sizeof(run->service));
 }
 
@@ -246,8 +253,8 @@
 	struct soak *soak = replica->soak;
 	struct work *work = g_new0(struct work, 1);
 	int64_t pause_us = replica->paused_until_us - g_get_monotonic_time();
-	uint32_t work_ms =
-		WORK_MS + soak_draw(soak, MOST_MORE_MS) + replica->slow_ms;
+	uint32_t work_ms = WORK_MS + soak_random_below(soak, MOST_MORE_MS) +
+			   replica->extra_work_ms;
 
 	work->replica = replica;
 	work->connection = connection;
@@ -268,9 +275,10 @@
 		id ? g_hash_table_lookup(replica->soak->requests, id) : NULL;
 
 	if (!request) {
-		soak_violation(replica->soak, "UNASKED",
-			       "%s came to %s, which nobody sent",
-			       id ? id : "a request without id", replica->id);
+		soak_report_violation(replica->soak, "UNASKED",
+				      "%s came to %s, which nobody sent",
+				      id ? id : "a request without id",
+				      replica->id);
 		test_reply_to(connection, 400, "Not-Executed: 1\r\n", "",
 			      false);
 		return;
@@ -283,13 +291,13 @@
 	check_drain(replica, id);
 	check_evacuation(replica, id);
 	check_cold(replica, id);
-	if (soak_chance(replica->soak, replica->shed)) {
+	if (soak_chance(replica->soak, replica->shed_share)) {
 		test_reply_to(connection, 503, "Not-Executed: 1\r\n", "",
 			      false);
 		return;
 	}
 	check_run(replica, request, connection);
-	soak_check_deadly(replica->soak, request);
+	soak_check_query_of_death(replica->soak, request);
 	note_run(replica, request);
 	start_work(replica, connection, request);
 }
@@ -297,7 +305,7 @@
 /* Starts of one replica differ, however soon they follow each other. */
 static int64_t next_born_ms(const struct soak_replica *replica)
 {
-	return MAX(g_get_real_time() / MS, replica->born_ms + 1);
+	return MAX(g_get_real_time() / MS, replica->started_ms + 1);
 }
 
 static void begin_lifetime(struct soak_replica *replica, const char *service)
@@ -305,15 +313,15 @@
 	bool keeps_id = !strcmp(replica->service, service) &&
 			soak_chance(replica->soak, 0.5);
 
-	replica->number = ++replica->soak->next_replica;
-	replica->born_ms = next_born_ms(replica);
+	replica->incarnation = ++replica->soak->last_incarnation;
+	replica->started_ms = next_born_ms(replica);
 	if (keeps_id)
-		replica->soak->reborn++;
+		replica->soak->reused_ids++;
 	else
 		g_snprintf(replica->id, sizeof(replica->id), "i-%u",
-			   replica->number);
+			   replica->incarnation);
 	g_strlcpy(replica->service, service, sizeof(replica->service));
-	replica->draining_us = 0;
+	replica->draining_since_us = 0;
 	/*
 	 * A lifetime that reuses an id cannot be told from the one before
 	 * until its entry is read.
@@ -325,7 +333,7 @@
 	replica->up = true;
 	test_set_listening(&replica->server, true);
 	if (replica->link)
-		soak_listen_link(replica->link, true);
+		soak_set_link_listening(replica->link, true);
 }
 
 struct soak_replica *soak_new_replica(struct soak *soak, const char *service,
@@ -350,7 +358,7 @@
 	g_free(replica);
 }
 
-void soak_list_replica(struct soak_replica *replica)
+void soak_register_replica(struct soak_replica *replica)
 {
 	char *address =
 		g_strdup_printf("127.0.0.1:%u", soak_link_port(replica->link));
@@ -361,21 +369,21 @@
 		.address = address,
 		.zone = zone,
 		.slots = 4,
-		.draining = replica->draining_us != 0,
-		.started_ms = replica->born_ms,
+		.draining = replica->draining_since_us != 0,
+		.started_ms = replica->started_ms,
 		.cold_ms = (uint32_t)(MAX(replica->cold_until_us -
 						  g_get_monotonic_time(),
 					  0) /
 				      MS),
 	};
 
-	replica->listed = true;
+	replica->registered = true;
 	test_store_put_replica(&replica->soak->store, &entry);
 	g_free(zone);
 	g_free(address);
 }
 
-void soak_write_odd_entry(struct soak_replica *replica)
+void soak_write_invalid_entry(struct soak_replica *replica)
 {
 	static const char *const values[] = {
 		"",
@@ -393,11 +401,11 @@
 		"servers/odd\\",
 	};
 	char *own = g_strdup_printf("servers/%s", replica->id);
-	uint32_t drawn = soak_draw(soak, G_N_ELEMENTS(keys) + 1);
+	uint32_t drawn = soak_random_below(soak, G_N_ELEMENTS(keys) + 1);
 
 	test_store_put(&soak->store,
 		       drawn < G_N_ELEMENTS(keys) ? keys[drawn] : own,
-		       values[soak_draw(soak, G_N_ELEMENTS(values))]);
+		       values[soak_random_below(soak, G_N_ELEMENTS(values))]);
 	g_free(own);
 }
 
@@ -411,9 +419,10 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct soak_request *request = value;
 
-		for (uint32_t i = 0; i < request->n_runs; i++)
-			request->lost_a_replica |=
-				request->runs[i].replica == replica->number;
+		for (uint32_t i = 0; i < request->n_executions; i++)
+			request->on_lost_replica |=
+				request->executions[i].incarnation ==
+				replica->incarnation;
 	}
 }
 
@@ -421,11 +430,11 @@
 {
 	replica->up = false;
 	note_lost(replica);
-	soak_listen_link(replica->link, false);
+	soak_set_link_listening(replica->link, false);
 	test_stop_server(&replica->server);
 }
 
-void soak_revive_replica(struct soak_replica *replica, const char *service)
+void soak_restart_replica(struct soak_replica *replica, const char *service)
 {
 	char *key = g_strdup_printf("servers/%s", replica->id);
 	char *id = g_strdup(replica->id);
@@ -433,7 +442,7 @@
 	begin_lifetime(replica, service);
 	if (strcmp(id, replica->id) || soak_chance(replica->soak, 0.5))
 		test_store_remove(&replica->soak->store, key);
-	soak_list_replica(replica);
+	soak_register_replica(replica);
 	g_free(id);
 	g_free(key);
 }
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -21,8 +21,8 @@
 #define RECOVERY_LIMIT_MS 60000
 #define REPLICAS_OF_SINGLE 3
 
-void soak_violation(struct soak *soak, const char *rule, const char *format,
-		    ...)
+void soak_report_violation(struct soak *soak, const char *rule,
+			   const char *format, ...)
 {
 	char *text;
 	va_list args;
@@ -35,7 +35,7 @@
 	g_free(text);
 }
 
-uint32_t soak_draw(struct soak *soak, uint32_t below)
+uint32_t soak_random_below(struct soak *soak, uint32_t below)
 {
 	return below ? (uint32_t)g_rand_int_range(soak->rand, 0,
 						  (gint32)below) :
@@ -47,20 +47,21 @@
 	return g_rand_double(soak->rand) < share;
 }
 
-bool soak_is_calm_since(const struct soak *soak,
-			const struct soak_instance *instance, int64_t since_us)
+bool soak_is_fault_free_since(const struct soak *soak,
+			      const struct soak_instance *instance,
+			      int64_t since_us)
 {
 	int64_t from_us = since_us - CALM_US;
 
-	if (soak->harmed_us > from_us)
+	if (soak->last_fault_us > from_us)
 		return false;
 	if (instance)
-		return instance->disturbed_us <= from_us;
+		return instance->last_fault_us <= from_us;
 	for (guint i = 0; i < soak->instances->len; i++) {
 		const struct soak_instance *each =
 			g_ptr_array_index(soak->instances, i);
 
-		if (each->disturbed_us > from_us || each->frozen ||
+		if (each->last_fault_us > from_us || each->frozen ||
 		    !each->process)
 			return false;
 	}
@@ -82,7 +83,7 @@
 			soak, service, (soak->replicas->len + i) % ZONES);
 
 		g_ptr_array_add(soak->replicas, replica);
-		soak_list_replica(replica);
+		soak_register_replica(replica);
 	}
 }
 
@@ -132,18 +133,19 @@
 /* Searches that were answered whole reach `n` more; false in vain. */
 static bool wait_for_whole(struct soak *soak, uint32_t n)
 {
-	uint32_t wanted = soak->whole + n;
+	uint32_t wanted = soak->complete + n;
 
-	for (int ms = 0; ms < RECOVERY_LIMIT_MS && soak->whole < wanted;
+	for (int ms = 0; ms < RECOVERY_LIMIT_MS && soak->complete < wanted;
 	     ms += LEAST_GAP_MS)
 		run_for(LEAST_GAP_MS);
-	return soak->whole >= wanted;
+	return soak->complete >= wanted;
 }
 
 static void check_instances(struct soak *soak)
 {
 	for (guint i = 0; i < soak->instances->len; i++)
-		soak_check_instance(g_ptr_array_index(soak->instances, i));
+		soak_check_instance_alive(
+			g_ptr_array_index(soak->instances, i));
 }
 
 static void run_phase(struct soak *soak, enum soak_phase phase,
@@ -153,9 +155,9 @@
 
 	while (g_get_monotonic_time() < end_us && !soak->violations) {
 		check_instances(soak);
-		soak_begin_fault(soak, phase);
+		soak_inject_fault(soak, phase);
 		run_for(LEAST_GAP_MS +
-			soak_draw(soak, most_gap_ms - LEAST_GAP_MS));
+			soak_random_below(soak, most_gap_ms - LEAST_GAP_MS));
 	}
 }
 
@@ -169,12 +171,14 @@
 			 (int64_t)soak->options.seconds * 1000 * MS;
 
 	while (g_get_monotonic_time() < end_us && !soak->violations) {
-		run_phase(soak, SOAK_STORM, STORM_MS, MOST_GAP_MS);
-		soak_heal_all(soak);
+		run_phase(soak, SOAK_RANDOM_FAULTS, STORM_MS, MOST_GAP_MS);
+		soak_clear_faults(soak);
 		run_for(LULL_MS);
 		run_phase(soak,
-			  SOAK_STOPS +
-				  soak_draw(soak, SOAK_PHASES - SOAK_STOPS),
+			  SOAK_INSTANCE_STOPS +
+				  soak_random_below(
+					  soak,
+					  SOAK_N_PHASES - SOAK_INSTANCE_STOPS),
 			  PLANNED_MS, PLANNED_GAP_MS);
 	}
 }
@@ -189,7 +193,7 @@
 		soak_drop_replica(g_ptr_array_index(soak->replicas, i));
 	test_close_store(&soak->store);
 	g_hash_table_unref(soak->requests);
-	g_hash_table_unref(soak->deadly);
+	g_hash_table_unref(soak->queries_of_death);
 	g_ptr_array_unref(soak->callers);
 	g_ptr_array_unref(soak->instances);
 	g_ptr_array_unref(soak->replicas);
@@ -206,28 +210,30 @@
 		.callers = g_ptr_array_new(),
 		.requests = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						  free_request),
-		.deadly = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-						g_free),
+		.queries_of_death = g_hash_table_new_full(
+			g_str_hash, g_str_equal, g_free, g_free),
 	};
 
 	make_world(&soak);
 	start_callers(&soak);
 	if (!wait_for_whole(&soak, options->instances))
-		soak_violation(&soak, "RECOVER", "never served at first");
+		soak_report_violation(&soak, "RECOVER",
+				      "never served at first");
 	run_faults(&soak);
-	soak_heal_all(&soak);
+	soak_clear_faults(&soak);
 	/* Timers of faults run out, processes are back. */
 	run_for(LULL_MS);
 	check_instances(&soak);
 	if (!wait_for_whole(&soak, 10 * options->instances))
-		soak_violation(&soak, "RECOVER", "does not serve any more");
+		soak_report_violation(&soak, "RECOVER",
+				      "does not serve any more");
 	printf("soak: seed=%u %s faults=%u requests=%u whole=%u partial=%u "
 	       "refused=%u unknown=%u cut=%u runs=%u crashes=%u "
 	       "violations=%u\n",
-	       options->seed, soak.violations ? "FAILED" : "ok", soak.faults,
-	       (unsigned int)g_hash_table_size(soak.requests), soak.whole,
-	       soak.partial, soak.refused, soak.unknown, soak.cut, soak.runs,
-	       soak.crashes, soak.violations);
+	       options->seed, soak.violations ? "FAILED" : "ok", soak.n_faults,
+	       (unsigned int)g_hash_table_size(soak.requests), soak.complete,
+	       soak.partial, soak.rejected, soak.unknown_outcome,
+	       soak.unanswered, soak.executions, soak.crashes, soak.violations);
 	fflush(stdout);
 	drop_all(&soak);
 	return soak.violations ? 1 : 0;
@@ -269,7 +275,7 @@
 		options.instances =
 			instances->count ? (uint32_t)*instances->ival : 6;
 		options.callers = callers->count ? (uint32_t)*callers->ival : 4;
-		options.timing = timing->count > 0;
+		options.check_timing = timing->count > 0;
 		options.log_dir = logs->count ? *logs->sval : NULL;
 		/* What was printed must outlive whatever ends this. */
 		setvbuf(stdout, NULL, _IOLBF, 0);
--- a/tests/test-gate-emulated.c
+++ b/tests/test-gate-emulated.c
@@ -55,9 +55,9 @@
 	for (uint32_t seed = 1; seed <= SEEDS; seed++) {
 		struct emulated_result result;
 
-		emulate(&scenario, &policy, seed, &result);
-		sum += mean_value(&result);
-		asked += result.asked;
+		emulate_scenario(&scenario, &policy, seed, &result);
+		sum += mean_answer_value(&result);
+		asked += result.requests;
 		n_in_time += result.in_time;
 		clear_emulated_result(&result);
 	}
@@ -137,9 +137,9 @@
 	(void)state;
 	load("deadly", &scenario);
 	for (uint32_t seed = 1; seed <= SEEDS; seed++) {
-		emulate(&scenario, NULL, seed, &result);
+		emulate_scenario(&scenario, NULL, seed, &result);
 		assert_true(result.crashes >= 3);
-		assert_in_range(result.deadly_late, 0, 3);
+		assert_in_range(result.late_queries_of_death, 0, 3);
 		clear_emulated_result(&result);
 	}
 }
@@ -156,8 +156,8 @@
 	if (without - with >= LEAST_GAIN)
 		fail_msg("%.4f with it, %.4f without", with, without);
 	load("crashing", &scenario);
-	emulate(&scenario, NULL, 1, &result);
-	assert_int_equal(result.reports, 0);
+	emulate_scenario(&scenario, NULL, 1, &result);
+	assert_int_equal(result.quarantine_reports, 0);
 	clear_emulated_result(&result);
 }
 
@@ -170,8 +170,8 @@
 	(void)state;
 	load("evacuated", &scenario);
 	for (uint32_t seed = 1; seed <= SEEDS; seed++) {
-		emulate(&scenario, NULL, seed, &result);
-		assert_int_equal(result.evacuated, 0);
+		emulate_scenario(&scenario, NULL, seed, &result);
+		assert_int_equal(result.evacuated_arrivals, 0);
 		assert_int_equal(result.cold_excess, 0);
 		clear_emulated_result(&result);
 	}
--- a/tests/test-gate-generated.c
+++ b/tests/test-gate-generated.c
@@ -27,8 +27,8 @@
 	struct emulated_result result;
 	double value;
 
-	emulate(scenario, policy, 1, &result);
-	value = mean_value(&result);
+	emulate_scenario(scenario, policy, 1, &result);
+	value = mean_answer_value(&result);
 	clear_emulated_result(&result);
 	return value;
 }
@@ -40,12 +40,12 @@
 	guint lost = 0;
 
 	rr_init_gate_policy(&policy);
-	init_plain_policy(&plain);
+	init_baseline_policy(&plain);
 	for (uint32_t seed = 1; seed <= DRAWN; seed++) {
 		struct emulated_scenario scenario;
 		double loss;
 
-		draw_scenario(seed, &scenario);
+		generate_scenario(seed, &scenario);
 		loss = -value_by(&scenario, &policy);
 		scenario.routes[0].max_attempts = 1;
 		loss += value_by(&scenario, &plain);
--- a/tests/test-process-gateway.c
+++ b/tests/test-process-gateway.c
@@ -78,8 +78,8 @@
 		version, prefix);
 }
 
-static void list_replica(struct world *world, int i, int64_t born_ms,
-			 bool draining)
+static void announce_replica(struct world *world, int i, int64_t born_ms,
+			     bool draining)
 {
 	char *id = g_strdup_printf("i-%d", i);
 	char *service = g_strdup_printf("s%d", i);
@@ -109,7 +109,7 @@
 
 	test_store_put(&world->store, "op/config", config);
 	for (int i = 0; i < SHARDS; i++)
-		list_replica(world, i, 0, false);
+		announce_replica(world, i, 0, false);
 	g_free(config);
 }
 
@@ -227,7 +227,7 @@
 	struct world *world = *state;
 	struct raw_peer *caller;
 
-	list_replica(world, 2, 0, true);
+	announce_replica(world, 2, 0, true);
 	wait_until_followed(world);
 	caller = ask(world, "GET /all/x");
 	raw_expect(caller, "Missing-Parts: 1\r\n");
@@ -244,10 +244,10 @@
 	struct world *world = *state;
 	struct raw_peer *caller;
 
-	list_replica(world, 2, 1700000000000, true);
+	announce_replica(world, 2, 1700000000000, true);
 	test_store_put(&world->store, "servers/i-\"9\n", "nonsense");
 	test_store_put(&world->store, "ragwort/instances/x", "{}");
-	list_replica(world, 2, 1700000009000, false);
+	announce_replica(world, 2, 1700000009000, false);
 	wait_until_followed(world);
 	caller = ask(world, "GET /all/x");
 	raw_expect(caller, "HTTP/1.1 200 OK");
@@ -260,7 +260,7 @@
 {
 	world->apart = true;
 	for (int i = 0; i < SHARDS; i++)
-		list_replica(world, i, 0, false);
+		announce_replica(world, i, 0, false);
 	wait_until_followed(world);
 }
 
--- a/tests/test-process-quarantine.c
+++ b/tests/test-process-quarantine.c
@@ -88,7 +88,7 @@
 	return g_strdup_printf("i-%d-%d", replica->index, replica->generation);
 }
 
-static void list_replica(struct replica *replica)
+static void announce_replica(struct replica *replica)
 {
 	char *id = id_of(replica);
 	char *service =
@@ -121,7 +121,7 @@
 	replica->generation++;
 	replica->restart = 0;
 	test_set_listening(&replica->server, true);
-	list_replica(replica);
+	announce_replica(replica);
 	g_free(key);
 	g_free(id);
 	return G_SOURCE_REMOVE;
@@ -291,7 +291,7 @@
 		replica->server.request = take_run;
 		replica->server.closing = drop_run;
 		test_set_listening(&replica->server, true);
-		list_replica(replica);
+		announce_replica(replica);
 	}
 	for (int i = 0; i < GATEWAYS; i++) {
 		world->callers[i] = test_reserve_address();
