--- a/bench/gate/emulated-caller.c
+++ b/bench/gate/emulated-caller.c
@@ -17,49 +17,50 @@
 	return share * share * (in_time ? 1 : LATE_VALUE);
 }
 
-static struct instance *instance_at(struct world *world, uint32_t i)
+static struct instance *instance_at(struct emulation *emulation, uint32_t i)
 {
-	return g_ptr_array_index(world->instances, i);
+	return g_ptr_array_index(emulation->instances, i);
 }
 
 static bool is_in_rotation(struct instance *instance)
 {
 	return !instance->unready_since_us ||
-	       instance->world->now_us - instance->unready_since_us <
+	       instance->emulation->now_us - instance->unready_since_us <
 		       NOTICED_US;
 }
 
 /* One of the zone that is in rotation, else of the next zone. */
-static struct instance *draw_instance(struct world *world, uint32_t zone)
+static struct instance *draw_instance(struct emulation *emulation,
+				      uint32_t zone)
 {
-	uint32_t zones = (uint32_t)world->scenario->zones;
+	uint32_t zones = (uint32_t)emulation->scenario->zones;
 
 	for (uint32_t away = 0; away < zones; away++) {
 		struct instance *drawn = NULL;
 		uint32_t seen = 0;
 
-		for (guint i = 0; i < world->instances->len; i++) {
-			struct instance *instance = instance_at(world, i);
+		for (guint i = 0; i < emulation->instances->len; i++) {
+			struct instance *instance = instance_at(emulation, i);
 
 			if (instance->zone != (zone + away) % zones ||
 			    !is_in_rotation(instance))
 				continue;
-			if (g_rand_int_range(world->rand, 0, (gint32)++seen) ==
-			    0)
+			if (g_rand_int_range(emulation->rand, 0,
+					     (gint32)++seen) == 0)
 				drawn = instance;
 		}
 		if (drawn)
 			return drawn;
 	}
-	return instance_at(world, 0);
+	return instance_at(emulation, 0);
 }
 
 static void take_at_instance(void *context, void *data)
 {
 	struct request *request = data;
-	struct world *world = request->world;
+	struct emulation *emulation = request->emulation;
 	struct instance *instance =
-		instance_at(world, request->instance_number);
+		instance_at(emulation, request->instance_number);
 	char path[NAME_SIZE + 4];
 	struct rr_gate_request_info ask = {
 		.host = "h",
@@ -67,9 +68,9 @@
 		.request_id = "id",
 		.fingerprint = { request->is_query_of_death ? 1 : 2,
 				 request->content_id },
-		.deadline_ms =
-			MAX((request->deadline_us - world->now_us) / 1000, 0),
-		.caller_rtt_us = 2 * ms_to_us(world->scenario->caller_ms),
+		.deadline_ms = MAX(
+			(request->deadline_us - emulation->now_us) / 1000, 0),
+		.caller_rtt_us = 2 * ms_to_us(emulation->scenario->caller_ms),
 		.new_connection = request->new_connection,
 		.forward_deadline_us = -1,
 	};
@@ -78,7 +79,8 @@
 	ask.path_length = (size_t)g_snprintf(path, sizeof(path), "/%s/1",
 					     request->route->name);
 	instance->submitting = request;
-	id = rr_gate_submit(instance->ctx, instance->gate, world->now_us, &ask);
+	id = rr_gate_submit(instance->ctx, instance->gate, emulation->now_us,
+			    &ask);
 	if (instance->submitting) {
 		uint64_t *key = g_new(uint64_t, 1);
 
@@ -91,14 +93,15 @@
 
 static void send_request(struct request *request, int64_t after_us)
 {
-	struct world *world = request->world;
-	int64_t way = ms_to_us(world->scenario->caller_ms);
+	struct emulation *emulation = request->emulation;
+	int64_t way = ms_to_us(emulation->scenario->caller_ms);
 
-	request->number = ++world->last_request_number;
-	request->instance_number = draw_instance(world, request->zone)->number;
+	request->number = ++emulation->last_request_number;
+	request->instance_number =
+		draw_instance(emulation, request->zone)->number;
 	/* A connection takes a round trip before the request's own way. */
-	push_event(world->events,
-		   world->now_us + after_us +
+	push_event(emulation->events,
+		   emulation->now_us + after_us +
 			   (request->new_connection ? 3 : 1) * way,
 		   take_at_instance, request);
 }
@@ -111,11 +114,11 @@
 	uint32_t retry_after_ms;
 };
 
-static void take_success(struct world *world, struct request *request,
+static void take_success(struct emulation *emulation, struct request *request,
 			 double share)
 {
-	struct emulated_result *result = world->result;
-	double wait_us = (double)(world->now_us - request->started_us);
+	struct emulated_result *result = emulation->result;
+	double wait_us = (double)(emulation->now_us - request->started_us);
 	bool in_time = wait_us <= ms_to_us(request->route->objective_ms);
 
 	/* Queries of death are not counted. */
@@ -138,20 +141,22 @@
 {
 	struct arrival *arrival = data;
 	struct request *request = arrival->request;
-	struct world *world = request->world;
+	struct emulation *emulation = request->emulation;
 	int64_t again_us = (int64_t)arrival->retry_after_ms * 1000;
 
 	if (arrival->status == 200) {
-		take_success(world, request, arrival->share);
+		take_success(emulation, request, arrival->share);
 	} else if (++request->n_tries < MOST_TRIES &&
-		   world->now_us + again_us < request->deadline_us) {
+		   emulation->now_us + again_us < request->deadline_us) {
 		request->new_connection = true;
-		world->result->caller_retries += !request->is_query_of_death;
+		emulation->result->caller_retries +=
+			!request->is_query_of_death;
 		send_request(request, again_us);
 	} else {
 		/* What is neither answered nor refused is counted as failed. */
 		if (arrival->status == 503)
-			world->result->rejected += !request->is_query_of_death;
+			emulation->result->rejected +=
+				!request->is_query_of_death;
 		g_free(request);
 	}
 	g_free(arrival);
@@ -160,9 +165,9 @@
 void handle_gate_answer(struct instance *instance, struct request *request,
 			const struct rr_gate_answer *answer)
 {
-	struct world *world = instance->world;
+	struct emulation *emulation = instance->emulation;
 	struct arrival *arrival = g_new0(struct arrival, 1);
-	double shards = world->scenario->shards;
+	double shards = emulation->scenario->shards;
 
 	arrival->request = request;
 	arrival->share = 1;
@@ -170,70 +175,73 @@
 	arrival->retry_after_ms = answer->retry_after_ms;
 	if (answer->kind == RR_GATE_MERGED_ANSWER)
 		arrival->share = 1 - (double)answer->missing / shards;
-	push_event(world->events,
-		   world->now_us + ms_to_us(world->scenario->caller_ms),
+	push_event(emulation->events,
+		   emulation->now_us + ms_to_us(emulation->scenario->caller_ms),
 		   arrive_at_caller, arrival);
 }
 
 /* The next request of a kind, and the one after it. */
 struct stream {
-	struct world *world;
+	struct emulation *emulation;
 	const struct emulated_route *route;
 };
 
-static struct request *new_request(struct world *world,
+static struct request *new_request(struct emulation *emulation,
 				   const struct emulated_route *route)
 {
 	struct request *request = g_new0(struct request, 1);
 
-	request->world = world;
+	request->emulation = emulation;
 	request->route = route;
-	request->zone = (uint32_t)g_rand_int_range(
-		world->arrivals_rand, 0, (gint32)world->scenario->zones);
-	request->started_us = world->now_us;
-	request->deadline_us = world->now_us + ms_to_us(route->deadline_ms);
-	request->new_connection = g_rand_double(world->arrivals_rand) <
-				  world->scenario->new_callers;
+	request->zone =
+		(uint32_t)g_rand_int_range(emulation->arrivals_rand, 0,
+					   (gint32)emulation->scenario->zones);
+	request->started_us = emulation->now_us;
+	request->deadline_us = emulation->now_us + ms_to_us(route->deadline_ms);
+	request->new_connection = g_rand_double(emulation->arrivals_rand) <
+				  emulation->scenario->new_callers;
 	return request;
 }
 
 static void begin_request(void *context, void *data)
 {
 	struct stream *stream = data;
-	struct world *world = stream->world;
+	struct emulation *emulation = stream->emulation;
 	const struct emulated_route *route = stream->route;
-	double gap_s = -log(1 - g_rand_double(world->arrivals_rand)) /
-		       route->per_s / world->load_factor;
+	double gap_s = -log(1 - g_rand_double(emulation->arrivals_rand)) /
+		       route->per_s / emulation->load_factor;
 	struct request *request;
 
-	if (world->now_us >= world->end_us) {
+	if (emulation->now_us >= emulation->end_us) {
 		g_free(stream);
 		return;
 	}
-	push_event(world->events, world->now_us + (int64_t)(gap_s * US_PER_S),
+	push_event(emulation->events,
+		   emulation->now_us + (int64_t)(gap_s * US_PER_S),
 		   begin_request, stream);
-	request = new_request(world, route);
-	request->content_id = world->result->requests++;
+	request = new_request(emulation, route);
+	request->content_id = emulation->result->requests++;
 	send_request(request, 0);
 }
 
-void send_query_of_death(struct world *world, uint64_t asks)
+void send_query_of_death(struct emulation *emulation, uint64_t asks)
 {
 	struct request *request =
-		new_request(world, &world->scenario->routes[0]);
+		new_request(emulation, &emulation->scenario->routes[0]);
 
 	request->content_id = asks;
 	request->is_query_of_death = true;
 	send_request(request, 0);
 }
 
-void start_callers(struct world *world)
+void start_callers(struct emulation *emulation)
 {
-	for (uint32_t i = 0; i < world->scenario->n_routes; i++) {
+	for (uint32_t i = 0; i < emulation->scenario->n_routes; i++) {
 		struct stream *stream = g_new0(struct stream, 1);
 
-		stream->world = world;
-		stream->route = &world->scenario->routes[i];
-		push_event(world->events, world->now_us, begin_request, stream);
+		stream->emulation = emulation;
+		stream->route = &emulation->scenario->routes[i];
+		push_event(emulation->events, emulation->now_us, begin_request,
+			   stream);
 	}
 }
--- a/bench/gate/emulated-crash.c
+++ b/bench/gate/emulated-crash.c
@@ -13,19 +13,19 @@
 
 static void close_works(struct replica *replica)
 {
-	struct world *world = replica->world;
+	struct emulation *emulation = replica->emulation;
 	GPtrArray *closed = g_ptr_array_new();
 
-	for (guint i = 0; i < world->instances->len; i++) {
+	for (guint i = 0; i < emulation->instances->len; i++) {
 		struct instance *instance =
-			g_ptr_array_index(world->instances, i);
+			g_ptr_array_index(emulation->instances, i);
 		GHashTableIter iter;
 		gpointer value;
 
 		instance->idle_conns[replica->number] = 0;
 		g_hash_table_iter_init(&iter, instance->attempts);
 		while (g_hash_table_iter_next(&iter, NULL, &value)) {
-			struct work *work = value;
+			struct emulated_attempt *work = value;
 
 			if (work->replica == replica && work->accepted &&
 			    !work->done)
@@ -42,7 +42,7 @@
 	if (replica->is_down)
 		return;
 	replica->is_down = true;
-	replica->world->result->crashes++;
+	replica->emulation->result->crashes++;
 	close_works(replica);
 }
 
@@ -58,30 +58,31 @@
 	restart_replica(data, RESTART_US);
 }
 
-void crash_on_query_of_death(struct work *work)
+void crash_on_query_of_death(struct emulated_attempt *work)
 {
 	struct replica *replica = work->replica;
-	struct world *world = replica->world;
+	struct emulation *emulation = replica->emulation;
 
 	if (replica->is_down)
 		return;
 	crash_replica(replica);
-	if (++world->query_of_death_crashes == 3)
-		world->third_crash_us = world->now_us;
-	push_event(world->events, world->now_us + RESTART_US, restart, replica);
+	if (++emulation->query_of_death_crashes == 3)
+		emulation->third_crash_us = emulation->now_us;
+	push_event(emulation->events, emulation->now_us + RESTART_US, restart,
+		   replica);
 }
 
-void count_late_query_of_death(const struct work *work)
+void count_late_query_of_death(const struct emulated_attempt *work)
 {
-	struct world *world = work->world;
+	struct emulation *emulation = work->emulation;
 
-	if (!world->third_crash_us ||
-	    world->now_us < world->third_crash_us + SETTLED_US)
+	if (!emulation->third_crash_us ||
+	    emulation->now_us < emulation->third_crash_us + SETTLED_US)
 		return;
-	if (g_hash_table_add(world->late_numbers,
+	if (g_hash_table_add(emulation->late_numbers,
 			     g_memdup2(&work->request_number,
 				       sizeof(work->request_number))))
-		world->result->late_queries_of_death++;
+		emulation->result->late_queries_of_death++;
 }
 
 /* Requests that were sent before an evacuation have arrived after this. */
@@ -89,7 +90,7 @@
 
 static uint32_t count_last_second(const struct replica *replica)
 {
-	int64_t now_us = replica->world->now_us;
+	int64_t now_us = replica->emulation->now_us;
 	uint32_t n = 0;
 
 	for (guint i = replica->arrivals_us->len; i > 0; i--) {
@@ -102,24 +103,25 @@
 	return n;
 }
 
-void count_limit_violations(const struct work *work)
+void count_limit_violations(const struct emulated_attempt *work)
 {
 	struct replica *replica = work->replica;
-	struct world *world = replica->world;
+	struct emulation *emulation = replica->emulation;
 
-	if ((int)replica->zone == world->evacuated_zone &&
-	    world->now_us - world->evacuation_changed_us >= IN_TRANSIT_US)
-		world->result->evacuated_arrivals++;
-	if (world->now_us >= replica->cold_until_us)
+	if ((int)replica->zone == emulation->evacuated_zone &&
+	    emulation->now_us - emulation->evacuation_changed_us >=
+		    IN_TRANSIT_US)
+		emulation->result->evacuated_arrivals++;
+	if (emulation->now_us >= replica->cold_until_us)
 		return;
-	g_array_append_val(replica->arrivals_us, world->now_us);
-	if (count_last_second(replica) > max_cold_per_s(world))
-		world->result->cold_excess++;
+	g_array_append_val(replica->arrivals_us, emulation->now_us);
+	if (count_last_second(replica) > max_cold_per_s(emulation))
+		emulation->result->cold_excess++;
 }
 
 /* An update in transit to all instances. */
 struct news {
-	struct world *world;
+	struct emulation *emulation;
 	struct rr_quarantine_entry *entry; /* NULL if removed */
 	struct rr_fingerprint fingerprint;
 };
@@ -127,14 +129,14 @@
 static void deliver(void *context, void *data)
 {
 	struct news *news = data;
-	struct world *world = news->world;
+	struct emulation *emulation = news->emulation;
 
-	for (guint i = 0; i < world->instances->len; i++) {
+	for (guint i = 0; i < emulation->instances->len; i++) {
 		struct instance *instance =
-			g_ptr_array_index(world->instances, i);
+			g_ptr_array_index(emulation->instances, i);
 
 		rr_gate_apply_quarantine(instance->ctx, instance->gate,
-					 world->now_us, &news->fingerprint,
+					 emulation->now_us, &news->fingerprint,
 					 news->entry);
 		schedule_tick(instance);
 	}
@@ -143,26 +145,26 @@
 }
 
 /* Emulates compare-and-swap: entries with nothing new are not written. */
-static bool is_known(const struct world *world,
+static bool is_known(const struct emulation *emulation,
 		     const struct rr_quarantine_entry *entry)
 {
 	const struct rr_quarantine_entry *known = g_hash_table_lookup(
-		world->quarantine_entries, &entry->fingerprint.low);
+		emulation->quarantine_entries, &entry->fingerprint.low);
 
 	return known && known->quarantined >= entry->quarantined &&
 	       g_strv_length(known->crashed) >= g_strv_length(entry->crashed);
 }
 
-static void write_entry(struct world *world,
+static void write_entry(struct emulation *emulation,
 			const struct rr_quarantine_entry *entry)
 {
 	struct rr_quarantine_entry *copy = rr_copy_quarantine_entry(entry);
 
-	g_hash_table_replace(world->quarantine_entries, &copy->fingerprint.low,
-			     copy);
+	g_hash_table_replace(emulation->quarantine_entries,
+			     &copy->fingerprint.low, copy);
 }
 
-void free_entry(gpointer data)
+void free_quarantine_entry(gpointer data)
 {
 	rr_free_quarantine_entry(data);
 }
@@ -171,23 +173,24 @@
 			     const struct rr_quarantine_report *report)
 {
 	const struct instance *instance = data;
-	struct world *world = instance->world;
+	struct emulation *emulation = instance->emulation;
 	struct news *news;
 
-	world->result->quarantine_reports++;
+	emulation->result->quarantine_reports++;
 	/* Runs are shorter than the wait for a trial. */
 	if (report->claim ||
-	    (!report->released && is_known(world, report->entry)))
+	    (!report->released && is_known(emulation, report->entry)))
 		return;
 	news = g_new0(struct news, 1);
-	news->world = world;
+	news->emulation = emulation;
 	news->fingerprint = report->entry->fingerprint;
 	if (report->released) {
-		g_hash_table_remove(world->quarantine_entries,
+		g_hash_table_remove(emulation->quarantine_entries,
 				    &news->fingerprint.low);
 	} else {
 		news->entry = rr_copy_quarantine_entry(report->entry);
-		write_entry(world, report->entry);
+		write_entry(emulation, report->entry);
 	}
-	push_event(world->events, world->now_us + STORE_US, deliver, news);
+	push_event(emulation->events, emulation->now_us + STORE_US, deliver,
+		   news);
 }
--- a/bench/gate/emulated-replica.c
+++ b/bench/gate/emulated-replica.c
@@ -10,27 +10,27 @@
 #define SPEED_SPREAD 0.5
 #define LEAST_SPEED 0.8
 
-void keep_attempt(struct work *work)
+void keep_attempt(struct emulated_attempt *work)
 {
 	work->refs++;
 }
 
-void drop_attempt(struct work *work)
+void drop_attempt(struct emulated_attempt *work)
 {
 	if (!--work->refs)
 		g_free(work);
 }
 
-void start_replicas(struct world *world)
+void start_replicas(struct emulation *emulation)
 {
-	const struct emulated_scenario *scenario = world->scenario;
+	const struct emulated_scenario *scenario = emulation->scenario;
 	uint32_t per_shard = (uint32_t)scenario->replicas;
 	uint32_t n = (uint32_t)scenario->shards * per_shard;
 
 	for (uint32_t i = 0; i < n; i++) {
 		struct replica *replica = g_new0(struct replica, 1);
 
-		replica->world = world;
+		replica->emulation = emulation;
 		replica->number = i;
 		replica->shard = i / per_shard;
 		replica->zone = (replica->shard + i % per_shard) %
@@ -39,22 +39,22 @@
 		replica->started_ms = FIRST_BORN_MS;
 		replica->service_time_factor =
 			LEAST_SPEED +
-			SPEED_SPREAD * g_rand_double(world->layout_rand);
+			SPEED_SPREAD * g_rand_double(emulation->layout_rand);
 		replica->slowdown_factor = 1;
 		replica->pause_offset_us =
-			(int64_t)(g_rand_double(world->layout_rand) *
+			(int64_t)(g_rand_double(emulation->layout_rand) *
 				  ms_to_us(scenario->pause_every_ms));
 		replica->arrivals_us =
 			g_array_new(FALSE, FALSE, sizeof(int64_t));
 		g_queue_init(&replica->queue);
-		g_ptr_array_add(world->replicas, replica);
+		g_ptr_array_add(emulation->replicas, replica);
 	}
 }
 
 void drop_replica(gpointer data)
 {
 	struct replica *replica = data;
-	struct work *work;
+	struct emulated_attempt *work;
 
 	while ((work = g_queue_pop_head(&replica->queue)))
 		drop_attempt(work);
@@ -75,10 +75,10 @@
 		.service = service,
 		.address = address,
 		.zone = zone,
-		.slots = (uint32_t)instance->world->scenario->slots,
+		.slots = (uint32_t)instance->emulation->scenario->slots,
 		.draining = draining,
 		.cold_ms = (uint32_t)(MAX(replica->cold_until_us -
-						  instance->world->now_us,
+						  instance->emulation->now_us,
 					  0) /
 				      1000),
 	};
@@ -88,26 +88,26 @@
 		   1000 + replica->number);
 	g_snprintf(zone, sizeof(zone), "z%u", replica->zone);
 	rr_gate_update_endpoint(instance->ctx, instance->gate,
-				instance->world->now_us, &listing);
+				instance->emulation->now_us, &listing);
 	schedule_tick(instance);
 }
 
 /* When work of so long ends that begins now: a pause stops it. */
 static int64_t end_of(const struct replica *replica, double work_us)
 {
-	const struct world *world = replica->world;
-	int64_t every_us = ms_to_us(world->scenario->pause_every_ms);
-	int64_t pause_us = ms_to_us(world->scenario->pause_ms);
-	int64_t end_us = world->now_us + (int64_t)work_us;
+	const struct emulation *emulation = replica->emulation;
+	int64_t every_us = ms_to_us(emulation->scenario->pause_every_ms);
+	int64_t pause_us = ms_to_us(emulation->scenario->pause_ms);
+	int64_t end_us = emulation->now_us + (int64_t)work_us;
 	int64_t into_us;
 	int64_t next_us;
 
 	if (!every_us || !pause_us)
 		return end_us;
-	into_us = (world->now_us + replica->pause_offset_us) % every_us;
+	into_us = (emulation->now_us + replica->pause_offset_us) % every_us;
 	if (into_us < pause_us)
 		end_us += pause_us - into_us;
-	for (next_us = world->now_us - into_us + every_us; next_us < end_us;
+	for (next_us = emulation->now_us - into_us + every_us; next_us < end_us;
 	     next_us += every_us)
 		end_us += pause_us;
 	return end_us;
@@ -115,9 +115,9 @@
 
 static void end_work(void *context, void *data);
 
-static void start_work(struct replica *replica, struct work *work)
+static void start_work(struct replica *replica, struct emulated_attempt *work)
 {
-	struct world *world = replica->world;
+	struct emulation *emulation = replica->emulation;
 	double work_us = work->work_us * replica->service_time_factor *
 			 replica->slowdown_factor;
 	int64_t end_us = end_of(replica, work_us);
@@ -126,15 +126,16 @@
 	replica->busy_slots++;
 	replica->slot_used_us += (int64_t)work_us;
 	keep_attempt(work);
-	push_event(world->events, end_us, end_work, work);
+	push_event(emulation->events, end_us, end_work, work);
 }
 
 static void start_next(struct replica *replica)
 {
-	uint32_t slots = (uint32_t)replica->world->scenario->slots;
+	uint32_t slots = (uint32_t)replica->emulation->scenario->slots;
 
 	while (replica->busy_slots < slots && replica->queue.length) {
-		struct work *work = g_queue_pop_head(&replica->queue);
+		struct emulated_attempt *work =
+			g_queue_pop_head(&replica->queue);
 
 		start_work(replica, work);
 		drop_attempt(work);
@@ -143,7 +144,7 @@
 
 /* A reply that is on its way. */
 struct reply {
-	struct work *work;
+	struct emulated_attempt *work;
 	enum rr_gate_outcome outcome;
 	uint16_t status;
 	bool unreachable;
@@ -159,13 +160,15 @@
 	g_free(reply);
 }
 
-static void send_reply(struct work *work, enum rr_gate_outcome outcome,
-		       uint16_t status, bool unreachable)
+static void send_reply(struct emulated_attempt *work,
+		       enum rr_gate_outcome outcome, uint16_t status,
+		       bool unreachable)
 {
-	struct world *world = work->world;
+	struct emulation *emulation = work->emulation;
 	const struct instance *instance =
-		g_ptr_array_index(world->instances, work->instance_number);
-	int64_t back_us = way_us(world, work->replica->zone, instance->zone);
+		g_ptr_array_index(emulation->instances, work->instance_number);
+	int64_t back_us = one_way_delay_us(emulation, work->replica->zone,
+					   instance->zone);
 	struct reply *reply;
 
 	work->done = true;
@@ -177,12 +180,13 @@
 	reply->status = status;
 	reply->unreachable = unreachable;
 	keep_attempt(work);
-	push_event(world->events, world->now_us + back_us, deliver, reply);
+	push_event(emulation->events, emulation->now_us + back_us, deliver,
+		   reply);
 }
 
 static void end_work(void *context, void *data)
 {
-	struct work *work = data;
+	struct emulated_attempt *work = data;
 	struct replica *replica = work->replica;
 
 	if (work->running) {
@@ -192,7 +196,7 @@
 			crash_on_query_of_death(work);
 		if (!replica->unresponsive && !replica->is_down)
 			send_reply(work, RR_GATE_ANSWERED,
-				   draw_uniform(replica->world) <
+				   draw_uniform(replica->emulation) <
 						   replica->error_share ?
 					   500 :
 					   200,
@@ -202,7 +206,7 @@
 	drop_attempt(work);
 }
 
-void abort_attempt(struct work *work)
+void abort_attempt(struct emulated_attempt *work)
 {
 	struct replica *replica = work->replica;
 
@@ -217,16 +221,16 @@
 
 void handle_attempt_arrival(void *context, void *data)
 {
-	struct work *work = data;
+	struct emulated_attempt *work = data;
 	struct replica *replica = work->replica;
 
 	if (replica->is_down) {
 		send_reply(work, RR_GATE_UNSENT, 0, true);
 	} else if (!replica->unresponsive && !work->cancelled) {
 		count_limit_violations(work);
-		if (draw_uniform(replica->world) < replica->shed_share ||
+		if (draw_uniform(replica->emulation) < replica->shed_share ||
 		    replica->queue.length >=
-			    (guint)replica->world->scenario->queue) {
+			    (guint)replica->emulation->scenario->queue) {
 			send_reply(work, RR_GATE_REJECTED, 503, false);
 		} else {
 			if (work->is_query_of_death)
@@ -242,7 +246,7 @@
 
 void handle_attempt_cancel(void *context, void *data)
 {
-	struct work *work = data;
+	struct emulated_attempt *work = data;
 	struct replica *replica = work->replica;
 
 	if (work->running) {
--- a/bench/gate/emulator-private.h
+++ b/bench/gate/emulator-private.h
@@ -1,5 +1,5 @@
 /*
- * emulator-private.h - the emulated world, and what its parts share.
+ * emulator-private.h - the emulated emulation, and what its parts share.
  */
 #ifndef BENCH_GATE_EMULATOR_PRIVATE_H
 #define BENCH_GATE_EMULATOR_PRIVATE_H
@@ -13,11 +13,11 @@
 /* How long a replica is cold after a restart. */
 #define COLD_PERIOD_US INT64_C(3000000)
 
-struct world;
-struct work;
+struct emulation;
+struct emulated_attempt;
 
 struct replica {
-	struct world *world;
+	struct emulation *emulation;
 	uint32_t number;
 	uint32_t shard;
 	uint32_t zone;
@@ -33,13 +33,13 @@
 	double shed_share;
 	double error_share;
 	uint32_t busy_slots;
-	GQueue queue;	      /* struct work */
+	GQueue queue;	      /* struct emulated_attempt */
 	int64_t slot_used_us; /* of its slots */
 };
 
 /* An attempt, from its sending to its reply. */
-struct work {
-	struct world *world;
+struct emulated_attempt {
+	struct emulation *emulation;
 	uint64_t attempt_id;
 	uint64_t request_number; /* number of its caller's attempt */
 	uint32_t instance_number;
@@ -54,13 +54,13 @@
 };
 
 struct instance {
-	struct world *world;
+	struct emulation *emulation;
 	uint32_t number;
 	uint32_t zone;
 	struct rr_context *ctx;
 	struct rr_gate *gate;
 	GHashTable *open_requests; /* gate's id -> struct request */
-	GHashTable *attempts;	   /* attempt -> struct work */
+	GHashTable *attempts;	   /* attempt -> struct emulated_attempt */
 	struct request *submitting;
 	uint32_t *idle_conns; /* connections at rest, by replica */
 	int64_t next_tick_us; /* of the next tick that is set */
@@ -68,7 +68,7 @@
 };
 
 struct request {
-	struct world *world;
+	struct emulation *emulation;
 	const struct emulated_route *route;
 	uint64_t number;     /* of this attempt of its caller */
 	uint64_t content_id; /* content, the same in each attempt */
@@ -81,7 +81,7 @@
 	bool new_connection; /* its connection */
 };
 
-struct world {
+struct emulation {
 	const struct emulated_scenario *scenario;
 	const struct rr_gate_policy *policy;
 	struct emulated_result *result;
@@ -108,29 +108,30 @@
 
 /* emulator.c */
 int64_t ms_to_us(double ms);
-double draw_uniform(struct world *world);
+double draw_uniform(struct emulation *emulation);
 /* Bound on requests to a cold replica in any second, or 0. */
-double max_cold_per_s(const struct world *world);
+double max_cold_per_s(const struct emulation *emulation);
 /* One way; -1 where nothing passes. */
-int64_t way_us(const struct world *world, uint32_t from, uint32_t to);
+int64_t one_way_delay_us(const struct emulation *emulation, uint32_t from,
+			 uint32_t to);
 void schedule_tick(struct instance *instance);
-void reply_to_gate(struct work *work, enum rr_gate_outcome outcome,
+void reply_to_gate(struct emulated_attempt *work, enum rr_gate_outcome outcome,
 		   uint16_t status, bool unreachable);
 
 /* emulated-replica.c */
-void start_replicas(struct world *world);
+void start_replicas(struct emulation *emulation);
 void drop_replica(gpointer replica);
 /* An attempt arrives. */
 void handle_attempt_arrival(void *context, void *work);
 /* Its connection has closed. */
 void handle_attempt_cancel(void *context, void *work);
-void keep_attempt(struct work *work);
-void drop_attempt(struct work *work);
+void keep_attempt(struct emulated_attempt *work);
+void drop_attempt(struct emulated_attempt *work);
 void announce_replica(struct instance *instance, const struct replica *replica,
 		      bool draining);
 
 /* Its connection closes: it has no answer, and never will. */
-void abort_attempt(struct work *work);
+void abort_attempt(struct emulated_attempt *work);
 
 /* emulated-crash.c */
 /* Its connections close, and new ones are refused. */
@@ -138,23 +139,23 @@
 /* Start a new lifetime after so much downtime. */
 void restart_replica(struct replica *replica, int64_t after_us);
 /* A query of death crashes its replica. */
-void crash_on_query_of_death(struct work *work);
-void count_late_query_of_death(const struct work *work);
+void crash_on_query_of_death(struct emulated_attempt *work);
+void count_late_query_of_death(const struct emulated_attempt *work);
 /* Count a request against the bounds of evacuated zones and cold replicas. */
-void count_limit_violations(const struct work *work);
-void free_entry(gpointer entry);
+void count_limit_violations(const struct emulated_attempt *work);
+void free_quarantine_entry(gpointer entry);
 void write_quarantine_report(void *instance,
 			     const struct rr_quarantine_report *report);
 
 /* emulated-caller.c */
-void start_callers(struct world *world);
+void start_callers(struct emulation *emulation);
 /* Send a query of death with this content. */
-void send_query_of_death(struct world *world, uint64_t asks);
+void send_query_of_death(struct emulation *emulation, uint64_t asks);
 void handle_gate_answer(struct instance *instance, struct request *request,
 			const struct rr_gate_answer *answer);
 
 /* emulated-fault.c */
-void schedule_faults(struct world *world);
+void schedule_faults(struct emulation *emulation);
 /* Announce its new lifetime to all instances. */
 void announce_restart_later(struct replica *replica);
 
--- a/bench/gate/emulator.c
+++ b/bench/gate/emulator.c
@@ -1,5 +1,5 @@
 /*
- * emulator.c - the gates' actions, ways and clock of the emulated world.
+ * emulator.c - the gates' actions, ways and clock of the emulated emulation.
  */
 #include "gate/emulator-private.h"
 
@@ -21,24 +21,25 @@
 	return (int64_t)(ms * US_PER_MS);
 }
 
-double draw_uniform(struct world *world)
+double draw_uniform(struct emulation *emulation)
 {
-	return g_rand_double(world->rand);
+	return g_rand_double(emulation->rand);
 }
 
-int64_t way_us(const struct world *world, uint32_t from, uint32_t to)
+int64_t one_way_delay_us(const struct emulation *emulation, uint32_t from,
+			 uint32_t to)
 {
 	if (from == to)
 		return NEAR_US;
-	if ((int)from == world->isolated_zone ||
-	    (int)to == world->isolated_zone)
+	if ((int)from == emulation->isolated_zone ||
+	    (int)to == emulation->isolated_zone)
 		return -1;
-	return ms_to_us(world->scenario->far_ms);
+	return ms_to_us(emulation->scenario->far_ms);
 }
 
-double max_cold_per_s(const struct world *world)
+double max_cold_per_s(const struct emulation *emulation)
 {
-	double per_s = world->scenario->cold_per_s;
+	double per_s = emulation->scenario->cold_per_s;
 
 	return per_s > 0 ? per_s * COLD_OVERAGE + COLD_SLACK : 0;
 }
@@ -48,7 +49,7 @@
 static void tick(void *context, void *data)
 {
 	struct instance *instance = data;
-	int64_t now_us = instance->world->now_us;
+	int64_t now_us = instance->emulation->now_us;
 
 	/* One set for later: an earlier tick has come since. */
 	if (instance->next_tick_us != now_us)
@@ -61,43 +62,44 @@
 
 void schedule_tick(struct instance *instance)
 {
-	struct world *world = instance->world;
+	struct emulation *emulation = instance->emulation;
 	int64_t wake_us = rr_gate_next_tick_us(instance->gate);
 	const char *reason;
 
 	if (rr_gate_is_ready(instance->gate, &reason))
 		instance->unready_since_us = 0;
 	else if (!instance->unready_since_us)
-		instance->unready_since_us = world->now_us;
+		instance->unready_since_us = emulation->now_us;
 	if (wake_us == INT64_MAX)
 		return;
-	wake_us = MAX(wake_us, world->now_us);
+	wake_us = MAX(wake_us, emulation->now_us);
 	if (wake_us >= instance->next_tick_us)
 		return;
 	instance->next_tick_us = wake_us;
-	push_event(world->events, wake_us, tick, instance);
+	push_event(emulation->events, wake_us, tick, instance);
 }
 
 /* The gate's actions. */
 
-static struct replica *replica_of(struct world *world, const char *lifetime)
+static struct replica *replica_of(struct emulation *emulation,
+				  const char *lifetime)
 {
 	guint64 number = g_ascii_strtoull(lifetime + 1, NULL, 10);
 
-	return g_ptr_array_index(world->replicas, number);
+	return g_ptr_array_index(emulation->replicas, number);
 }
 
-static double draw_work_us(struct world *world,
+static double draw_work_us(struct emulation *emulation,
 			   const struct emulated_route *route)
 {
 	double mean_us = route->work_ms * US_PER_MS;
 
-	return mean_us * (0.5 - 0.5 * log(1 - draw_uniform(world)));
+	return mean_us * (0.5 - 0.5 * log(1 - draw_uniform(emulation)));
 }
 
 static void give_up_connecting(void *context, void *data)
 {
-	struct work *work = data;
+	struct emulated_attempt *work = data;
 
 	reply_to_gate(work, RR_GATE_UNSENT, 0, true);
 	drop_attempt(work);
@@ -106,8 +108,9 @@
 /* How long until the request is at the replica; -1: it never is. */
 static int64_t time_to(struct instance *instance, struct replica *replica)
 {
-	struct world *world = instance->world;
-	int64_t way = way_us(world, instance->zone, replica->zone);
+	struct emulation *emulation = instance->emulation;
+	int64_t way =
+		one_way_delay_us(emulation, instance->zone, replica->zone);
 	uint32_t *idle = &instance->idle_conns[replica->number];
 
 	if (*idle && !replica->is_down) {
@@ -116,7 +119,7 @@
 	}
 	if (way < 0 || replica->unresponsive)
 		return -1;
-	return 3 * way + ms_to_us(world->scenario->connect_ms);
+	return 3 * way + ms_to_us(emulation->scenario->connect_ms);
 }
 
 static struct request *find_request(struct instance *instance, uint64_t id)
@@ -130,51 +133,53 @@
 static void send_attempt(void *data, const struct rr_gate_attempt_info *send)
 {
 	struct instance *instance = data;
-	struct world *world = instance->world;
+	struct emulation *emulation = instance->emulation;
 	struct request *request = find_request(instance, send->request);
-	struct work *work = g_new0(struct work, 1);
+	struct emulated_attempt *work = g_new0(struct emulated_attempt, 1);
 	int64_t after_us;
 
-	work->world = world;
+	work->emulation = emulation;
 	work->attempt_id = send->attempt;
 	work->instance_number = instance->number;
-	work->replica = replica_of(world, send->incarnation);
+	work->replica = replica_of(emulation, send->incarnation);
 	work->request_number = request->number;
 	work->is_query_of_death = request->is_query_of_death;
-	work->work_us = draw_work_us(world, request->route);
+	work->work_us = draw_work_us(emulation, request->route);
 	work->refs = 1;
 	g_hash_table_insert(instance->attempts, &work->attempt_id, work);
-	world->result->attempts++;
+	emulation->result->attempts++;
 	after_us = time_to(instance, work->replica);
 	if (after_us == INT64_MAX)
 		return;
 	keep_attempt(work);
 	if (after_us < 0)
-		push_event(world->events, world->now_us + CONNECT_TIMEOUT_US,
+		push_event(emulation->events,
+			   emulation->now_us + CONNECT_TIMEOUT_US,
 			   give_up_connecting, work);
 	else
-		push_event(world->events, world->now_us + after_us,
+		push_event(emulation->events, emulation->now_us + after_us,
 			   handle_attempt_arrival, work);
 }
 
 static void withdraw(void *data, uint64_t attempt)
 {
 	struct instance *instance = data;
-	struct world *world = instance->world;
-	struct work *work = g_hash_table_lookup(instance->attempts, &attempt);
+	struct emulation *emulation = instance->emulation;
+	struct emulated_attempt *work =
+		g_hash_table_lookup(instance->attempts, &attempt);
 	int64_t way;
 
 	if (!work)
 		return;
 	work->cancelled = true;
-	way = way_us(world, instance->zone, work->replica->zone);
+	way = one_way_delay_us(emulation, instance->zone, work->replica->zone);
 	g_hash_table_remove(instance->attempts, &attempt);
 	if (way < 0) {
 		drop_attempt(work);
 		return;
 	}
-	push_event(world->events, world->now_us + way, handle_attempt_cancel,
-		   work);
+	push_event(emulation->events, emulation->now_us + way,
+		   handle_attempt_cancel, work);
 }
 
 static bool recall(void *data, uint64_t attempt)
@@ -197,7 +202,8 @@
 			    const char *address)
 {
 	struct instance *instance = data;
-	const struct replica *replica = replica_of(instance->world, lifetime);
+	const struct replica *replica =
+		replica_of(instance->emulation, lifetime);
 
 	instance->idle_conns[replica->number] = 1;
 }
@@ -214,8 +220,8 @@
 	struct instance *instance = probe->instance;
 
 	rr_gate_handle_probe_result(instance->ctx, instance->gate,
-				    instance->world->now_us, probe->lifetime,
-				    probe->reached);
+				    instance->emulation->now_us,
+				    probe->lifetime, probe->reached);
 	schedule_tick(instance);
 	g_free(probe->lifetime);
 	g_free(probe);
@@ -224,19 +230,20 @@
 static void send_probe(void *data, const char *lifetime, const char *address)
 {
 	struct instance *instance = data;
-	struct world *world = instance->world;
-	const struct replica *replica = replica_of(world, lifetime);
-	int64_t way = way_us(world, instance->zone, replica->zone);
+	struct emulation *emulation = instance->emulation;
+	const struct replica *replica = replica_of(emulation, lifetime);
+	int64_t way =
+		one_way_delay_us(emulation, instance->zone, replica->zone);
 	struct probe *probe = g_new0(struct probe, 1);
 
 	probe->instance = instance;
 	probe->lifetime = g_strdup(lifetime);
 	probe->reached =
 		way >= 0 && !replica->unresponsive && !replica->is_down;
-	push_event(world->events,
-		   world->now_us + (probe->reached || replica->is_down ?
-					    2 * MAX(way, NEAR_US) :
-					    CONNECT_TIMEOUT_US),
+	push_event(emulation->events,
+		   emulation->now_us + (probe->reached || replica->is_down ?
+						2 * MAX(way, NEAR_US) :
+						CONNECT_TIMEOUT_US),
 		   end_probe, probe);
 }
 
@@ -244,15 +251,16 @@
 {
 	struct instance *instance = data;
 
-	instance->idle_conns[replica_of(instance->world, lifetime)->number] = 0;
+	instance->idle_conns[replica_of(instance->emulation, lifetime)
+				     ->number] = 0;
 }
 
-void reply_to_gate(struct work *work, enum rr_gate_outcome outcome,
+void reply_to_gate(struct emulated_attempt *work, enum rr_gate_outcome outcome,
 		   uint16_t status, bool unreachable)
 {
-	struct world *world = work->world;
+	struct emulation *emulation = work->emulation;
 	struct instance *instance =
-		g_ptr_array_index(world->instances, work->instance_number);
+		g_ptr_array_index(emulation->instances, work->instance_number);
 	static const uint8_t record[16] = { 'r' };
 	struct rr_gate_reply reply = {
 		.attempt = work->attempt_id,
@@ -270,18 +278,19 @@
 	if (outcome == RR_GATE_ANSWERED || outcome == RR_GATE_REJECTED)
 		instance->idle_conns[work->replica->number]++;
 	g_hash_table_remove(instance->attempts, &work->attempt_id);
-	rr_gate_reply(instance->ctx, instance->gate, world->now_us, &reply);
+	rr_gate_reply(instance->ctx, instance->gate, emulation->now_us, &reply);
 	schedule_tick(instance);
 	drop_attempt(work);
 }
 
-/* Making the world. */
+/* Making the emulation. */
 
-static struct rr_route *make_route(const struct world *world,
+static struct rr_route *make_route(const struct emulation *emulation,
 				   const struct emulated_route *from)
 {
 	struct rr_route *route = g_new0(struct rr_route, 1);
-	size_t n = from->least_share > 0 ? (size_t)world->scenario->shards : 1;
+	size_t n =
+		from->least_share > 0 ? (size_t)emulation->scenario->shards : 1;
 
 	route->name = g_strdup(from->name);
 	route->host = g_strdup("h");
@@ -304,12 +313,13 @@
 
 static void set_routes(struct instance *instance)
 {
-	const struct emulated_scenario *scenario = instance->world->scenario;
+	const struct emulated_scenario *scenario =
+		instance->emulation->scenario;
 	struct rr_route_table *table = rr_new_route_table(1);
 
 	for (uint32_t i = 0; i < scenario->n_routes; i++)
-		rr_add_route(table,
-			     make_route(instance->world, &scenario->routes[i]));
+		rr_add_route(table, make_route(instance->emulation,
+					       &scenario->routes[i]));
 	for (uint32_t i = 0; i < (uint32_t)scenario->shards; i++) {
 		struct rr_route_service *service =
 			g_new0(struct rr_route_service, 1);
@@ -321,15 +331,15 @@
 		rr_add_route_service(table, service);
 	}
 	rr_gate_set_routes(instance->ctx, instance->gate,
-			   instance->world->now_us, table);
+			   instance->emulation->now_us, table);
 	rr_drop_route_table(table);
 }
 
-static struct instance *new_instance(struct world *world, uint32_t number,
-				     uint32_t seed)
+static struct instance *new_instance(struct emulation *emulation,
+				     uint32_t number, uint32_t seed)
 {
 	struct instance *instance = g_new0(struct instance, 1);
-	const struct emulated_scenario *scenario = world->scenario;
+	const struct emulated_scenario *scenario = emulation->scenario;
 	struct rr_context_options context = { .seed = seed + number };
 	char zone[16];
 	char name[16];
@@ -354,10 +364,10 @@
 		/* Long enough ago that its window is full. */
 		.process_started_us = 1,
 		.strength = 1,
-		.policy = world->policy,
+		.policy = emulation->policy,
 	};
 
-	instance->world = world;
+	instance->emulation = emulation;
 	instance->number = number;
 	instance->zone = number % (uint32_t)scenario->zones;
 	instance->next_tick_us = INT64_MAX;
@@ -369,7 +379,7 @@
 	instance->open_requests = g_hash_table_new_full(
 		g_int64_hash, g_int64_equal, g_free, NULL);
 	instance->attempts = g_hash_table_new(g_int64_hash, g_int64_equal);
-	instance->idle_conns = g_new0(uint32_t, world->replicas->len);
+	instance->idle_conns = g_new0(uint32_t, emulation->replicas->len);
 	instance->ctx = rr_new_context(&context);
 	instance->gate = rr_new_gate(instance->ctx, &options);
 	return instance;
@@ -378,30 +388,31 @@
 /* The member list, from which shares of cold replicas follow. */
 static void note_instances(struct instance *instance)
 {
-	struct world *world = instance->world;
+	struct emulation *emulation = instance->emulation;
 	char name[16];
 	struct rr_gate_instance peer = {
 		.id = name, .zone = "z0", .address = "", .strength = 1
 	};
 
-	for (guint i = 0; i < world->instances->len; i++) {
+	for (guint i = 0; i < emulation->instances->len; i++) {
 		g_snprintf(name, sizeof(name), "g%u", i);
 		rr_gate_update_instance(instance->ctx, instance->gate,
-					world->now_us, &peer);
+					emulation->now_us, &peer);
 	}
 }
 
 static void start_instance(struct instance *instance)
 {
-	struct world *world = instance->world;
+	struct emulation *emulation = instance->emulation;
 
 	set_routes(instance);
-	for (guint i = 0; i < world->replicas->len; i++)
+	for (guint i = 0; i < emulation->replicas->len; i++)
 		announce_replica(instance,
-				 g_ptr_array_index(world->replicas, i), false);
+				 g_ptr_array_index(emulation->replicas, i),
+				 false);
 	rr_gate_set_instance_count(instance->ctx, instance->gate,
-				   world->instances->len);
-	if (world->scenario->cold_per_s > 0)
+				   emulation->instances->len);
+	if (emulation->scenario->cold_per_s > 0)
 		note_instances(instance);
 	schedule_tick(instance);
 }
@@ -426,15 +437,15 @@
 	g_free(instance);
 }
 
-static double measure_slot_use(const struct world *world)
+static double measure_slot_use(const struct emulation *emulation)
 {
 	double used_us = 0;
-	double had_us = world->scenario->seconds * US_PER_S *
-			world->scenario->slots * world->replicas->len;
+	double had_us = emulation->scenario->seconds * US_PER_S *
+			emulation->scenario->slots * emulation->replicas->len;
 
-	for (guint i = 0; i < world->replicas->len; i++) {
+	for (guint i = 0; i < emulation->replicas->len; i++) {
 		const struct replica *replica =
-			g_ptr_array_index(world->replicas, i);
+			g_ptr_array_index(emulation->replicas, i);
 
 		used_us += (double)replica->slot_used_us;
 	}
@@ -452,7 +463,7 @@
 		      const struct rr_gate_policy *policy, uint32_t seed,
 		      struct emulated_result *result)
 {
-	struct world world = {
+	struct emulation emulation = {
 		.scenario = scenario,
 		.policy = policy,
 		.result = result,
@@ -469,31 +480,32 @@
 
 	*result = (struct emulated_result){ 0 };
 	result->latencies_us = g_array_new(FALSE, FALSE, sizeof(double));
-	world.late_numbers = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						   g_free, NULL);
-	world.quarantine_entries = g_hash_table_new_full(
-		g_int64_hash, g_int64_equal, NULL, free_entry);
-	world.replicas = g_ptr_array_new_with_free_func(drop_replica);
-	world.instances = g_ptr_array_new_with_free_func(drop_instance);
-	start_replicas(&world);
+	emulation.late_numbers = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, g_free, NULL);
+	emulation.quarantine_entries = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, NULL, free_quarantine_entry);
+	emulation.replicas = g_ptr_array_new_with_free_func(drop_replica);
+	emulation.instances = g_ptr_array_new_with_free_func(drop_instance);
+	start_replicas(&emulation);
 	for (uint32_t i = 0; i < (uint32_t)scenario->instances; i++)
-		g_ptr_array_add(world.instances, new_instance(&world, i, seed));
-	for (guint i = 0; i < world.instances->len; i++)
-		start_instance(g_ptr_array_index(world.instances, i));
-	start_callers(&world);
-	schedule_faults(&world);
-	while (next_event_us(world.events) <= world.end_us + RUN_OUT_US)
-		run_next_event(world.events, &world.now_us, &world);
+		g_ptr_array_add(emulation.instances,
+				new_instance(&emulation, i, seed));
+	for (guint i = 0; i < emulation.instances->len; i++)
+		start_instance(g_ptr_array_index(emulation.instances, i));
+	start_callers(&emulation);
+	schedule_faults(&emulation);
+	while (next_event_us(emulation.events) <= emulation.end_us + RUN_OUT_US)
+		run_next_event(emulation.events, &emulation.now_us, &emulation);
 	count_unanswered(result);
-	result->slot_use = measure_slot_use(&world);
-	drop_event_queue(world.events, NULL);
-	g_ptr_array_unref(world.instances);
-	g_ptr_array_unref(world.replicas);
-	g_hash_table_unref(world.late_numbers);
-	g_hash_table_unref(world.quarantine_entries);
-	g_rand_free(world.rand);
-	g_rand_free(world.arrivals_rand);
-	g_rand_free(world.layout_rand);
+	result->slot_use = measure_slot_use(&emulation);
+	drop_event_queue(emulation.events, NULL);
+	g_ptr_array_unref(emulation.instances);
+	g_ptr_array_unref(emulation.replicas);
+	g_hash_table_unref(emulation.late_numbers);
+	g_hash_table_unref(emulation.quarantine_entries);
+	g_rand_free(emulation.rand);
+	g_rand_free(emulation.arrivals_rand);
+	g_rand_free(emulation.layout_rand);
 }
 
 void clear_emulated_result(struct emulated_result *result)
--- a/bench/policy/model-private.h
+++ b/bench/policy/model-private.h
@@ -82,8 +82,8 @@
 };
 
 /* Call `run(model, data)` after a delay. */
-void push(struct model *model, int64_t delay_us,
-	  void (*run)(void *context, void *data), void *data);
+void schedule_event(struct model *model, int64_t delay_us,
+		    void (*run)(void *context, void *data), void *data);
 /* Plan the core's next tick; to be called after each of its events. */
 void schedule_core_tick(struct model *model);
 
--- a/bench/policy/model.c
+++ b/bench/policy/model.c
@@ -14,8 +14,8 @@
 	return (double)POLICY_REPLICAS * SLOTS * SECOND / (double)SERVICE_US;
 }
 
-void push(struct model *model, int64_t delay_us,
-	  void (*run)(void *context, void *data), void *data)
+void schedule_event(struct model *model, int64_t delay_us,
+		    void (*run)(void *context, void *data), void *data)
 {
 	push_event(model->events, model->now_us + delay_us, run, data);
 }
@@ -156,10 +156,10 @@
 
 	if (model->now_us >= model->options->duration_us)
 		return;
-	push(model,
-	     (int64_t)(-log(1.0 - g_rand_double(model->random)) *
-		       (double)SECOND / rate),
-	     next_search, NULL);
+	schedule_event(model,
+		       (int64_t)(-log(1.0 - g_rand_double(model->random)) *
+				 (double)SECOND / rate),
+		       next_search, NULL);
 	ask(model, &request);
 }
 
@@ -174,7 +174,7 @@
 
 	if (model->now_us >= model->options->duration_us)
 		return;
-	push(model, 2 * MS, next_page, NULL);
+	schedule_event(model, 2 * MS, next_page, NULL);
 	if (model->list_pending)
 		return;
 	model->list_pending = true;
@@ -195,13 +195,14 @@
 
 	model->version++;
 	for (int i = 0; i < N_REPLICAS_ALL; i++)
-		push(model,
-		     (int64_t)(g_rand_double(model->random) * 0.6 *
-			       (double)model->scenario->index_period_us),
-		     catch_up, &model->upstreams[i]);
+		schedule_event(
+			model,
+			(int64_t)(g_rand_double(model->random) * 0.6 *
+				  (double)model->scenario->index_period_us),
+			catch_up, &model->upstreams[i]);
 	if (model->now_us < model->options->duration_us)
-		push(model, model->scenario->index_period_us, next_version,
-		     NULL);
+		schedule_event(model, model->scenario->index_period_us,
+			       next_version, NULL);
 }
 
 static void replace_replica(void *context, void *data)
@@ -327,14 +328,14 @@
 	start_core(model);
 	schedule_core_tick(model);
 	/* Health is known before the load begins, as in a ready instance. */
-	push(model, SECOND, next_search, NULL);
+	schedule_event(model, SECOND, next_search, NULL);
 	if (scenario->nightly_list)
-		push(model, SECOND, next_page, NULL);
+		schedule_event(model, SECOND, next_page, NULL);
 	if (scenario->index_period_us)
-		push(model, SECOND, next_version, NULL);
+		schedule_event(model, SECOND, next_version, NULL);
 	if (scenario->replica_cold)
-		push(model, options->duration_us / 3, replace_replica,
-		     &model->upstreams[3]);
+		schedule_event(model, options->duration_us / 3, replace_replica,
+			       &model->upstreams[3]);
 	while (model->now_us < options->duration_us + 2 * SECOND &&
 	       run_next_event(model->events, &model->now_us, model))
 		;
--- a/bench/policy/upstream.c
+++ b/bench/policy/upstream.c
@@ -163,7 +163,7 @@
 			new_post(upstream, job->attempt_id, RR_REPLY_OK);
 
 		fill_post(post, job);
-		push(model, one_way_us(upstream), deliver_post, post);
+		schedule_event(model, one_way_us(upstream), deliver_post, post);
 	}
 	end_job(job);
 	start_jobs(upstream);
@@ -183,7 +183,7 @@
 		}
 		job->started = true;
 		upstream->busy_slots++;
-		push(model, service_us(upstream), finish_job, job);
+		schedule_event(model, service_us(upstream), finish_job, job);
 	}
 }
 
@@ -194,7 +194,7 @@
 	struct post *post = new_post(job->upstream, job->attempt_id, status);
 
 	post->reply.retry_after_ms = retry_after_ms;
-	push(model, one_way_us(job->upstream), deliver_post, post);
+	schedule_event(model, one_way_us(job->upstream), deliver_post, post);
 	end_job(job);
 }
 
@@ -210,7 +210,7 @@
 
 		post->reply.newest_version = post->reply.oldest_version = 0;
 		post->reply.state = RR_UPSTREAM_DOWN;
-		push(model, one_way_us(upstream), deliver_post, post);
+		schedule_event(model, one_way_us(upstream), deliver_post, post);
 		end_job(job);
 		return;
 	}
@@ -278,7 +278,7 @@
 			new_post(upstream, attempt->id, RR_REPLY_REFUSED);
 
 		post->reply.newest_version = post->reply.oldest_version = 0;
-		push(model, one_way_us(upstream), deliver_post, post);
+		schedule_event(model, one_way_us(upstream), deliver_post, post);
 		return;
 	}
 	job = g_new0(struct job, 1);
@@ -291,7 +291,7 @@
 	job->row_limit = attempt->row_limit;
 	job->deadline_us = model->now_us + (int64_t)attempt->deadline_ms * MS;
 	g_hash_table_insert(model->jobs, &job->attempt_id, job);
-	push(model, cost_us + one_way_us(upstream), arrive_job, job);
+	schedule_event(model, cost_us + one_way_us(upstream), arrive_job, job);
 }
 
 static void cancel_job(void *context, void *data)
@@ -316,8 +316,8 @@
 {
 	struct model *model = data;
 
-	push(model, SAME_ZONE_DELAY_US, cancel_job,
-	     g_memdup2(&attempt_id, sizeof(attempt_id)));
+	schedule_event(model, SAME_ZONE_DELAY_US, cancel_job,
+		       g_memdup2(&attempt_id, sizeof(attempt_id)));
 }
 
 static void deliver_health(void *context, void *data)
@@ -348,5 +348,6 @@
 	struct upstream *upstream = find_upstream(model, replica);
 
 	if (!is_cut(model, upstream))
-		push(model, 2 * one_way_us(upstream), deliver_health, upstream);
+		schedule_event(model, 2 * one_way_us(upstream), deliver_health,
+			       upstream);
 }
--- a/proto/peer.pb-c.h
+++ b/proto/peer.pb-c.h
@@ -71,7 +71,7 @@
   char *shard;
   protobuf_c_boolean covered;
   /*
-   * enum rr_lack_reason
+   * enum rr_missing_reason
    */
   uint32_t reason;
   protobuf_c_boolean not_run;
--- a/source/gateway/gateway-change-feed.c
+++ b/source/gateway/gateway-change-feed.c
@@ -77,7 +77,7 @@
 				   struct rr_caller_conn *caller,
 				   const struct rr_change_feed_request *call)
 {
-	struct asker asker = {
+	struct watching_peer asker = {
 		.caller = caller,
 		.request = *call,
 		.deadline_us =
@@ -138,8 +138,8 @@
 	guint i = 0;
 
 	while (i < gateway->watching_peers->len) {
-		struct asker asker =
-			g_array_index(gateway->watching_peers, struct asker, i);
+		struct watching_peer asker = g_array_index(
+			gateway->watching_peers, struct watching_peer, i);
 
 		if (answer_now(gateway, asker.caller, &asker.request,
 			       asker.deadline_us <= now_us))
@@ -152,8 +152,8 @@
 void rr_reject_watching_peers(struct rr_gateway *gateway)
 {
 	while (gateway->watching_peers->len) {
-		struct asker asker =
-			g_array_index(gateway->watching_peers, struct asker, 0);
+		struct watching_peer asker = g_array_index(
+			gateway->watching_peers, struct watching_peer, 0);
 
 		g_array_remove_index_fast(gateway->watching_peers, 0);
 		refuse(gateway, asker.caller, 503);
@@ -166,7 +166,7 @@
 
 	for (guint i = 0; i < gateway->watching_peers->len; i++)
 		wake_us = MIN(wake_us, g_array_index(gateway->watching_peers,
-						     struct asker, i)
+						     struct watching_peer, i)
 					       .deadline_us);
 	if (!gateway->watching_peers->len)
 		return wake_us;
@@ -180,7 +180,8 @@
 	struct rr_gateway *gateway = data;
 
 	for (guint i = 0; i < gateway->watching_peers->len; i++) {
-		if (g_array_index(gateway->watching_peers, struct asker, i)
+		if (g_array_index(gateway->watching_peers, struct watching_peer,
+				  i)
 			    .caller != caller)
 			continue;
 		g_array_remove_index_fast(gateway->watching_peers, i);
--- a/source/gateway/gateway-private.h
+++ b/source/gateway/gateway-private.h
@@ -32,7 +32,7 @@
 };
 
 /* Another instance that waits for the store's news. */
-struct asker {
+struct watching_peer {
 	struct rr_caller_conn *caller;
 	struct rr_change_feed_request request;
 	int64_t deadline_us;
@@ -71,7 +71,7 @@
 	struct open_request
 		*submitting;	 /* being taken: its id is not known yet */
 	GHashTable *store_calls; /* id -> struct open_call */
-	GArray *watching_peers;	 /* struct asker */
+	GArray *watching_peers;	 /* struct watching_peer */
 	int64_t log_flush_us;	 /* 0: no line waits */
 	int64_t stop_check_us;
 	bool was_ready;
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -413,7 +413,7 @@
 	gateway->store_calls = g_hash_table_new_full(
 		g_int64_hash, g_int64_equal, NULL, g_free);
 	gateway->watching_peers =
-		g_array_new(FALSE, FALSE, sizeof(struct asker));
+		g_array_new(FALSE, FALSE, sizeof(struct watching_peer));
 	gateway->poller = rr_new_poller(error);
 	if (!gateway->poller || !listen_all(gateway, error)) {
 		rr_drop_gateway(gateway);
--- a/source/tool/instances.c
+++ b/source/tool/instances.c
@@ -20,7 +20,7 @@
 
 	if (status->json_root)
 		json_node_unref(status->json_root);
-	g_free(status->error);
+	g_free(status->error_message);
 	g_free(status);
 }
 
@@ -32,7 +32,7 @@
 	if (status->json_root && !JSON_NODE_HOLDS_OBJECT(status->json_root))
 		g_clear_pointer(&status->json_root, json_node_unref);
 	if (!status->json_root)
-		status->error = g_strdup_printf(
+		status->error_message = g_strdup_printf(
 			"status %u without a JSON object", reply->status);
 }
 
@@ -59,7 +59,7 @@
 
 		status->address = addresses[i];
 		if (errors[i])
-			status->error = g_strdup(errors[i]->message);
+			status->error_message = g_strdup(errors[i]->message);
 		else
 			take_status(status, &replies[i]);
 		g_ptr_array_add(statuses, status);
@@ -122,7 +122,7 @@
 				command,
 				"not known to be in force at %s: %s; the "
 				"revision is accepted and reaches it by itself",
-				status->address, status->error);
+				status->address, status->error_message);
 	}
 }
 
--- a/source/tool/instances.h
+++ b/source/tool/instances.h
@@ -14,7 +14,7 @@
 struct rr_instance_status {
 	const char *address;
 	JsonNode *json_root; /* its status as an object; NULL: no answer */
-	char *error;	     /* why not */
+	char *error_message; /* why not */
 };
 
 /* Ask each address; an array that frees its elements. */
--- a/source/tool/status.c
+++ b/source/tool/status.c
@@ -43,7 +43,8 @@
 	char *age;
 
 	if (!object) {
-		printf("%-22s no answer: %s\n", status->address, status->error);
+		printf("%-22s no answer: %s\n", status->address,
+		       status->error_message);
 		return;
 	}
 	age = format_age(rr_json_integer_or(object, "config_age_ms", -1));
@@ -185,7 +186,7 @@
 				json_node_copy(status->json_root));
 		else
 			json_object_set_string_member(object, "problem",
-						      status->error);
+						      status->error_message);
 		json_array_add_object_element(array, object);
 	}
 	json_node_take_array(root, array);
--- a/tests/random/callers.c
+++ b/tests/random/callers.c
@@ -11,7 +11,7 @@
 
 struct asking {
 	struct rr_request request;
-	struct issued *issued;
+	struct issued_request *issued;
 	char request_id[24];
 	char *cursor;
 	char *id;
@@ -35,7 +35,7 @@
 {
 	struct asking *asking = data;
 	struct world *world = instance->world;
-	struct issued *issued;
+	struct issued_request *issued;
 	uint64_t query_id;
 	uint32_t deadline_ms =
 		asking->request.deadline_ms ? asking->request.deadline_ms : 300;
@@ -100,7 +100,7 @@
 {
 	GHashTableIter iter;
 	gpointer value = NULL;
-	struct chain *chain = NULL;
+	struct paged_list *chain = NULL;
 
 	g_hash_table_iter_init(&iter, world->paged_lists);
 	if (g_hash_table_iter_next(&iter, NULL, &value))
@@ -111,7 +111,7 @@
 		return false;
 	}
 	if (!chain) {
-		chain = g_new0(struct chain, 1);
+		chain = g_new0(struct paged_list, 1);
 		chain->number = ++world->last_list_number;
 		g_hash_table_insert(world->paged_lists, &chain->number, chain);
 	}
@@ -159,7 +159,7 @@
 {
 	struct asking *asking = g_new0(struct asking, 1);
 
-	asking->issued = g_new0(struct issued, 1);
+	asking->issued = g_new0(struct issued_request, 1);
 	plan_request(world, asking);
 	if (asking->request.kind == RR_LIST && !plan_list(world, asking))
 		asking->request.kind = RR_SEARCH;
@@ -174,7 +174,7 @@
 static void cancel(struct instance *instance, void *data)
 {
 	struct world *world = instance->world;
-	struct issued *issued =
+	struct issued_request *issued =
 		g_hash_table_lookup(world->issued_requests, data);
 
 	if (!issued || issued->answered || issued->from_peer ||
@@ -190,7 +190,7 @@
 {
 	uint64_t number =
 		world->last_request_number - (uint64_t)between(world, 0, 5);
-	struct issued *issued =
+	struct issued_request *issued =
 		g_hash_table_lookup(world->issued_requests, &number);
 
 	if (issued)
--- a/tests/random/check.c
+++ b/tests/random/check.c
@@ -65,7 +65,7 @@
 	return shard;
 }
 
-static void check_shards(struct world *world, struct issued *issued,
+static void check_shards(struct world *world, struct issued_request *issued,
 			 const struct rr_answer *answer, const bool *seen)
 {
 	bool named[N_SHARDS] = { false };
@@ -105,10 +105,10 @@
 	      (int)(answer->n_covered + answer->n_missing), (int)n_asked);
 }
 
-static void check_list(struct world *world, struct issued *issued,
+static void check_list(struct world *world, struct issued_request *issued,
 		       const struct rr_answer *answer)
 {
-	struct chain *chain =
+	struct paged_list *chain =
 		g_hash_table_lookup(world->paged_lists, &issued->list_number);
 	uint64_t expected;
 
@@ -148,7 +148,8 @@
 	}
 }
 
-static void check_reservation(struct world *world, struct issued *issued,
+static void check_reservation(struct world *world,
+			      struct issued_request *issued,
 			      const struct rr_answer *answer)
 {
 	char *name = g_strconcat(issued->service, "/", issued->idempotency_key,
@@ -168,7 +169,7 @@
 	g_free(name);
 }
 
-static void check_not_run(struct world *world, struct issued *issued)
+static void check_not_run(struct world *world, struct issued_request *issued)
 {
 	check(world, !issued->n_executions,
 	      "not-run: request %" G_GUINT64_FORMAT " ran %d times",
@@ -176,12 +177,12 @@
 	issued->reported_not_run = true;
 }
 
-static struct issued *find_issued(struct world *world,
-				  struct instance *instance,
-				  const struct rr_answer *answer)
+static struct issued_request *find_issued(struct world *world,
+					  struct instance *instance,
+					  const struct rr_answer *answer)
 {
 	uint64_t number = 0;
-	struct issued *issued;
+	struct issued_request *issued;
 
 	check(world,
 	      answer->request_id && sscanf(answer->request_id,
@@ -210,7 +211,7 @@
 void check_answer(struct world *world, struct instance *instance,
 		  const struct rr_answer *answer)
 {
-	struct issued *issued = find_issued(world, instance, answer);
+	struct issued_request *issued = find_issued(world, instance, answer);
 	bool seen[KEY_END / KEY_STEP] = { false };
 	uint64_t last_key = 0;
 
@@ -277,7 +278,7 @@
 	uint64_t *number =
 		g_hash_table_lookup(world->relayed_requests, &reply->query_id);
 	bool seen[KEY_END / KEY_STEP] = { false };
-	struct issued *issued;
+	struct issued_request *issued;
 
 	check(world, number != NULL,
 	      "right-answer: a second or foreign relay reply %" G_GUINT64_FORMAT,
@@ -326,7 +327,7 @@
 
 void check_overdue(struct world *world)
 {
-	struct issued *issued;
+	struct issued_request *issued;
 
 	while ((issued = g_queue_peek_head(world->requests_by_age))) {
 		struct instance *instance = &world->instances[issued->instance];
--- a/tests/random/peer.c
+++ b/tests/random/peer.c
@@ -380,7 +380,8 @@
 		world->random, 0, N_INSTANCES)];
 	enum rr_request_kind kind =
 		random_one_in(world, 6) ? RR_RESERVE : RR_SEARCH;
-	struct issued *issued = add_issued_request(world, instance, kind, 250);
+	struct issued_request *issued =
+		add_issued_request(world, instance, kind, 250);
 	struct rr_peer_message *message;
 	uint64_t *query_id = g_new(uint64_t, 1);
 
--- a/tests/random/simulation.h
+++ b/tests/random/simulation.h
@@ -48,7 +48,7 @@
 };
 
 /* A request as its caller sees it. */
-struct issued {
+struct issued_request {
 	uint64_t number;
 	enum rr_request_kind kind;
 	char service[16];
@@ -71,7 +71,7 @@
 };
 
 /* A paged list being followed. */
-struct chain {
+struct paged_list {
 	uint64_t number;
 	uint64_t version;
 	uint64_t next_key; /* all rows below it were given */
@@ -130,7 +130,7 @@
 	bool store_slow;
 	bool store_loses_replies;
 	/* What happened. */
-	GHashTable *issued_requests; /* number to struct issued */
+	GHashTable *issued_requests; /* number to struct issued_request */
 	GQueue *requests_by_age;
 	uint64_t last_request_number;
 	uint64_t last_list_number;
@@ -221,10 +221,10 @@
 void check_overdue(struct world *world);
 
 /* Record a request as asked now, with its number. */
-struct issued *add_issued_request(struct world *world,
-				  struct instance *instance,
-				  enum rr_request_kind kind,
-				  uint32_t deadline_ms);
+struct issued_request *add_issued_request(struct world *world,
+					  struct instance *instance,
+					  enum rr_request_kind kind,
+					  uint32_t deadline_ms);
 extern const char *const service_names[N_SERVICES];
 
 /* Hand an event to an instance, later if it is frozen. */
--- a/tests/random/upstream.c
+++ b/tests/random/upstream.c
@@ -98,7 +98,7 @@
 void count_run(struct world *world, uint64_t number, const char *service,
 	       const char *id)
 {
-	struct issued *issued;
+	struct issued_request *issued;
 
 	issued = g_hash_table_lookup(world->issued_requests, &number);
 	if (issued) {
--- a/tests/support/deployment.c
+++ b/tests/support/deployment.c
@@ -52,10 +52,10 @@
 	return g_string_free(out, FALSE);
 }
 
-static struct test_reply *call_platform(struct test_deployment *d,
-					struct rr_store_request *call)
+static struct test_http_reply *call_platform(struct test_deployment *d,
+					     struct rr_store_request *call)
 {
-	struct test_reply *reply = test_http_request(
+	struct test_http_reply *reply = test_http_request(
 		call->method, d->platform->port, call->path, NULL, call->body);
 
 	rr_clear_store_request(call);
@@ -68,7 +68,7 @@
 	char *base = make_base(d);
 	struct rr_key_reply present;
 	struct rr_store_request call;
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 	size_t length;
 	char *text;
 
@@ -100,8 +100,8 @@
 
 int64_t test_read_metric(struct test_deployment *d, int i, const char *name)
 {
-	struct test_reply *reply = test_http_request("GET", d->caller_ports[i],
-						     "/metrics", NULL, NULL);
+	struct test_http_reply *reply = test_http_request(
+		"GET", d->caller_ports[i], "/metrics", NULL, NULL);
 	char *start = g_strdup_printf("\nragwort_%s ", name);
 	const char *line = strstr(reply->body, start);
 	int64_t value;
@@ -159,8 +159,8 @@
 static bool is_ready(void *data)
 {
 	struct readiness *readiness = data;
-	struct test_reply *reply = test_http_request("GET", readiness->port,
-						     "/readyz", NULL, NULL);
+	struct test_http_reply *reply = test_http_request(
+		"GET", readiness->port, "/readyz", NULL, NULL);
 	bool ready = reply->status == 200;
 
 	test_drop_reply(reply);
@@ -180,7 +180,7 @@
 	struct test_deployment *d = data;
 
 	for (int i = 0; i < d->options.n_instances; i++) {
-		struct test_reply *reply = test_http_request(
+		struct test_http_reply *reply = test_http_request(
 			"GET", d->caller_ports[i], "/metrics", NULL, NULL);
 		char *line = g_strdup_printf("\nragwort_members %d\n",
 					     d->options.n_instances);
@@ -252,7 +252,7 @@
 {
 	struct test_pending_request *pending = data;
 	const char *headers[] = { pending->header, pending->value, NULL };
-	struct test_reply *reply = test_http_request(
+	struct test_http_reply *reply = test_http_request(
 		"POST", pending->port, pending->path, headers, pending->body);
 
 	g_atomic_int_set(&pending->done, 1);
@@ -281,9 +281,10 @@
 	return !g_atomic_int_get(&pending->done);
 }
 
-struct test_reply *test_finish_request(struct test_pending_request *pending)
+struct test_http_reply *
+test_finish_request(struct test_pending_request *pending)
 {
-	struct test_reply *reply = g_thread_join(pending->thread);
+	struct test_http_reply *reply = g_thread_join(pending->thread);
 
 	g_free(pending->path);
 	g_free(pending->header);
@@ -293,14 +294,14 @@
 	return reply;
 }
 
-struct test_reply *test_search(struct test_deployment *d, int i)
+struct test_http_reply *test_search(struct test_deployment *d, int i)
 {
 	return test_http_request("POST", d->caller_ports[i],
 				 TEST_SERVICE "/search", NULL, "{\"query\":1}");
 }
 
-struct test_reply *test_reserve(struct test_deployment *d, int i,
-				const char *id)
+struct test_http_reply *test_reserve(struct test_deployment *d, int i,
+				     const char *id)
 {
 	const char *headers[] = { "Idempotency-Key", id, NULL };
 
@@ -315,7 +316,7 @@
 			       g_get_real_time() / G_USEC_PER_SEC, name);
 }
 
-static JsonArray *lacking_of(const struct test_reply *reply)
+static JsonArray *lacking_of(const struct test_http_reply *reply)
 {
 	JsonObject *coverage;
 
@@ -325,7 +326,7 @@
 	return json_object_get_array_member(coverage, "lacking");
 }
 
-const char *test_missing_reason(const struct test_reply *reply)
+const char *test_missing_reason(const struct test_http_reply *reply)
 {
 	JsonArray *lacking = lacking_of(reply);
 
@@ -335,7 +336,8 @@
 		json_array_get_object_element(lacking, 0), "reason");
 }
 
-int test_check_search(struct test_deployment *d, const struct test_reply *reply)
+int test_check_search(struct test_deployment *d,
+		      const struct test_http_reply *reply)
 {
 	JsonObject *object;
 	JsonArray *rows;
@@ -370,7 +372,7 @@
 bool test_search_is_complete(void *deployment)
 {
 	struct test_deployment *d = deployment;
-	struct test_reply *reply = test_search(d, 0);
+	struct test_http_reply *reply = test_search(d, 0);
 	bool complete = reply->status == 200 && !test_check_search(d, reply);
 
 	test_drop_reply(reply);
--- a/tests/support/deployment.h
+++ b/tests/support/deployment.h
@@ -65,13 +65,14 @@
 						const char *body);
 bool test_is_request_pending(struct test_pending_request *pending);
 /* Wait for the reply and free the pending call. */
-struct test_reply *test_finish_request(struct test_pending_request *pending);
+struct test_http_reply *
+test_finish_request(struct test_pending_request *pending);
 
 /* A search of every shard at instance i. */
-struct test_reply *test_search(struct test_deployment *d, int i);
+struct test_http_reply *test_search(struct test_deployment *d, int i);
 /* A reservation of key 0 under an id. */
-struct test_reply *test_reserve(struct test_deployment *d, int i,
-				const char *id);
+struct test_http_reply *test_reserve(struct test_deployment *d, int i,
+				     const char *id);
 /* An Idempotency-Key made now; freed with g_free(). */
 char *test_new_idempotency_key(const char *name);
 
@@ -81,13 +82,13 @@
  * shards are lacking.
  */
 int test_check_search(struct test_deployment *d,
-		      const struct test_reply *reply);
+		      const struct test_http_reply *reply);
 /* For test_wait_until(), with a deployment as data. */
 /* A search at the first instance covers every shard. */
 bool test_search_is_complete(void *deployment);
 /* The first shard's first replica is at work. */
 bool test_is_first_shard_busy(void *deployment);
 /* The reason of the first lacking shard; "" if none is. */
-const char *test_missing_reason(const struct test_reply *reply);
+const char *test_missing_reason(const struct test_http_reply *reply);
 
 #endif
--- a/tests/support/process.c
+++ b/tests/support/process.c
@@ -172,12 +172,12 @@
 	g_free(platform);
 }
 
-struct test_reply *test_http_request(const char *method, uint16_t port,
-				     const char *path,
-				     const char *const *headers,
-				     const char *body)
+struct test_http_reply *test_http_request(const char *method, uint16_t port,
+					  const char *path,
+					  const char *const *headers,
+					  const char *body)
 {
-	struct test_reply *reply = g_new0(struct test_reply, 1);
+	struct test_http_reply *reply = g_new0(struct test_http_reply, 1);
 	SoupSession *session =
 		soup_session_new_with_options("proxy-resolver", NULL, "timeout",
 					      TEST_TIMEOUT_MS / 1000, NULL);
@@ -225,7 +225,7 @@
 static gpointer call_in_thread(gpointer data)
 {
 	struct call_in_thread *call = data;
-	struct test_reply *reply =
+	struct test_http_reply *reply =
 		test_http_request(call->method, call->port, call->path,
 				  call->headers, call->body);
 
@@ -234,10 +234,9 @@
 	return reply;
 }
 
-struct test_reply *test_http_request_in_thread(const char *method,
-					       uint16_t port, const char *path,
-					       const char *const *headers,
-					       const char *body)
+struct test_http_reply *
+test_http_request_in_thread(const char *method, uint16_t port, const char *path,
+			    const char *const *headers, const char *body)
 {
 	struct call_in_thread call = { method, port, path, headers, body, 0 };
 	GThread *thread = g_thread_new("caller", call_in_thread, &call);
@@ -247,7 +246,7 @@
 	return g_thread_join(thread);
 }
 
-void test_drop_reply(struct test_reply *reply)
+void test_drop_reply(struct test_http_reply *reply)
 {
 	if (reply->json)
 		json_node_unref(reply->json);
@@ -256,7 +255,7 @@
 	g_free(reply);
 }
 
-const char *test_get_reply_string(const struct test_reply *reply,
+const char *test_get_reply_string(const struct test_http_reply *reply,
 				  const char *name)
 {
 	JsonNode *node = NULL;
@@ -272,7 +271,7 @@
 
 void test_post_control(uint16_t control_port, const char *json)
 {
-	struct test_reply *reply =
+	struct test_http_reply *reply =
 		test_http_request("POST", control_port, "/control", NULL, json);
 
 	if (reply->status != 200)
@@ -283,7 +282,7 @@
 static int64_t read_count(const struct test_upstreams *upstreams, int replica,
 			  const char *group, const char *name)
 {
-	struct test_reply *reply = test_http_request(
+	struct test_http_reply *reply = test_http_request(
 		"GET", upstreams->control_port, "/control/counts", NULL, NULL);
 	JsonObject *object = json_node_get_object(reply->json);
 	int64_t count = 0;
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -69,7 +69,7 @@
 int64_t test_read_run_count(const struct test_upstreams *upstreams,
 			    const char *key);
 
-struct test_reply {
+struct test_http_reply {
 	uint32_t status; /* 0: no reply */
 	char *body;
 	JsonNode *json;	   /* NULL if the body is none */
@@ -80,18 +80,17 @@
  * A blocking HTTP call over a connection of its own; `headers` are pairs,
  * NULL-terminated, or NULL.
  */
-struct test_reply *test_http_request(const char *method, uint16_t port,
-				     const char *path,
-				     const char *const *headers,
-				     const char *body);
+struct test_http_reply *test_http_request(const char *method, uint16_t port,
+					  const char *path,
+					  const char *const *headers,
+					  const char *body);
 /* The same from a thread, while this one runs its main loop. */
-struct test_reply *test_http_request_in_thread(const char *method,
-					       uint16_t port, const char *path,
-					       const char *const *headers,
-					       const char *body);
-void test_drop_reply(struct test_reply *reply);
+struct test_http_reply *
+test_http_request_in_thread(const char *method, uint16_t port, const char *path,
+			    const char *const *headers, const char *body);
+void test_drop_reply(struct test_http_reply *reply);
 /* A string member at the top of a reply's JSON; "" if there is none. */
-const char *test_get_reply_string(const struct test_reply *reply,
+const char *test_get_reply_string(const struct test_http_reply *reply,
 				  const char *name);
 
 /* Run the main loop until *done; fails the test after TEST_TIMEOUT_MS. */
--- a/tests/test-caller-keys.c
+++ b/tests/test-caller-keys.c
@@ -30,7 +30,7 @@
 			    const char *authorization)
 {
 	const char *const headers[] = { "Authorization", authorization, NULL };
-	struct test_reply *reply = test_http_request_in_thread(
+	struct test_http_reply *reply = test_http_request_in_thread(
 		"GET", f->tcp_port, path, authorization ? headers : NULL, NULL);
 	uint32_t status = reply->status;
 
--- a/tests/test-caller-limits.c
+++ b/tests/test-caller-limits.c
@@ -202,7 +202,7 @@
 {
 	struct fixture f;
 	uint32_t n_refused = 0;
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	(void)state;
 	open_port(&f, 1, TEST_TIMEOUT_MS);
@@ -242,7 +242,7 @@
 	return socket;
 }
 
-static struct test_reply *call(struct fixture *f, const char *path)
+static struct test_http_reply *call(struct fixture *f, const char *path)
 {
 	return test_http_request_in_thread(
 		"GET", rr_caller_server_tcp_port(f->port), path, NULL, NULL);
@@ -259,7 +259,7 @@
 {
 	struct fixture f;
 	GSocket *open[200];
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 	uint32_t n_closed = 0;
 
 	(void)state;
@@ -314,7 +314,7 @@
 	(void)state;
 	open_port(&f, 0, TEST_TIMEOUT_MS);
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-		struct test_reply *reply = test_http_request_in_thread(
+		struct test_http_reply *reply = test_http_request_in_thread(
 			"POST", rr_caller_server_tcp_port(f.port),
 			cases[i].path, cases[i].headers, cases[i].body);
 
--- a/tests/test-caller.c
+++ b/tests/test-caller.c
@@ -30,8 +30,9 @@
 	return g_string_free(body, FALSE);
 }
 
-static struct test_reply *post(struct caller_fixture *f, const char *path,
-			       const char *const *headers, const char *body)
+static struct test_http_reply *post(struct caller_fixture *f, const char *path,
+				    const char *const *headers,
+				    const char *body)
 {
 	return test_http_request_in_thread("POST", f->tcp_port, path, headers,
 					   body);
@@ -48,7 +49,7 @@
 	struct rr_rows *rows = rr_new_rows();
 	struct rr_answer_row taken[] = { { rows, 0 }, { rows, 1 } };
 	struct caller_fixture *f = *state;
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	rr_append_row(rows, 17, "{\"a\":1}", 7);
 	rr_append_row(rows, 18, "[2]", 3);
@@ -102,7 +103,7 @@
 	struct caller_fixture *f = *state;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-		struct test_reply *reply;
+		struct test_http_reply *reply;
 
 		f->answer = (struct rr_answer){
 			.outcome = cases[i].outcome,
@@ -137,7 +138,7 @@
 	caller_reopen_server(f, LARGEST_BODY, NULL);
 	for (size_t i = 0; i < G_N_ELEMENTS(openings); i++) {
 		char *body = fill_body(openings[i], '[', 1000000, "");
-		struct test_reply *reply = post(f, SEARCH, NULL, body);
+		struct test_http_reply *reply = post(f, SEARCH, NULL, body);
 
 		assert_int_equal(reply->status, 400);
 		assert_non_null(strstr(test_get_reply_string(reply, "reason"),
@@ -177,7 +178,7 @@
 				       cases[i].fills, "\"}");
 		char *padded =
 			g_strdup_printf("%-*s", (int)cases[i].length, body);
-		struct test_reply *reply = post(f, SEARCH, NULL, padded);
+		struct test_http_reply *reply = post(f, SEARCH, NULL, padded);
 
 		assert_int_equal(reply->status, cases[i].status);
 		test_drop_reply(reply);
@@ -223,7 +224,7 @@
 	GString *deep = g_string_new("{\"query\":");
 
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-		struct test_reply *reply = test_http_request_in_thread(
+		struct test_http_reply *reply = test_http_request_in_thread(
 			cases[i].method, f->tcp_port, cases[i].path, NULL,
 			cases[i].body);
 
@@ -237,7 +238,8 @@
 	for (int i = 0; i < 3000; i++)
 		g_string_append_c(deep, '[');
 	for (int i = 0; i < 2; i++) {
-		struct test_reply *reply = post(f, SEARCH, NULL, deep->str);
+		struct test_http_reply *reply =
+			post(f, SEARCH, NULL, deep->str);
 
 		assert_int_equal(reply->status, i ? 413 : 400);
 		test_drop_reply(reply);
@@ -282,7 +284,7 @@
 static void test_serves_its_own_pages(void **state)
 {
 	struct caller_fixture *f = *state;
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	reply = test_http_request_in_thread("GET", f->tcp_port, "/healthz",
 					    NULL, NULL);
--- a/tests/test-process-change.c
+++ b/tests/test-process-change.c
@@ -53,7 +53,7 @@
 
 static int64_t count_watches(struct test_deployment *d)
 {
-	struct test_reply *reply =
+	struct test_http_reply *reply =
 		test_http_request("GET", d->platform->control_port,
 				  "/control/counts", NULL, NULL);
 	JsonObject *counts = json_object_get_object_member(
@@ -95,7 +95,7 @@
 static void test_new_instance_learns_from_peers(void **state)
 {
 	struct test_deployment *d = start(2, 1);
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	test_post_control(d->platform->control_port, "{\"outage\":\"refuse\"}");
 	test_signal_process(d->instances[1], SIGTERM);
@@ -112,7 +112,7 @@
 static void test_alone_without_platform_is_not_ready(void **state)
 {
 	struct test_deployment *d = start(1, 1);
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	test_post_control(d->platform->control_port, "{\"outage\":\"refuse\"}");
 	test_signal_process(d->instances[0], SIGKILL);
@@ -147,7 +147,7 @@
 static void test_draining_upstreams_get_no_new_work(void **state)
 {
 	struct test_deployment *d = start(2, 2);
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 	int64_t before;
 
 	for (int i = 0; i < 4; i++) {
@@ -189,7 +189,7 @@
 	struct test_deployment *d = start(2, 1);
 	char *id = test_new_idempotency_key("sigterm-settles");
 	struct test_pending_request *pending;
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	test_post_control(d->upstreams[0]->control_port,
 			  "{\"service_ms\":1000}");
--- a/tests/test-process-end-to-end.c
+++ b/tests/test-process-end-to-end.c
@@ -39,7 +39,7 @@
 static void test_one_relay_for_each_owner_and_query(void **state)
 {
 	struct test_deployment *d = start(3, 1);
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 	int64_t before = 0;
 
 	for (int i = 0; i < 11; i++) {
@@ -68,7 +68,7 @@
 			g_strdup_printf("{\"newest\":%" G_GINT64_FORMAT
 					",\"oldest\":%" G_GINT64_FORMAT "}",
 					version, MAX(1, version - 2));
-		struct test_reply *reply;
+		struct test_http_reply *reply;
 
 		/* One copy moves first: half of the replicas are behind. */
 		test_post_control(d->upstreams[version % 2]->control_port,
@@ -90,7 +90,7 @@
 	char *path =
 		g_strdup_printf(TEST_SERVICE "/list?max_rows=70%s%s",
 				cursor ? "&cursor=" : "", cursor ? cursor : "");
-	struct test_reply *reply =
+	struct test_http_reply *reply =
 		test_http_request("GET", d->caller_ports[i], path, NULL, NULL);
 	JsonArray *rows;
 	char *next;
@@ -122,7 +122,7 @@
 	int64_t next_key = 0;
 	char *cursor = list_page(d, 0, NULL, &next_key);
 	char *path;
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	for (int i = 1; *cursor; i++) {
 		char *next = list_page(d, i % 3, cursor, &next_key);
@@ -150,7 +150,7 @@
 static void test_lookup_and_unknown_names(void **state)
 {
 	struct test_deployment *d = start(3, 1);
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 	JsonArray *rows;
 	int64_t before = test_read_count(d->upstreams[0], -1, "requests");
 
--- a/tests/test-process-fault.c
+++ b/tests/test-process-fault.c
@@ -43,7 +43,7 @@
 
 	control(d, "{\"cut\":\"hang-up\"}");
 	for (int i = 0; i < 4; i++) {
-		struct test_reply *reply;
+		struct test_http_reply *reply;
 
 		if (i == 2)
 			control(d, "{\"cut\":\"none\"}");
@@ -64,8 +64,8 @@
 {
 	struct test_deployment *d = start(2);
 	char *id = test_new_idempotency_key("replayed");
-	struct test_reply *first = test_reserve(d, 0, id);
-	struct test_reply *second = test_reserve(d, 1, id);
+	struct test_http_reply *first = test_reserve(d, 0, id);
+	struct test_http_reply *second = test_reserve(d, 1, id);
 	JsonObject *object;
 
 	assert_int_equal(first->status, 200);
@@ -106,7 +106,7 @@
 	struct test_deployment *d = start(1);
 	GSocketClient *client = g_socket_client_new();
 	GSocketConnection *connection;
-	struct test_reply *reply = test_search(d, 0);
+	struct test_http_reply *reply = test_search(d, 0);
 
 	/* From now on the versions are known: all shards are asked at once. */
 	assert_int_equal(test_check_search(d, reply), 0);
@@ -132,7 +132,7 @@
 static void test_truncated_body_is_named(void **state)
 {
 	struct test_deployment *d = start(1);
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	control(d, "{\"replica\":1,\"cut\":\"truncate\"}");
 	reply = test_search(d, 0);
@@ -150,7 +150,7 @@
 static void check_reads_without_platform(const char *outage)
 {
 	struct test_deployment *d = start(2);
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 	char *id = test_new_idempotency_key("platform-down");
 
 	test_post_control(d->platform->control_port, outage);
@@ -190,7 +190,7 @@
 static bool reservation_is_known(void *data)
 {
 	struct repeat *repeat = data;
-	struct test_reply *reply =
+	struct test_http_reply *reply =
 		test_reserve(repeat->d, repeat->instance, repeat->id);
 	bool known = reply->status == 200;
 
@@ -225,7 +225,7 @@
 				d->caller_ports[i], TEST_SERVICE "/reserve",
 				"Idempotency-Key", id, "{\"key\":0}");
 		for (int i = 0; i < 2; i++) {
-			struct test_reply *reply =
+			struct test_http_reply *reply =
 				test_finish_request(pending[i]);
 
 			assert_true(reply->status == 200 ||
@@ -262,7 +262,7 @@
 	struct test_deployment *d = test_start_deployment(&options);
 	char *id = test_new_idempotency_key("zone-cut-off");
 	int64_t revision = test_read_metric(d, 0, "config_revision");
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	assert_true(test_wait_until(test_search_is_complete, d));
 	test_post_control(d->platform->control_port, "{\"outage\":\"refuse\"}");
--- a/tests/test-process-key-rotation.c
+++ b/tests/test-process-key-rotation.c
@@ -186,7 +186,7 @@
 	g_atomic_int_set(&load->stop, 1);
 	g_thread_join(load->thread);
 	for (guint i = 0; i < load->replies->len; i++) {
-		struct test_reply *reply = load->replies->pdata[i];
+		struct test_http_reply *reply = load->replies->pdata[i];
 
 		if (!test_check_search(load->d, reply))
 			continue;
@@ -279,7 +279,7 @@
 	struct scene scene;
 	const char *old_key;
 	const char *new_key;
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	open_scene(&scene);
 	old_key = scene.old_pair.public_key;
@@ -313,7 +313,7 @@
 static void test_bad_keys_change_nothing(void **state)
 {
 	struct scene scene;
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	open_scene(&scene);
 	g_free((char *)scene.d->options.start_file_lines[0]);
@@ -348,7 +348,7 @@
 	g_strstrip(secret);
 	assert_int_equal(strlen(secret), 40);
 	for (size_t i = 0; i < G_N_ELEMENTS(pages); i++) {
-		struct test_reply *reply = test_http_request(
+		struct test_http_reply *reply = test_http_request(
 			"GET", scene.d->caller_ports[0], pages[i], NULL, NULL);
 
 		assert_int_equal(reply->status, 200);
--- a/tests/test-process-replica.c
+++ b/tests/test-process-replica.c
@@ -32,7 +32,7 @@
 static void search_all(struct test_deployment *d, int n)
 {
 	for (int i = 0; i < n; i++) {
-		struct test_reply *reply = test_search(d, 0);
+		struct test_http_reply *reply = test_search(d, 0);
 
 		assert_int_equal(test_check_search(d, reply), 0);
 		test_drop_reply(reply);
@@ -48,7 +48,7 @@
 static bool has_state(void *data)
 {
 	struct state_wait *wait = data;
-	struct test_reply *reply = test_http_request(
+	struct test_http_reply *reply = test_http_request(
 		"GET", wait->d->caller_ports[0], "/status", NULL, NULL);
 	JsonObject *service = json_array_get_object_element(
 		json_object_get_array_member(json_node_get_object(reply->json),
@@ -100,7 +100,7 @@
 	struct test_pending_request *search;
 	struct test_pending_request *reserves[N_RESERVATIONS];
 	char *ids[N_RESERVATIONS];
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 	int64_t before;
 
 	search_all(d, 2);
@@ -149,7 +149,7 @@
 
 /* Every row's key is a multiple of 100, comes once, and is in the right
  * shard; returns how many rows have a key in [from, to). */
-static int check_rows(const struct test_reply *reply, int64_t first_end,
+static int check_rows(const struct test_http_reply *reply, int64_t first_end,
 		      int64_t from, int64_t to)
 {
 	JsonArray *rows = json_object_get_array_member(
@@ -176,7 +176,7 @@
 static bool moved_search_is_complete(void *data)
 {
 	struct test_deployment *d = data;
-	struct test_reply *reply = test_search(d, 0);
+	struct test_http_reply *reply = test_search(d, 0);
 	bool complete = !*test_missing_reason(reply) &&
 			check_rows(reply, 500, 0, 2000) == 20;
 
@@ -194,7 +194,7 @@
 {
 	struct test_deployment *d = start(2, 1);
 	struct test_pending_request *search;
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	search_all(d, 2);
 	test_post_control(d->upstreams[0]->control_port,
--- a/tests/test-process-stop.c
+++ b/tests/test-process-stop.c
@@ -66,7 +66,7 @@
 static void expect_whole_answer(struct test_deployment *d,
 				struct test_pending_request *pending)
 {
-	struct test_reply *reply = test_finish_request(pending);
+	struct test_http_reply *reply = test_finish_request(pending);
 
 	assert_int_equal(test_check_search(d, reply), 0);
 	test_drop_reply(reply);
@@ -115,7 +115,7 @@
 {
 	struct test_deployment *d = start(1, 1, 2);
 	struct test_pending_request *pending = begin_search(d, 1000);
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	test_signal_process(d->upstreams[0]->process, SIGKILL);
 	reply = test_finish_request(pending);
@@ -140,7 +140,7 @@
 	struct test_deployment *d = start(1, 2, 1);
 	char *id = test_new_idempotency_key("paused-instance");
 	struct test_pending_request *pending;
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	set_service_ms(d, 300);
 	pending =
@@ -168,7 +168,7 @@
 
 static int64_t count_ledger_writes(struct test_deployment *d)
 {
-	struct test_reply *reply =
+	struct test_http_reply *reply =
 		test_http_request("GET", d->platform->control_port,
 				  "/control/counts", NULL, NULL);
 	JsonObject *counts = json_node_get_object(reply->json);
@@ -196,7 +196,7 @@
 static bool is_told_of_the_claim(void *data)
 {
 	struct repeat *repeat = data;
-	struct test_reply *reply = test_reserve(repeat->d, 1, repeat->id);
+	struct test_http_reply *reply = test_reserve(repeat->d, 1, repeat->id);
 	bool told = reply->status == 504;
 
 	assert_true(told || reply->status == 503);
@@ -218,7 +218,7 @@
 	char *id = test_new_idempotency_key("paused-holder");
 	struct repeat repeat = { d, id };
 	struct test_pending_request *pending;
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 	int64_t runs;
 
 	/*
@@ -264,7 +264,7 @@
 static void test_sigkill_of_the_only_instance_of_a_zone(void **state)
 {
 	struct test_deployment *d = start(2, 2, 1);
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	reply = test_search(d, 0);
 	assert_int_equal(test_check_search(d, reply), 0);
--- a/tests/test-random.c
+++ b/tests/test-random.c
@@ -82,12 +82,12 @@
 	return config;
 }
 
-struct issued *add_issued_request(struct world *world,
-				  struct instance *instance,
-				  enum rr_request_kind kind,
-				  uint32_t deadline_ms)
+struct issued_request *add_issued_request(struct world *world,
+					  struct instance *instance,
+					  enum rr_request_kind kind,
+					  uint32_t deadline_ms)
 {
-	struct issued *issued = g_new0(struct issued, 1);
+	struct issued_request *issued = g_new0(struct issued_request, 1);
 
 	issued->number = ++world->last_request_number;
 	issued->kind = kind;
@@ -256,7 +256,7 @@
 
 		g_hash_table_iter_init(&iter, world->issued_requests);
 		while (g_hash_table_iter_next(&iter, NULL, &value)) {
-			struct issued *issued = value;
+			struct issued_request *issued = value;
 
 			check(world,
 			      issued->answered || issued->cancelled ||
@@ -400,7 +400,7 @@
 
 static void free_chain(gpointer data)
 {
-	struct chain *chain = data;
+	struct paged_list *chain = data;
 
 	g_free(chain->cursor);
 	g_free(chain);
--- a/tests/test-tool.c
+++ b/tests/test-tool.c
@@ -281,7 +281,7 @@
 {
 	struct rr_feed_call report = { .kind = RR_FEED_REPORT, .entry = entry };
 	struct rr_store_request call;
-	struct test_reply *reply;
+	struct test_http_reply *reply;
 
 	rr_make_feed_request(&call, &report);
 	reply = test_http_request(call.method, platform->standin->port,
