--- a/tests/random/callers.c
+++ b/tests/random/callers.c
@@ -26,21 +26,21 @@
 	g_free(asking);
 }
 
-static int64_t wall_us(struct world *world)
+static int64_t wall_us(struct simulation *simulation)
 {
-	return WALL_START_US + world->now_us + world->wall_offset_us;
+	return WALL_START_US + simulation->now_us + simulation->wall_offset_us;
 }
 
 static void ask(struct instance *instance, void *data)
 {
 	struct asking *asking = data;
-	struct world *world = instance->world;
+	struct simulation *simulation = instance->simulation;
 	struct issued_request *issued;
 	uint64_t query_id;
 	uint32_t deadline_ms =
 		asking->request.deadline_ms ? asking->request.deadline_ms : 300;
 
-	issued = add_issued_request(world, instance, asking->request.kind,
+	issued = add_issued_request(simulation, instance, asking->request.kind,
 				    deadline_ms);
 	g_strlcpy(issued->service, asking->request.service,
 		  sizeof(issued->service));
@@ -59,92 +59,97 @@
 		 "r%" G_GUINT64_FORMAT, issued->number);
 	asking->request.request_id = asking->request_id;
 	asking->request.cursor = asking->cursor;
-	query_id = rr_core_handle_request(instance->ctx, instance->core,
-					  world->now_us, wall_us(world),
-					  &asking->request);
-	check(world, query_id != 0, "query id 0");
-	check(world, !issued->query_id || issued->query_id == query_id,
+	query_id = rr_core_handle_request(
+		instance->ctx, instance->core, simulation->now_us,
+		wall_us(simulation), &asking->request);
+	check(simulation, query_id != 0, "query id 0");
+	check(simulation, !issued->query_id || issued->query_id == query_id,
 	      "answered under another query id");
 	issued->query_id = query_id;
 	g_free(asking->issued);
 }
 
 /* Ids are asked again soon, or long after: past their retention too. */
-static const char *choose_id(struct world *world)
+static const char *choose_id(struct simulation *simulation)
 {
-	guint n = world->recent_keys->len;
+	guint n = simulation->recent_keys->len;
 
-	if (n && random_one_in(world, 2)) {
-		guint newest = random_one_in(world, 4) ? n : MIN(n, 8);
+	if (n && random_one_in(simulation, 2)) {
+		guint newest = random_one_in(simulation, 4) ? n : MIN(n, 8);
 
 		return g_ptr_array_index(
-			world->recent_keys,
+			simulation->recent_keys,
 			n - 1 -
-				(guint)g_rand_int_range(world->random, 0,
+				(guint)g_rand_int_range(simulation->random, 0,
 							(int)newest));
 	}
 	if (n >= MOST_IDS)
-		g_ptr_array_remove_index(world->recent_keys, 0);
-	g_ptr_array_add(world->recent_keys,
+		g_ptr_array_remove_index(simulation->recent_keys, 0);
+	g_ptr_array_add(simulation->recent_keys,
 			g_strdup_printf("%" G_GINT64_FORMAT
 					"-order-%08" G_GINT64_MODIFIER "u",
-					(WALL_START_US + world->now_us) /
+					(WALL_START_US + simulation->now_us) /
 						G_USEC_PER_SEC,
-					world->sequence));
-	return g_ptr_array_index(world->recent_keys,
-				 world->recent_keys->len - 1);
+					simulation->sequence));
+	return g_ptr_array_index(simulation->recent_keys,
+				 simulation->recent_keys->len - 1);
 }
 
 /* The caller of a list asks page by page, and gives up after a while. */
-static bool plan_list(struct world *world, struct asking *asking)
+static bool plan_list(struct simulation *simulation, struct asking *asking)
 {
 	GHashTableIter iter;
 	gpointer value = NULL;
 	struct paged_list *chain = NULL;
 
-	g_hash_table_iter_init(&iter, world->paged_lists);
+	g_hash_table_iter_init(&iter, simulation->paged_lists);
 	if (g_hash_table_iter_next(&iter, NULL, &value))
 		chain = value;
 	if (chain && chain->page_sent_us) {
-		if (world->now_us - chain->page_sent_us > 20000 * MS)
-			g_hash_table_remove(world->paged_lists, &chain->number);
+		if (simulation->now_us - chain->page_sent_us > 20000 * MS)
+			g_hash_table_remove(simulation->paged_lists,
+					    &chain->number);
 		return false;
 	}
 	if (!chain) {
 		chain = g_new0(struct paged_list, 1);
-		chain->number = ++world->last_list_number;
-		g_hash_table_insert(world->paged_lists, &chain->number, chain);
+		chain->number = ++simulation->last_list_number;
+		g_hash_table_insert(simulation->paged_lists, &chain->number,
+				    chain);
 	}
-	chain->page_sent_us = world->now_us;
+	chain->page_sent_us = simulation->now_us;
 	asking->issued->list_number = chain->number;
 	asking->cursor = g_strdup(chain->cursor);
 	return true;
 }
 
-static void plan_request(struct world *world, struct asking *asking)
+static void plan_request(struct simulation *simulation, struct asking *asking)
 {
 	struct rr_request *request = &asking->request;
 
 	request->kind = RR_SEARCH;
-	request->service = service_names[g_rand_int_range(world->random, 0, 2)];
+	request->service =
+		service_names[g_rand_int_range(simulation->random, 0, 2)];
 	request->body = "{\"text\":\"brick\"}";
-	if (random_one_in(world, 8))
-		request->deadline_ms = (uint32_t)between(world, 20, 300);
-	if (random_one_in(world, 8))
-		request->max_rows = (uint32_t)between(world, 5, 70);
-	if (random_one_in(world, 5))
+	if (random_one_in(simulation, 8))
+		request->deadline_ms =
+			(uint32_t)random_between(simulation, 20, 300);
+	if (random_one_in(simulation, 8))
+		request->max_rows = (uint32_t)random_between(simulation, 5, 70);
+	if (random_one_in(simulation, 5))
 		request->priority = RR_BATCH;
-	switch (g_rand_int_range(world->random, 0, 8)) {
+	switch (g_rand_int_range(simulation->random, 0, 8)) {
 	case 0:
 		request->kind = RR_LOOKUP;
-		request->key = (uint64_t)between(world, 0, KEY_END) / KEY_STEP *
-			       KEY_STEP;
+		request->key =
+			(uint64_t)random_between(simulation, 0, KEY_END) /
+			KEY_STEP * KEY_STEP;
 		break;
 	case 1:
 	case 2:
 		request->kind = RR_RESERVE;
 		request->service = SERVICE_WRITE;
-		request->idempotency_key = choose_id(world);
+		request->idempotency_key = choose_id(simulation);
 		request->key = g_str_hash(request->idempotency_key) % KEY_END;
 		break;
 	case 3:
@@ -155,46 +160,46 @@
 	}
 }
 
-void send_random_request(struct world *world)
+void send_random_request(struct simulation *simulation)
 {
 	struct asking *asking = g_new0(struct asking, 1);
 
 	asking->issued = g_new0(struct issued_request, 1);
-	plan_request(world, asking);
-	if (asking->request.kind == RR_LIST && !plan_list(world, asking))
+	plan_request(simulation, asking);
+	if (asking->request.kind == RR_LIST && !plan_list(simulation, asking))
 		asking->request.kind = RR_SEARCH;
 	/* Kept here: the caller's list of ids moves on. */
 	asking->id = g_strdup(asking->request.idempotency_key);
 	asking->request.idempotency_key = asking->id;
-	schedule_delivery(world,
-			  g_rand_int_range(world->random, 0, N_INSTANCES),
-			  world->now_us, ask, asking, drop_asking);
+	schedule_delivery(simulation,
+			  g_rand_int_range(simulation->random, 0, N_INSTANCES),
+			  simulation->now_us, ask, asking, drop_asking);
 }
 
 static void cancel(struct instance *instance, void *data)
 {
-	struct world *world = instance->world;
+	struct simulation *simulation = instance->simulation;
 	struct issued_request *issued =
-		g_hash_table_lookup(world->issued_requests, data);
+		g_hash_table_lookup(simulation->issued_requests, data);
 
 	if (!issued || issued->answered || issued->from_peer ||
 	    issued->instance != instance->index ||
 	    issued->incarnation != instance->incarnation)
 		return;
 	issued->cancelled = true;
-	rr_core_cancel(instance->ctx, instance->core, world->now_us,
+	rr_core_cancel(instance->ctx, instance->core, simulation->now_us,
 		       issued->query_id);
 }
 
-void cancel_random_request(struct world *world)
+void cancel_random_request(struct simulation *simulation)
 {
-	uint64_t number =
-		world->last_request_number - (uint64_t)between(world, 0, 5);
+	uint64_t number = simulation->last_request_number -
+			  (uint64_t)random_between(simulation, 0, 5);
 	struct issued_request *issued =
-		g_hash_table_lookup(world->issued_requests, &number);
+		g_hash_table_lookup(simulation->issued_requests, &number);
 
 	if (issued)
-		schedule_delivery(world, issued->instance, world->now_us,
-				  cancel, g_memdup2(&number, sizeof(number)),
-				  g_free);
+		schedule_delivery(simulation, issued->instance,
+				  simulation->now_us, cancel,
+				  g_memdup2(&number, sizeof(number)), g_free);
 }
--- a/tests/random/peer.c
+++ b/tests/random/peer.c
@@ -9,10 +9,10 @@
 
 #include "ragwort/wire.h"
 
-void init_peers(struct world *world)
+void init_peers(struct simulation *simulation)
 {
 	for (int i = 0; i < N_PEERS; i++) {
-		struct fake_peer *peer = &world->peers[i];
+		struct fake_peer *peer = &simulation->peers[i];
 
 		snprintf(peer->name, sizeof(peer->name), "p%d", i);
 		snprintf(peer->address, sizeof(peer->address), "127.0.0.1:%d",
@@ -22,38 +22,41 @@
 	}
 }
 
-static const char *peer_zone(struct world *world, struct fake_peer *peer)
+static const char *peer_zone(struct simulation *simulation,
+			     struct fake_peer *peer)
 {
-	return peer == &world->peers[0] ? "a" : "b";
+	return peer == &simulation->peers[0] ? "a" : "b";
 }
 
-static struct fake_peer *find_peer(struct world *world, const char *name)
+static struct fake_peer *find_peer(struct simulation *simulation,
+				   const char *name)
 {
 	for (int i = 0; i < N_PEERS; i++) {
-		if (!strcmp(world->peers[i].name, name))
-			return &world->peers[i];
+		if (!strcmp(simulation->peers[i].name, name))
+			return &simulation->peers[i];
 	}
 	return NULL;
 }
 
-void hint_peers(struct world *world, struct instance *instance)
+void hint_peers(struct simulation *simulation, struct instance *instance)
 {
 	for (int i = 0; i < N_PEERS; i++) {
-		struct fake_peer *peer = &world->peers[i];
+		struct fake_peer *peer = &simulation->peers[i];
 
 		rr_core_hint_member(instance->ctx, instance->core,
-				    world->now_us, peer->name,
-				    peer_zone(world, peer), peer->address);
+				    simulation->now_us, peer->name,
+				    peer_zone(simulation, peer), peer->address);
 	}
 }
 
 static void deliver_message(struct instance *instance, void *data)
 {
-	struct world *world = instance->world;
+	struct simulation *simulation = instance->simulation;
 
 	rr_core_handle_peer_message(
-		instance->ctx, instance->core, world->now_us,
-		WALL_START_US + world->now_us + world->wall_offset_us, data);
+		instance->ctx, instance->core, simulation->now_us,
+		WALL_START_US + simulation->now_us + simulation->wall_offset_us,
+		data);
 }
 
 static void drop_message(void *data)
@@ -62,7 +65,8 @@
 }
 
 static struct rr_peer_message *
-copy_message(struct world *world, const struct rr_peer_message *message)
+copy_message(struct simulation *simulation,
+	     const struct rr_peer_message *message)
 {
 	GBytes *bytes = rr_encode_peer_message(message);
 	gsize length;
@@ -71,8 +75,9 @@
 	struct rr_peer_message *copy =
 		rr_decode_peer_message(data, length, &error);
 
-	check(world, copy != NULL, "message of kind %d does not decode: %s",
-	      message->kind, error->message);
+	check(simulation, copy != NULL,
+	      "message of kind %d does not decode: %s", message->kind,
+	      error->message);
 	g_bytes_unref(bytes);
 	return copy;
 }
@@ -90,24 +95,27 @@
 	return message;
 }
 
-static void send_to(struct world *world, struct instance *instance,
+static void send_to(struct simulation *simulation, struct instance *instance,
 		    struct rr_peer_message *message)
 {
-	int64_t delay_us = between(world, 200, 3 * MS);
+	int64_t delay_us = random_between(simulation, 200, 3 * MS);
 
-	if (!world->faults_stopped && random_one_in(world, 40)) {
+	if (!simulation->faults_stopped && random_one_in(simulation, 40)) {
 		rr_drop_peer_message(message);
 		return;
 	}
-	if (random_one_in(world, 40))
-		delay_us += between(world, 0, 500 * MS);
-	if (random_one_in(world, 40))
-		schedule_delivery(world, instance->index,
-				  world->now_us + between(world, 0, 900 * MS),
-				  deliver_message, copy_message(world, message),
-				  drop_message);
-	schedule_delivery(world, instance->index, world->now_us + delay_us,
-			  deliver_message, message, drop_message);
+	if (random_one_in(simulation, 40))
+		delay_us += random_between(simulation, 0, 500 * MS);
+	if (random_one_in(simulation, 40))
+		schedule_delivery(
+			simulation, instance->index,
+			simulation->now_us +
+				random_between(simulation, 0, 900 * MS),
+			deliver_message, copy_message(simulation, message),
+			drop_message);
+	schedule_delivery(simulation, instance->index,
+			  simulation->now_us + delay_us, deliver_message,
+			  message, drop_message);
 }
 
 struct visit {
@@ -116,9 +124,9 @@
 	struct rr_peer_message *message;
 };
 
-static void send_ack(struct world *world, struct visit *visit)
+static void send_ack(struct simulation *simulation, struct visit *visit)
 {
-	struct instance *instance = &world->instances[visit->instance];
+	struct instance *instance = &simulation->instances[visit->instance];
 	struct rr_peer_message *ack =
 		new_message(visit->peer, instance, RR_PEER_ACK);
 
@@ -127,21 +135,21 @@
 	ack->updates = g_new0(struct rr_member_update, 1);
 	ack->n_updates = 1;
 	ack->updates[0].instance = g_strdup(visit->peer->name);
-	ack->updates[0].zone = g_strdup(peer_zone(world, visit->peer));
+	ack->updates[0].zone = g_strdup(peer_zone(simulation, visit->peer));
 	ack->updates[0].address = g_strdup(visit->peer->address);
 	ack->updates[0].incarnation = visit->peer->incarnation;
-	if (random_one_in(world, 10)) {
+	if (random_one_in(simulation, 10)) {
 		/* False news of the instance itself: it has to refute. */
 		g_free(ack->updates[0].instance);
 		ack->updates[0].instance = g_strdup(instance->name);
 		ack->updates[0].incarnation = instance->incarnation;
 		ack->updates[0].state = RR_MEMBER_SUSPECT;
 	}
-	send_to(world, instance, ack);
+	send_to(simulation, instance, ack);
 }
 
 /* Run one shard of a relay at some replica of the peer's zone. */
-static void relay_shard(struct world *world, struct fake_peer *peer,
+static void relay_shard(struct simulation *simulation, struct fake_peer *peer,
 			const struct rr_relay *relay, size_t i,
 			struct rr_relay_reply *reply,
 			struct rr_coverage *coverage)
@@ -156,9 +164,9 @@
 	outcome->not_run = true;
 	outcome->reason = RR_MISSING_NO_REPLICA;
 	sscanf(outcome->shard, "shard-%d", &shard);
-	replica =
-		&world->replicas[shard * N_REPLICAS +
-				 (strcmp(peer_zone(world, peer), "a") ? 2 : 0)];
+	replica = &simulation->replicas
+			   [shard * N_REPLICAS +
+			    (strcmp(peer_zone(simulation, peer), "a") ? 2 : 0)];
 	if (replica->down || replica->draining || replica->shedding)
 		return;
 	outcome->newest_version = replica->newest_version;
@@ -171,16 +179,16 @@
 	}
 	outcome->not_run = false;
 	outcome->attempts = 1;
-	count_run(world, parse_request_number(relay->request_id),
+	count_run(simulation, parse_request_number(relay->request_id),
 		  relay->service,
 		  relay->kind == RR_RESERVE ? relay->idempotency_key : NULL);
-	if (!world->faults_stopped && random_one_in(world, 20)) {
+	if (!simulation->faults_stopped && random_one_in(simulation, 20)) {
 		outcome->reason = RR_MISSING_LOST;
 		return;
 	}
 	outcome->reason = RR_MISSING_NONE;
 	outcome->covered = true;
-	held = replica_range(world, replica);
+	held = replica_range(simulation, replica);
 	held.from = MAX(held.from, relay->key_from);
 	held.to = MIN(held.to, relay->key_to);
 	if (relay->kind == RR_RESERVE)
@@ -196,16 +204,16 @@
 		struct rr_key_range one = { key, key + 1 };
 
 		if (!rr_covers_key(coverage, key))
-			fill_rows(world, reply->rows, one, reply->version,
+			fill_rows(simulation, reply->rows, one, reply->version,
 				  parse_request_number(relay->request_id), 0);
 	}
 	rr_add_range(coverage, held);
 }
 
-static void run_relay(struct world *world, struct visit *visit)
+static void run_relay(struct simulation *simulation, struct visit *visit)
 {
 	const struct rr_relay *relay = visit->message->relay;
-	struct instance *instance = &world->instances[visit->instance];
+	struct instance *instance = &simulation->instances[visit->instance];
 	struct rr_peer_message *message =
 		new_message(visit->peer, instance, RR_PEER_RELAY_REPLY);
 	struct rr_relay_reply *reply = g_new0(struct rr_relay_reply, 1);
@@ -218,19 +226,20 @@
 	reply->outcomes = g_new0(struct rr_relay_outcome, relay->n_shards);
 	reply->n_outcomes = relay->n_shards;
 	for (size_t i = 0; i < relay->n_shards; i++)
-		relay_shard(world, visit->peer, relay, i, reply, coverage);
+		relay_shard(simulation, visit->peer, relay, i, reply, coverage);
 	rr_drop_coverage(coverage);
-	if (random_one_in(world, 50))
-		reply->query_id ^= G_GUINT64_CONSTANT(1)
-				   << between(world, 24, 60); /* foreign */
-	if (random_one_in(world, 50))
+	if (random_one_in(simulation, 50))
+		reply->query_id ^=
+			G_GUINT64_CONSTANT(1)
+			<< random_between(simulation, 24, 60); /* foreign */
+	if (random_one_in(simulation, 50))
 		message->from_incarnation--; /* of an earlier process */
-	send_to(world, instance, message);
+	send_to(simulation, instance, message);
 }
 
-static void send_record(struct world *world, struct visit *visit)
+static void send_record(struct simulation *simulation, struct visit *visit)
 {
-	struct instance *instance = &world->instances[visit->instance];
+	struct instance *instance = &simulation->instances[visit->instance];
 	struct rr_peer_message *message;
 
 	if (!visit->peer->config_revision)
@@ -239,14 +248,15 @@
 	message->config_record = g_strdup_printf("%" G_GUINT64_FORMAT,
 						 visit->peer->config_revision);
 	message->config_length = strlen(message->config_record);
-	send_to(world, instance, message);
+	send_to(simulation, instance, message);
 }
 
-static void visit_peer(struct world *world, void *data)
+static void visit_peer(struct simulation *simulation, void *data)
 {
 	struct visit *visit = data;
 	struct rr_peer_message *message = visit->message;
-	bool lost = !world->faults_stopped && random_one_in(world, 40);
+	bool lost =
+		!simulation->faults_stopped && random_one_in(simulation, 40);
 
 	if (!visit->peer->up || lost)
 		goto out;
@@ -255,20 +265,21 @@
 		goto out;
 	switch (message->kind) {
 	case RR_PEER_PING:
-		send_ack(world, visit);
+		send_ack(simulation, visit);
 		break;
 	case RR_PEER_PING_REQUEST: {
-		struct fake_peer *target = find_peer(world, message->target);
+		struct fake_peer *target =
+			find_peer(simulation, message->target);
 
 		if (target && target->up)
-			send_ack(world, visit);
+			send_ack(simulation, visit);
 		break;
 	}
 	case RR_PEER_RELAY:
-		run_relay(world, visit);
+		run_relay(simulation, visit);
 		break;
 	case RR_PEER_CONFIG_GET:
-		send_record(world, visit);
+		send_record(simulation, visit);
 		break;
 	default:
 		break;
@@ -278,40 +289,43 @@
 	g_free(visit);
 }
 
-void handle_peer_message(struct world *world, struct instance *instance,
-			 const char *to, const struct rr_peer_message *message)
+void handle_peer_message(struct simulation *simulation,
+			 struct instance *instance, const char *to,
+			 const struct rr_peer_message *message)
 {
-	struct fake_peer *peer = find_peer(world, to);
+	struct fake_peer *peer = find_peer(simulation, to);
 	struct visit *visit;
 
-	check(world, peer != NULL, "message to unknown peer %s", to);
-	check(world,
+	check(simulation, peer != NULL, "message to unknown peer %s", to);
+	check(simulation,
 	      message->from && !strcmp(message->from, instance->name) &&
 		      message->from_incarnation == instance->incarnation,
 	      "right-answer: message to %s does not say whom it is from", to);
 	if (message->kind == RR_PEER_RELAY_REPLY)
-		check_relay_reply(world, message->relay_reply);
+		check_relay_reply(simulation, message->relay_reply);
 	if (message->kind == RR_PEER_RELAY)
-		world->n_relays_sent++;
+		simulation->n_relays_sent++;
 	visit = g_new0(struct visit, 1);
 	visit->peer = peer;
 	visit->instance = instance->index;
-	visit->message = copy_message(world, message);
-	schedule(world,
-		 world->now_us + (random_one_in(world, 40) ?
-					  between(world, 0, 400 * MS) :
-					  between(world, 200, 3 * MS)),
-		 visit_peer, visit);
+	visit->message = copy_message(simulation, message);
+	schedule_event(
+		simulation,
+		simulation->now_us +
+			(random_one_in(simulation, 40) ?
+				 random_between(simulation, 0, 400 * MS) :
+				 random_between(simulation, 200, 3 * MS)),
+		visit_peer, visit);
 }
 
-void perturb_peers(struct world *world)
+void perturb_peers(struct simulation *simulation)
 {
-	struct fake_peer *peer =
-		&world->peers[g_rand_int_range(world->random, 0, N_PEERS)];
+	struct fake_peer *peer = &simulation->peers[g_rand_int_range(
+		simulation->random, 0, N_PEERS)];
 
-	switch (g_rand_int_range(world->random, 0, 4)) {
+	switch (g_rand_int_range(simulation->random, 0, 4)) {
 	case 0:
-		peer->up = random_one_in(world, 2);
+		peer->up = random_one_in(simulation, 2);
 		break;
 	case 1:
 		/* Replaced: a new process under the same name. */
@@ -323,22 +337,22 @@
 		break;
 	case 3:
 		peer->config_revision =
-			MAX(peer->config_revision, world->config_revision);
+			MAX(peer->config_revision, simulation->config_revision);
 		break;
 	}
 }
 
-static struct rr_relay *make_relay(struct world *world,
+static struct rr_relay *make_relay(struct simulation *simulation,
 				   enum rr_request_kind kind, uint64_t number)
 {
 	struct rr_relay *relay = g_new0(struct rr_relay, 1);
 	int service = kind == RR_RESERVE ? 2 : 0;
-	int first = g_rand_int_range(world->random, 0, N_SHARDS);
+	int first = g_rand_int_range(simulation->random, 0, N_SHARDS);
 	int n = kind == RR_RESERVE ? 1 :
-				     g_rand_int_range(world->random, 1,
+				     g_rand_int_range(simulation->random, 1,
 						      N_SHARDS - first + 1);
 
-	relay->query_id = ++world->last_relay_id;
+	relay->query_id = ++simulation->last_relay_id;
 	relay->kind = kind;
 	relay->service = g_strdup(service_names[service]);
 	relay->request_id = g_strdup_printf("r%" G_GUINT64_FORMAT, number);
@@ -346,8 +360,9 @@
 	relay->key_from = 0;
 	relay->key_to = KEY_END;
 	relay->row_limit = 10000;
-	relay->version = random_one_in(world, 10) ? 0 : world->index_version;
-	relay->map_epoch = world->map_epoch;
+	relay->version =
+		random_one_in(simulation, 10) ? 0 : simulation->index_version;
+	relay->map_epoch = simulation->map_epoch;
 	relay->remaining_ms = 250;
 	relay->shards = g_new0(struct rr_relay_shard, (gsize)n);
 	relay->n_shards = (size_t)n;
@@ -355,8 +370,8 @@
 		char id[24];
 		char address[24];
 
-		format_replica(world,
-			       &world->replicas[(first + i) * N_REPLICAS],
+		format_replica(simulation,
+			       &simulation->replicas[(first + i) * N_REPLICAS],
 			       service, id, address);
 		relay->shards[i].shard = g_strdup_printf("shard-%d", first + i);
 		relay->shards[i].preferred_replica = g_strdup(id);
@@ -366,35 +381,35 @@
 		relay->key_to = relay->key_from + 1;
 		relay->idempotency_key = g_strdup_printf(
 			"%" G_GINT64_FORMAT "-peer-%08" G_GINT64_MODIFIER "u",
-			(WALL_START_US + world->now_us) / G_USEC_PER_SEC,
+			(WALL_START_US + simulation->now_us) / G_USEC_PER_SEC,
 			number);
 	}
 	return relay;
 }
 
-void send_random_relay(struct world *world)
+void send_random_relay(struct simulation *simulation)
 {
-	struct fake_peer *peer =
-		&world->peers[g_rand_int_range(world->random, 0, N_PEERS)];
-	struct instance *instance = &world->instances[g_rand_int_range(
-		world->random, 0, N_INSTANCES)];
+	struct fake_peer *peer = &simulation->peers[g_rand_int_range(
+		simulation->random, 0, N_PEERS)];
+	struct instance *instance = &simulation->instances[g_rand_int_range(
+		simulation->random, 0, N_INSTANCES)];
 	enum rr_request_kind kind =
-		random_one_in(world, 6) ? RR_RESERVE : RR_SEARCH;
+		random_one_in(simulation, 6) ? RR_RESERVE : RR_SEARCH;
 	struct issued_request *issued =
-		add_issued_request(world, instance, kind, 250);
+		add_issued_request(simulation, instance, kind, 250);
 	struct rr_peer_message *message;
 	uint64_t *query_id = g_new(uint64_t, 1);
 
 	issued->from_peer = true;
 	message = new_message(peer, instance, RR_PEER_RELAY);
-	message->relay = make_relay(world, kind, issued->number);
+	message->relay = make_relay(simulation, kind, issued->number);
 	*query_id = message->relay->query_id;
-	g_hash_table_insert(world->relayed_requests, query_id,
+	g_hash_table_insert(simulation->relayed_requests, query_id,
 			    g_memdup2(&issued->number, sizeof(uint64_t)));
-	if (random_one_in(world, 40)) {
+	if (random_one_in(simulation, 40)) {
 		/* For an instance that was replaced: nobody may run it. */
 		message->to_incarnation--;
 		issued->reported_not_run = true;
 	}
-	send_to(world, instance, message);
+	send_to(simulation, instance, message);
 }
--- a/tests/random/platform.c
+++ b/tests/random/platform.c
@@ -14,15 +14,15 @@
 	g_free(value);
 }
 
-void init_store(struct world *world)
+void init_store(struct simulation *simulation)
 {
-	world->store_values = g_hash_table_new_full(g_str_hash, g_str_equal,
-						    g_free, free_value);
+	simulation->store_values = g_hash_table_new_full(
+		g_str_hash, g_str_equal, g_free, free_value);
 }
 
-void drop_store(struct world *world)
+void drop_store(struct simulation *simulation)
 {
-	g_hash_table_destroy(world->store_values);
+	g_hash_table_destroy(simulation->store_values);
 }
 
 struct call {
@@ -55,11 +55,12 @@
 
 	answer->reply.value = answer->value;
 	rr_core_handle_store_reply(instance->ctx, instance->core,
-				   instance->world->now_us, &answer->reply);
+				   instance->simulation->now_us,
+				   &answer->reply);
 }
 
-static void answer_call(struct world *world, int instance, uint64_t id,
-			enum rr_store_status status,
+static void answer_call(struct simulation *simulation, int instance,
+			uint64_t id, enum rr_store_status status,
 			const struct store_value *value, int64_t delay_us)
 {
 	struct answer *answer = g_new0(struct answer, 1);
@@ -71,11 +72,12 @@
 		answer->reply.length = value->length;
 		answer->reply.revision = value->revision;
 	}
-	schedule_delivery(world, instance, world->now_us + delay_us,
+	schedule_delivery(simulation, instance, simulation->now_us + delay_us,
 			  deliver_answer, answer, drop_answer);
 }
 
-static enum rr_store_status swap_value(struct world *world, struct call *call,
+static enum rr_store_status swap_value(struct simulation *simulation,
+				       struct call *call,
 				       struct store_value **value)
 {
 	uint64_t present = *value ? (*value)->revision : 0;
@@ -84,8 +86,8 @@
 		return RR_STORE_CONFLICT;
 	if (!*value) {
 		*value = g_new0(struct store_value, 1);
-		g_hash_table_insert(world->store_values, g_strdup(call->key),
-				    *value);
+		g_hash_table_insert(simulation->store_values,
+				    g_strdup(call->key), *value);
 	}
 	g_free((*value)->value);
 	(*value)->value = g_memdup2(call->value, call->length + 1);
@@ -94,19 +96,19 @@
 	return RR_STORE_OK;
 }
 
-static void run_call(struct world *world, void *data)
+static void run_call(struct simulation *simulation, void *data)
 {
 	struct call *call = data;
 	struct store_value *value;
 	enum rr_store_status status = RR_STORE_OK;
 
-	value = g_hash_table_lookup(world->store_values, call->key);
+	value = g_hash_table_lookup(simulation->store_values, call->key);
 	if (call->swap)
-		status = swap_value(world, call, &value);
+		status = swap_value(simulation, call, &value);
 	if (!call->loses_reply)
-		answer_call(world, call->instance, call->id, status,
+		answer_call(simulation, call->instance, call->id, status,
 			    call->swap && status != RR_STORE_OK ? NULL : value,
-			    between(world, 200, 2 * MS));
+			    random_between(simulation, 200, 2 * MS));
 	g_free(call->key);
 	g_free(call->value);
 	g_free(call);
@@ -114,20 +116,20 @@
 
 static void start_call(struct instance *instance, struct call *call)
 {
-	struct world *world = instance->world;
-	int64_t delay_us = between(world, 300, 3 * MS);
+	struct simulation *simulation = instance->simulation;
+	int64_t delay_us = random_between(simulation, 300, 3 * MS);
 
 	call->instance = instance->index;
-	if (world->store_slow)
-		delay_us += between(world, 0, 900 * MS);
-	if (world->store_down ||
-	    (!world->faults_stopped && random_one_in(world, 60))) {
+	if (simulation->store_slow)
+		delay_us += random_between(simulation, 0, 900 * MS);
+	if (simulation->store_down ||
+	    (!simulation->faults_stopped && random_one_in(simulation, 60))) {
 		/*
 		 * Proof of no effect, or none: the connection was refused, or
 		 * broke at some time after the call had left.
 		 */
-		if (random_one_in(world, 2)) {
-			answer_call(world, call->instance, call->id,
+		if (random_one_in(simulation, 2)) {
+			answer_call(simulation, call->instance, call->id,
 				    RR_STORE_UNAVAILABLE, NULL, delay_us);
 			g_free(call->key);
 			g_free(call->value);
@@ -136,21 +138,22 @@
 		}
 		call->loses_reply = true;
 	}
-	if (world->store_loses_replies && random_one_in(world, 2))
+	if (simulation->store_loses_replies && random_one_in(simulation, 2))
 		call->loses_reply = true;
 	if (call->loses_reply) {
-		answer_call(world, call->instance, call->id, RR_STORE_UNKNOWN,
-			    NULL, delay_us);
-		if (random_one_in(world, 2)) {
+		answer_call(simulation, call->instance, call->id,
+			    RR_STORE_UNKNOWN, NULL, delay_us);
+		if (random_one_in(simulation, 2)) {
 			g_free(call->key);
 			g_free(call->value);
 			g_free(call);
 			return; /* never had an effect */
 		}
 		/* Takes effect, perhaps long after the caller gave up. */
-		delay_us = between(world, 0, 3000 * MS);
+		delay_us = random_between(simulation, 0, 3000 * MS);
 	}
-	schedule(world, world->now_us + delay_us, run_call, call);
+	schedule_event(simulation, simulation->now_us + delay_us, run_call,
+		       call);
 }
 
 static void get(void *data, uint64_t call_id, const char *key)
@@ -184,20 +187,20 @@
 	return (struct rr_store_port){ get, compare_and_swap, instance };
 }
 
-void perturb_store(struct world *world)
+void perturb_store(struct simulation *simulation)
 {
-	switch (g_rand_int_range(world->random, 0, 4)) {
+	switch (g_rand_int_range(simulation->random, 0, 4)) {
 	case 0:
-		world->store_down = random_one_in(world, 4);
+		simulation->store_down = random_one_in(simulation, 4);
 		break;
 	case 1:
-		world->store_slow = random_one_in(world, 4);
+		simulation->store_slow = random_one_in(simulation, 4);
 		break;
 	case 2:
-		world->store_loses_replies = random_one_in(world, 3);
+		simulation->store_loses_replies = random_one_in(simulation, 3);
 		break;
 	case 3:
-		world->store_down = false;
+		simulation->store_down = false;
 		break;
 	}
 }
--- a/tests/random/simulation.h
+++ b/tests/random/simulation.h
@@ -31,7 +31,7 @@
 #define WALL_START_US ((int64_t)1700000000 * G_USEC_PER_SEC)
 #define MS ((int64_t)1000)
 
-struct world;
+struct simulation;
 
 /* One replica of the fake upstream. */
 struct replica {
@@ -81,7 +81,7 @@
 };
 
 struct instance {
-	struct world *world;
+	struct simulation *simulation;
 	int index;
 	char name[16];
 	struct rr_context *ctx;
@@ -108,7 +108,7 @@
 	uint64_t revision;
 };
 
-struct world {
+struct simulation {
 	GRand *random;
 	int64_t now_us;
 	int64_t wall_offset_us;
@@ -151,46 +151,50 @@
 };
 
 /* Fail the run: print seed, step and what was seen, and abort. */
-#define check(world, condition, ...)                              \
+#define check(simulation, condition, ...)                         \
 	do {                                                      \
 		if (!(condition))                                 \
-			fail_check((world), #condition,           \
+			fail_check((simulation), #condition,      \
 				   g_strdup_printf(__VA_ARGS__)); \
 	} while (0)
 
-__attribute__((noreturn)) void fail_check(struct world *world,
+__attribute__((noreturn)) void fail_check(struct simulation *simulation,
 					  const char *condition, char *what);
 
 /* Chance: true once in n. */
-bool random_one_in(struct world *world, int n);
-int64_t between(struct world *world, int64_t low, int64_t high);
-
-/* Call `run(world, data)` at a time; `run` frees the data. */
-void schedule(struct world *world, int64_t at_us,
-	      void (*run)(struct world *world, void *data), void *data);
+bool random_one_in(struct simulation *simulation, int n);
+int64_t random_between(struct simulation *simulation, int64_t low,
+		       int64_t high);
+
+/* Call `run(simulation, data)` at a time; `run` frees the data. */
+void schedule_event(struct simulation *simulation, int64_t at_us,
+		    void (*run)(struct simulation *simulation, void *data),
+		    void *data);
 /* Run the next event; false if there is none. */
-bool run_event(struct world *world);
+bool run_event(struct simulation *simulation);
 
 /* Upstream. */
-void init_upstream(struct world *world);
+void init_upstream(struct simulation *simulation);
 /* A replica by the id the configuration gives it: sSHARD-LETTERSERVICE. */
-struct replica *find_replica(struct world *world, const char *id, int *service);
-void format_replica(struct world *world, const struct replica *replica,
-		    int service, char id[24], char address[24]);
-void handle_attempt(struct world *world, struct instance *instance,
+struct replica *find_replica(struct simulation *simulation, const char *id,
+			     int *service);
+void format_replica(struct simulation *simulation,
+		    const struct replica *replica, int service, char id[24],
+		    char address[24]);
+void handle_attempt(struct simulation *simulation, struct instance *instance,
 		    const struct rr_attempt *attempt);
-void handle_health_poll(struct world *world, struct instance *instance,
-			const char *id);
-void perturb_upstream(struct world *world);
-void restore_upstream(struct world *world);
+void handle_health_poll(struct simulation *simulation,
+			struct instance *instance, const char *id);
+void perturb_upstream(struct simulation *simulation);
+void restore_upstream(struct simulation *simulation);
 /* Run a request at a replica; counts it. */
-void count_run(struct world *world, uint64_t number, const char *service,
-	       const char *id);
+void count_run(struct simulation *simulation, uint64_t number,
+	       const char *service, const char *id);
 bool holds_version(const struct replica *replica, uint64_t version);
-struct rr_key_range replica_range(struct world *world,
+struct rr_key_range replica_range(struct simulation *simulation,
 				  const struct replica *replica);
 /* Append the rows a replica has of the keys asked; true if cut by limit. */
-bool fill_rows(struct world *world, struct rr_rows *rows,
+bool fill_rows(struct simulation *simulation, struct rr_rows *rows,
 	       struct rr_key_range range, uint64_t version, uint64_t number,
 	       uint32_t limit);
 /* The number in a request id. */
@@ -198,37 +202,39 @@
 
 /* Platform. */
 struct rr_store_port make_fake_store_port(struct instance *instance);
-void init_store(struct world *world);
-void drop_store(struct world *world);
-void perturb_store(struct world *world);
+void init_store(struct simulation *simulation);
+void drop_store(struct simulation *simulation);
+void perturb_store(struct simulation *simulation);
 
 /* Peers. */
-void init_peers(struct world *world);
-void handle_peer_message(struct world *world, struct instance *instance,
-			 const char *to, const struct rr_peer_message *message);
-void perturb_peers(struct world *world);
-void send_random_relay(struct world *world);
-void hint_peers(struct world *world, struct instance *instance);
+void init_peers(struct simulation *simulation);
+void handle_peer_message(struct simulation *simulation,
+			 struct instance *instance, const char *to,
+			 const struct rr_peer_message *message);
+void perturb_peers(struct simulation *simulation);
+void send_random_relay(struct simulation *simulation);
+void hint_peers(struct simulation *simulation, struct instance *instance);
 
 /* Callers. */
-void send_random_request(struct world *world);
-void cancel_random_request(struct world *world);
+void send_random_request(struct simulation *simulation);
+void cancel_random_request(struct simulation *simulation);
 
 /* Checks of answers against what the fakes saw. */
-void check_answer(struct world *world, struct instance *instance,
+void check_answer(struct simulation *simulation, struct instance *instance,
 		  const struct rr_answer *answer);
-void check_relay_reply(struct world *world, const struct rr_relay_reply *reply);
-void check_overdue(struct world *world);
+void check_relay_reply(struct simulation *simulation,
+		       const struct rr_relay_reply *reply);
+void check_overdue(struct simulation *simulation);
 
 /* Record a request as asked now, with its number. */
-struct issued_request *add_issued_request(struct world *world,
+struct issued_request *add_issued_request(struct simulation *simulation,
 					  struct instance *instance,
 					  enum rr_request_kind kind,
 					  uint32_t deadline_ms);
 extern const char *const service_names[N_SERVICES];
 
 /* Hand an event to an instance, later if it is frozen. */
-void schedule_delivery(struct world *world, int index, int64_t at_us,
+void schedule_delivery(struct simulation *simulation, int index, int64_t at_us,
 		       void (*run)(struct instance *instance, void *data),
 		       void *data, void (*drop)(void *data));
 /* Plans the next tick and checks what must hold after every event. */
--- a/tests/test-random.c
+++ b/tests/test-random.c
@@ -23,8 +23,9 @@
 const char *const service_names[N_SERVICES] = { SERVICE_READ, SERVICE_FAST,
 						SERVICE_WRITE };
 
-static void fill_service(struct world *world, struct rr_service_config *service,
-			 int index, uint64_t revision)
+static void fill_service(struct simulation *simulation,
+			 struct rr_service_config *service, int index,
+			 uint64_t revision)
 {
 	rr_init_service_config(service);
 	service->name = g_strdup(service_names[index]);
@@ -54,11 +55,11 @@
 		shard->replicas = g_new0(struct rr_replica_config, N_REPLICAS);
 		for (int r = 0; r < N_REPLICAS; r++) {
 			struct replica *replica =
-				&world->replicas[s * N_REPLICAS + r];
+				&simulation->replicas[s * N_REPLICAS + r];
 			char id[24];
 			char address[24];
 
-			format_replica(world, replica, index, id, address);
+			format_replica(simulation, replica, index, id, address);
 			shard->replicas[r].id = g_strdup(id);
 			shard->replicas[r].address = g_strdup(address);
 			shard->replicas[r].zone = g_strdup(replica->zone);
@@ -66,7 +67,8 @@
 	}
 }
 
-static struct rr_config *make_config(struct world *world, uint64_t revision)
+static struct rr_config *make_config(struct simulation *simulation,
+				     uint64_t revision)
 {
 	struct rr_config *config = rr_new_config();
 
@@ -78,26 +80,27 @@
 	config->n_services = N_SERVICES;
 	config->services = g_new0(struct rr_service_config, N_SERVICES);
 	for (int i = 0; i < N_SERVICES; i++)
-		fill_service(world, &config->services[i], i, revision);
+		fill_service(simulation, &config->services[i], i, revision);
 	return config;
 }
 
-struct issued_request *add_issued_request(struct world *world,
+struct issued_request *add_issued_request(struct simulation *simulation,
 					  struct instance *instance,
 					  enum rr_request_kind kind,
 					  uint32_t deadline_ms)
 {
 	struct issued_request *issued = g_new0(struct issued_request, 1);
 
-	issued->number = ++world->last_request_number;
+	issued->number = ++simulation->last_request_number;
 	issued->kind = kind;
 	issued->instance = instance->index;
 	issued->incarnation = instance->incarnation;
-	issued->sent_us = world->now_us;
-	issued->deadline_us = world->now_us + (int64_t)deadline_ms * MS;
+	issued->sent_us = simulation->now_us;
+	issued->deadline_us = simulation->now_us + (int64_t)deadline_ms * MS;
 	issued->was_draining = instance->draining;
-	g_hash_table_insert(world->issued_requests, &issued->number, issued);
-	g_queue_push_tail(world->requests_by_age, issued);
+	g_hash_table_insert(simulation->issued_requests, &issued->number,
+			    issued);
+	g_queue_push_tail(simulation->requests_by_age, issued);
 	return issued;
 }
 
@@ -107,14 +110,14 @@
 {
 	struct instance *instance = data;
 
-	handle_attempt(instance->world, instance, attempt);
+	handle_attempt(instance->simulation, instance, attempt);
 }
 
 static void on_cancel_attempt(void *data, uint64_t attempt_id)
 {
 	struct instance *instance = data;
 
-	g_hash_table_add(instance->world->cancelled_attempts,
+	g_hash_table_add(instance->simulation->cancelled_attempts,
 			 g_memdup2(&attempt_id, sizeof(attempt_id)));
 }
 
@@ -122,7 +125,7 @@
 {
 	struct instance *instance = data;
 
-	check_answer(instance->world, instance, answer);
+	check_answer(instance->simulation, instance, answer);
 }
 
 static void on_send_peer(void *data, const char *name, const char *address,
@@ -130,37 +133,40 @@
 {
 	struct instance *instance = data;
 
-	handle_peer_message(instance->world, instance, name, message);
+	handle_peer_message(instance->simulation, instance, name, message);
 }
 
 static void on_poll_health(void *data, const char *replica, const char *address)
 {
 	struct instance *instance = data;
 
-	handle_health_poll(instance->world, instance, replica);
+	handle_health_poll(instance->simulation, instance, replica);
 }
 
 static void set_revision(struct instance *instance, void *data)
 {
-	struct world *world = instance->world;
+	struct simulation *simulation = instance->simulation;
 	uint64_t revision = *(uint64_t *)data;
-	struct rr_config *config = make_config(world, revision);
+	struct rr_config *config = make_config(simulation, revision);
 	char record[24];
 	bool taken;
 
 	snprintf(record, sizeof(record), "%" G_GUINT64_FORMAT, revision);
-	taken = rr_core_set_config(instance->ctx, instance->core, world->now_us,
-				   config, record, strlen(record));
-	check(world, taken == (revision > instance->config_revision),
+	taken = rr_core_set_config(instance->ctx, instance->core,
+				   simulation->now_us, config, record,
+				   strlen(record));
+	check(simulation, taken == (revision > instance->config_revision),
 	      "config: revision %d over %d: taken %d", (int)revision,
 	      (int)instance->config_revision, taken);
 	rr_drop_config(config);
 }
 
-static void send_revision(struct world *world, int index, uint64_t revision)
+static void send_revision(struct simulation *simulation, int index,
+			  uint64_t revision)
 {
 	schedule_delivery(
-		world, index, world->now_us + between(world, 0, 5 * MS),
+		simulation, index,
+		simulation->now_us + random_between(simulation, 0, 5 * MS),
 		set_revision, g_memdup2(&revision, sizeof(revision)), g_free);
 }
 
@@ -168,7 +174,7 @@
 {
 	struct instance *instance = data;
 
-	send_revision(instance->world, instance->index,
+	send_revision(instance->simulation, instance->index,
 		      g_ascii_strtoull(record, NULL, 10));
 }
 
@@ -176,17 +182,17 @@
 {
 	struct instance *instance = data;
 
-	printf("%" G_GINT64_FORMAT " %s %s\n", instance->world->now_us,
+	printf("%" G_GINT64_FORMAT " %s %s\n", instance->simulation->now_us,
 	       instance->name, line);
 }
 
 static bool verbose;
 
-static void start_instance(struct world *world, int index)
+static void start_instance(struct simulation *simulation, int index)
 {
-	struct instance *instance = &world->instances[index];
+	struct instance *instance = &simulation->instances[index];
 	struct rr_context_options context_options = {
-		.seed = g_rand_int(world->random),
+		.seed = g_rand_int(simulation->random),
 		.log = { .write = verbose ? on_log : NULL,
 			 .data = instance,
 			 .max_level = RR_LOG_DECISION },
@@ -201,52 +207,54 @@
 		.store = make_fake_store_port(instance),
 	};
 
-	instance->world = world;
+	instance->simulation = simulation;
 	instance->index = index;
 	snprintf(instance->name, sizeof(instance->name), "i%d", index);
-	instance->incarnation = (uint64_t)(WALL_START_US + world->now_us +
-					   (int64_t)world->sequence);
+	instance->incarnation = (uint64_t)(WALL_START_US + simulation->now_us +
+					   (int64_t)simulation->sequence);
 	options.incarnation = instance->incarnation;
 	instance->ctx = rr_new_context(&context_options);
-	instance->core = rr_new_core(instance->ctx, &options, world->now_us);
+	instance->core =
+		rr_new_core(instance->ctx, &options, simulation->now_us);
 	instance->paused_until_us = 0;
 	instance->next_tick_us = INT64_MAX;
 	instance->draining = false;
 	instance->config_revision = 0;
 	for (int i = 0; i < N_SHARDS * N_REPLICAS; i++) {
 		for (int s = 0; s < N_SERVICES; s++)
-			world->replicas[i].draining_seen_us[s][index] = 0;
+			simulation->replicas[i].draining_seen_us[s][index] = 0;
 	}
-	send_revision(world, index, world->config_revision);
-	hint_peers(world, instance);
+	send_revision(simulation, index, simulation->config_revision);
+	hint_peers(simulation, instance);
 	finish_delivery(instance);
 }
 
-static void stop_instance(struct world *world, int index)
+static void stop_instance(struct simulation *simulation, int index)
 {
-	struct instance *instance = &world->instances[index];
+	struct instance *instance = &simulation->instances[index];
 
 	rr_drop_core(instance->core);
 	rr_drop_context(instance->ctx);
 	instance->core = NULL;
-	world->n_restarts++;
+	simulation->n_restarts++;
 }
 
 static void tick(struct instance *instance, void *data)
 {
-	if (instance->next_tick_us > instance->world->now_us)
+	if (instance->next_tick_us > instance->simulation->now_us)
 		return; /* a later event planned another */
 	instance->next_tick_us = INT64_MAX;
-	rr_core_tick(instance->ctx, instance->core, instance->world->now_us);
+	rr_core_tick(instance->ctx, instance->core,
+		     instance->simulation->now_us);
 }
 
 void finish_delivery(struct instance *instance)
 {
-	struct world *world = instance->world;
+	struct simulation *simulation = instance->simulation;
 	uint64_t revision = rr_core_config_revision(instance->core);
 	int64_t wake_us = rr_core_wake_us(instance->core);
 
-	check(world, revision >= instance->config_revision,
+	check(simulation, revision >= instance->config_revision,
 	      "config: revision went from %d to %d",
 	      (int)instance->config_revision, (int)revision);
 	instance->config_revision = revision;
@@ -254,11 +262,11 @@
 		GHashTableIter iter;
 		gpointer value;
 
-		g_hash_table_iter_init(&iter, world->issued_requests);
+		g_hash_table_iter_init(&iter, simulation->issued_requests);
 		while (g_hash_table_iter_next(&iter, NULL, &value)) {
 			struct issued_request *issued = value;
 
-			check(world,
+			check(simulation,
 			      issued->answered || issued->cancelled ||
 				      issued->from_peer ||
 				      issued->incarnation !=
@@ -267,17 +275,17 @@
 			      "graceful: drained with request %d open",
 			      (int)issued->number);
 		}
-		if (world->faults_stopped)
+		if (simulation->faults_stopped)
 			return;
-		stop_instance(world, instance->index);
-		start_instance(world, instance->index);
+		stop_instance(simulation, instance->index);
+		start_instance(simulation, instance->index);
 		return;
 	}
 	if (wake_us >= instance->next_tick_us)
 		return;
-	instance->next_tick_us = MAX(wake_us, world->now_us + 1);
-	schedule_delivery(world, instance->index, instance->next_tick_us, tick,
-			  NULL, NULL);
+	instance->next_tick_us = MAX(wake_us, simulation->now_us + 1);
+	schedule_delivery(simulation, instance->index, instance->next_tick_us,
+			  tick, NULL, NULL);
 }
 
 /* Faults and changes. */
@@ -285,115 +293,124 @@
 static void drain(struct instance *instance, void *data)
 {
 	instance->draining = true;
-	rr_core_drain(instance->ctx, instance->core, instance->world->now_us);
+	rr_core_drain(instance->ctx, instance->core,
+		      instance->simulation->now_us);
 }
 
 static void hint(struct instance *instance, void *data)
 {
-	hint_peers(instance->world, instance);
+	hint_peers(instance->simulation, instance);
 }
 
 /*
  * Killed and replaced; its replies come to the new process.  At times that
  * one soon ends too, while the first's replies are still on their way.
  */
-static void crash(struct world *world, void *data)
+static void crash(struct simulation *simulation, void *data)
 {
 	int index = GPOINTER_TO_INT(data);
 
-	if (world->faults_stopped)
+	if (simulation->faults_stopped)
 		return;
-	stop_instance(world, index);
-	start_instance(world, index);
-	if (!random_one_in(world, 4))
-		schedule(world, world->now_us + between(world, 0, 60 * MS),
-			 crash, data);
+	stop_instance(simulation, index);
+	start_instance(simulation, index);
+	if (!random_one_in(simulation, 4))
+		schedule_event(simulation,
+			       simulation->now_us +
+				       random_between(simulation, 0, 60 * MS),
+			       crash, data);
 }
 
-static void change_instance(struct world *world)
+static void change_instance(struct simulation *simulation)
 {
-	int index = g_rand_int_range(world->random, 0, N_INSTANCES);
-	struct instance *instance = &world->instances[index];
+	int index = g_rand_int_range(simulation->random, 0, N_INSTANCES);
+	struct instance *instance = &simulation->instances[index];
 
-	if (instance->draining && random_one_in(world, 8)) {
+	if (instance->draining && random_one_in(simulation, 8)) {
 		/* The platform ends a stop that takes too long. */
-		stop_instance(world, index);
-		start_instance(world, index);
+		stop_instance(simulation, index);
+		start_instance(simulation, index);
 		return;
 	}
-	switch (g_rand_int_range(world->random, 0, 40)) {
+	switch (g_rand_int_range(simulation->random, 0, 40)) {
 	case 0:
-		crash(world, GINT_TO_POINTER(index));
+		crash(simulation, GINT_TO_POINTER(index));
 		break;
 	case 1:
-		schedule_delivery(world, index, world->now_us, drain, NULL,
-				  NULL);
+		schedule_delivery(simulation, index, simulation->now_us, drain,
+				  NULL, NULL);
 		break;
 	case 2:
 		/* Paused, at times for longer than any timeout. */
 		instance->paused_until_us =
-			world->now_us + between(world, 10 * MS, 6000 * MS);
+			simulation->now_us +
+			random_between(simulation, 10 * MS, 6000 * MS);
 		break;
 	case 3:
-		world->wall_offset_us = between(world, -2000 * MS, 2000 * MS);
+		simulation->wall_offset_us =
+			random_between(simulation, -2000 * MS, 2000 * MS);
 		break;
 	default:
-		schedule_delivery(world, index, world->now_us, hint, NULL,
-				  NULL);
+		schedule_delivery(simulation, index, simulation->now_us, hint,
+				  NULL, NULL);
 		break;
 	}
 }
 
-static void change_config(struct world *world)
+static void change_config(struct simulation *simulation)
 {
 	uint64_t revision;
 
-	if (random_one_in(world, 3))
-		world->config_revision++;
+	if (random_one_in(simulation, 3))
+		simulation->config_revision++;
 	/* At times the one before, read from a lagging peer or store. */
-	revision = world->config_revision -
-		   (uint64_t)(random_one_in(world, 3) ? 1 : 0);
+	revision = simulation->config_revision -
+		   (uint64_t)(random_one_in(simulation, 3) ? 1 : 0);
 	if (revision)
-		send_revision(world,
-			      g_rand_int_range(world->random, 0, N_INSTANCES),
-			      revision);
+		send_revision(
+			simulation,
+			g_rand_int_range(simulation->random, 0, N_INSTANCES),
+			revision);
 }
 
-static void act(struct world *world, void *data)
+static void act(struct simulation *simulation, void *data)
 {
-	if (world->faults_stopped)
+	if (simulation->faults_stopped)
 		return;
-	check_overdue(world);
-	switch (g_rand_int_range(world->random, 0, 24)) {
+	check_overdue(simulation);
+	switch (g_rand_int_range(simulation->random, 0, 24)) {
 	case 0:
-		perturb_upstream(world);
+		perturb_upstream(simulation);
 		break;
 	case 1:
-		perturb_store(world);
+		perturb_store(simulation);
 		break;
 	case 2:
-		perturb_peers(world);
+		perturb_peers(simulation);
 		break;
 	case 3:
-		if (random_one_in(world, 8))
-			change_config(world);
+		if (random_one_in(simulation, 8))
+			change_config(simulation);
 		break;
 	case 4:
-		if (random_one_in(world, 2))
-			change_instance(world);
+		if (random_one_in(simulation, 2))
+			change_instance(simulation);
 		break;
 	case 5:
-		cancel_random_request(world);
+		cancel_random_request(simulation);
 		break;
 	case 6:
 	case 7:
-		send_random_relay(world);
+		send_random_relay(simulation);
 		break;
 	default:
-		send_random_request(world);
+		send_random_request(simulation);
 		break;
 	}
-	schedule(world, world->now_us + between(world, 200, 6 * MS), act, NULL);
+	schedule_event(simulation,
+		       simulation->now_us +
+			       random_between(simulation, 200, 6 * MS),
+		       act, NULL);
 }
 
 /* A run. */
@@ -406,93 +423,95 @@
 	g_free(chain);
 }
 
-static struct world *new_world(uint32_t seed)
+static struct simulation *new_world(uint32_t seed)
 {
-	struct world *world = g_new0(struct world, 1);
+	struct simulation *simulation = g_new0(struct simulation, 1);
 
-	world->random = g_rand_new_with_seed(seed);
-	world->events = new_event_queue();
-	world->issued_requests = g_hash_table_new_full(
+	simulation->random = g_rand_new_with_seed(seed);
+	simulation->events = new_event_queue();
+	simulation->issued_requests = g_hash_table_new_full(
 		g_int64_hash, g_int64_equal, NULL, g_free);
-	world->requests_by_age = g_queue_new();
-	world->paged_lists = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						   NULL, free_chain);
-	world->executions_by_key =
+	simulation->requests_by_age = g_queue_new();
+	simulation->paged_lists = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, NULL, free_chain);
+	simulation->executions_by_key =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	world->results_by_key =
+	simulation->results_by_key =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	world->recent_keys = g_ptr_array_new_with_free_func(g_free);
-	world->cancelled_attempts = g_hash_table_new_full(
+	simulation->recent_keys = g_ptr_array_new_with_free_func(g_free);
+	simulation->cancelled_attempts = g_hash_table_new_full(
 		g_int64_hash, g_int64_equal, g_free, NULL);
-	world->relayed_requests = g_hash_table_new_full(
+	simulation->relayed_requests = g_hash_table_new_full(
 		g_int64_hash, g_int64_equal, g_free, g_free);
-	world->now_us = 1000 * MS;
-	world->config_revision = 1;
-	init_upstream(world);
-	init_store(world);
-	init_peers(world);
+	simulation->now_us = 1000 * MS;
+	simulation->config_revision = 1;
+	init_upstream(simulation);
+	init_store(simulation);
+	init_peers(simulation);
 	for (int i = 0; i < N_INSTANCES; i++)
-		start_instance(world, i);
-	return world;
+		start_instance(simulation, i);
+	return simulation;
 }
 
 /* After all faults are over everything has to come to rest. */
-static void come_to_rest(struct world *world)
+static void come_to_rest(struct simulation *simulation)
 {
 	int64_t end_us;
 
-	world->faults_stopped = true;
-	world->store_down = false;
-	world->store_slow = false;
-	world->store_loses_replies = false;
-	restore_upstream(world);
+	simulation->faults_stopped = true;
+	simulation->store_down = false;
+	simulation->store_slow = false;
+	simulation->store_loses_replies = false;
+	restore_upstream(simulation);
 	for (int i = 0; i < N_INSTANCES; i++) {
-		world->instances[i].paused_until_us = 0;
-		schedule_delivery(world, i, world->now_us + 8000 * MS, drain,
-				  NULL, NULL);
+		simulation->instances[i].paused_until_us = 0;
+		schedule_delivery(simulation, i, simulation->now_us + 8000 * MS,
+				  drain, NULL, NULL);
 	}
 	/* An outcome that never comes is waited for for a minute. */
-	end_us = world->now_us + 100000 * MS;
-	while (world->now_us < end_us && run_event(world))
+	end_us = simulation->now_us + 100000 * MS;
+	while (simulation->now_us < end_us && run_event(simulation))
 		;
 	/* With nothing left to happen, time alone goes on. */
-	world->now_us = end_us;
-	check_overdue(world);
-	check(world, !world->requests_by_age->length, "%d requests left open",
-	      (int)world->requests_by_age->length);
+	simulation->now_us = end_us;
+	check_overdue(simulation);
+	check(simulation, !simulation->requests_by_age->length,
+	      "%d requests left open",
+	      (int)simulation->requests_by_age->length);
 	for (int i = 0; i < N_INSTANCES; i++)
-		check(world, rr_core_is_drained(world->instances[i].core),
+		check(simulation,
+		      rr_core_is_drained(simulation->instances[i].core),
 		      "graceful: instance %d never drained", i);
 }
 
 /* Finished worlds whose last events, never run, are still in the queue. */
 static GPtrArray *finished_worlds;
 
-static void drop_world(struct world *world)
+static void drop_world(struct simulation *simulation)
 {
 	for (int i = 0; i < N_INSTANCES; i++)
-		stop_instance(world, i);
-	drop_store(world);
-	g_hash_table_destroy(world->paged_lists);
-	g_hash_table_destroy(world->issued_requests);
-	g_queue_free(world->requests_by_age);
-	g_hash_table_destroy(world->executions_by_key);
-	g_hash_table_destroy(world->results_by_key);
-	g_hash_table_destroy(world->cancelled_attempts);
-	g_hash_table_destroy(world->relayed_requests);
-	g_ptr_array_free(world->recent_keys, TRUE);
-	g_rand_free(world->random);
-	g_ptr_array_add(finished_worlds, world);
+		stop_instance(simulation, i);
+	drop_store(simulation);
+	g_hash_table_destroy(simulation->paged_lists);
+	g_hash_table_destroy(simulation->issued_requests);
+	g_queue_free(simulation->requests_by_age);
+	g_hash_table_destroy(simulation->executions_by_key);
+	g_hash_table_destroy(simulation->results_by_key);
+	g_hash_table_destroy(simulation->cancelled_attempts);
+	g_hash_table_destroy(simulation->relayed_requests);
+	g_ptr_array_free(simulation->recent_keys, TRUE);
+	g_rand_free(simulation->random);
+	g_ptr_array_add(finished_worlds, simulation);
 }
 
 static void run_seed(uint32_t seed, uint64_t steps)
 {
-	struct world *world = new_world(seed);
+	struct simulation *simulation = new_world(seed);
 
-	schedule(world, world->now_us, act, NULL);
-	while (world->steps < steps && run_event(world))
+	schedule_event(simulation, simulation->now_us, act, NULL);
+	while (simulation->steps < steps && run_event(simulation))
 		;
-	come_to_rest(world);
+	come_to_rest(simulation);
 	printf("random: ok seed=%u steps=%" G_GUINT64_FORMAT
 	       " requests=%" G_GUINT64_FORMAT " complete=%" G_GUINT64_FORMAT
 	       " partial=%" G_GUINT64_FORMAT " not_run=%" G_GUINT64_FORMAT
@@ -501,17 +520,17 @@
 	       " relay_replies=%" G_GUINT64_FORMAT
 	       " ids=%u rows=%" G_GUINT64_FORMAT " restarts=%" G_GUINT64_FORMAT
 	       "\n",
-	       seed, world->steps, world->last_request_number,
-	       world->answers_by_outcome[RR_COMPLETE],
-	       world->answers_by_outcome[RR_PARTIAL],
-	       world->answers_by_outcome[RR_NOT_RUN],
-	       world->answers_by_outcome[RR_UNKNOWN],
-	       world->answers_by_outcome[RR_GONE], world->n_attempts,
-	       world->n_relays_sent, world->n_relay_replies,
-	       g_hash_table_size(world->executions_by_key),
-	       world->n_rows_checked, world->n_restarts);
+	       seed, simulation->steps, simulation->last_request_number,
+	       simulation->answers_by_outcome[RR_COMPLETE],
+	       simulation->answers_by_outcome[RR_PARTIAL],
+	       simulation->answers_by_outcome[RR_NOT_RUN],
+	       simulation->answers_by_outcome[RR_UNKNOWN],
+	       simulation->answers_by_outcome[RR_GONE], simulation->n_attempts,
+	       simulation->n_relays_sent, simulation->n_relay_replies,
+	       g_hash_table_size(simulation->executions_by_key),
+	       simulation->n_rows_checked, simulation->n_restarts);
 	fflush(stdout);
-	drop_world(world);
+	drop_world(simulation);
 }
 
 int main(int argc, char **argv)
