--- a/source/core/core.c
+++ b/source/core/core.c
@@ -16,7 +16,7 @@
 	 * reply to an earlier run then finds nothing and is dropped.
 	 */
 #ifdef RR_MUTANT_IDS_REPEAT
-	return ++core->ids_given;
+	return ++core->ids_issued;
 #endif
 	return core->id_base + ++core->ids_issued;
 }
--- a/source/core/feed-report.c
+++ b/source/core/feed-report.c
@@ -185,7 +185,7 @@
 	call.remove_entry = report->released;
 	call.expected_revision = revision_of(feed, text_of(report, text));
 #ifdef RR_MUTANT_REPORTS_KNOW_NO_REVISION
-	call.revision = 0;
+	call.expected_revision = 0;
 #endif
 	rr_start_feed_call(ctx, feed, &reports->line, &call);
 }
--- a/source/core/feed.c
+++ b/source/core/feed.c
@@ -467,7 +467,7 @@
 bool rr_feed_can_serve_changes(const struct rr_feed *feed)
 {
 #ifdef RR_MUTANT_FEED_PASSES_ON_HEARSAY
-	return feed->has_read;
+	return feed->has_synced;
 #endif
 	if (!feed->has_synced || feed->range_active || feed->leaving)
 		return false;
--- a/source/core/gate-request.c
+++ b/source/core/gate-request.c
@@ -191,7 +191,7 @@
 {
 	rr_cancel_unsent(ctx, gate, run);
 #ifdef RR_MUTANT_GATE_FALSE_PROMISE
-	run->n_run = 0;
+	run->n_may_have_run = 0;
 #endif
 	if (!run->n_may_have_run)
 		refuse_run(ctx, gate, run, reason, false);
--- a/source/core/ledger-bucket.c
+++ b/source/core/ledger-bucket.c
@@ -111,7 +111,7 @@
 		rr_prune_ledger_value(bucket->value, floor_s, keep_entry,
 				      ledger);
 #ifdef RR_MUTANT_LEDGER_PRUNE_EARLY
-	bucket->value->floor_s = 0;
+	bucket->value->min_created_s = 0;
 #endif
 }
 
@@ -314,7 +314,7 @@
 	if (bucket->in_doubt_revision != reply->revision)
 		bucket->write_in_doubt = false;
 #ifdef RR_MUTANT_LEDGER_NO_FENCE
-	bucket->unknown_write = false;
+	bucket->write_in_doubt = false;
 #endif
 	settle_work(ctx, ledger, bucket);
 }
--- a/source/core/relay-serve.c
+++ b/source/core/relay-serve.c
@@ -68,8 +68,8 @@
 
 	forget_old_relays(core);
 #ifdef RR_MUTANT_RELAY_TWICE
-	g_hash_table_remove_all(core->served);
-	g_hash_table_remove_all(core->origins);
+	g_hash_table_remove_all(core->served_relays);
+	g_hash_table_remove_all(core->relay_origins);
 #endif
 	if (g_hash_table_contains(core->served_relays, name) ||
 	    g_hash_table_contains(core->relay_origins, name)) {
