--- a/include/ragwort/attempt.h
+++ b/include/ragwort/attempt.h
@@ -1,6 +1,6 @@
 /*
- * attempt.h - one try at one replica: what the core asks the carrier to send
- * and what the carrier gives back.
+ * attempt.h - one attempt at a replica: what the core asks the carrier to send
+ * and the reply that the carrier returns.
  */
 #ifndef RAGWORT_ATTEMPT_H
 #define RAGWORT_ATTEMPT_H
@@ -13,9 +13,12 @@
 #include "ragwort/request.h"
 #include "ragwort/rows.h"
 
-/* To send now; all pointers are valid during the callback only. */
+/*
+ * An attempt to be sent at once; all pointers are valid during the callback
+ * only.
+ */
 struct rr_attempt {
-	uint64_t id; /* never repeats, not across restarts either */
+	uint64_t id; /* unique, also across restarts of the instance */
 	const char *replica;
 	const char *address; /* IP:PORT */
 	const char *shard;
@@ -24,26 +27,36 @@
 	const char *request_id;
 	const char *idempotency_key;
 	const char *body;
-	uint64_t key_from; /* keys asked for, [key_from, key_to) */
+	uint64_t key_from; /* keys requested: [key_from, key_to) */
 	uint64_t key_to;
 	uint32_t row_limit;
-	uint64_t version; /* exactly this one; 0: the replica's newest */
+	/* the only version accepted; 0: the replica's newest */
+	uint64_t version;
 	uint64_t map_epoch;
-	uint32_t deadline_ms; /* what is left; the upstream is told */
+	uint32_t deadline_ms; /* time left, passed to the upstream */
 };
 
 enum rr_reply_status {
-	/* The upstream ran it; without end_mark its body is unusable. */
+	/* The upstream ran it; the body is usable only if body_complete. */
 	RR_REPLY_OK,
-	/* Proof of not run: connection refused, or the upstream said so. */
+	/*
+	 * Proof that it did not run: connection refused, or the upstream said
+	 * so.
+	 */
 	RR_REPLY_REFUSED,
-	/* As refused, and the upstream is too busy until retry_after_ms. */
+	/* As RR_REPLY_REFUSED; the upstream is too busy for retry_after_ms. */
 	RR_REPLY_SHED,
-	/* As refused, and the upstream is leaving: nothing more to it. */
+	/*
+	 * As RR_REPLY_REFUSED; the upstream is draining: send nothing more to
+	 * it.
+	 */
 	RR_REPLY_DRAINING,
-	/* As refused: the version asked for is not (or no longer) held. */
+	/*
+	 * As RR_REPLY_REFUSED; the upstream does not, or no longer, hold the
+	 * version requested.
+	 */
 	RR_REPLY_NO_VERSION,
-	/* Sent, no usable reply: it may have run. */
+	/* Sent without a usable reply: it may have run. */
 	RR_REPLY_LOST,
 };
 
@@ -55,28 +68,29 @@
 	RR_UPSTREAM_DOWN,
 };
 
-/* What came of an attempt; filled by the carrier, copied by the core. */
+/* Result of an attempt; filled in by the carrier, copied by the core. */
 struct rr_reply {
 	uint64_t attempt_id;
 	enum rr_reply_status status;
-	uint64_t version;	 /* that the rows are of */
-	uint64_t oldest_version; /* held by the replica; 0: not told */
+	uint64_t version; /* version of the rows */
+	/* oldest held by the replica; 0: not reported */
+	uint64_t oldest_version;
 	uint64_t newest_version;
 	uint64_t map_epoch;
-	const struct rr_key_range *ranges; /* answered for */
+	const struct rr_key_range *ranges; /* key ranges that the rows cover */
 	size_t n_ranges;
-	struct rr_rows *rows; /* the core keeps a reference if it needs one */
-	uint32_t row_count;   /* as the upstream counted them */
-	bool body_complete;   /* the body was whole */
-	bool has_more;	      /* row_limit cut the rows */
+	struct rr_rows *rows; /* the core takes a reference if it needs one */
+	uint32_t row_count;   /* as counted by the upstream */
+	bool body_complete;   /* the whole body was received */
+	bool has_more;	      /* rows were omitted because of row_limit */
 	enum rr_upstream_state state;
-	double load; /* 0 to 1 as reported; negative: not told */
+	double load; /* as reported, 0 to 1; negative: not reported */
 	uint32_t retry_after_ms;
-	const char *result; /* RR_RESERVE: JSON */
+	const char *result; /* JSON; RR_RESERVE only */
 	size_t result_length;
 };
 
-/* What a health poll of a replica told. */
+/* Result of a health poll of a replica. */
 struct rr_health {
 	const char *replica;
 	bool reachable;
--- a/include/ragwort/core.h
+++ b/include/ragwort/core.h
@@ -1,18 +1,19 @@
 /*
  * core.h - the decision core of an instance: events in, actions out.
  *
- * The core has no socket, file, timer, clock or thread.  A carrier (the
- * daemon, a test or an experiment) calls the event functions with the time
- * and carries out what the action callbacks ask.  The same events, times and
- * seed give the same actions.
+ * The core uses no socket, file, timer, clock or thread.  A carrier (the
+ * daemon, a test or an experiment) calls the event functions with the current
+ * time and performs the actions that the callbacks request.  The same events,
+ * times and seed produce the same actions.
  *
  * Rules for carriers:
- * - `now_us` is monotonic and never goes back; after each event call
- *   rr_core_wake_us() tells when rr_core_tick() is due.
- * - Callbacks may run inside any event function.  They must not call the core
- *   back; replies are handed in afterwards.
- * - Every attempt sent is answered by exactly one rr_core_handle_reply() unless it
- *   was cancelled; extra, late or foreign replies are counted and dropped.
+ * - `now_us` is monotonic and never goes back; after each event call,
+ *   rr_core_wake_us() returns when rr_core_tick() is due.
+ * - Callbacks may run inside any event function.  They must not call the core;
+ *   replies are handed in after the event function has returned.
+ * - Exactly one rr_core_handle_reply() follows every attempt sent, unless the
+ *   attempt was cancelled; extra, late or unknown replies are counted and
+ *   dropped.
  */
 #ifndef RAGWORT_CORE_H
 #define RAGWORT_CORE_H
@@ -32,29 +33,35 @@
 	/* Send an attempt to its replica. */
 	void (*send_attempt)(void *data, const struct rr_attempt *attempt);
 	/*
-	 * Withdraw an attempt that was sent: its reply is no longer needed.
-	 * No reply has to be handed in.
+	 * Cancel an attempt that was sent: its reply is no longer needed, and
+	 * none has to be handed in.
 	 */
 	void (*cancel_attempt)(void *data, uint64_t attempt_id);
-	/* Answer a caller; exactly once for each query id. */
+	/* Answer a caller; called exactly once for each query id. */
 	void (*send_answer)(void *data, const struct rr_answer *answer);
-	/* Send a message to a peer; the message is the core's. */
+	/* Send a message to a peer; the core keeps ownership of it. */
 	void (*send_peer_message)(void *data, const char *instance,
 				  const char *address,
 				  const struct rr_peer_message *message);
-	/* Ask a replica for its health; rr_core_handle_health() gives the answer. */
+	/*
+	 * Request a replica's health. The reply is handed in by
+	 * rr_core_handle_health().
+	 */
 	void (*poll_health)(void *data, const char *replica,
 			    const char *address);
 	/*
-	 * A record of a revision higher than any before came from a peer; the
-	 * carrier parses it and calls rr_core_set_config().
+	 * A peer sent a configuration record with a higher revision than any
+	 * before; the carrier parses it and calls rr_core_set_config().
 	 */
 	void (*apply_config_record)(void *data, const char *record,
 				    size_t length);
 	void *data;
 };
 
-/* Policies of the experiment's baseline; all false is the product. */
+/*
+ * Policies switched off for the baseline of the experiment; all are false in
+ * the product.
+ */
 struct rr_policy_switches {
 	bool random_replica;
 	bool no_hedge;
@@ -68,8 +75,8 @@
 	const char *zone;
 	const char *peer_address;
 	/*
-	 * Grows with each start of an instance of this name: microseconds
-	 * since 1970 at start will do.
+	 * Higher for each start of an instance of this name, for example
+	 * microseconds since 1970 at start.
 	 */
 	uint64_t incarnation;
 	struct rr_core_actions actions;
@@ -85,27 +92,31 @@
 void rr_drop_core(struct rr_core *core);
 
 /*
- * Put a configuration in force.  One whose revision is not higher than the
- * one in force is left out (returns false).  `record` is the text it came
- * from, passed on to peers that ask.  The core keeps a reference.
+ * Apply a configuration.
+ *
+ * Returns false, without applying it, if its revision is not higher than the
+ * current one. `record` is the text that it was parsed from, sent to peers that
+ * request it. The core takes a reference to `config`.
  */
 bool rr_core_set_config(struct rr_context *ctx, struct rr_core *core,
 			int64_t now_us, struct rr_config *config,
 			const char *record, size_t length);
 
 /*
- * Take a caller's request.  `wall_us` is time since 1970, for the age of
- * request ids.  Returns its query id, never 0; the answer comes through the
- * answer callback, possibly before this returns (the id is then in
- * answer->query_id).  Strings are copied.
+ * Handle a caller's request.
+ *
+ * `wall_us` is the time since 1970, for the age of request ids. Strings are
+ * copied. Returns the query id, never 0. The answer is passed to the answer
+ * callback, possibly before this returns (the id is then in answer->query_id).
  */
 uint64_t rr_core_handle_request(struct rr_context *ctx, struct rr_core *core,
 				int64_t now_us, int64_t wall_us,
 				const struct rr_request *request);
 
 /*
- * The caller left.  Reads are withdrawn everywhere; a reservation that was
- * sent runs to its outcome and is recorded.  No answer is given any more.
+ * Cancel a request whose caller has disconnected. Attempts of reads are
+ * cancelled; a reservation that was sent runs until its outcome is known and
+ * recorded. No answer is sent.
  */
 void rr_core_cancel(struct rr_context *ctx, struct rr_core *core,
 		    int64_t now_us, uint64_t query_id);
@@ -117,45 +128,49 @@
 void rr_core_handle_store_reply(struct rr_context *ctx, struct rr_core *core,
 				int64_t now_us,
 				const struct rr_store_reply *reply);
-/* A message from a peer; the core copies what it keeps. */
+/* Handle a message from a peer; the core copies what it keeps. */
 void rr_core_handle_peer_message(struct rr_context *ctx, struct rr_core *core,
 				 int64_t now_us, int64_t wall_us,
 				 const struct rr_peer_message *message);
 /*
- * The platform's list of instances or the seed peers: hints, late and
- * possibly wrong; members are believed live only once they answered.
+ * Pass on an instance from the platform's list or the seed peers. Such hints
+ * may be late or wrong: a member counts as alive only once it has answered.
  */
 void rr_core_hint_member(struct rr_context *ctx, struct rr_core *core,
 			 int64_t now_us, const char *instance, const char *zone,
 			 const char *address);
 /*
- * The platform's list tells of an upstream's lifetime, which started at
- * `born_ms` (Unix; 0: not told): it is ready, or leaving.  A later lifetime
- * has neither the drain nor the times of the one before, an earlier one
- * counts for nothing.
+ * Pass on the state of an upstream, ready or draining, from the platform's
+ * list. `started_ms` is the start of its incarnation (ms since 1970; 0: not
+ * reported). A later incarnation starts without the drain and the latency
+ * samples of the one before; an earlier one is ignored.
  */
 void rr_core_hint_replica(struct rr_context *ctx, struct rr_core *core,
-			  int64_t now_us, const char *replica, int64_t born_ms,
-			  enum rr_upstream_state state);
+			  int64_t now_us, const char *replica,
+			  int64_t started_ms, enum rr_upstream_state state);
 
 void rr_core_tick(struct rr_context *ctx, struct rr_core *core, int64_t now_us);
 int64_t rr_core_wake_us(const struct rr_core *core);
 
-/* Begin a graceful stop: no new request, peers are told. */
+/* Begin a graceful stop: accept no new requests and notify peers. */
 void rr_core_drain(struct rr_context *ctx, struct rr_core *core,
 		   int64_t now_us);
-/* Whether a draining core has nothing left in flight. */
+/* Whether a draining core has nothing in flight any more. */
 bool rr_core_is_drained(const struct rr_core *core);
 
-/* Whether callers may be sent here; else *reason (static) says why not. */
+/*
+ * Whether callers may send requests to this instance; if not, *reason (static)
+ * is the cause.
+ */
 bool rr_core_is_ready(const struct rr_core *core, const char **reason);
 
 uint64_t rr_core_config_revision(const struct rr_core *core);
 
 /*
  * Whether this instance is one of the `per_zone` of its zone that watch the
- * configuration record: the first by rendezvous hash over the usable
- * members.  Views differ for a moment; then one more or one less watches.
+ * configuration record: the first by rendezvous hash over the usable members.
+ * Member lists differ for a short time after a change; then one instance more
+ * or fewer may watch.
  */
 bool rr_core_is_config_watcher(const struct rr_core *core, uint32_t per_zone);
 
--- a/include/ragwort/coverage.h
+++ b/include/ragwort/coverage.h
@@ -1,9 +1,9 @@
 /*
- * coverage.h - a union of key ranges: what an answer has really covered.
+ * coverage.h - a union of key ranges: the keys that an answer covers.
  *
- * Replies name the ranges they hold.  While a repartition is under way two
- * replies may hold the same keys or none may hold some; a union of ranges
- * counts no key twice and hides no hole.
+ * Replies name the key ranges that they hold. During a repartition two replies
+ * may hold the same keys, or none may hold some of them; a union of ranges
+ * counts no key twice and shows every gap.
  */
 #ifndef RAGWORT_COVERAGE_H
 #define RAGWORT_COVERAGE_H
@@ -30,11 +30,11 @@
 bool rr_covers_range(const struct rr_coverage *coverage,
 		     struct rr_key_range range);
 /*
- * The first hole in `within`: false when there is none, else true with the
- * hole in *hole.
+ * Find the first gap in `within`. Returns false if there is none, else true
+ * with the gap in *gap.
  */
 bool rr_find_first_gap(const struct rr_coverage *coverage,
-		       struct rr_key_range within, struct rr_key_range *hole);
+		       struct rr_key_range within, struct rr_key_range *gap);
 void rr_clear_coverage(struct rr_coverage *coverage);
 
 #endif
--- a/include/ragwort/gather.h
+++ b/include/ragwort/gather.h
@@ -1,7 +1,8 @@
 /*
- * gather.h - merge the parts of many shards, and when to stop waiting.
+ * gather.h - merging of the replies of many shards, and the decision when to
+ * stop waiting for more.
  *
- * Pure functions on memory.
+ * Pure functions without state of their own.
  */
 #ifndef RAGWORT_GATHER_H
 #define RAGWORT_GATHER_H
@@ -12,33 +13,33 @@
 
 #define RR_RECORD_BYTES 16
 
-/* The greatest records seen so far, greatest first, by their bytes. */
+/* The greatest records so far, in descending order of their bytes. */
 struct rr_top_records {
-	uint8_t *records; /* room for `most` */
+	uint8_t *records; /* space for `capacity` records */
 	size_t n;
 	size_t capacity;
 };
 
-void rr_init_top_records(struct rr_top_records *top, size_t most);
+void rr_init_top_records(struct rr_top_records *top, size_t capacity);
 void rr_clear_top_records(struct rr_top_records *top);
 /*
- * Take the records of one part, in any order; a rest shorter than a record
- * is left out.  Equal records all count.
+ * Add the records of one part, in any order. Trailing bytes shorter than a
+ * record are ignored. Equal records are all kept.
  */
 void rr_add_part_records(struct rr_top_records *top, const uint8_t *body,
 			 size_t length);
 
-/* How a gathered answer stands. */
+/* State of a gathered answer. */
 struct rr_gather_state {
 	int64_t now_us;
-	/* An answer that leaves later misses the latency objective. */
+	/* An answer sent later than this misses the latency objective. */
 	int64_t answer_by_us;
 	size_t parts;
-	size_t answered; /* answered well */
-	size_t failed;	 /* nothing more can come */
+	size_t answered; /* answered successfully */
+	size_t failed;	 /* failed for good */
 	/*
-	 * Of those that may still come: at replicas that do not answer, so
-	 * that nothing is expected from them.
+	 * Open parts at replicas that do not answer, so that no reply is
+	 * expected.
 	 */
 	size_t unreachable;
 	size_t required; /* parts that an answer must have */
@@ -47,16 +48,20 @@
 enum rr_gather_step {
 	RR_GATHER_WAIT,
 	RR_GATHER_ANSWER,
-	RR_GATHER_FAIL, /* too many are lacking for an answer */
+	RR_GATHER_FAIL, /* too many parts failed for an answer */
 };
 
-/* Parts that an answer of `parts` must have for this share of them. */
-size_t rr_required_parts(size_t parts, double least_share);
+/*
+ * Return the number of parts, of `parts`, that an answer must have for a share
+ * of at least `min_share`.
+ */
+size_t rr_required_parts(size_t parts, double min_share);
 
 /*
- * Whether to go on waiting.  What an answer is worth grows with the square
- * of the share of parts, and falls steeply at the latency objective: until
- * then there is something to gain, at it there is more to lose.
+ * Decide whether to wait for more parts. The value of an answer grows with the
+ * square of the share of parts and falls steeply at the latency objective:
+ * until then waiting may raise the value, afterwards it costs more than it can
+ * gain.
  */
 enum rr_gather_step rr_decide_gather(const struct rr_gather_state *state);
 
--- a/source/base/rows.c
+++ b/source/base/rows.c
@@ -1,5 +1,5 @@
 /*
- * rows.c - blocks of result rows in one buffer.
+ * rows.c - blocks of result rows, the texts of each in one buffer.
  */
 #include "ragwort/rows.h"
 
--- a/source/core/answer.c
+++ b/source/core/answer.c
@@ -1,23 +1,23 @@
 /*
- * answer.c - what the caller is told, once for each request.
+ * answer.c - answers to callers, one for each request.
  */
 #include "core/core-private.h"
 
 struct shard_lists {
 	GPtrArray *covered;
-	GArray *lacking;
+	GArray *missing;
 };
 
 static void list_shards(const struct rr_query *query, struct shard_lists *lists)
 {
 	lists->covered = g_ptr_array_new();
-	lists->lacking =
+	lists->missing =
 		g_array_new(FALSE, FALSE, sizeof(struct rr_missing_shard));
 	for (size_t i = 0; i < query->n_tasks; i++) {
 		const struct rr_task *task = &query->tasks[i];
 		const struct rr_shard_config *shard =
 			query->map->shards[task->shard].config;
-		struct rr_missing_shard lacking = {
+		struct rr_missing_shard missing = {
 			.shard = shard->name,
 			.public_name = shard->public_name ? shard->public_name :
 							    shard->name,
@@ -27,7 +27,7 @@
 		if (task->status == RR_TASK_COVERED)
 			g_ptr_array_add(lists->covered, shard->name);
 		else
-			g_array_append_val(lists->lacking, lacking);
+			g_array_append_val(lists->missing, missing);
 	}
 }
 
@@ -55,7 +55,10 @@
 static void check_answer(const struct rr_query *query,
 			 const struct rr_answer *answer)
 {
-	/* A caller who hears "not run" sends again, or sells elsewhere. */
+	/*
+	 * A caller that receives "not run" sends the request again, or sells
+	 * elsewhere.
+	 */
 	rr_invariant("not-run",
 		     answer->outcome != RR_NOT_RUN || !query->n_maybe_run);
 	rr_invariant("true-coverage",
@@ -91,8 +94,8 @@
 	answer->request_id = query->request_id;
 	answer->covered = (const char *const *)lists.covered->pdata;
 	answer->n_covered = lists.covered->len;
-	answer->missing = (const struct rr_missing_shard *)lists.lacking->data;
-	answer->n_missing = lists.lacking->len;
+	answer->missing = (const struct rr_missing_shard *)lists.missing->data;
+	answer->n_missing = lists.missing->len;
 	answer->elapsed_us = core->now_us - query->started_us;
 	answer->attempts = query->attempts;
 	if (needs_retry_time(answer->outcome) && !answer->retry_after_ms)
@@ -109,7 +112,7 @@
 		core->actions.send_answer(core->actions.data, answer);
 	}
 	g_ptr_array_unref(lists.covered);
-	g_array_unref(lists.lacking);
+	g_array_unref(lists.missing);
 }
 
 void rr_answer_query(struct rr_context *ctx, struct rr_core *core,
--- a/source/core/attempt.c
+++ b/source/core/attempt.c
@@ -1,5 +1,5 @@
 /*
- * attempt.c - attempts: waiting in a replica's queue, sent, ended.
+ * attempt.c - attempts: queued at a replica, sent, ended.
  */
 #include "core/core-private.h"
 
@@ -19,7 +19,10 @@
 	}
 }
 
-/* Attempts wait by deadline: the oldest first, as deadlines are alike. */
+/*
+ * Queue an attempt by its deadline. Searches from the tail, as deadlines are
+ * alike and a new one is mostly the latest.
+ */
 static void enqueue(struct rr_live_attempt *attempt)
 {
 	struct rr_replica *replica = attempt->replica;
@@ -72,7 +75,7 @@
 	rr_schedule_dispatch(core, attempt->replica);
 }
 
-/* Take an attempt out of all tables and free it. */
+/* Remove an attempt from all tables and free it. */
 static void end_attempt(struct rr_core *core, struct rr_live_attempt *attempt)
 {
 	struct rr_replica *replica = attempt->replica;
@@ -99,7 +102,7 @@
 void rr_cancel_live_attempt(struct rr_context *ctx, struct rr_core *core,
 			    struct rr_live_attempt *attempt)
 {
-	/* A hedge that never left its queue cost nothing. */
+	/* Return the token of a hedge that was not sent. */
 	if (attempt->hedge && attempt->status == RR_ATTEMPT_QUEUED)
 		attempt->query->service->hedge_budget.tokens += 1;
 	if (attempt->status == RR_ATTEMPT_SENT) {
@@ -140,7 +143,10 @@
 	const struct rr_query *query = attempt->query;
 	const struct rr_service_config *config = query->map->service;
 
-	/* A sent reservation has no time-out: it runs to its outcome. */
+	/*
+	 * A reservation that was sent has no time-out: it runs until its
+	 * outcome is known.
+	 */
 	if (query->at_most_once)
 		return;
 	rr_set_timer(core->timers,
@@ -195,8 +201,9 @@
 	};
 
 	/*
-	 * New work for an upstream that is leaving is cut off when it goes;
-	 * the queue is emptied when the news comes, so none is left to send.
+	 * An upstream that is draining would cut off new work when it exits.
+	 * Its queue is emptied when the drain is reported, so nothing should
+	 * remain to be sent.
 	 */
 	rr_invariant("drain",
 		     !replica->draining_since_us ||
@@ -214,9 +221,12 @@
 	core->actions.send_attempt(core->actions.data, &out);
 }
 
-/* The batch class has a share of the slots, and at least one. */
-static struct rr_live_attempt *next_waiting(const struct rr_replica *replica,
-					    uint32_t limit)
+/*
+ * The next queued attempt that may be sent. Batch attempts may use a share of
+ * the slots, at least one.
+ */
+static struct rr_live_attempt *next_queued(const struct rr_replica *replica,
+					   uint32_t limit)
 {
 	struct rr_live_attempt *attempt =
 		g_queue_peek_head((GQueue *)&replica->queues[RR_INTERACTIVE]);
@@ -232,9 +242,12 @@
 								    NULL;
 }
 
-/* The replica's index in the attempt's shard, if it may take the attempt. */
-static bool may_take(const struct rr_replica *replica,
-		     const struct rr_live_attempt *attempt, size_t *index)
+/*
+ * Whether the replica may take over the attempt; sets *index to its index in
+ * the attempt's shard.
+ */
+static bool can_take_over(const struct rr_replica *replica,
+			  const struct rr_live_attempt *attempt, size_t *index)
 {
 	const struct rr_query *query = attempt->query;
 	const struct rr_task *task = &query->tasks[attempt->task];
@@ -259,9 +272,11 @@
 }
 
 /*
- * Take over what waits at a busy sibling.  Guards against work stuck behind
- * a replica that stalled after it was chosen, while its copy stands idle.
- * One that is set aside takes nothing over: it would be slower yet.
+ * Move an attempt from the queue of a busy replica of the same shard to this
+ * one. Guards against work that is queued at a replica that stalled after it
+ * was chosen, while another replica is idle. An ejected replica takes over only
+ * what has waited for longer than an outlier's latency: it would be slower
+ * otherwise.
  */
 static bool take_from_sibling(struct rr_core *core, struct rr_replica *replica)
 {
@@ -275,7 +290,7 @@
 
 		if (other == replica || !attempt ||
 		    other->in_flight < rr_replica_limit(core, other) ||
-		    !may_take(replica, attempt, &index) ||
+		    !can_take_over(replica, attempt, &index) ||
 		    (replica->ejected_until_us > core->now_us &&
 		     !rr_is_outlier_latency(
 			     replica,
@@ -291,7 +306,7 @@
 	return false;
 }
 
-static bool may_send(const struct rr_core *core,
+static bool can_send(const struct rr_core *core,
 		     const struct rr_replica *replica)
 {
 	return rr_is_replica_usable(core, replica) &&
@@ -304,13 +319,13 @@
 {
 	uint32_t limit;
 
-	if (!may_send(core, replica)) {
+	if (!can_send(core, replica)) {
 		rr_return_queued_attempts(ctx, core, replica);
 		return;
 	}
 	limit = rr_replica_limit(core, replica);
 	while (replica->in_flight < limit) {
-		struct rr_live_attempt *attempt = next_waiting(replica, limit);
+		struct rr_live_attempt *attempt = next_queued(replica, limit);
 
 		if (attempt) {
 			send_attempt(ctx, core, attempt);
--- a/source/core/core-private.h
+++ b/source/core/core-private.h
@@ -1,5 +1,5 @@
 /*
- * core-private.h - the core's own state and what its parts share.
+ * core-private.h - state of the core, and functions shared by its source files.
  */
 #ifndef RAGWORT_CORE_PRIVATE_H
 #define RAGWORT_CORE_PRIVATE_H
@@ -17,20 +17,20 @@
 #include "ragwort/member.h"
 
 #define RR_DRAIN_GRACE_US (3 * G_USEC_PER_SEC)
-/* What an answer advises where nothing better is known. */
+/* Retry time in an answer if no better estimate is known. */
 #define RR_DEFAULT_RETRY_AFTER_MS 1000
 
-/* A peer as the relay path sees it. */
+/* State of a peer, for relays. */
 struct rr_peer {
 	char *instance;
-	uint64_t highest_revision; /* it ever told */
-	int64_t last_contact_us;   /* last message */
-	int64_t backoff_until_us;  /* a relay timed out: left alone */
-	int64_t backoff_us;	   /* of the last time */
+	uint64_t highest_revision; /* highest ever reported by the peer */
+	int64_t last_contact_us;   /* last message received from it */
+	int64_t backoff_until_us;  /* no relays until then: one timed out */
+	int64_t backoff_us;	   /* last backoff applied */
 	uint32_t relays_in_flight;
 };
 
-/* A member in the core's own copy of the usable ones. */
+/* A copy of one usable member. */
 struct rr_member_copy {
 	char *instance;
 	char *zone;
@@ -39,7 +39,7 @@
 };
 
 struct rr_core {
-	struct rr_context *ctx; /* of the event under way, for callbacks */
+	struct rr_context *ctx; /* of the current event, for */
 	int64_t now_us;
 	int64_t wall_us;
 	char *instance;
@@ -58,19 +58,19 @@
 	GHashTable *queries;	      /* uint64_t -> struct rr_query */
 	GHashTable *attempts;	      /* uint64_t -> struct rr_live_attempt */
 	GHashTable *relays;	      /* uint64_t -> struct rr_outgoing_relay */
-	GPtrArray *scheduled_queries; /* struct rr_query to look at */
+	GPtrArray *scheduled_queries; /* struct rr_query to advance */
 	GPtrArray *replicas_to_dispatch; /* struct rr_replica, referenced */
 
-	/* Configuration in force. */
+	/* Current configuration. */
 	struct rr_config *config;
-	int64_t config_set_us; /* when it was put in force */
+	int64_t config_set_us; /* when it was applied */
 	char *config_record;
 	size_t config_record_length;
 	uint64_t config_request_id;
 	bool awaiting_config;
 
 	GHashTable *services;		/* name -> struct rr_service */
-	GPtrArray *service_list;	/* the same, in order */
+	GPtrArray *service_list;	/* in the order of the configuration */
 	GHashTable *replicas;		/* id -> struct rr_replica */
 	GHashTable *replicas_by_number; /* number -> struct rr_replica */
 	GPtrArray *replica_list;	/* in the order of the configuration */
@@ -84,36 +84,42 @@
 	size_t n_members;
 	GHashTable *peers; /* instance -> struct rr_peer */
 
-	/* Relays taken from peers, by name "instance/incarnation/id". */
-	GHashTable *relay_origins; /* name -> query id, of those under way */
-	GHashTable *served_relays; /* names of guarded ones, kept for a while */
+	/* Relays received from peers, by name "instance/incarnation/id". */
+	GHashTable *relay_origins; /* name -> query id; relays in progress */
+	/* names of at-most-once relays, kept for a while */
+	GHashTable *served_relays;
 	GQueue served_relay_order; /* struct served_relay, oldest first */
 
 	struct rr_ledger *ledger;
 	GHashTable *claims;	 /* claim -> query id */
-	uint32_t ledger_buckets; /* that the ledger was made with */
+	uint32_t ledger_buckets; /* number the ledger was created with */
 };
 
 /* core.c */
-/* End an event: advance what it touched, send what may go. */
+/*
+ * End an event: advance the queries it affected, then send attempts that may be
+ * sent.
+ */
 void rr_run_scheduled_work(struct rr_context *ctx, struct rr_core *core);
-/* An id that no earlier run of this instance gave. */
+/*
+ * Return an id that was not issued before, by this or an earlier incarnation.
+ */
 uint64_t rr_next_id(struct rr_core *core);
-/* Look at a replica's queue when the event ends. */
+/* Schedule the replica's queue to be dispatched at the end of the event. */
 void rr_schedule_dispatch(struct rr_core *core, struct rr_replica *replica);
 
 /* members-view.c */
 void rr_clear_member_copies(struct rr_core *core);
 void rr_free_peer(gpointer data);
-/* Copy the usable members, if they changed. */
+/* Refresh the copies of the usable members, if they changed. */
 void rr_refresh_member_copies(struct rr_core *core);
 struct rr_peer *rr_get_or_add_peer(struct rr_core *core, const char *instance);
-/* Forget peers that were not heard for long: names come and go. */
+/* Remove peers without recent contact, as names of instances come and go. */
 void rr_expire_peers(struct rr_core *core);
-/* A message with sender, incarnation and revision filled in. */
+/* Create a message with sender, incarnation and revision filled in. */
 struct rr_peer_message *rr_prepare_peer_message(const struct rr_core *core,
 						enum rr_peer_kind kind);
-/* Send and free. */
+/* Send a message and free it. */
 void rr_send_peer_message(struct rr_context *ctx, struct rr_core *core,
 			  const char *instance, const char *address,
 			  struct rr_peer_message *message);
@@ -131,7 +137,7 @@
 void rr_fire_config_request(struct rr_context *ctx, struct rr_core *core,
 			    uint64_t number);
 
-/* reserve.c: the ledger's callback, and the ledger itself */
+/* reserve.c */
 void rr_start_ledger(struct rr_context *ctx, struct rr_core *core);
 
 #endif
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -1,19 +1,22 @@
 /*
- * core.c - the core's events: each is taken in, then what it touched is
- * advanced and what may be sent is sent.
+ * core.c - event functions of the core.
+ *
+ * Each event updates the state; then the queries and replicas that it affected
+ * are advanced, and attempts that may be sent are sent.
  */
 #include "core/core-private.h"
 
 #include <string.h>
 
-/* An id has the low bits of the start's incarnation over a counter. */
+/* An id is the low bits of the incarnation, shifted by this, plus a counter. */
 #define ID_COUNTER_BITS 24
 
 uint64_t rr_next_id(struct rr_core *core)
 {
 	/*
-	 * Ids of two runs would meet only if one gave 2^24 a microsecond; a
-	 * reply to an earlier run then finds nothing and is dropped.
+	 * Ids of two incarnations collide only if one issued 2^24 per
+	 * microsecond. A reply to an earlier incarnation matches no attempt and
+	 * is dropped.
 	 */
 #ifdef RR_MUTANT_IDS_REPEAT
 	return ++core->ids_given;
@@ -41,7 +44,7 @@
 					message);
 }
 
-static void note_members_changed(void *data)
+static void mark_members_changed(void *data)
 {
 	struct rr_core *core = data;
 
@@ -57,7 +60,7 @@
 		.address = core->peer_address,
 		.incarnation = core->incarnation,
 		.send = send_member_message,
-		.changed = note_members_changed,
+		.changed = mark_members_changed,
 		.data = core,
 	};
 
@@ -174,7 +177,8 @@
 	g_free(core);
 }
 
-static void advance_touched(struct rr_context *ctx, struct rr_core *core)
+static void advance_scheduled_queries(struct rr_context *ctx,
+				      struct rr_core *core)
 {
 	for (guint i = 0; i < core->scheduled_queries->len; i++) {
 		struct rr_query *query =
@@ -188,7 +192,8 @@
 	g_ptr_array_set_size(core->scheduled_queries, 0);
 }
 
-static void pump_wanted(struct rr_context *ctx, struct rr_core *core)
+static void dispatch_scheduled_replicas(struct rr_context *ctx,
+					struct rr_core *core)
 {
 	for (guint i = 0; i < core->replicas_to_dispatch->len; i++) {
 		struct rr_replica *replica =
@@ -201,7 +206,7 @@
 	g_ptr_array_set_size(core->replicas_to_dispatch, 0);
 }
 
-static void follow_members(struct rr_context *ctx, struct rr_core *core)
+static void update_members(struct rr_context *ctx, struct rr_core *core)
 {
 	if (!core->members_changed)
 		return;
@@ -212,7 +217,7 @@
 	rr_set_gauge(ctx, RR_G_MEMBERS, core->n_members);
 }
 
-/* The ledger tells outcomes from its tick, which may be due at once. */
+/* The ledger reports results from its tick, which may be due at once. */
 static void tick_due_ledger(struct rr_context *ctx, struct rr_core *core)
 {
 	if (core->ledger && rr_ledger_wake_us(core->ledger) <= core->now_us)
@@ -223,17 +228,18 @@
 {
 	do {
 		tick_due_ledger(ctx, core);
-		follow_members(ctx, core);
-		advance_touched(ctx, core);
-		pump_wanted(ctx, core);
+		update_members(ctx, core);
+		advance_scheduled_queries(ctx, core);
+		dispatch_scheduled_replicas(ctx, core);
 	} while (core->scheduled_queries->len ||
 		 core->replicas_to_dispatch->len || core->members_changed);
 	rr_set_gauge(ctx, RR_G_OPEN_QUERIES, g_hash_table_size(core->queries));
 	rr_set_gauge(ctx, RR_G_READY, rr_core_is_ready(core, NULL));
 }
 
-/* Time never goes back, whatever a carrier's clock did. */
-static void enter(struct rr_context *ctx, struct rr_core *core, int64_t now_us)
+/* Keep the core's time from going back, even if the carrier's clock does. */
+static void begin_event(struct rr_context *ctx, struct rr_core *core,
+			int64_t now_us)
 {
 	core->ctx = ctx;
 	core->now_us = MAX(core->now_us, now_us);
@@ -343,7 +349,7 @@
 {
 	struct rr_timer timer;
 
-	enter(ctx, core, now_us);
+	begin_event(ctx, core, now_us);
 	while (rr_pop_timer(core->timers, core->now_us, &timer))
 		fire_timer(ctx, core, &timer);
 	if (core->ledger)
@@ -364,7 +370,7 @@
 void rr_core_handle_reply(struct rr_context *ctx, struct rr_core *core,
 			  int64_t now_us, const struct rr_reply *reply)
 {
-	enter(ctx, core, now_us);
+	begin_event(ctx, core, now_us);
 	rr_handle_reply(ctx, core, reply);
 	rr_run_scheduled_work(ctx, core);
 }
@@ -372,7 +378,7 @@
 void rr_core_handle_health(struct rr_context *ctx, struct rr_core *core,
 			   int64_t now_us, const struct rr_health *health)
 {
-	enter(ctx, core, now_us);
+	begin_event(ctx, core, now_us);
 	rr_handle_health_reply(ctx, core, health);
 	rr_run_scheduled_work(ctx, core);
 }
@@ -381,14 +387,14 @@
 				int64_t now_us,
 				const struct rr_store_reply *reply)
 {
-	enter(ctx, core, now_us);
+	begin_event(ctx, core, now_us);
 	if (core->ledger)
 		rr_handle_ledger_reply(ctx, core->ledger, core->now_us, reply);
 	rr_run_scheduled_work(ctx, core);
 }
 
-static void take_message(struct rr_context *ctx, struct rr_core *core,
-			 const struct rr_peer_message *message)
+static void dispatch_peer_message(struct rr_context *ctx, struct rr_core *core,
+				  const struct rr_peer_message *message)
 {
 	switch (message->kind) {
 	case RR_PEER_PING:
@@ -413,7 +419,7 @@
 	}
 }
 
-static void hear_peer(struct rr_core *core, const char *instance)
+static void record_peer_contact(struct rr_core *core, const char *instance)
 {
 	struct rr_peer *peer = rr_get_or_add_peer(core, instance);
 
@@ -426,12 +432,12 @@
 				 int64_t now_us, int64_t wall_us,
 				 const struct rr_peer_message *message)
 {
-	enter(ctx, core, now_us);
+	begin_event(ctx, core, now_us);
 	if (!message->from || !strcmp(message->from, core->instance))
 		return;
 	/*
-	 * A message queued for an instance that died reaches the one that
-	 * took its address; it was not meant for us.
+	 * A message queued for an instance that has died may reach the one that
+	 * now has its address; it was not meant for this instance.
 	 */
 	if (message->to_incarnation &&
 	    message->to_incarnation != core->incarnation) {
@@ -439,10 +445,10 @@
 		return;
 	}
 	rr_count(ctx, RR_N_PEER_MESSAGES_RECEIVED, 1);
-	hear_peer(core, message->from);
+	record_peer_contact(core, message->from);
 	rr_handle_member_message(ctx, core->members, core->now_us, message);
 	rr_check_peer_config_revision(ctx, core, message);
-	take_message(ctx, core, message);
+	dispatch_peer_message(ctx, core, message);
 	rr_run_scheduled_work(ctx, core);
 }
 
@@ -450,29 +456,29 @@
 			 int64_t now_us, const char *instance, const char *zone,
 			 const char *address)
 {
-	enter(ctx, core, now_us);
+	begin_event(ctx, core, now_us);
 	rr_hint_member(ctx, core->members, core->now_us, instance, zone,
 		       address);
 	rr_run_scheduled_work(ctx, core);
 }
 
 void rr_core_hint_replica(struct rr_context *ctx, struct rr_core *core,
-			  int64_t now_us, const char *replica, int64_t born_ms,
-			  enum rr_upstream_state state)
+			  int64_t now_us, const char *replica,
+			  int64_t started_ms, enum rr_upstream_state state)
 {
 	struct rr_replica *entry = rr_find_replica(core, replica);
 
-	enter(ctx, core, now_us);
-	/* Only an owner would see it come back by its polls. */
+	begin_event(ctx, core, now_us);
+	/* Only an owner polls the replica and so learns that it is up again. */
 	if (entry && (entry->owned || state != RR_UPSTREAM_DOWN) &&
-	    rr_update_replica_start_time(ctx, entry, born_ms))
+	    rr_update_replica_start_time(ctx, entry, started_ms))
 		rr_update_replica_state(ctx, core, entry, state, "list");
 	rr_run_scheduled_work(ctx, core);
 }
 
 void rr_core_drain(struct rr_context *ctx, struct rr_core *core, int64_t now_us)
 {
-	enter(ctx, core, now_us);
+	begin_event(ctx, core, now_us);
 	if (!core->draining) {
 		core->draining = true;
 		rr_log(ctx, RR_LOG_INFO, "draining",
@@ -494,13 +500,13 @@
 
 bool rr_core_is_ready(const struct rr_core *core, const char **reason)
 {
-	const char *why = NULL;
+	const char *unready_reason = NULL;
 
 	if (core->draining)
-		why = "stopping";
+		unready_reason = "stopping";
 	else if (!core->config)
-		why = "no-configuration";
+		unready_reason = "no-configuration";
 	if (reason)
-		*reason = why;
-	return !why;
+		*reason = unready_reason;
+	return !unready_reason;
 }
--- a/source/core/coverage.c
+++ b/source/core/coverage.c
@@ -1,12 +1,12 @@
 /*
- * coverage.c - a union of key ranges, kept sorted and joined.
+ * coverage.c - a union of key ranges, kept sorted and merged.
  */
 #include "ragwort/coverage.h"
 
 #include <glib.h>
 
 struct rr_coverage {
-	GArray *ranges; /* struct rr_key_range: sorted, none touching */
+	GArray *ranges; /* struct rr_key_range: sorted, not adjacent */
 };
 
 struct rr_coverage *rr_new_coverage(void)
@@ -32,7 +32,10 @@
 	return &g_array_index(coverage->ranges, struct rr_key_range, i);
 }
 
-/* The first range that ends at or after `key`: the only ones it can touch. */
+/*
+ * Index of the first range that ends at or after `key`; no earlier range can
+ * touch the key.
+ */
 static guint first_reaching(const struct rr_coverage *coverage, uint64_t key)
 {
 	guint low = 0;
@@ -52,25 +55,25 @@
 void rr_add_range(struct rr_coverage *coverage, struct rr_key_range range)
 {
 	guint first;
-	guint past;
+	guint end;
 
 	if (range.from >= range.to)
 		return;
 	first = first_reaching(coverage, range.from);
-	past = first;
-	while (past < coverage->ranges->len &&
-	       range_at(coverage, past)->from <= range.to) {
-		range.from = MIN(range.from, range_at(coverage, past)->from);
-		range.to = MAX(range.to, range_at(coverage, past)->to);
-		past++;
+	end = first;
+	while (end < coverage->ranges->len &&
+	       range_at(coverage, end)->from <= range.to) {
+		range.from = MIN(range.from, range_at(coverage, end)->from);
+		range.to = MAX(range.to, range_at(coverage, end)->to);
+		end++;
 	}
-	if (past > first)
-		g_array_remove_range(coverage->ranges, first, past - first);
+	if (end > first)
+		g_array_remove_range(coverage->ranges, first, end - first);
 	g_array_insert_val(coverage->ranges, first, range);
 }
 
 bool rr_find_first_gap(const struct rr_coverage *coverage,
-		       struct rr_key_range within, struct rr_key_range *hole)
+		       struct rr_key_range within, struct rr_key_range *gap)
 {
 	uint64_t key = within.from;
 	guint i = first_reaching(coverage, key);
@@ -84,26 +87,26 @@
 	}
 	if (key >= within.to)
 		return false;
-	hole->from = key;
-	hole->to = within.to;
+	gap->from = key;
+	gap->to = within.to;
 	if (i < coverage->ranges->len)
-		hole->to = MIN(hole->to, range_at(coverage, i)->from);
+		gap->to = MIN(gap->to, range_at(coverage, i)->from);
 	return true;
 }
 
 bool rr_covers_range(const struct rr_coverage *coverage,
 		     struct rr_key_range range)
 {
-	struct rr_key_range hole;
+	struct rr_key_range gap;
 
-	return !rr_find_first_gap(coverage, range, &hole);
+	return !rr_find_first_gap(coverage, range, &gap);
 }
 
 bool rr_covers_key(const struct rr_coverage *coverage, uint64_t key)
 {
 	guint i = first_reaching(coverage, key);
 
-	/* The range may end exactly at the key and so not hold it. */
+	/* The range may end at the key and so not contain it. */
 	for (; i < coverage->ranges->len; i++) {
 		struct rr_key_range *range = range_at(coverage, i);
 
--- a/source/core/gather.c
+++ b/source/core/gather.c
@@ -1,5 +1,6 @@
 /*
- * gather.c - the greatest records of many parts, and when to stop waiting.
+ * gather.c - the greatest records of many parts, and the decision when to stop
+ * waiting for parts.
  */
 #include "ragwort/gather.h"
 
@@ -7,14 +8,14 @@
 #include <math.h>
 #include <string.h>
 
-/* Shares are written with a few digits: 0.89 of 100 is 89, not 90. */
+/* Compensates for the rounding of decimal shares: 0.89 of 100 is 89, not 90. */
 #define SHARE_EPSILON 1e-9
 
-void rr_init_top_records(struct rr_top_records *top, size_t most)
+void rr_init_top_records(struct rr_top_records *top, size_t capacity)
 {
-	top->records = g_malloc(MAX(most, 1) * RR_RECORD_BYTES);
+	top->records = g_malloc(MAX(capacity, 1) * RR_RECORD_BYTES);
 	top->n = 0;
-	top->capacity = most;
+	top->capacity = capacity;
 }
 
 void rr_clear_top_records(struct rr_top_records *top)
@@ -28,8 +29,9 @@
 	return top->records + i * RR_RECORD_BYTES;
 }
 
-/* Where a record belongs: behind all that are not less. */
-static size_t place_of(const struct rr_top_records *top, const uint8_t *record)
+/* Insert position of a record: after all that are not less. */
+static size_t find_position(const struct rr_top_records *top,
+			    const uint8_t *record)
 {
 	size_t low = 0;
 	size_t high = top->n;
@@ -48,17 +50,17 @@
 
 static void add_record(struct rr_top_records *top, const uint8_t *record)
 {
-	size_t place = place_of(top, record);
-	size_t behind;
+	size_t position = find_position(top, record);
+	size_t n_after;
 
-	if (place >= top->capacity)
+	if (position >= top->capacity)
 		return;
 	if (top->n < top->capacity)
 		top->n++;
-	behind = top->n - 1 - place;
-	memmove(record_at(top, place + 1), record_at(top, place),
-		behind * RR_RECORD_BYTES);
-	memcpy(record_at(top, place), record, RR_RECORD_BYTES);
+	n_after = top->n - 1 - position;
+	memmove(record_at(top, position + 1), record_at(top, position),
+		n_after * RR_RECORD_BYTES);
+	memcpy(record_at(top, position), record, RR_RECORD_BYTES);
 }
 
 void rr_add_part_records(struct rr_top_records *top, const uint8_t *body,
@@ -70,13 +72,13 @@
 	}
 }
 
-size_t rr_required_parts(size_t parts, double least_share)
+size_t rr_required_parts(size_t parts, double min_share)
 {
-	double least = ceil(least_share * (double)parts - SHARE_EPSILON);
+	double min_parts = ceil(min_share * (double)parts - SHARE_EPSILON);
 
-	if (least < 1)
+	if (min_parts < 1)
 		return 1;
-	return MIN((size_t)least, parts);
+	return MIN((size_t)min_parts, parts);
 }
 
 enum rr_gather_step rr_decide_gather(const struct rr_gather_state *state)
--- a/source/core/hedge.c
+++ b/source/core/hedge.c
@@ -1,24 +1,29 @@
 /*
- * hedge.c - a second attempt beside one that is slow.
+ * hedge.c - a second attempt for a task whose first is slow.
  *
- * Only idempotent reads, and only as far as the token budget goes.  The
- * tokens go to what is surely slow: the fewer are left, the longer an attempt
- * must have taken.  A hedge waits for a slot like any attempt, before those
- * of later requests; withdrawn before it left, it gives its token back.
+ * Only idempotent reads are hedged, and only within the token budget. The fewer
+ * tokens remain, the longer an attempt must have taken before it is hedged, so
+ * that tokens are spent on attempts that are certainly slow. A hedge waits for
+ * a slot like any attempt, ahead of those of later requests; if it is cancelled
+ * before it was sent, its token is returned.
  */
 #include "core/core-private.h"
 
 #define HEDGE_QUANTILE 0.95
-#define LEAST_HEDGE_US 2000
-/* Until one that may not be sent yet is looked at again. */
-#define HEDGE_CHECK_US 3000
-/* The price of a hedge when hardly a token is left, in median times. */
-#define DEAR_MEDIANS 8.0
+#define MIN_HEDGE_DELAY_US 2000
+/* Delay before an attempt that could not be hedged is checked again. */
+#define HEDGE_RECHECK_US 3000
+/*
+ * Threshold for a hedge when the budget is nearly used up, in median latencies.
+ */
+#define MAX_THRESHOLD_MEDIANS 8.0
 
-static void look_again(struct rr_core *core,
-		       const struct rr_live_attempt *attempt, int64_t after_us)
+static void set_hedge_check(struct rr_core *core,
+			    const struct rr_live_attempt *attempt,
+			    int64_t after_us)
 {
-	rr_set_timer(core->timers, core->now_us + MAX(after_us, LEAST_HEDGE_US),
+	rr_set_timer(core->timers,
+		     core->now_us + MAX(after_us, MIN_HEDGE_DELAY_US),
 		     RR_TIMER_HEDGE, attempt->id, 0);
 }
 
@@ -29,23 +34,24 @@
 		&attempt->query->service->latencies, HEDGE_QUANTILE);
 
 	if (after_us)
-		look_again(core, attempt, after_us);
+		set_hedge_check(core, attempt, after_us);
 }
 
 /*
- * How slow an attempt must be is the price of a token.  While there are many
- * it is the usual quantile; as they run out it grows to a large multiple of
- * the median, so that the rest goes to what is certainly slow.
+ * Latency from which an attempt may be hedged. With many tokens left it is the
+ * usual quantile; as the budget is used up it rises to a large multiple of the
+ * median, so that the remaining tokens go to attempts that are certainly slow.
  */
-static int64_t price_us(const struct rr_service *service)
+static int64_t hedge_threshold_us(const struct rr_service *service)
 {
-	double dear = DEAR_MEDIANS *
-		      (double)rr_sketch_quantile_us(&service->latencies, 0.5);
+	double max_threshold_us =
+		MAX_THRESHOLD_MEDIANS *
+		(double)rr_sketch_quantile_us(&service->latencies, 0.5);
 
 	return rr_hedge_threshold_us(
 		rr_budget_used_fraction(&service->hedge_budget),
 		rr_sketch_quantile_us(&service->latencies, HEDGE_QUANTILE),
-		(int64_t)dear);
+		(int64_t)max_threshold_us);
 }
 
 static bool may_hedge(const struct rr_query *query, const struct rr_task *task)
@@ -56,7 +62,7 @@
 	       !task->relay;
 }
 
-/* Another copy of the shard that a hedge may be sent to from here. */
+/* Find another replica of the shard to which this instance may send a hedge. */
 static size_t find_other_replica(struct rr_context *ctx, struct rr_core *core,
 				 struct rr_query *query, uint32_t index)
 {
@@ -100,14 +106,15 @@
 
 	if (!may_hedge(query, &query->tasks[attempt->task]))
 		return;
-	if (core->now_us - attempt->sent_us < price_us(query->service)) {
-		look_again(core, attempt, HEDGE_CHECK_US);
+	if (core->now_us - attempt->sent_us <
+	    hedge_threshold_us(query->service)) {
+		set_hedge_check(core, attempt, HEDGE_RECHECK_US);
 		return;
 	}
 	chosen = find_other_replica(ctx, core, query, attempt->task);
 	if (chosen == RR_NO_REPLICA ||
 	    !rr_take_tokens(&query->service->hedge_budget, 1)) {
-		look_again(core, attempt, HEDGE_CHECK_US);
+		set_hedge_check(core, attempt, HEDGE_RECHECK_US);
 		return;
 	}
 	log_hedge(ctx, attempt, chosen);
--- a/source/core/list.c
+++ b/source/core/list.c
@@ -1,24 +1,25 @@
 /*
- * list.c - pages of all rows in key order, pinned to one index version by
- * their cursor.
+ * list.c - pages of all rows in key order, pinned to one index version by their
+ * cursor.
  *
- * A page asks one shard after the other, so that it never holds more than a
- * page of rows.  It ends before a shard that is lacking: the caller gets the
- * shard named and a cursor that goes on there, never a list with a hole.
+ * A page queries one shard after the other, so that at most one page of rows is
+ * held in memory. It ends before a shard that is missing: the answer names the
+ * shard and has a cursor that continues there, so that a list never has a gap.
  */
 #include "core/core-private.h"
 
 bool rr_begin_list(struct rr_context *ctx, struct rr_core *core,
-		   struct rr_query *query, const char *cursor, char **fault)
+		   struct rr_query *query, const char *cursor,
+		   char **error_text)
 {
 	GError *error = NULL;
 
-	*fault = NULL;
+	*error_text = NULL;
 	if (!cursor)
 		return true;
 	if (!rr_decode_cursor(query->service->name, cursor, &query->cursor,
 			      &error)) {
-		*fault = g_strdup(error ? error->message : "bad cursor");
+		*error_text = g_strdup(error ? error->message : "bad cursor");
 		g_clear_error(&error);
 		return false;
 	}
@@ -31,9 +32,12 @@
 
 uint32_t rr_list_row_limit(const struct rr_query *query)
 {
-	uint64_t wanted = (uint64_t)query->max_rows + query->cursor.skip_rows;
+	uint64_t requested =
+		(uint64_t)query->max_rows + query->cursor.skip_rows;
 
-	return (uint32_t)(wanted > query->n_rows ? wanted - query->n_rows : 1);
+	return (uint32_t)(requested > query->n_rows ?
+				  requested - query->n_rows :
+				  1);
 }
 
 void rr_end_list_page(struct rr_query *query, const struct rr_rows *rows)
@@ -45,25 +49,31 @@
 	query->key_to = MIN(query->key_to, last + 1);
 }
 
-/* The first shard at or after `at` with keys of the page; n_shards if none. */
-static size_t next_shard(const struct rr_query *query, size_t at)
+/*
+ * Index of the first shard, from `at` on, with keys of the page; n_shards if
+ * none.
+ */
+static size_t next_shard(const struct rr_query *query, size_t first)
 {
 	const struct rr_service_map *map = query->map;
 
-	while (at < map->n_shards &&
-	       map->shards[at].config->key_to <= query->key_from)
-		at++;
-	return at;
+	while (first < map->n_shards &&
+	       map->shards[first].config->key_to <= query->key_from)
+		first++;
+	return first;
 }
 
-/* Where the list goes on after this page; false after the last. */
+/* A page, and the cursor from which the list continues after it. */
 struct page {
-	GArray *rows; /* given out */
+	GArray *rows; /* rows of the page */
 	struct rr_cursor next;
 	bool has_next;
 };
 
-/* The cursor after the last row given: keys may have several rows. */
+/*
+ * Set the cursor after the last row of the page. It counts rows of the last
+ * key, as a key may have several rows.
+ */
 static void set_cursor_after_row(const struct rr_query *query,
 				 struct page *page)
 {
@@ -86,7 +96,7 @@
 	page->has_next = true;
 }
 
-static void drop_given_rows(const struct rr_query *query, GArray *rows)
+static void drop_returned_rows(const struct rr_query *query, GArray *rows)
 {
 	uint32_t skip = 0;
 
@@ -108,7 +118,7 @@
 	page->has_next = true;
 }
 
-/* The first key at or after the page's start that no reply answered for. */
+/* Find the first key, from the start of the page on, that no reply covers. */
 static bool find_resume_key(const struct rr_query *query, uint64_t *key)
 {
 	const struct rr_service_map *map = query->map;
@@ -118,21 +128,21 @@
 		struct rr_key_range within = {
 			MAX(shard->key_from, query->key_from), shard->key_to
 		};
-		struct rr_key_range hole;
+		struct rr_key_range gap;
 
-		if (!rr_find_first_gap(query->coverage, within, &hole))
+		if (!rr_find_first_gap(query->coverage, within, &gap))
 			continue;
-		*key = hole.from;
+		*key = gap.from;
 		return true;
 	}
 	return false;
 }
 
 /*
- * Guards against a list with a hole: a replica that held only part of its
- * shard's keys while a split was under way may have merged rows from behind
- * the place where the page ends.  Rows behind the first key that no reply
- * answered for are left to the next page, which asks for that key again.
+ * Drop rows from `key` on, the first key that no reply covers. Guards against a
+ * list with a gap: a replica that held only part of its shard's keys during a
+ * split may have returned rows beyond the end of the page. They are left to the
+ * next page, which starts at that key.
  */
 static void drop_rows_from(GArray *rows, uint64_t key)
 {
@@ -152,30 +162,33 @@
 static void make_page(const struct rr_query *query, struct page *page)
 {
 	uint64_t resume_key = 0;
-	bool hole = find_resume_key(query, &resume_key);
-	bool over;
+	bool gap = find_resume_key(query, &resume_key);
+	bool overfull;
 
 	page->rows = rr_sorted_rows(query, SIZE_MAX);
-	if (hole)
+	if (gap)
 		drop_rows_from(page->rows, resume_key);
-	drop_given_rows(query, page->rows);
-	over = page->rows->len > query->max_rows;
-	if (over)
+	drop_returned_rows(query, page->rows);
+	overfull = page->rows->len > query->max_rows;
+	if (overfull)
 		g_array_set_size(page->rows, query->max_rows);
 	page->next.version = query->pin_version;
 	page->next.map_epoch = query->pin_epoch;
-	if ((over || query->has_more) && page->rows->len) {
+	if ((overfull || query->has_more) && page->rows->len) {
 		set_cursor_after_row(query, page);
 	} else if (query->has_more) {
-		/* All that came was given before: the same place again. */
+		/*
+		 * All rows received were on earlier pages: return the same
+		 * position again.
+		 */
 		page->next = query->cursor;
 		page->next.version = query->pin_version;
 		page->has_next = true;
-	} else if (hole && resume_key == query->cursor.next_key) {
+	} else if (gap && resume_key == query->cursor.next_key) {
 		page->next.next_key = resume_key;
 		page->next.skip_rows = query->cursor.skip_rows;
 		page->has_next = true;
-	} else if (hole) {
+	} else if (gap) {
 		set_cursor_at_key(page, resume_key);
 	}
 }
@@ -189,7 +202,10 @@
 	char *cursor = NULL;
 
 	make_page(query, &page);
-	/* The version a cursor would hold to is gone: the list starts anew. */
+	/*
+	 * The version that the cursor would be pinned to is no longer held: the
+	 * list must start again.
+	 */
 	if (page.has_next && page.next.version && outcome != RR_GONE)
 		cursor = rr_encode_cursor(query->service->name, &page.next);
 	answer.rows = (const struct rr_answer_row *)page.rows->data;
@@ -211,8 +227,8 @@
 		       (uint64_t)query->max_rows + query->cursor.skip_rows;
 }
 
-/* The task of the last shard asked failed: the page ends before it. */
-static void end_before_lacking(struct rr_context *ctx, struct rr_core *core,
+/* End the page before the shard of the last task, which failed. */
+static void end_before_missing(struct rr_context *ctx, struct rr_core *core,
 			       struct rr_query *query, struct rr_task *task)
 {
 	if (!query->n_covered && query->cursor.version &&
@@ -226,7 +242,10 @@
 		return;
 	}
 	if (query->n_covered && task->reason == RR_MISSING_DEADLINE) {
-		/* Time is up for this page only: nothing is lacking of it. */
+		/*
+		 * Only this page has reached its deadline: no shard of it is
+		 * missing.
+		 */
 		query->n_tasks--;
 		answer_page(ctx, core, query, RR_COMPLETE, NULL);
 		return;
@@ -242,7 +261,7 @@
 	size_t next = next_shard(query, task ? task->shard + 1 : 0);
 
 	if (task && task->status == RR_TASK_FAILED) {
-		end_before_lacking(ctx, core, query, task);
+		end_before_missing(ctx, core, query, task);
 		return;
 	}
 	if (next == query->map->n_shards || (task && is_page_full(query))) {
--- a/source/core/merge.c
+++ b/source/core/merge.c
@@ -1,12 +1,13 @@
 /*
- * merge.c - join the rows of complete replies, each key from one reply only.
+ * merge.c - merging of the rows of complete replies, each key from only one of
+ * them.
  */
 #include "core/core-private.h"
 
 #include <stdlib.h>
 
-static bool key_within(uint64_t key, const struct rr_key_range *ranges,
-		       size_t n_ranges)
+static bool is_key_within(uint64_t key, const struct rr_key_range *ranges,
+			  size_t n_ranges)
 {
 	for (size_t i = 0; i < n_ranges; i++) {
 		if (key >= ranges[i].from && key < ranges[i].to)
@@ -21,29 +22,29 @@
 	size_t n = rr_count_rows(rows);
 
 	for (size_t i = 0; i < n; i++) {
-		if (!key_within(rr_row_key(rows, i), ranges, n_ranges))
+		if (!is_key_within(rr_row_key(rows, i), ranges, n_ranges))
 			return false;
 	}
 	return true;
 }
 
-/* Whether any key of the range is covered already. */
+/* Whether any key of the range is already covered. */
 static bool touches_coverage(const struct rr_coverage *coverage,
 			     struct rr_key_range range)
 {
-	struct rr_key_range hole;
+	struct rr_key_range gap;
 
 	if (range.from >= range.to)
 		return false;
-	if (!rr_find_first_gap(coverage, range, &hole))
+	if (!rr_find_first_gap(coverage, range, &gap))
 		return true;
-	return hole.from != range.from || hole.to != range.to;
+	return gap.from != range.from || gap.to != range.to;
 }
 
 /*
- * Leave out rows of keys that another reply has covered.  Guards against rows
- * counted twice while a split or join is under way, when the old and the new
- * holder both answer for the same keys.
+ * Drop rows with keys that another reply has covered. Guards against rows
+ * counted twice while a split or join is in progress, when both the old and the
+ * new holder answer for the same keys.
  */
 static void keep_uncovered(const struct rr_query *query,
 			   struct rr_row_block *block,
@@ -56,7 +57,7 @@
 	for (size_t i = 0; i < n; i++) {
 		uint64_t key = rr_row_key(block->rows, i);
 
-		if (key_within(key, ranges, n_ranges) &&
+		if (is_key_within(key, ranges, n_ranges) &&
 		    !rr_covers_key(query->coverage, key))
 			block->row_indices[block->n_rows++] = (uint32_t)i;
 	}
@@ -79,8 +80,8 @@
 	struct rr_row_block block = { .n_rows = rr_count_rows(rows) };
 
 	/*
-	 * A mix of versions would show as an answer with a pallet both here
-	 * and gone; only replies of exactly the pin come as far as this.
+	 * Only replies of exactly the pinned version are merged. With mixed
+	 * versions an answer could show a pallet as both present and gone.
 	 */
 	rr_invariant("one-snapshot", version && version == query->pin_version);
 	if (block.n_rows) {
@@ -95,19 +96,20 @@
 }
 
 /*
- * A replica gives rows of the keys asked for only, but may name all it holds:
- * what was not asked of it is not covered by its reply.
+ * A replica returns only rows of the keys requested, but may name all the
+ * ranges that it holds: keys that were not requested are not covered by its
+ * reply.
  */
 GArray *rr_clip_ranges(const struct rr_key_range *ranges, size_t n_ranges,
-		       struct rr_key_range asked)
+		       struct rr_key_range requested)
 {
 	GArray *clipped =
 		g_array_new(FALSE, FALSE, sizeof(struct rr_key_range));
 
 	for (size_t i = 0; i < n_ranges; i++) {
 		struct rr_key_range range = {
-			.from = MAX(ranges[i].from, asked.from),
-			.to = MIN(ranges[i].to, asked.to),
+			.from = MAX(ranges[i].from, requested.from),
+			.to = MIN(ranges[i].to, requested.to),
 		};
 
 		if (range.from < range.to)
--- a/source/core/query.c
+++ b/source/core/query.c
@@ -1,11 +1,11 @@
 /*
- * query.c - the life of a request: begun, advanced, finished.
+ * query.c - the life cycle of a request: begin, advance, finish.
  */
 #include "core/core-private.h"
 
 #include <math.h>
 
-static void free_relay_run(gpointer data)
+static void free_relay(gpointer data)
 {
 	struct rr_outgoing_relay *relay = data;
 
@@ -17,26 +17,27 @@
 	g_free(relay);
 }
 
-static bool is_guarded(const struct rr_service_config *config,
-		       enum rr_request_kind kind)
+static bool needs_ledger(const struct rr_service_config *config,
+			 enum rr_request_kind kind)
 {
 	return kind == RR_RESERVE || !config->idempotent || config->costs_money;
 }
 
-static uint32_t row_bound(const struct rr_service_config *config,
-			  uint32_t wanted)
+static uint32_t limit_rows(const struct rr_service_config *config,
+			   uint32_t requested)
 {
-	return wanted && wanted < config->max_rows ? wanted : config->max_rows;
+	return requested && requested < config->max_rows ? requested :
+							   config->max_rows;
 }
 
-static int64_t deadline_of(const struct rr_core *core,
-			   const struct rr_service_config *config,
-			   uint32_t wanted_ms)
+static int64_t get_deadline_us(const struct rr_core *core,
+			       const struct rr_service_config *config,
+			       uint32_t requested_ms)
 {
 	uint32_t ms = config->deadline_ms;
 
-	if (wanted_ms && wanted_ms < ms)
-		ms = wanted_ms;
+	if (requested_ms && requested_ms < ms)
+		ms = requested_ms;
 	return core->now_us + (int64_t)ms * 1000;
 }
 
@@ -67,19 +68,20 @@
 	query->id = rr_next_id(core);
 	query->stage = RR_QUERY_RUNNING;
 	copy_request(query, request);
-	query->at_most_once = is_guarded(config, request->kind);
-	query->max_rows = row_bound(config, request->max_rows);
+	query->at_most_once = needs_ledger(config, request->kind);
+	query->max_rows = limit_rows(config, request->max_rows);
 	query->service = service;
 	query->map = rr_keep_service_map(service->map);
 	query->started_us = core->now_us;
-	query->deadline_us = deadline_of(core, config, request->deadline_ms);
+	query->deadline_us =
+		get_deadline_us(core, config, request->deadline_ms);
 	query->pin_task = RR_NO_TASK;
 	query->pending_tasks = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	query->coverage = rr_new_coverage();
 	query->row_blocks =
 		g_array_new(FALSE, FALSE, sizeof(struct rr_row_block));
-	query->relays = g_ptr_array_new_with_free_func(free_relay_run);
-	query->unsent_relays = g_ptr_array_new_with_free_func(free_relay_run);
+	query->relays = g_ptr_array_new_with_free_func(free_relay);
+	query->unsent_relays = g_ptr_array_new_with_free_func(free_relay);
 	query->excluded_owners = g_ptr_array_new_with_free_func(g_free);
 	service->n_open++;
 	if (query->priority == RR_BATCH)
@@ -132,7 +134,10 @@
 	rr_schedule_query(core, query);
 }
 
-/* A look-up takes what its one replica holds; the rest agree on one first. */
+/*
+ * Pin a version that is known already. A look-up needs no pin, as it is
+ * answered by one replica; searches and lists use one version on all shards.
+ */
 static void pin_known_version(struct rr_context *ctx, struct rr_core *core,
 			      struct rr_query *query)
 {
@@ -153,10 +158,11 @@
 }
 
 /*
- * Whether only one task may be out: with no version known, the first reply
- * sets the pin, and two at once could bring two versions.
+ * Whether the task that determines the pin is running. While no version is
+ * known, the first reply sets the pin; with two tasks in flight, the replies
+ * could be of two versions.
  */
-static bool scout_is_out(const struct rr_query *query)
+static bool is_pin_task_running(const struct rr_query *query)
 {
 	const struct rr_task *task;
 
@@ -167,11 +173,11 @@
 	       task->status == RR_TASK_BACKOFF;
 }
 
-static void start_idle_tasks(struct rr_context *ctx, struct rr_core *core,
-			     struct rr_query *query)
+static void start_pending_tasks(struct rr_context *ctx, struct rr_core *core,
+				struct rr_query *query)
 {
 	while (query->pending_head < query->pending_tasks->len &&
-	       !scout_is_out(query)) {
+	       !is_pin_task_running(query)) {
 		uint32_t index = g_array_index(query->pending_tasks, uint32_t,
 					       query->pending_head++);
 
@@ -187,8 +193,8 @@
 	query->pending_head = 0;
 }
 
-/* What lacked on its own may be covered by the ranges of other replies. */
-static void cover_by_union(struct rr_core *core, struct rr_query *query)
+/* A failed task may be covered by the ranges of other replies. */
+static void cover_failed_tasks(struct rr_core *core, struct rr_query *query)
 {
 	for (uint32_t i = 0; i < query->n_tasks; i++) {
 		struct rr_task *task = &query->tasks[i];
@@ -228,7 +234,7 @@
 			 struct rr_query *query)
 {
 	if (query->kind != RR_RESERVE)
-		cover_by_union(core, query);
+		cover_failed_tasks(core, query);
 	if (query->origin)
 		rr_send_relay_reply(ctx, core, query);
 	else if (query->at_most_once)
@@ -239,9 +245,12 @@
 		finish_read(ctx, core, query);
 }
 
-/* Latency first: enough is covered; wait a little for the rest, or not. */
-static void check_enough(struct rr_context *ctx, struct rr_core *core,
-			 struct rr_query *query)
+/*
+ * Answer mode "latency": once the minimum coverage is reached, wait for
+ * stragglers for a short time, if at all.
+ */
+static void check_min_coverage(struct rr_context *ctx, struct rr_core *core,
+			       struct rr_query *query)
 {
 	const struct rr_service_config *config = query->map->service;
 	uint32_t needed;
@@ -268,22 +277,22 @@
 	if (query->stage == RR_QUERY_DONE || query->stage == RR_QUERY_CLAIMING)
 		return;
 	pin_known_version(ctx, core, query);
-	start_idle_tasks(ctx, core, query);
+	start_pending_tasks(ctx, core, query);
 	if (query->wants_restart) {
 		query->wants_restart = false;
 		if (rr_restart_query(ctx, core, query))
-			start_idle_tasks(ctx, core, query);
+			start_pending_tasks(ctx, core, query);
 	}
 	rr_flush_relays(ctx, core, query);
 	if (!query->n_open)
 		finish_query(ctx, core, query);
 	else
-		check_enough(ctx, core, query);
+		check_min_coverage(ctx, core, query);
 }
 
-static enum rr_missing_reason reason_in_time(const struct rr_core *core,
-					     const struct rr_task *task,
-					     enum rr_missing_reason reason)
+static enum rr_missing_reason
+get_open_task_reason(const struct rr_core *core, const struct rr_task *task,
+		     enum rr_missing_reason reason)
 {
 	if (reason != RR_MISSING_DEADLINE)
 		return reason;
@@ -294,9 +303,10 @@
 	return reason;
 }
 
-/* Give up what is open, for one reason, and finish. */
-static void give_up_open(struct rr_context *ctx, struct rr_core *core,
-			 struct rr_query *query, enum rr_missing_reason reason)
+/* Fail all open tasks for one reason, and finish. */
+static void fail_open_tasks(struct rr_context *ctx, struct rr_core *core,
+			    struct rr_query *query,
+			    enum rr_missing_reason reason)
 {
 	for (uint32_t i = 0; i < query->n_tasks; i++) {
 		struct rr_task *task = &query->tasks[i];
@@ -305,7 +315,7 @@
 		    task->status == RR_TASK_FAILED)
 			continue;
 		rr_mark_task_failed(ctx, core, query, i,
-				    reason_in_time(core, task, reason));
+				    get_open_task_reason(core, task, reason));
 	}
 	query->wants_restart = false;
 	finish_query(ctx, core, query);
@@ -320,7 +330,7 @@
 		rr_end_at_most_once_at_deadline(ctx, core, query);
 		return;
 	}
-	give_up_open(ctx, core, query, RR_MISSING_DEADLINE);
+	fail_open_tasks(ctx, core, query, RR_MISSING_DEADLINE);
 }
 
 void rr_end_query_at_min_coverage(struct rr_context *ctx, struct rr_core *core,
@@ -328,7 +338,7 @@
 {
 	if (query->stage != RR_QUERY_RUNNING || !query->n_open)
 		return;
-	give_up_open(ctx, core, query, RR_MISSING_MIN_COVERAGE);
+	fail_open_tasks(ctx, core, query, RR_MISSING_MIN_COVERAGE);
 }
 
 static void free_tasks(struct rr_query *query)
--- a/source/core/replica-limit.c
+++ b/source/core/replica-limit.c
@@ -1,24 +1,30 @@
 /*
- * replica-limit.c - an owner's limit at a replica of the searches.
+ * replica-limit.c - limit of an owner's attempts in flight at a replica.
  *
- * It never passes twice the slots nor this owner's part of the connection
- * cap.
+ * The limit never exceeds twice the slots, nor this owner's share of the
+ * connection cap.
  */
 #include "core/core-private.h"
 
-/* Attempts in flight may pass the slots by this, for those on their way. */
-#define SLOTS_IN_FLIGHT 2
-/* Replies until a replica that is new or was cold gets more than one. */
+/*
+ * Attempts in flight may exceed the slots by this factor, to allow for those in
+ * transit.
+ */
+#define IN_FLIGHT_PER_SLOT 2
+/*
+ * Replies until a replica that is new or was cold may have more than one
+ * attempt in flight.
+ */
 #define WARM_REPLIES 4
 
-static uint32_t owner_count(const struct rr_replica *replica)
+static uint32_t get_owner_count(const struct rr_replica *replica)
 {
 	return replica->n_owners ? (uint32_t)replica->n_owners : 1;
 }
 
 uint32_t rr_slot_share(const struct rr_replica *replica)
 {
-	uint32_t owners = owner_count(replica);
+	uint32_t owners = get_owner_count(replica);
 	uint32_t slots = 1;
 
 	if (replica->shard)
@@ -26,7 +32,7 @@
 	return (slots + owners - 1) / owners;
 }
 
-/* This owner's part of the connections, at least one. */
+/* This owner's share of the connections, at least one. */
 static uint32_t connection_share(const struct rr_replica *replica)
 {
 	const struct rr_service_config *config = replica->service->map->service;
@@ -35,31 +41,32 @@
 			config->connections - config->connection_reserve :
 			1;
 
-	return MAX(1, free / owner_count(replica));
+	return MAX(1, free / get_owner_count(replica));
 }
 
-static uint32_t highest_limit(const struct rr_replica *replica)
+static uint32_t max_limit(const struct rr_replica *replica)
 {
 	const struct rr_service_config *config = replica->service->map->service;
 
-	return MAX(1, MIN(SLOTS_IN_FLIGHT * config->slots,
+	return MAX(1, MIN(IN_FLIGHT_PER_SLOT * config->slots,
 			  connection_share(replica)));
 }
 
 uint32_t rr_replica_limit(const struct rr_core *core,
 			  const struct rr_replica *replica)
 {
-	uint32_t highest;
+	uint32_t max_in_flight;
 
 	if (!replica->shard)
 		return 1;
-	highest = highest_limit(replica);
+	max_in_flight = max_limit(replica);
 	if (core->switches.no_adaptive_limit)
-		return MIN(highest, replica->service->map->service->slots);
+		return MIN(max_in_flight,
+			   replica->service->map->service->slots);
 	if (replica->state == RR_UPSTREAM_COLD ||
 	    replica->samples < WARM_REPLIES)
 		return 1;
-	return rr_current_limit(&replica->limit, highest);
+	return rr_current_limit(&replica->limit, max_in_flight);
 }
 
 void rr_adapt_replica_limit(struct rr_replica *replica, int64_t took_us,
@@ -70,6 +77,6 @@
 	if (!replica->shard)
 		return;
 	bounds.share = rr_slot_share(replica);
-	bounds.highest = highest_limit(replica);
+	bounds.highest = max_limit(replica);
 	rr_adapt_limit(&replica->limit, &bounds, (double)took_us, 0, in_flight);
 }
--- a/source/core/replica.c
+++ b/source/core/replica.c
@@ -1,24 +1,34 @@
 /*
- * replica.c - what this instance knows of a replica, from its own attempts
- * first and from reports second.
+ * replica.c - state of replicas as this instance knows it.
+ *
+ * Outcomes of its own attempts take precedence over reports by others.
  */
 #include "core/core-private.h"
 
 #include <string.h>
 
-/* Weight of a new time in the estimate. */
+/* Weight of a new sample in the latency estimate. */
 #define LATENCY_WEIGHT 0.125
-/* A sample's most weight in the estimate, in the service's median times. */
-#define MOST_MEDIANS 5.0
-/* A bad report counts only when no good reply came for so long. */
-#define TRUST_REPLY_US (2 * G_USEC_PER_SEC)
-/* Ready polls in a row that take a drain back: one may have been sent before
- * the drain began and been late. */
+/*
+ * Cap on a sample in the latency estimate, in median latencies of the service.
+ */
+#define MAX_SAMPLE_MEDIANS 5.0
+/*
+ * A report that a replica is down is ignored if it completed an attempt within
+ * this time.
+ */
+#define RECENT_REPLY_US (2 * G_USEC_PER_SEC)
+/*
+ * Consecutive ready polls that end a drain. One is not enough: its reply may
+ * have been delayed and be from before the drain.
+ */
 #define READY_POLLS 2
-/* An instance that does not poll a replica forgets its drain after this. */
-#define FORGET_DRAIN_US (60 * G_USEC_PER_SEC)
-#define SHED_SHRINK 0.7
-#define DEFAULT_SHED_MS 50
+/*
+ * Time after which an instance that does not poll a replica ignores its drain.
+ */
+#define DRAIN_EXPIRY_US (60 * G_USEC_PER_SEC)
+#define LIMIT_SHRINK_FACTOR 0.7
+#define DEFAULT_RETRY_AFTER_MS 50
 
 struct rr_replica *rr_keep_replica(struct rr_replica *replica)
 {
@@ -117,11 +127,11 @@
 	if (replica->state == RR_UPSTREAM_DOWN)
 		return;
 	/*
-	 * Reports lag or mislead: one that calls a replica down while it
-	 * answers attempts would take away a healthy copy.
+	 * Reports may be late or wrong: one that calls a replica down while it
+	 * answers attempts would remove a healthy replica.
 	 */
 	if (replica->last_success_us &&
-	    core->now_us - replica->last_success_us < TRUST_REPLY_US)
+	    core->now_us - replica->last_success_us < RECENT_REPLY_US)
 		return;
 	replica->state = RR_UPSTREAM_DOWN;
 	rr_log(ctx, RR_LOG_DECISION, "replica-down",
@@ -130,8 +140,11 @@
 	rr_return_queued_attempts(ctx, core, replica);
 }
 
-/* It starts slowly: what it did before says nothing of what it can now. */
-static void start_warming(struct rr_replica *replica)
+/*
+ * Start a replica again with a low limit: its earlier samples say nothing about
+ * its present capacity.
+ */
+static void reset_estimates(struct rr_replica *replica)
 {
 	replica->samples = 0;
 	replica->consecutive_losses = 0;
@@ -140,15 +153,19 @@
 }
 
 bool rr_update_replica_start_time(struct rr_context *ctx,
-				  struct rr_replica *replica, int64_t born_ms)
+				  struct rr_replica *replica,
+				  int64_t started_ms)
 {
-	bool is_later = born_ms > replica->started_ms;
+	bool is_later = started_ms > replica->started_ms;
 
-	if (born_ms < replica->started_ms)
+	if (started_ms < replica->started_ms)
 		return false;
-	/* The first time that it is told may be of the lifetime that is known. */
+	/*
+	 * The first start time that is reported may be that of the known
+	 * incarnation.
+	 */
 	if (is_later && replica->started_ms) {
-		start_warming(replica);
+		reset_estimates(replica);
 		replica->draining_since_us = 0;
 		replica->ready_polls = 0;
 		replica->oldest_version = 0;
@@ -157,20 +174,23 @@
 		replica->state = RR_UPSTREAM_UNKNOWN;
 		rr_log(ctx, RR_LOG_DECISION, "replica-born",
 		       RR_FIELD_STRING("replica", replica->id),
-		       RR_FIELD_I64("born_ms", born_ms),
+		       RR_FIELD_I64("born_ms", started_ms),
 		       RR_FIELD_I64("before_ms", replica->started_ms));
 	}
-	replica->started_ms = born_ms;
+	replica->started_ms = started_ms;
 	return true;
 }
 
-/* A drain ends by the replica's own health, told twice after the news. */
+/*
+ * Mark a replica ready. A drain ends only by the replica's own health replies,
+ * two of them to polls sent after the drain was reported.
+ */
 static void set_ready(struct rr_context *ctx, struct rr_core *core,
 		      struct rr_replica *replica, enum rr_upstream_state state,
 		      const char *source)
 {
 	bool health = !strcmp(source, "health");
-	bool was_out = replica->state == RR_UPSTREAM_DOWN;
+	bool was_unavailable = replica->state == RR_UPSTREAM_DOWN;
 
 	if (replica->draining_since_us) {
 		if (!health ||
@@ -179,14 +199,15 @@
 		if (++replica->ready_polls < READY_POLLS)
 			return;
 		replica->draining_since_us = 0;
-		was_out = true;
+		was_unavailable = true;
 	}
-	if (was_out && !health && strcmp(source, "reply") && replica->owned)
+	if (was_unavailable && !health && strcmp(source, "reply") &&
+	    replica->owned)
 		return;
 	replica->state = state;
-	if (!was_out)
+	if (!was_unavailable)
 		return;
-	start_warming(replica);
+	reset_estimates(replica);
 	rr_log(ctx, RR_LOG_DECISION, "replica-back",
 	       RR_FIELD_STRING("replica", replica->id),
 	       RR_FIELD_STRING("reason", source));
@@ -218,20 +239,21 @@
 }
 
 /*
- * Guards against a replica that is set aside for one or two attempts that
- * were slow by chance: a sample counts for no more than a few usual times, so
- * that only many slow ones in a row move the estimate far.
+ * Add a sample to the latency estimate. Guards against the ejection of a
+ * replica for one or two attempts that were slow by chance: a sample is capped
+ * at a few medians, so that only many consecutive slow ones move the estimate
+ * far.
  */
-static void mix_latency(struct rr_replica *replica, double took)
+static void add_latency_sample(struct rr_replica *replica, double took_us)
 {
 	double median_us = (double)rr_sketch_quantile_us(
 		&replica->service->latencies, 0.5);
 
 	if (median_us > 0)
-		took = MIN(took, MOST_MEDIANS * median_us);
+		took_us = MIN(took_us, MAX_SAMPLE_MEDIANS * median_us);
 	if (!replica->samples++)
-		replica->latency_us = took;
-	replica->latency_us += LATENCY_WEIGHT * (took - replica->latency_us);
+		replica->latency_us = took_us;
+	replica->latency_us += LATENCY_WEIGHT * (took_us - replica->latency_us);
 }
 
 void rr_record_success(struct rr_context *ctx, struct rr_core *core,
@@ -240,22 +262,22 @@
 {
 	replica->last_success_us = core->now_us;
 	replica->consecutive_losses = 0;
-	mix_latency(replica, (double)MAX(1, took_us));
+	add_latency_sample(replica, (double)MAX(1, took_us));
 	rr_adapt_replica_limit(replica, took_us, in_flight);
 	rr_add_latency(&replica->service->latencies, took_us);
 	rr_update_outlier_ejection(ctx, core, replica);
 }
 
 /*
- * Guards against a slow replica that looks well: its slow attempts lose to
- * their hedges, and only its quick ones are ever counted.
+ * Guards against a slow replica with a low latency estimate: its slow attempts
+ * are cancelled when their hedges win, and only its fast ones would be sampled.
  */
 void rr_record_cancelled_attempt(struct rr_context *ctx, struct rr_core *core,
 				 struct rr_replica *replica, int64_t took_us)
 {
 	if ((double)took_us <= replica->latency_us)
 		return;
-	mix_latency(replica, (double)took_us);
+	add_latency_sample(replica, (double)took_us);
 	rr_update_outlier_ejection(ctx, core, replica);
 }
 
@@ -263,7 +285,7 @@
 		    struct rr_replica *replica)
 {
 	replica->consecutive_losses++;
-	rr_shrink_limit(&replica->limit, SHED_SHRINK);
+	rr_shrink_limit(&replica->limit, LIMIT_SHRINK_FACTOR);
 	rr_update_outlier_ejection(ctx, core, replica);
 }
 
@@ -271,11 +293,11 @@
 		    uint32_t retry_after_ms)
 {
 	if (!retry_after_ms)
-		retry_after_ms = DEFAULT_SHED_MS;
+		retry_after_ms = DEFAULT_RETRY_AFTER_MS;
 	replica->shed_until_us =
 		MAX(replica->shed_until_us,
 		    core->now_us + (int64_t)retry_after_ms * 1000);
-	rr_shrink_limit(&replica->limit, SHED_SHRINK);
+	rr_shrink_limit(&replica->limit, LIMIT_SHRINK_FACTOR);
 	rr_set_timer(core->timers, replica->shed_until_us, RR_TIMER_SEND_QUEUED,
 		     replica->number, 0);
 }
@@ -288,15 +310,18 @@
 	if (!replica->draining_since_us)
 		return true;
 	/*
-	 * Who does not poll a replica never hears that it is back; its owner
-	 * does, and refuses what comes too early.
+	 * An instance that does not poll the replica is not informed when the
+	 * drain ends. An owner is, and rejects what arrives too early.
 	 */
 	return !replica->owned &&
-	       core->now_us - replica->draining_since_us > FORGET_DRAIN_US;
+	       core->now_us - replica->draining_since_us > DRAIN_EXPIRY_US;
 }
 
-/* News of an instance that lost a replica to other owners grows stale. */
-static void forget_state(struct rr_replica *replica)
+/*
+ * Clear the state that this instance no longer keeps current, as it is no
+ * longer an owner.
+ */
+static void clear_polled_state(struct rr_replica *replica)
 {
 	if (replica->state == RR_UPSTREAM_DOWN)
 		replica->state = RR_UPSTREAM_UNKNOWN;
@@ -318,8 +343,8 @@
 		core->config ? core->config->owners_per_replica : 1,
 		replica->owners);
 	/*
-	 * One that is leaving is no owner to others any more, but ends what it
-	 * has over its own connections.
+	 * A draining instance is no longer an owner to others, but finishes its
+	 * open work over its own connections.
 	 */
 	replica->owned = !replica->n_owners || (core->draining && was_owned);
 	for (size_t i = 0; i < replica->n_owners; i++) {
@@ -332,5 +357,5 @@
 	if (replica->owned && !was_owned)
 		rr_reset_limit(&replica->limit, rr_slot_share(replica));
 	if (was_owned && !replica->owned)
-		forget_state(replica);
+		clear_polled_state(replica);
 }
--- a/source/core/reply.c
+++ b/source/core/reply.c
@@ -1,9 +1,14 @@
 /*
- * reply.c - what a reply is worth: to its replica, and to its query.
+ * reply.c - validation and merging of replies to attempts.
+ *
+ * A reply updates the state of its replica first, and then its query.
  */
 #include "core/core-private.h"
 
-/* A reply that is whole, of the pin, and whose rows are in its ranges. */
+/*
+ * Check that the reply is complete and of the pinned version, and that its rows
+ * are within its ranges.
+ */
 static enum rr_missing_reason check_reply(const struct rr_query *query,
 					  const struct rr_reply *reply)
 {
@@ -26,32 +31,32 @@
 	return RR_MISSING_NONE;
 }
 
-/* Take rows and ranges of a reply, as far as they were asked for. */
+/* Merge the rows and ranges of a reply, clipped to the keys requested. */
 static void merge_reply(struct rr_query *query, struct rr_task *task,
 			const struct rr_reply *reply)
 {
 #ifdef RR_MUTANT_COVERAGE_SHARD
-	struct rr_key_range whole = rr_task_range(query, task);
-	GArray *asked = rr_clip_ranges(&whole, 1, whole);
+	struct rr_key_range task_range = rr_task_range(query, task);
+	GArray *clipped = rr_clip_ranges(&task_range, 1, task_range);
 #else
-	GArray *asked = rr_clip_ranges(reply->ranges, reply->n_ranges,
-				       rr_task_range(query, task));
+	GArray *clipped = rr_clip_ranges(reply->ranges, reply->n_ranges,
+					 rr_task_range(query, task));
 #endif
 	const struct rr_key_range *ranges =
-		(const struct rr_key_range *)asked->data;
+		(const struct rr_key_range *)clipped->data;
 
-	rr_merge_rows(query, reply->rows, ranges, asked->len,
-		      rr_rows_within(reply->rows, ranges, asked->len),
+	rr_merge_rows(query, reply->rows, ranges, clipped->len,
+		      rr_rows_within(reply->rows, ranges, clipped->len),
 		      reply->version);
 	if (query->origin && !task->covered_ranges)
-		task->covered_ranges = g_array_ref(asked);
+		task->covered_ranges = g_array_ref(clipped);
 	else if (query->origin)
-		g_array_append_vals(task->covered_ranges, asked->data,
-				    asked->len);
-	g_array_unref(asked);
+		g_array_append_vals(task->covered_ranges, clipped->data,
+				    clipped->len);
+	g_array_unref(clipped);
 }
 
-/* Merge a good reply; the task is covered unless its range has a hole. */
+/* Merge a valid reply; the task is covered unless its range has a gap. */
 static void accept_reply(struct rr_context *ctx, struct rr_core *core,
 			 struct rr_query *query, uint32_t index,
 			 const struct rr_reply *reply, uint64_t replica_bit)
@@ -82,10 +87,12 @@
 			       false);
 }
 
-/* What a reply tells of its replica, whatever it is worth to the query. */
-static void note_reply(struct rr_context *ctx, struct rr_core *core,
-		       const struct rr_live_attempt *attempt,
-		       const struct rr_reply *reply)
+/*
+ * Update the state of the replica from a reply, whatever its use to the query.
+ */
+static void update_replica(struct rr_context *ctx, struct rr_core *core,
+			   const struct rr_live_attempt *attempt,
+			   const struct rr_reply *reply)
 {
 	struct rr_replica *replica = attempt->replica;
 
@@ -97,8 +104,8 @@
 	switch (reply->status) {
 	case RR_REPLY_OK:
 		/*
-		 * Guards against a replica that draws the work because it
-		 * cuts its bodies short and so is quickest.
+		 * Guards against a replica that attracts attempts because it
+		 * truncates its bodies and so has the lowest latency.
 		 */
 		if (!reply->body_complete) {
 			rr_record_loss(ctx, core, replica);
@@ -124,15 +131,15 @@
 	}
 }
 
-static void prove_not_run(struct rr_query *query, struct rr_task *task)
+static void uncount_attempt(struct rr_query *query, struct rr_task *task)
 {
 	query->n_maybe_run--;
 	task->n_maybe_run--;
 }
 
-static void take_failure(struct rr_context *ctx, struct rr_core *core,
-			 struct rr_query *query, uint32_t index,
-			 const struct rr_reply *reply, uint64_t replica_bit)
+static void handle_failure(struct rr_context *ctx, struct rr_core *core,
+			   struct rr_query *query, uint32_t index,
+			   const struct rr_reply *reply, uint64_t replica_bit)
 {
 	struct rr_task *task = &query->tasks[index];
 	enum rr_missing_reason reason = RR_MISSING_LOST;
@@ -142,7 +149,7 @@
 	proven = true;
 #endif
 	if (proven) {
-		prove_not_run(query, task);
+		uncount_attempt(query, task);
 		rr_count(ctx, RR_N_ATTEMPTS_SHED, 1);
 	} else {
 		rr_count(ctx, RR_N_ATTEMPTS_LOST, 1);
@@ -169,9 +176,9 @@
 	rr_handle_task_failure(ctx, core, query, index, reason, proven);
 }
 
-static void take_ok(struct rr_context *ctx, struct rr_core *core,
-		    struct rr_query *query, uint32_t index,
-		    const struct rr_reply *reply, uint64_t replica_bit)
+static void handle_ok(struct rr_context *ctx, struct rr_core *core,
+		      struct rr_query *query, uint32_t index,
+		      const struct rr_reply *reply, uint64_t replica_bit)
 {
 	struct rr_task *task = &query->tasks[index];
 	enum rr_missing_reason fault = check_reply(query, reply);
@@ -197,8 +204,8 @@
 	uint32_t index;
 
 	/*
-	 * Late, doubled or foreign: rows taken from such a reply would go to
-	 * a caller who asked something else.
+	 * A late, duplicate or unknown reply: merging its rows would send them
+	 * to the caller of another request.
 	 */
 	if (!attempt || attempt->status != RR_ATTEMPT_SENT) {
 		rr_count(ctx, RR_N_LATE_REPLIES, 1);
@@ -209,10 +216,10 @@
 	replica_bit = 1ull << (attempt->replica_index & 63);
 	rr_invariant("right-answer",
 		     g_hash_table_lookup(core->queries, &query->id) == query);
-	note_reply(ctx, core, attempt, reply);
+	update_replica(ctx, core, attempt, reply);
 	rr_discard_attempt(core, attempt);
 	if (reply->status == RR_REPLY_OK)
-		take_ok(ctx, core, query, index, reply, replica_bit);
+		handle_ok(ctx, core, query, index, reply, replica_bit);
 	else
-		take_failure(ctx, core, query, index, reply, replica_bit);
+		handle_failure(ctx, core, query, index, reply, replica_bit);
 }
--- a/source/core/request.c
+++ b/source/core/request.c
@@ -1,66 +1,67 @@
 /*
- * request.c - a caller's request is checked, admitted or refused.
+ * request.c - requests of callers: checked, then admitted or rejected.
  */
 #include "core/core-private.h"
 
 #define STOPPING_RETRY_MS 100
 
-/* Why a request can't be taken; `what` NULL if it can. */
-struct refusal {
+/* Why a request is rejected; `reason` is NULL if it is not. */
+struct rejection {
 	enum rr_outcome outcome;
-	const char *what;
+	const char *reason;
 	uint32_t retry_after_ms;
-	char *detail; /* to be freed; `what` may point to it */
+	char *detail; /* owned; `reason` may point to it */
 };
 
-static bool refuse(struct refusal *refusal, enum rr_outcome outcome,
-		   const char *what, uint32_t retry_after_ms)
+static bool reject(struct rejection *rejection, enum rr_outcome outcome,
+		   const char *reason, uint32_t retry_after_ms)
 {
-	refusal->outcome = outcome;
-	refusal->what = what;
-	refusal->retry_after_ms = retry_after_ms;
+	rejection->outcome = outcome;
+	rejection->reason = reason;
+	rejection->retry_after_ms = retry_after_ms;
 	return false;
 }
 
-static bool check_open(const struct rr_core *core, struct refusal *refusal)
+static bool check_running(const struct rr_core *core,
+			  struct rejection *rejection)
 {
 	if (core->draining)
-		return refuse(refusal, RR_NOT_RUN, "stopping",
+		return reject(rejection, RR_NOT_RUN, "stopping",
 			      STOPPING_RETRY_MS);
 	if (!core->config)
-		return refuse(refusal, RR_NOT_RUN, "no-configuration",
+		return reject(rejection, RR_NOT_RUN, "no-configuration",
 			      RR_DEFAULT_RETRY_AFTER_MS);
 	return true;
 }
 
-static bool goes_by_ledger(const struct rr_service_config *config,
-			   enum rr_request_kind kind)
+static bool needs_ledger(const struct rr_service_config *config,
+			 enum rr_request_kind kind)
 {
 	return kind == RR_RESERVE || config->costs_money || !config->idempotent;
 }
 
-static bool check_guarded(const struct rr_request *request,
-			  struct refusal *refusal)
+static bool check_at_most_once(const struct rr_request *request,
+			       struct rejection *rejection)
 {
 	GError *error = NULL;
-	int64_t made_s;
+	int64_t created_s;
 
 	if (request->kind == RR_LIST)
-		return refuse(refusal, RR_INVALID, "list-not-offered", 0);
+		return reject(rejection, RR_INVALID, "list-not-offered", 0);
 	if (!request->idempotency_key)
-		return refuse(refusal, RR_INVALID, "idempotency-key-missing",
+		return reject(rejection, RR_INVALID, "idempotency-key-missing",
 			      0);
-	if (rr_parse_request_id(request->idempotency_key, &made_s, &error))
+	if (rr_parse_request_id(request->idempotency_key, &created_s, &error))
 		return true;
-	refusal->detail =
+	rejection->detail =
 		g_strdup(error ? error->message : "idempotency-key-malformed");
 	g_clear_error(&error);
-	return refuse(refusal, RR_INVALID, refusal->detail, 0);
+	return reject(rejection, RR_INVALID, rejection->detail, 0);
 }
 
 static bool check_kind(const struct rr_service *service,
 		       const struct rr_request *request,
-		       struct refusal *refusal)
+		       struct rejection *rejection)
 {
 	switch (request->kind) {
 	case RR_SEARCH:
@@ -70,45 +71,47 @@
 	case RR_RESERVE:
 		if (rr_find_shard_by_key(service->map, request->key) ==
 		    service->map->n_shards)
-			return refuse(refusal, RR_INVALID, "key-in-no-shard",
+			return reject(rejection, RR_INVALID, "key-in-no-shard",
 				      0);
 		break;
 	default:
-		return refuse(refusal, RR_INVALID, "unknown-kind", 0);
+		return reject(rejection, RR_INVALID, "unknown-kind", 0);
 	}
-	if (goes_by_ledger(service->map->service, request->kind))
-		return check_guarded(request, refusal);
+	if (needs_ledger(service->map->service, request->kind))
+		return check_at_most_once(request, rejection);
 	return true;
 }
 
 static bool check_admission(struct rr_core *core, struct rr_service *service,
 			    const struct rr_request *request,
-			    struct refusal *refusal)
+			    struct rejection *rejection)
 {
 	uint32_t deadline_ms = service->map->service->deadline_ms;
-	const char *why;
+	const char *reason;
 
 	if (request->deadline_ms && request->deadline_ms < deadline_ms)
 		deadline_ms = request->deadline_ms;
-	why = rr_check_query_admission(core, service, request->priority,
-				       deadline_ms, &refusal->retry_after_ms);
-	return !why ||
-	       refuse(refusal, RR_NOT_RUN, why, refusal->retry_after_ms);
+	reason = rr_check_query_admission(core, service, request->priority,
+					  deadline_ms,
+					  &rejection->retry_after_ms);
+	return !reason ||
+	       reject(rejection, RR_NOT_RUN, reason, rejection->retry_after_ms);
 }
 
 static bool check_request(struct rr_context *ctx, struct rr_core *core,
 			  const struct rr_request *request,
-			  struct rr_service **service, struct refusal *refusal)
+			  struct rr_service **service,
+			  struct rejection *rejection)
 {
-	if (!check_open(core, refusal))
+	if (!check_running(core, rejection))
 		return false;
 	*service = rr_find_service_state(core, request->service);
 	if (!*service)
-		return refuse(refusal, RR_INVALID, RR_REASON_UNKNOWN_SERVICE,
+		return reject(rejection, RR_INVALID, RR_REASON_UNKNOWN_SERVICE,
 			      0);
-	if (!check_kind(*service, request, refusal))
+	if (!check_kind(*service, request, rejection))
 		return false;
-	if (check_admission(core, *service, request, refusal))
+	if (check_admission(core, *service, request, rejection))
 		return true;
 	rr_count(ctx, RR_N_REQUESTS_REJECTED, 1);
 	return false;
@@ -117,16 +120,16 @@
 static void begin(struct rr_context *ctx, struct rr_core *core,
 		  struct rr_query *query, const struct rr_request *request)
 {
-	char *fault = NULL;
+	char *error_text = NULL;
 
 	if (query->at_most_once) {
 		rr_claim_query(ctx, core, query, core->wall_us);
 		return;
 	}
 	if (query->kind == RR_LIST &&
-	    !rr_begin_list(ctx, core, query, request->cursor, &fault)) {
-		rr_answer_query(ctx, core, query, RR_INVALID, fault);
-		g_free(fault);
+	    !rr_begin_list(ctx, core, query, request->cursor, &error_text)) {
+		rr_answer_query(ctx, core, query, RR_INVALID, error_text);
+		g_free(error_text);
 		return;
 	}
 	rr_begin_query(ctx, core, query);
@@ -136,7 +139,7 @@
 				int64_t now_us, int64_t wall_us,
 				const struct rr_request *request)
 {
-	struct refusal refusal = { .what = NULL };
+	struct rejection rejection = { .reason = NULL };
 	struct rr_service *service = NULL;
 	struct rr_query *query;
 	uint64_t id;
@@ -145,11 +148,11 @@
 	core->now_us = MAX(core->now_us, now_us);
 	core->wall_us = wall_us;
 	rr_count(ctx, RR_N_REQUESTS, 1);
-	if (!check_request(ctx, core, request, &service, &refusal)) {
+	if (!check_request(ctx, core, request, &service, &rejection)) {
 		id = rr_next_id(core);
-		rr_answer_rejected(ctx, core, request, id, refusal.outcome,
-				   refusal.what, refusal.retry_after_ms);
-		g_free(refusal.detail);
+		rr_answer_rejected(ctx, core, request, id, rejection.outcome,
+				   rejection.reason, rejection.retry_after_ms);
+		g_free(rejection.detail);
 		return id;
 	}
 	query = rr_new_query(core, service, request);
--- a/source/core/reserve.c
+++ b/source/core/reserve.c
@@ -1,20 +1,25 @@
 /*
- * reserve.c - requests that may run once only: claimed in the ledger before
- * anything is sent, one attempt in flight, the outcome recorded.
+ * reserve.c - requests that may run at most once.
+ *
+ * Such a request is claimed in the ledger before anything is sent, has one
+ * attempt in flight, and its outcome is recorded.
  */
 #include "core/core-private.h"
 
 #include <string.h>
 #include <xxhash.h>
 
-/* Store calls are given up after this; reservations wait for them. */
+/* Time-out of store calls; reservations wait for them. */
 #define STORE_TIMEOUT_MS 250
-/* How long an outcome is waited for after the caller was told "unknown". */
+/* How long to wait for an outcome after "unknown" was answered. */
 #define LINGER_US (60 * G_USEC_PER_SEC)
-/* Rows kept with the record of a guarded read, for who asks again. */
-#define MOST_RECORDED_BYTES 16384
+/*
+ * Maximum length of the rows recorded for an at-most-once read, for a repeated
+ * request.
+ */
+#define MAX_RECORDED_BYTES 16384
 
-static void take_claim(void *data, const struct rr_claim_result *result);
+static void handle_claim(void *data, const struct rr_claim_result *result);
 
 void rr_start_ledger(struct rr_context *ctx, struct rr_core *core)
 {
@@ -25,7 +30,7 @@
 		.retention_s = core->config->reservation_retention_s,
 		.call_timeout_ms = STORE_TIMEOUT_MS,
 		.store = core->store,
-		.claimed = take_claim,
+		.claimed = handle_claim,
 		.data = core,
 		.next_call_id = &core->next_call_id,
 	};
@@ -37,7 +42,7 @@
 	}
 	rr_set_ledger_retention(core->ledger, options.retention_s);
 	/*
-	 * With another number of buckets an id would be looked for where it
+	 * With a different number of buckets an id would be looked up where it
 	 * was not written, and could be claimed twice.
 	 */
 	if (core->ledger_buckets != options.buckets)
@@ -49,7 +54,7 @@
 				       "replaced together"));
 }
 
-static uint64_t fingerprint(const struct rr_query *query)
+static uint64_t get_fingerprint(const struct rr_query *query)
 {
 	uint64_t seed = XXH3_64bits(query->body, strlen(query->body));
 
@@ -63,7 +68,7 @@
 	query->stage = RR_QUERY_CLAIMING;
 	query->claim_id = rr_claim_request_id(
 		ctx, core->ledger, core->now_us, wall_us, query->service->name,
-		query->idempotency_key, fingerprint(query));
+		query->idempotency_key, get_fingerprint(query));
 	g_hash_table_insert(
 		core->claims,
 		g_memdup2(&query->claim_id, sizeof(query->claim_id)), query);
@@ -74,7 +79,10 @@
 {
 	if (!query->claim_acquired)
 		return;
-	/* Given back only with proof: else a second run could follow. */
+	/*
+	 * Released only with proof that nothing ran: else a second run could
+	 * follow.
+	 */
 	rr_invariant("at-most-once", !query->n_maybe_run);
 	query->claim_acquired = false;
 	rr_release_claim(ctx, core->ledger, core->now_us, query->claim_id);
@@ -89,7 +97,9 @@
 	rr_abandon_claim(ctx, core->ledger, query->claim_id);
 }
 
-/* End a guarded query whose claim was not had. */
+/*
+ * End an at-most-once query whose claim was not acquired, or is no longer held.
+ */
 static void answer_unclaimed(struct rr_context *ctx, struct rr_core *core,
 			     struct rr_query *query, enum rr_outcome outcome,
 			     const char *reason)
@@ -120,9 +130,12 @@
 	rr_end_query(ctx, core, query);
 }
 
-/* The claim is ours: send, unless the caller was answered or left. */
-static void run_claimed(struct rr_context *ctx, struct rr_core *core,
-			struct rr_query *query)
+/*
+ * The claim was acquired: send the request, unless the caller was answered or
+ * has disconnected.
+ */
+static void send_claimed(struct rr_context *ctx, struct rr_core *core,
+			 struct rr_query *query)
 {
 	query->claim_acquired = true;
 	if (query->answered || query->cancelled) {
@@ -134,18 +147,21 @@
 	rr_begin_query(ctx, core, query);
 }
 
-/* The caller's fault, and no use to try again under this id. */
-static enum rr_outcome refused_outcome(const char *reason)
+/*
+ * RR_INVALID for a rejection that a retry with the same id cannot change, as
+ * the caller's id is wrong.
+ */
+static enum rr_outcome get_rejection_outcome(const char *reason)
 {
-	static const char *const words[] = {
+	static const char *const invalid_reasons[] = {
 		"id-used-for-another-request",
 		"id-malformed",
 		"id-from-the-future",
 		"id-too-old",
 	};
 
-	for (size_t i = 0; i < G_N_ELEMENTS(words); i++) {
-		if (!g_strcmp0(reason, words[i]))
+	for (size_t i = 0; i < G_N_ELEMENTS(invalid_reasons); i++) {
+		if (!g_strcmp0(reason, invalid_reasons[i]))
 			return RR_INVALID;
 	}
 	return RR_NOT_RUN;
@@ -169,7 +185,7 @@
 	       RR_FIELD_STRING("reason", result->reason));
 }
 
-static void take_claim(void *data, const struct rr_claim_result *result)
+static void handle_claim(void *data, const struct rr_claim_result *result)
 {
 	struct rr_core *core = data;
 	struct rr_context *ctx = core->ctx;
@@ -184,7 +200,7 @@
 		MAX(query->retry_after_ms, result->retry_after_ms);
 	switch (result->status) {
 	case RR_CLAIM_ACQUIRED:
-		run_claimed(ctx, core, query);
+		send_claimed(ctx, core, query);
 		return;
 	case RR_CLAIM_DONE:
 		answer_replayed(ctx, core, query, result);
@@ -195,26 +211,29 @@
 		return;
 	case RR_CLAIM_REJECTED:
 		answer_unclaimed(ctx, core, query,
-				 refused_outcome(result->reason),
+				 get_rejection_outcome(result->reason),
 				 result->reason);
 		return;
 	case RR_CLAIM_UNRESOLVED:
 		/*
-		 * Nothing was sent for this request, but an earlier one of
-		 * the same id may have run: "not run" would be too much.
+		 * Nothing was sent for this request, but an earlier one with
+		 * the same id may have run, so that "not run" might be false.
 		 */
 		answer_unclaimed(ctx, core, query, RR_UNKNOWN, result->reason);
 		return;
 	}
 }
 
-/* What is recorded for a guarded read: its rows, if they are few. */
+/*
+ * The result recorded for an at-most-once read: its rows, if they are short
+ * enough.
+ */
 static char *format_rows(const struct rr_query *query)
 {
 	GArray *rows = rr_sorted_rows(query, query->max_rows);
 	GString *text = g_string_new("{\"rows\":[");
 
-	for (guint i = 0; i < rows->len && text->len < MOST_RECORDED_BYTES;
+	for (guint i = 0; i < rows->len && text->len < MAX_RECORDED_BYTES;
 	     i++) {
 		struct rr_answer_row *row =
 			&g_array_index(rows, struct rr_answer_row, i);
@@ -229,7 +248,7 @@
 	}
 	g_string_append(text, "]}");
 	g_array_unref(rows);
-	if (text->len >= MOST_RECORDED_BYTES)
+	if (text->len >= MAX_RECORDED_BYTES)
 		g_string_assign(text, "{\"rows\":null}");
 	return g_string_free(text, FALSE);
 }
@@ -248,8 +267,8 @@
 			       query->result, strlen(query->result));
 }
 
-static void answer_done(struct rr_context *ctx, struct rr_core *core,
-			struct rr_query *query)
+static void answer_complete(struct rr_context *ctx, struct rr_core *core,
+			    struct rr_query *query)
 {
 	struct rr_answer answer = {
 		.outcome = RR_COMPLETE,
@@ -265,7 +284,7 @@
 	rr_end_query(ctx, core, query);
 }
 
-static const char *lack_word(const struct rr_query *query)
+static const char *first_missing_reason(const struct rr_query *query)
 {
 	for (size_t i = 0; i < query->n_tasks; i++) {
 		if (query->tasks[i].status == RR_TASK_FAILED)
@@ -284,7 +303,7 @@
 		if (query->answered)
 			rr_end_query(ctx, core, query);
 		else
-			answer_done(ctx, core, query);
+			answer_complete(ctx, core, query);
 		return;
 	}
 	if (!query->n_maybe_run) {
@@ -294,12 +313,13 @@
 		abandon_claim(ctx, core, query);
 		outcome = query->n_covered ? RR_PARTIAL : RR_UNKNOWN;
 	}
-	answer_unclaimed(ctx, core, query, outcome, lack_word(query));
+	answer_unclaimed(ctx, core, query, outcome,
+			 first_missing_reason(query));
 }
 
-/* Withdraw what has not left this instance. */
-static void give_up_unsent(struct rr_context *ctx, struct rr_core *core,
-			   struct rr_query *query)
+/* Fail the tasks of which no attempt or relay was sent. */
+static void fail_unsent_tasks(struct rr_context *ctx, struct rr_core *core,
+			      struct rr_query *query)
 {
 	for (uint32_t i = 0; i < query->n_tasks; i++) {
 		struct rr_task *task = &query->tasks[i];
@@ -317,7 +337,7 @@
 	}
 }
 
-static void linger(struct rr_core *core, struct rr_query *query)
+static void start_lingering(struct rr_core *core, struct rr_query *query)
 {
 	query->stage = RR_QUERY_LINGERING;
 	rr_set_timer(core->timers, core->now_us + LINGER_US, RR_TIMER_LINGER,
@@ -341,17 +361,17 @@
 				     struct rr_query *query)
 {
 	if (query->stage == RR_QUERY_CLAIMING) {
-		/* The claim may yet come; it is given back then. */
+		/* The claim may still be acquired; it is released then. */
 		answer_unknown(ctx, core, query, "claim-pending");
 		return;
 	}
-	give_up_unsent(ctx, core, query);
+	fail_unsent_tasks(ctx, core, query);
 	if (!query->n_open) {
 		rr_schedule_query(core, query);
 		return;
 	}
 	answer_unknown(ctx, core, query, "deadline");
-	linger(core, query);
+	start_lingering(core, query);
 }
 
 void rr_cancel_at_most_once(struct rr_context *ctx, struct rr_core *core,
@@ -360,10 +380,10 @@
 	query->cancelled = true;
 	if (query->stage != RR_QUERY_RUNNING)
 		return;
-	give_up_unsent(ctx, core, query);
+	fail_unsent_tasks(ctx, core, query);
 	rr_schedule_query(core, query);
 	if (query->n_open)
-		linger(core, query);
+		start_lingering(core, query);
 }
 
 void rr_end_lingering_query(struct rr_context *ctx, struct rr_core *core,
--- a/source/core/service.c
+++ b/source/core/service.c
@@ -1,5 +1,5 @@
 /*
- * service.c - services of the configuration in force, and look-up of shards.
+ * service.c - services of the current configuration and shard look-up.
  */
 #include "core/core-private.h"
 
--- a/source/core/status.c
+++ b/source/core/status.c
@@ -1,5 +1,5 @@
 /*
- * status.c - the core's state as JSON, for `ragwort status`.
+ * status.c - state of the core as JSON, for `ragwort status`.
  */
 #include "base/json-private.h"
 #include "core/core-private.h"
@@ -125,10 +125,11 @@
 }
 
 /*
- * Whether every replica of a shard is known to be out.  One that this
- * instance does not own is unknown to it and may well answer an owner.
+ * Whether every replica of a shard is known to be down or draining. The state
+ * of a replica that this instance does not own is not known here, so it may
+ * well answer an owner.
  */
-static bool is_lacking(const struct rr_shard_map *shard)
+static bool is_unavailable(const struct rr_shard_map *shard)
 {
 	for (size_t i = 0; i < shard->n_replicas; i++) {
 		const struct rr_replica *replica = shard->replicas[i];
@@ -141,8 +142,9 @@
 	return true;
 }
 
-static void format_lacking_shard(const struct rr_service *service,
-				 const struct rr_shard_map *shard, GString *out)
+static void format_unavailable_shard(const struct rr_service *service,
+				     const struct rr_shard_map *shard,
+				     GString *out)
 {
 	g_string_append(out, "{\"service\":");
 	rr_append_json_string(out, service->name);
@@ -154,7 +156,7 @@
 			       rr_missing_reason_name(RR_MISSING_NO_REPLICA));
 }
 
-static void format_lacking(const struct rr_core *core, GString *out)
+static void format_unavailable_shards(const struct rr_core *core, GString *out)
 {
 	const char *comma = "";
 
@@ -164,11 +166,11 @@
 
 		for (size_t j = 0; service->map && j < service->map->n_shards;
 		     j++) {
-			if (!is_lacking(&service->map->shards[j]))
+			if (!is_unavailable(&service->map->shards[j]))
 				continue;
 			g_string_append(out, comma);
-			format_lacking_shard(service, &service->map->shards[j],
-					     out);
+			format_unavailable_shard(service,
+						 &service->map->shards[j], out);
 			comma = ",";
 		}
 	}
@@ -197,6 +199,6 @@
 	g_string_append(out, "],\"services\":[");
 	format_services(core, out);
 	g_string_append(out, "],\"lacking\":[");
-	format_lacking(core, out);
+	format_unavailable_shards(core, out);
 	g_string_append(out, "]}");
 }
--- a/source/core/task.c
+++ b/source/core/task.c
@@ -1,12 +1,12 @@
 /*
- * task.c - the life of one shard's part in a query.
+ * task.c - the part of a query that one shard answers.
  */
 #include "core/core-private.h"
 
-/* Starts of one task, over all its replicas. */
-#define MOST_STARTS 6
-/* Before replicas that failed once are tried again. */
-#define SECOND_ROUND_US 5000
+/* Starts of one task, counted over all its replicas. */
+#define MAX_STARTS 6
+/* Delay before replicas that failed once are tried again. */
+#define SECOND_ROUND_DELAY_US 5000
 
 struct rr_key_range rr_task_range(const struct rr_query *query,
 				  const struct rr_task *task)
@@ -32,8 +32,9 @@
 	struct rr_task *task = &query->tasks[index];
 
 	/*
-	 * A shard called covered with a hole in it is a pallet sold twice:
-	 * nothing but the ranges of merged replies decides.
+	 * Only the key ranges of merged replies decide whether a shard is
+	 * covered. A shard reported as covered with a gap in it hides rows,
+	 * such as a pallet that then is sold twice.
 	 */
 	rr_invariant("true-coverage",
 		     query->kind == RR_RESERVE ||
@@ -47,8 +48,9 @@
 	rr_schedule_query(core, query);
 }
 
-static void log_lack(struct rr_context *ctx, const struct rr_query *query,
-		     const struct rr_task *task)
+static void log_missing_shard(struct rr_context *ctx,
+			      const struct rr_query *query,
+			      const struct rr_task *task)
 {
 	rr_log(ctx, RR_LOG_DECISION, "lack",
 	       RR_FIELD_STRING("request", query->request_id),
@@ -71,7 +73,7 @@
 	query->n_open--;
 	if (reason == RR_MISSING_VERSION)
 		query->wants_restart = true;
-	log_lack(ctx, query, task);
+	log_missing_shard(ctx, query, task);
 	rr_schedule_query(core, query);
 }
 
@@ -92,25 +94,28 @@
 	task->relay = NULL;
 }
 
-static void pause_task(struct rr_core *core, struct rr_query *query,
-		       uint32_t index, int64_t until_us)
+static void back_off_task(struct rr_core *core, struct rr_query *query,
+			  uint32_t index, int64_t until_us)
 {
 	query->tasks[index].status = RR_TASK_BACKOFF;
 	rr_set_timer(core->timers, until_us, RR_TIMER_RETRY, query->id, index);
 }
 
-static bool in_time(const struct rr_query *query, int64_t at_us)
+static bool is_before_deadline(const struct rr_query *query, int64_t at_us)
 {
 	return at_us < query->deadline_us;
 }
 
-/* Nothing to try now: wait for a shed to pass, go round again, or give up. */
-static void stall_task(struct rr_context *ctx, struct rr_core *core,
-		       struct rr_query *query, uint32_t index,
-		       enum rr_missing_reason reason, int64_t retry_us)
+/*
+ * No replica can be tried now: wait until a shed has expired, start a second
+ * round over the replicas, or fail the task.
+ */
+static void handle_no_replica(struct rr_context *ctx, struct rr_core *core,
+			      struct rr_query *query, uint32_t index,
+			      enum rr_missing_reason reason, int64_t retry_us)
 {
 	struct rr_task *task = &query->tasks[index];
-	int64_t again_us = core->now_us + SECOND_ROUND_US;
+	int64_t second_round_us = core->now_us + SECOND_ROUND_DELAY_US;
 
 	if (reason == RR_MISSING_SHED) {
 		int64_t wait_us = retry_us - core->now_us;
@@ -118,17 +123,17 @@
 		query->retry_after_ms = MAX(query->retry_after_ms,
 					    (uint32_t)(wait_us / 1000 + 1));
 		task->reason = reason;
-		if (in_time(query, retry_us)) {
-			pause_task(core, query, index, retry_us);
+		if (is_before_deadline(query, retry_us)) {
+			back_off_task(core, query, index, retry_us);
 			return;
 		}
 	}
 	if ((reason == RR_MISSING_LOST || reason == RR_MISSING_TRUNCATED) &&
 	    !task->second_round && !query->at_most_once &&
-	    in_time(query, again_us)) {
+	    is_before_deadline(query, second_round_us)) {
 		task->second_round = true;
 		task->tried_mask = 0;
-		pause_task(core, query, index, again_us);
+		back_off_task(core, query, index, second_round_us);
 		return;
 	}
 	rr_mark_task_failed(ctx, core, query, index, reason);
@@ -148,9 +153,9 @@
 	       RR_FIELD_STRING("reason", reason));
 }
 
-/* Pay for a retry; the first start of a task is free. */
-static bool pay_start(struct rr_context *ctx, struct rr_query *query,
-		      struct rr_task *task)
+/* Take a token for a retry; the first start of a task needs none. */
+static bool take_retry_token(struct rr_context *ctx, struct rr_query *query,
+			     struct rr_task *task)
 {
 	if (!task->needs_token)
 		return true;
@@ -166,37 +171,44 @@
 {
 	struct rr_task *task = &query->tasks[index];
 	enum rr_missing_reason reason = RR_MISSING_NO_REPLICA;
-	const char *why = task->n_starts ? "retry" : "first";
+	const char *start_reason = task->n_starts ? "retry" : "first";
 	struct rr_replica *replica;
 	int64_t retry_us;
 	size_t chosen;
 
-	/* The caller was told "unknown" or left: nothing more is sent. */
+	/*
+	 * The answer was sent ("unknown") or the caller disconnected: send
+	 * nothing more.
+	 */
 	if (query->stage == RR_QUERY_LINGERING) {
 		rr_mark_task_failed(ctx, core, query, index, task->reason);
 		return;
 	}
 	chosen = rr_choose_replica(ctx, core, query, index, &reason, &retry_us);
 	if (chosen == RR_NO_REPLICA) {
-		stall_task(ctx, core, query, index, reason, retry_us);
+		handle_no_replica(ctx, core, query, index, reason, retry_us);
 		return;
 	}
-	if (task->n_starts >= MOST_STARTS || !pay_start(ctx, query, task)) {
+	if (task->n_starts >= MAX_STARTS ||
+	    !take_retry_token(ctx, query, task)) {
 		rr_mark_task_failed(ctx, core, query, index, task->reason);
 		return;
 	}
 	task->n_starts++;
 	task->status = RR_TASK_RUNNING;
 	replica = query->map->shards[task->shard].replicas[chosen];
-	log_route(ctx, query, task, replica, why);
+	log_route(ctx, query, task, replica, start_reason);
 	if (replica->owned || query->origin)
 		rr_queue_attempt(ctx, core, query, index, chosen, false);
 	else
 		rr_add_task_to_relay(ctx, core, query, index, chosen);
 }
 
-/* Whether a failure costs a retry token: a replica that is leaving or behind
- * did no work for us, and each is tried once only. */
+/*
+ * Whether a failure costs a retry token. A replica that is draining or does not
+ * hold the version did no work for the request, and each of these is tried only
+ * once.
+ */
 static bool costs_token(enum rr_missing_reason reason)
 {
 	return reason != RR_MISSING_VERSION && reason != RR_MISSING_NONE;
@@ -214,9 +226,9 @@
 	if (task->status != RR_TASK_RUNNING || task->n_live || task->relay)
 		return;
 		/*
-	 * A guarded request that may have run is never sent again: a second
-	 * run would be a second reservation.
-	 */
+		 * An at-most-once request that may have run is never sent
+		 * again: a second run would make a second reservation.
+		 */
 #ifdef RR_MUTANT_RESERVE_AGAIN
 	proven = true;
 #endif
