--- a/include/ragwort/core.h
+++ b/include/ragwort/core.h
@@ -44,7 +44,7 @@
 				  const char *address,
 				  const struct rr_peer_message *message);
 	/*
-	 * Request a replica's health. The reply is handed in by
+	 * Request a replica's health.  The reply is handed in by
 	 * rr_core_handle_health().
 	 */
 	void (*poll_health)(void *data, const char *replica,
@@ -95,8 +95,8 @@
  * Apply a configuration.
  *
  * Returns false, without applying it, if its revision is not higher than the
- * current one. `record` is the text that it was parsed from, sent to peers that
- * request it. The core takes a reference to `config`.
+ * current one.  `record` is the text that it was parsed from, sent to peers
+ * that request it.  The core takes a reference to `config`.
  */
 bool rr_core_set_config(struct rr_context *ctx, struct rr_core *core,
 			int64_t now_us, struct rr_config *config,
@@ -105,8 +105,8 @@
 /*
  * Handle a caller's request.
  *
- * `wall_us` is the time since 1970, for the age of request ids. Strings are
- * copied. Returns the query id, never 0. The answer is passed to the answer
+ * `wall_us` is the time since 1970, for the age of request ids.  Strings are
+ * copied.  Returns the query id, never 0. The answer is passed to the answer
  * callback, possibly before this returns (the id is then in answer->query_id).
  */
 uint64_t rr_core_handle_request(struct rr_context *ctx, struct rr_core *core,
@@ -114,9 +114,9 @@
 				const struct rr_request *request);
 
 /*
- * Cancel a request whose caller has disconnected. Attempts of reads are
+ * Cancel a request whose caller has disconnected.  Attempts of reads are
  * cancelled; a reservation that was sent runs until its outcome is known and
- * recorded. No answer is sent.
+ * recorded.  No answer is sent.
  */
 void rr_core_cancel(struct rr_context *ctx, struct rr_core *core,
 		    int64_t now_us, uint64_t query_id);
@@ -133,7 +133,7 @@
 				 int64_t now_us, int64_t wall_us,
 				 const struct rr_peer_message *message);
 /*
- * Pass on an instance from the platform's list or the seed peers. Such hints
+ * Pass on an instance from the platform's list or the seed peers.  Such hints
  * may be late or wrong: a member counts as alive only once it has answered.
  */
 void rr_core_hint_member(struct rr_context *ctx, struct rr_core *core,
@@ -141,8 +141,8 @@
 			 const char *address);
 /*
  * Pass on the state of an upstream, ready or draining, from the platform's
- * list. `started_ms` is the start of its incarnation (ms since 1970; 0: not
- * reported). A later incarnation starts without the drain and the latency
+ * list.  `started_ms` is the start of its incarnation (ms since 1970; 0: not
+ * reported).  A later incarnation starts without the drain and the latency
  * samples of the one before; an earlier one is ignored.
  */
 void rr_core_hint_replica(struct rr_context *ctx, struct rr_core *core,
--- a/include/ragwort/coverage.h
+++ b/include/ragwort/coverage.h
@@ -1,7 +1,7 @@
 /*
  * coverage.h - a union of key ranges: the keys that an answer covers.
  *
- * Replies name the key ranges that they hold. During a repartition two replies
+ * Replies name the key ranges that they hold.  During a repartition two replies
  * may hold the same keys, or none may hold some of them; a union of ranges
  * counts no key twice and shows every gap.
  */
--- a/include/ragwort/gather.h
+++ b/include/ragwort/gather.h
@@ -23,8 +23,8 @@
 void rr_init_top_records(struct rr_top_records *top, size_t capacity);
 void rr_clear_top_records(struct rr_top_records *top);
 /*
- * Add the records of one part, in any order. Trailing bytes shorter than a
- * record are ignored. Equal records are all kept.
+ * Add the records of one part, in any order.  Trailing bytes shorter than a
+ * record are ignored.  Equal records are all kept.
  */
 void rr_add_part_records(struct rr_top_records *top, const uint8_t *body,
 			 size_t length);
@@ -58,7 +58,7 @@
 size_t rr_required_parts(size_t parts, double min_share);
 
 /*
- * Decide whether to wait for more parts. The value of an answer grows with the
+ * Decide whether to wait for more parts.  The value of an answer grows with the
  * square of the share of parts and falls steeply at the latency objective:
  * until then waiting may raise the value, afterwards it costs more than it can
  * gain.
--- a/include/ragwort/request.h
+++ b/include/ragwort/request.h
@@ -28,7 +28,7 @@
 struct rr_request {
 	enum rr_request_kind kind;
 	enum rr_priority priority;
-	/* for logs; the carrier generates one if absent */
+	/* for logs; the HTTP adapter makes one if absent */
 	const char *request_id;
 	const char *service;
 	const char *body; /* the caller's query as JSON, forwarded unparsed */
--- a/source/core/admission.c
+++ b/source/core/admission.c
@@ -9,7 +9,7 @@
 #include "core/core-private.h"
 
 /*
- * Divisor of the deadline: the expected wait may be at most this part of it. A
+ * Divisor of the deadline: the expected wait may be at most this part of it.  A
  * request needs the slowest of its shards, which waits far longer than the
  * average one.
  */
--- a/source/core/attempt.c
+++ b/source/core/attempt.c
@@ -20,8 +20,8 @@
 }
 
 /*
- * Queue an attempt by its deadline. Searches from the tail, as deadlines are
- * alike and a new one is mostly the latest.
+ * Queue an attempt in order of deadline.  As deadlines are alike, this is
+ * mostly the order of arrival, so the search starts at the tail.
  */
 static void enqueue(struct rr_live_attempt *attempt)
 {
@@ -222,7 +222,7 @@
 }
 
 /*
- * The next queued attempt that may be sent. Batch attempts may use a share of
+ * The next queued attempt that may be sent.  Batch attempts may use a share of
  * the slots, at least one.
  */
 static struct rr_live_attempt *next_queued(const struct rr_replica *replica,
@@ -273,10 +273,10 @@
 
 /*
  * Move an attempt from the queue of a busy replica of the same shard to this
- * one. Guards against work that is queued at a replica that stalled after it
- * was chosen, while another replica is idle. An ejected replica takes over only
- * what has waited for longer than an outlier's latency: it would be slower
- * otherwise.
+ * one.  Guards against work that is queued at a replica that stalled after it
+ * was chosen, while another replica is idle.  An ejected replica takes over
+ * only what has waited for longer than an outlier's latency; anything else it
+ * would delay further.
  */
 static bool take_from_sibling(struct rr_core *core, struct rr_replica *replica)
 {
--- a/source/core/choose.c
+++ b/source/core/choose.c
@@ -1,12 +1,12 @@
 /*
  * choose.c - choice of the replica that a task is sent to next.
  *
- * Candidates are first ranked in tiers (healthy replicas in the own zone before
- * the rest). Within the best tier two are drawn at random and the one with the
- * shorter expected wait is chosen with high probability. The expected wait is
- * the work that this instance has outstanding at the replica times its own
- * latency estimate; load reported by replicas may be late or wrong, so it only
- * breaks ties.
+ * Candidates are first ranked in tiers (healthy replicas in this instance's
+ * zone before the rest).  Within the best tier two are drawn at random and the
+ * one with the shorter expected wait is nearly always chosen.  The expected
+ * wait is the work that this instance has outstanding at the replica times its
+ * own latency estimate; load reported by replicas may be late or wrong, so it
+ * only breaks ties.
  */
 #include "core/core-private.h"
 #include "core/weighted-choice.h"
@@ -79,7 +79,7 @@
 
 /*
  * Whether a recent report says that the replica does not hold the pinned
- * version yet. An older report is ignored: the replica has most likely caught
+ * version yet.  An older report is ignored: the replica has most likely caught
  * up since, and trying it costs at most one rejection.
  */
 static bool is_behind(const struct rr_core *core, const struct rr_query *query,
@@ -109,7 +109,8 @@
 }
 
 /*
- * Whether the replica may be tried now; if not, records the reason in `choice`.
+ * Whether the replica may be tried now; if not, records the reason in
+ * `candidates`.
  */
 static bool is_candidate(struct rr_core *core, struct rr_query *query,
 			 struct rr_task *task, size_t i,
@@ -119,8 +120,8 @@
 	if (!rr_is_replica_usable(core, replica) || is_live_on(task, replica))
 		return false;
 	/*
-	 * For attempts sent by this instance the drain state known here
-	 * applies.
+	 * An attempt that this instance sends itself is subject to the drain
+	 * state known here.
 	 */
 	if (replica->draining_since_us && (replica->owned || query->origin))
 		return false;
@@ -155,8 +156,8 @@
 }
 
 /*
- * Whether the replica is in the own zone, not ejected and has a free slot, so
- * that no replica of another zone is needed.
+ * Whether the replica is in this instance's zone, not ejected and has a free
+ * slot, so that no replica of another zone is needed.
  */
 static bool is_free_in_zone(const struct rr_core *core,
 			    const struct rr_replica *replica)
@@ -241,9 +242,9 @@
 }
 
 /*
- * Factor by which waiting for a slot lengthens an attempt. While slots are free
- * the number in use hardly matters. Once all are in use it counts double, as
- * slots are held longest by slow attempts.
+ * Factor by which waiting for a slot lengthens an attempt.  While slots are
+ * free the number in use hardly matters.  Once all are in use it counts double,
+ * as slots are held longest by slow attempts.
  */
 static double queue_factor(const struct rr_replica *replica,
 			   uint32_t outstanding)
@@ -276,9 +277,9 @@
 
 /*
  * Choose one of two at random, weighted by the cube of the expected waits:
- * nearly always the one with the shorter wait, occasionally the other. Guards
+ * nearly always the one with the shorter wait, occasionally the other.  Guards
  * against an estimate that is never corrected because no attempts are sent: a
- * replica that is new, or was slow once, would stay idle for ever. On a near
+ * replica that is new, or was slow once, would stay idle for ever.  On a near
  * tie the reported load decides.
  */
 static size_t choose_of_two(struct rr_context *ctx, const struct rr_core *core,
@@ -360,7 +361,7 @@
 }
 
 /*
- * Whether one more replica may be ejected. Guards against a slow network being
+ * Whether one more replica may be ejected.  Guards against a slow network being
  * mistaken for many slow replicas, which would overload the remaining ones.
  */
 static bool may_eject(const struct rr_core *core,
--- a/source/core/core-private.h
+++ b/source/core/core-private.h
@@ -39,7 +39,7 @@
 };
 
 struct rr_core {
-	struct rr_context *ctx; /* of the current event, for */
+	struct rr_context *ctx; /* of the current event, for callbacks */
 	int64_t now_us;
 	int64_t wall_us;
 	char *instance;
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -15,11 +15,11 @@
 {
 	/*
 	 * Ids of two incarnations collide only if one issued 2^24 per
-	 * microsecond. A reply to an earlier incarnation matches no attempt and
-	 * is dropped.
+	 * microsecond.  A reply to an earlier incarnation matches no attempt
+	 * and is dropped.
 	 */
 #ifdef RR_MUTANT_IDS_REPEAT
-	return ++core->ids_given;
+	return ++core->ids_issued;
 #endif
 	return core->id_base + ++core->ids_issued;
 }
--- a/source/core/coverage.c
+++ b/source/core/coverage.c
@@ -6,7 +6,7 @@
 #include <glib.h>
 
 struct rr_coverage {
-	GArray *ranges; /* struct rr_key_range: sorted, not adjacent */
+	GArray *ranges; /* struct rr_key_range: sorted, none touching another */
 };
 
 struct rr_coverage *rr_new_coverage(void)
--- a/source/core/hedge.c
+++ b/source/core/hedge.c
@@ -1,11 +1,11 @@
 /*
  * hedge.c - a second attempt for a task whose first is slow.
  *
- * Only idempotent reads are hedged, and only within the token budget. The fewer
- * tokens remain, the longer an attempt must have taken before it is hedged, so
- * that tokens are spent on attempts that are certainly slow. A hedge waits for
- * a slot like any attempt, ahead of those of later requests; if it is cancelled
- * before it was sent, its token is returned.
+ * Only idempotent reads are hedged, and only within the token budget.  The
+ * fewer tokens remain, the longer an attempt must have taken before it is
+ * hedged, so that tokens are spent on attempts that are certainly slow.  A
+ * hedge waits for a slot like any attempt, ahead of those of later requests; if
+ * it is cancelled before it was sent, its token is returned.
  */
 #include "core/core-private.h"
 
@@ -38,7 +38,7 @@
 }
 
 /*
- * Latency from which an attempt may be hedged. With many tokens left it is the
+ * Latency from which an attempt may be hedged.  With many tokens left it is the
  * usual quantile; as the budget is used up it rises to a large multiple of the
  * median, so that the remaining tokens go to attempts that are certainly slow.
  */
--- a/source/core/list.c
+++ b/source/core/list.c
@@ -3,7 +3,7 @@
  * cursor.
  *
  * A page queries one shard after the other, so that at most one page of rows is
- * held in memory. It ends before a shard that is missing: the answer names the
+ * held in memory.  It ends before a shard that is missing: the answer names the
  * shard and has a cursor that continues there, so that a list never has a gap.
  */
 #include "core/core-private.h"
@@ -50,7 +50,7 @@
 }
 
 /*
- * Index of the first shard, from `at` on, with keys of the page; n_shards if
+ * Index of the first shard, from `first` on, with keys of the page; n_shards if
  * none.
  */
 static size_t next_shard(const struct rr_query *query, size_t first)
@@ -71,8 +71,8 @@
 };
 
 /*
- * Set the cursor after the last row of the page. It counts rows of the last
- * key, as a key may have several rows.
+ * Set the cursor after the last row of the page.  skip_rows counts the rows of
+ * its key returned so far, as a key may have several.
  */
 static void set_cursor_after_row(const struct rr_query *query,
 				 struct page *page)
@@ -139,10 +139,10 @@
 }
 
 /*
- * Drop rows from `key` on, the first key that no reply covers. Guards against a
- * list with a gap: a replica that held only part of its shard's keys during a
- * split may have returned rows beyond the end of the page. They are left to the
- * next page, which starts at that key.
+ * Drop rows from `key` on, the first key that no reply covers.  Guards against
+ * a list with a gap: a replica that held only part of its shard's keys during a
+ * split may have returned rows beyond the end of the page.  They are left to
+ * the next page, which starts at that key.
  */
 static void drop_rows_from(GArray *rows, uint64_t key)
 {
--- a/source/core/merge.c
+++ b/source/core/merge.c
@@ -42,7 +42,7 @@
 }
 
 /*
- * Drop rows with keys that another reply has covered. Guards against rows
+ * Drop rows with keys that another reply has covered.  Guards against rows
  * counted twice while a split or join is in progress, when both the old and the
  * new holder answer for the same keys.
  */
@@ -80,7 +80,7 @@
 	struct rr_row_block block = { .n_rows = rr_count_rows(rows) };
 
 	/*
-	 * Only replies of exactly the pinned version are merged. With mixed
+	 * Only replies of exactly the pinned version are merged.  With mixed
 	 * versions an answer could show a pallet as both present and gone.
 	 */
 	rr_invariant("one-snapshot", version && version == query->pin_version);
--- a/source/core/query-private.h
+++ b/source/core/query-private.h
@@ -52,7 +52,7 @@
 	enum rr_missing_reason reason; /* of the last failure */
 	struct rr_live_attempt *live[RR_MAX_LIVE_ATTEMPTS];
 	uint32_t n_live;
-	struct rr_outgoing_relay *relay; /* NULL: none out */
+	struct rr_outgoing_relay *relay; /* relay in progress; NULL: none */
 	/* one bit per replica index: failed for this task */
 	uint64_t tried_mask;
 	/* one bit per replica index: does not hold the pinned version */
@@ -186,7 +186,7 @@
 void rr_end_query_at_min_coverage(struct rr_context *ctx, struct rr_core *core,
 				  struct rr_query *query);
 /*
- * Cancel all attempts and relays of a query. It is freed at the end of the
+ * Cancel all attempts and relays of a query.  It is freed at the end of the
  * event.
  */
 void rr_end_query(struct rr_context *ctx, struct rr_core *core,
@@ -208,7 +208,7 @@
 			 enum rr_missing_reason reason);
 /*
  * Handle a failed attempt or relay of a task: retry at once, retry later, or
- * fail the task. `proven` says that the attempt certainly did not run.
+ * fail the task.  `proven` says that the attempt certainly did not run.
  */
 void rr_handle_task_failure(struct rr_context *ctx, struct rr_core *core,
 			    struct rr_query *query, uint32_t index,
@@ -233,7 +233,7 @@
 /*
  * Choose the replica of the task's shard to try next.
  *
- * Returns its index in the shard, or RR_NO_REPLICA with *reason set. *retry_us
+ * Returns its index in the shard, or RR_NO_REPLICA with *reason set.  *retry_us
  * is the time from which a replica may be available again, INT64_MAX if waiting
  * does not help.
  */
@@ -268,13 +268,13 @@
 bool rr_rows_within(const struct rr_rows *rows,
 		    const struct rr_key_range *ranges, size_t n_ranges);
 /*
- * Intersect the ranges with the requested one. Returns a new array of struct
+ * Intersect the ranges with the requested one.  Returns a new array of struct
  * rr_key_range, owned by the caller.
  */
 GArray *rr_clip_ranges(const struct rr_key_range *ranges, size_t n_ranges,
-		       struct rr_key_range asked);
+		       struct rr_key_range requested);
 /*
- * Merge the rows and ranges of a complete reply into the query. Rows outside
+ * Merge the rows and ranges of a complete reply into the query.  Rows outside
  * the ranges are dropped; `all_within` says that there are none.
  */
 void rr_merge_rows(struct rr_query *query, struct rr_rows *rows,
@@ -329,7 +329,7 @@
  */
 void rr_handle_relay_timeout(struct rr_context *ctx, struct rr_core *core,
 			     uint64_t id);
-/* Fail relays to members that are dead at once. */
+/* Fail at once the relays to members that are dead. */
 void rr_fail_relays_to_dead(struct rr_context *ctx, struct rr_core *core);
 void rr_cancel_relays(struct rr_context *ctx, struct rr_core *core,
 		      struct rr_query *query);
@@ -358,7 +358,7 @@
  */
 void rr_deliver_answer(struct rr_context *ctx, struct rr_core *core,
 		       struct rr_query *query, struct rr_answer *answer);
-/* Answer the caller, or the peer that asked, exactly once. */
+/* Answer the caller, or the requesting peer, exactly once. */
 void rr_answer_query(struct rr_context *ctx, struct rr_core *core,
 		     struct rr_query *query, enum rr_outcome outcome,
 		     const char *reason);
@@ -370,7 +370,7 @@
 
 /* admission.c */
 /*
- * Check whether a request can be admitted. Returns NULL if it can; else the
+ * Check whether a request can be admitted.  Returns NULL if it can; else the
  * reason (a static string), with *retry_after_ms set.
  */
 const char *rr_check_query_admission(struct rr_core *core,
--- a/source/core/query.c
+++ b/source/core/query.c
@@ -135,7 +135,7 @@
 }
 
 /*
- * Pin a version that is known already. A look-up needs no pin, as it is
+ * Pin a version that is known already.  A look-up needs no pin, as it is
  * answered by one replica; searches and lists use one version on all shards.
  */
 static void pin_known_version(struct rr_context *ctx, struct rr_core *core,
@@ -158,7 +158,7 @@
 }
 
 /*
- * Whether the task that determines the pin is running. While no version is
+ * Whether the task that determines the pin is running.  While no version is
  * known, the first reply sets the pin; with two tasks in flight, the replies
  * could be of two versions.
  */
--- a/source/core/replica-private.h
+++ b/source/core/replica-private.h
@@ -82,7 +82,7 @@
 };
 
 /*
- * A service as in one configuration. A query keeps the one that it started
+ * A service as in one configuration.  A query keeps the one that it started
  * with.
  */
 struct rr_service_map {
@@ -139,7 +139,7 @@
 				uint64_t newest, uint64_t epoch);
 /*
  * Update the start time of a replica from the list of instances (ms since 1970;
- * 0: not reported). Returns false if the list names an incarnation that has
+ * 0: not reported).  Returns false if the list names an incarnation that has
  * ended, or may have: a later one was reported before.
  */
 bool rr_update_replica_start_time(struct rr_context *ctx,
--- a/source/core/replica.c
+++ b/source/core/replica.c
@@ -19,7 +19,7 @@
  */
 #define RECENT_REPLY_US (2 * G_USEC_PER_SEC)
 /*
- * Consecutive ready polls that end a drain. One is not enough: its reply may
+ * Consecutive ready polls that end a drain.  One is not enough: its reply may
  * have been delayed and be from before the drain.
  */
 #define READY_POLLS 2
@@ -28,7 +28,7 @@
  */
 #define DRAIN_EXPIRY_US (60 * G_USEC_PER_SEC)
 #define LIMIT_SHRINK_FACTOR 0.7
-#define DEFAULT_RETRY_AFTER_MS 50
+#define DEFAULT_SHED_RETRY_MS 50
 
 struct rr_replica *rr_keep_replica(struct rr_replica *replica)
 {
@@ -182,7 +182,7 @@
 }
 
 /*
- * Mark a replica ready. A drain ends only by the replica's own health replies,
+ * Mark a replica ready.  A drain ends only by the replica's own health replies,
  * two of them to polls sent after the drain was reported.
  */
 static void set_ready(struct rr_context *ctx, struct rr_core *core,
@@ -239,7 +239,7 @@
 }
 
 /*
- * Add a sample to the latency estimate. Guards against the ejection of a
+ * Add a sample to the latency estimate.  Guards against the ejection of a
  * replica for one or two attempts that were slow by chance: a sample is capped
  * at a few medians, so that only many consecutive slow ones move the estimate
  * far.
@@ -293,7 +293,7 @@
 		    uint32_t retry_after_ms)
 {
 	if (!retry_after_ms)
-		retry_after_ms = DEFAULT_RETRY_AFTER_MS;
+		retry_after_ms = DEFAULT_SHED_RETRY_MS;
 	replica->shed_until_us =
 		MAX(replica->shed_until_us,
 		    core->now_us + (int64_t)retry_after_ms * 1000);
@@ -311,7 +311,7 @@
 		return true;
 	/*
 	 * An instance that does not poll the replica is not informed when the
-	 * drain ends. An owner is, and rejects what arrives too early.
+	 * drain ends.  An owner is, and rejects what arrives too early.
 	 */
 	return !replica->owned &&
 	       core->now_us - replica->draining_since_us > DRAIN_EXPIRY_US;
--- a/source/core/reply.c
+++ b/source/core/reply.c
@@ -181,17 +181,17 @@
 		      const struct rr_reply *reply, uint64_t replica_bit)
 {
 	struct rr_task *task = &query->tasks[index];
-	enum rr_missing_reason fault = check_reply(query, reply);
+	enum rr_missing_reason reason = check_reply(query, reply);
 
-	if (fault == RR_MISSING_NONE) {
+	if (reason == RR_MISSING_NONE) {
 		accept_reply(ctx, core, query, index, reply, replica_bit);
 		return;
 	}
 	rr_count(ctx, RR_N_BAD_REPLIES, 1);
-	if (fault == RR_MISSING_VERSION)
+	if (reason == RR_MISSING_VERSION)
 		task->no_version_mask |= replica_bit;
 	task->tried_mask |= replica_bit;
-	rr_handle_task_failure(ctx, core, query, index, fault, false);
+	rr_handle_task_failure(ctx, core, query, index, reason, false);
 }
 
 void rr_handle_reply(struct rr_context *ctx, struct rr_core *core,
--- a/source/core/status.c
+++ b/source/core/status.c
@@ -125,7 +125,7 @@
 }
 
 /*
- * Whether every replica of a shard is known to be down or draining. The state
+ * Whether every replica of a shard is known to be down or draining.  The state
  * of a replica that this instance does not own is not known here, so it may
  * well answer an owner.
  */
--- a/source/core/task.c
+++ b/source/core/task.c
@@ -33,7 +33,7 @@
 
 	/*
 	 * Only the key ranges of merged replies decide whether a shard is
-	 * covered. A shard reported as covered with a gap in it hides rows,
+	 * covered.  A shard reported as covered with a gap in it hides rows,
 	 * such as a pallet that then is sold twice.
 	 */
 	rr_invariant("true-coverage",
@@ -205,9 +205,9 @@
 }
 
 /*
- * Whether a failure costs a retry token. A replica that is draining or does not
- * hold the version did no work for the request, and each of these is tried only
- * once.
+ * Whether a failure costs a retry token.  A replica that is draining or does
+ * not hold the version did no work for the request, and each of these is tried
+ * only once.
  */
 static bool costs_token(enum rr_missing_reason reason)
 {
@@ -225,13 +225,13 @@
 		task->reason = reason;
 	if (task->status != RR_TASK_RUNNING || task->n_live || task->relay)
 		return;
-		/*
-		 * An at-most-once request that may have run is never sent
-		 * again: a second run would make a second reservation.
-		 */
 #ifdef RR_MUTANT_RESERVE_AGAIN
 	proven = true;
 #endif
+	/*
+	 * An at-most-once request that may have run is never sent again: a
+	 * second run would make a second reservation.
+	 */
 	if (query->at_most_once && !proven) {
 		rr_mark_task_failed(ctx, core, query, index, reason);
 		return;
--- a/tests/support/fake-cluster-actions.c
+++ b/tests/support/fake-cluster-actions.c
@@ -1,6 +1,6 @@
 /*
- * fake-cluster-actions.c - what the core's actions lead to: replies of replicas, of
- * the store and of other instances.
+ * fake-cluster-actions.c - actions of the cores: replies of replicas, of the
+ * store and of other instances.
  */
 #include "support/fake-cluster-private.h"
 
@@ -15,7 +15,7 @@
 	uint64_t revision;
 };
 
-/* What reaches an instance. */
+/* An event that is delivered to an instance. */
 struct event {
 	struct fake_instance *instance;
 	struct rr_reply reply;
@@ -23,7 +23,7 @@
 	struct rr_health health;
 	struct rr_store_reply store;
 	struct rr_peer_message *message;
-	char *text; /* kept for the reply's pointers */
+	char *text; /* memory that the reply points to */
 };
 
 void fake_free_event(void *data)
@@ -36,52 +36,52 @@
 	g_free(event);
 }
 
-static void run_reply(void *context, void *data)
+static void deliver_reply(void *context, void *data)
 {
-	struct fake_cluster *world = context;
+	struct fake_cluster *cluster = context;
 	struct event *event = data;
-	struct fake_instance *to = event->instance;
+	struct fake_instance *instance = event->instance;
 
-	if (to->core)
-		rr_core_handle_reply(to->ctx, to->core, world->now_us,
-				     &event->reply);
+	if (instance->core)
+		rr_core_handle_reply(instance->ctx, instance->core,
+				     cluster->now_us, &event->reply);
 	fake_free_event(event);
 }
 
-static void run_health(void *context, void *data)
+static void deliver_health(void *context, void *data)
 {
-	struct fake_cluster *world = context;
+	struct fake_cluster *cluster = context;
 	struct event *event = data;
-	struct fake_instance *to = event->instance;
+	struct fake_instance *instance = event->instance;
 
-	if (to->core)
-		rr_core_handle_health(to->ctx, to->core, world->now_us,
-				      &event->health);
+	if (instance->core)
+		rr_core_handle_health(instance->ctx, instance->core,
+				      cluster->now_us, &event->health);
 	fake_free_event(event);
 }
 
-static void run_store_reply(void *context, void *data)
+static void deliver_store_reply(void *context, void *data)
 {
-	struct fake_cluster *world = context;
+	struct fake_cluster *cluster = context;
 	struct event *event = data;
-	struct fake_instance *to = event->instance;
+	struct fake_instance *instance = event->instance;
 
-	if (to->core)
-		rr_core_handle_store_reply(to->ctx, to->core, world->now_us,
-					   &event->store);
+	if (instance->core)
+		rr_core_handle_store_reply(instance->ctx, instance->core,
+					   cluster->now_us, &event->store);
 	fake_free_event(event);
 }
 
-static void run_message(void *context, void *data)
+static void deliver_message(void *context, void *data)
 {
-	struct fake_cluster *world = context;
+	struct fake_cluster *cluster = context;
 	struct event *event = data;
-	struct fake_instance *to = event->instance;
+	struct fake_instance *instance = event->instance;
 
-	if (to->core)
-		rr_core_handle_peer_message(to->ctx, to->core, world->now_us,
-					    fake_wall_us(world),
-					    event->message);
+	if (instance->core)
+		rr_core_handle_peer_message(
+			instance->ctx, instance->core, cluster->now_us,
+			fake_wall_us(cluster), event->message);
 	fake_free_event(event);
 }
 
@@ -89,11 +89,11 @@
 			       void (*run)(void *context, void *data),
 			       int64_t delay_us)
 {
-	struct fake_cluster *world = instance->cluster;
+	struct fake_cluster *cluster = instance->cluster;
 	struct event *event = g_new0(struct event, 1);
 
 	event->instance = instance;
-	push_event(world->events, world->now_us + delay_us, run, event);
+	push_event(cluster->events, cluster->now_us + delay_us, run, event);
 	return event;
 }
 
@@ -122,8 +122,8 @@
 	return rows;
 }
 
-static void run_reservation(struct fake_replica *replica,
-			    const struct rr_attempt *attempt)
+static void count_reservation_run(struct fake_replica *replica,
+				  const struct rr_attempt *attempt)
 {
 	const char *id = attempt->idempotency_key;
 	int runs =
@@ -139,8 +139,8 @@
 	       (version >= replica->oldest && version <= replica->newest);
 }
 
-static void fill_refusal(struct event *event,
-			 const struct fake_replica *replica)
+static void fill_rejection(struct event *event,
+			   const struct fake_replica *replica)
 {
 	event->reply.status = replica->mode == FAKE_SHED ? RR_REPLY_SHED :
 			      replica->mode == FAKE_DRAINING ?
@@ -168,7 +168,7 @@
 	event->reply.body_complete = replica->mode != FAKE_TRUNCATE;
 	if (attempt->kind != RR_RESERVE)
 		return;
-	run_reservation(replica, attempt);
+	count_reservation_run(replica, attempt);
 	event->text = g_strdup_printf("{\"by\":\"%s\"}", replica->id);
 	event->reply.result = event->text;
 	event->reply.result_length = strlen(event->text);
@@ -184,7 +184,7 @@
 	replica->attempts++;
 	if (replica->mode == FAKE_HANG)
 		return;
-	event = add_event(instance, run_reply, replica->latency_us);
+	event = add_event(instance, deliver_reply, replica->latency_us);
 	event->reply.attempt_id = attempt->id;
 	event->reply.load = -1;
 	event->reply.oldest_version = replica->oldest;
@@ -192,7 +192,7 @@
 	event->reply.map_epoch = 1;
 	if (replica->mode == FAKE_SHED || replica->mode == FAKE_REFUSE ||
 	    replica->mode == FAKE_DOWN || replica->mode == FAKE_DRAINING) {
-		fill_refusal(event, replica);
+		fill_rejection(event, replica);
 	} else if (replica->mode == FAKE_NO_VERSION ||
 		   (replica->mode == FAKE_OK &&
 		    !holds_version(replica, attempt->version))) {
@@ -200,7 +200,7 @@
 	} else if (replica->mode == FAKE_LOSE_REPLY) {
 		event->reply.status = RR_REPLY_LOST;
 		if (attempt->kind == RR_RESERVE)
-			run_reservation(replica, attempt);
+			count_reservation_run(replica, attempt);
 	} else {
 		fill_ok(event, replica, attempt);
 	}
@@ -239,16 +239,16 @@
 	for (size_t i = 0; i < answer->n_covered; i++)
 		g_ptr_array_add(copy->covered, g_strdup(answer->covered[i]));
 	for (size_t i = 0; i < answer->n_missing; i++) {
-		const struct rr_missing_shard *lacking = &answer->missing[i];
+		const struct rr_missing_shard *missing = &answer->missing[i];
 
 		g_ptr_array_add(copy->missing,
-				g_strdup_printf("%s:%s", lacking->shard,
+				g_strdup_printf("%s:%s", missing->shard,
 						rr_missing_reason_name(
-							lacking->reason)));
+							missing->reason)));
 	}
 }
 
-static void take_answer(void *data, const struct rr_answer *answer)
+static void send_answer(void *data, const struct rr_answer *answer)
 {
 	struct fake_instance *instance = data;
 	struct fake_answer *copy = g_new0(struct fake_answer, 1);
@@ -273,12 +273,12 @@
 	g_ptr_array_add(instance->answers, copy);
 }
 
-static struct fake_instance *find_instance(struct fake_cluster *world,
+static struct fake_instance *find_instance(struct fake_cluster *cluster,
 					   const char *name)
 {
-	for (guint i = 0; name && i < world->instances->len; i++) {
+	for (guint i = 0; name && i < cluster->instances->len; i++) {
 		struct fake_instance *instance =
-			g_ptr_array_index(world->instances, i);
+			g_ptr_array_index(cluster->instances, i);
 
 		if (instance->core && !strcmp(instance->name, name))
 			return instance;
@@ -286,7 +286,7 @@
 	return NULL;
 }
 
-/* Messages go by the wire's codec, as they do between processes. */
+/* Encode and decode messages, as they are between processes. */
 static void send_peer(void *data, const char *instance, const char *address,
 		      const struct rr_peer_message *message)
 {
@@ -304,7 +304,7 @@
 		return;
 	bytes = rr_encode_peer_message(message);
 	raw = g_bytes_get_data(bytes, &length);
-	event = add_event(to, run_message, from->cluster->link_delay_us);
+	event = add_event(to, deliver_message, from->cluster->link_delay_us);
 	event->message = rr_decode_peer_message(raw, length, &error);
 	if (!event->message)
 		g_error("%s", error->message);
@@ -321,7 +321,7 @@
 	polled->polls++;
 	if (polled->no_health)
 		return;
-	event = add_event(instance, run_health, FAKE_MS);
+	event = add_event(instance, deliver_health, FAKE_MS);
 	event->health = (struct rr_health){
 		.replica = polled->id,
 		.reachable = polled->mode != FAKE_DOWN,
@@ -333,7 +333,7 @@
 	};
 }
 
-static void want_record(void *data, const char *record, size_t length)
+static void record_offered_config(void *data, const char *record, size_t length)
 {
 	struct fake_instance *instance = data;
 
@@ -349,20 +349,25 @@
 	g_free(value);
 }
 
-/* A silent store's calls are given up by its adapter after a second. */
-static struct event *start_store_reply(struct fake_instance *instance,
-				       uint64_t call_id)
+/*
+ * Create the reply to a store call.  If replies are lost, the call fails after
+ * a second, the time-out of the store's adapter.
+ */
+static struct event *add_store_reply(struct fake_instance *instance,
+				     uint64_t call_id)
 {
-	const struct fake_cluster *world = instance->cluster;
-	int64_t delay_us = world->store_loses_replies ? G_USEC_PER_SEC :
-							world->store_delay_us;
-	struct event *event = add_event(instance, run_store_reply, delay_us);
+	const struct fake_cluster *cluster = instance->cluster;
+	int64_t delay_us = cluster->store_loses_replies ?
+				   G_USEC_PER_SEC :
+				   cluster->store_delay_us;
+	struct event *event =
+		add_event(instance, deliver_store_reply, delay_us);
 
 	event->store.call_id = call_id;
 	event->store.status = RR_STORE_OK;
-	if (world->store_loses_replies)
+	if (cluster->store_loses_replies)
 		event->store.status = RR_STORE_UNKNOWN;
-	else if (world->store_down)
+	else if (cluster->store_down)
 		event->store.status = RR_STORE_UNAVAILABLE;
 	return event;
 }
@@ -372,7 +377,7 @@
 	struct fake_instance *instance = data;
 	struct fake_value *value =
 		g_hash_table_lookup(instance->cluster->values, key);
-	struct event *event = start_store_reply(instance, call_id);
+	struct event *event = add_store_reply(instance, call_id);
 
 	if (!value || event->store.status != RR_STORE_OK)
 		return;
@@ -383,35 +388,37 @@
 	event->store.revision = value->revision;
 }
 
-/* A silent store does what it is asked; only its reply is lost. */
+/*
+ * Compare and swap a value.  If replies are lost, the call still takes effect.
+ */
 static void store_swap(void *data, uint64_t call_id, const char *key,
 		       uint64_t revision, const char *text, size_t length)
 {
 	struct fake_instance *instance = data;
-	struct fake_cluster *world = instance->cluster;
-	struct fake_value *value = g_hash_table_lookup(world->values, key);
-	uint64_t present = value ? value->revision : 0;
-	struct event *event = start_store_reply(instance, call_id);
+	struct fake_cluster *cluster = instance->cluster;
+	struct fake_value *value = g_hash_table_lookup(cluster->values, key);
+	uint64_t current = value ? value->revision : 0;
+	struct event *event = add_store_reply(instance, call_id);
 
 	if (event->store.status == RR_STORE_UNAVAILABLE)
 		return;
-	if (present != revision) {
+	if (current != revision) {
 		if (event->store.status == RR_STORE_OK)
 			event->store.status = RR_STORE_CONFLICT;
 		return;
 	}
 	value = g_new0(struct fake_value, 1);
 	value->bytes = g_bytes_new(text, length);
-	value->revision = present + 1;
-	g_hash_table_insert(world->values, g_strdup(key), value);
+	value->revision = current + 1;
+	g_hash_table_insert(cluster->values, g_strdup(key), value);
 	event->store.revision = value->revision;
 }
 
 struct rr_core_actions fake_actions(struct fake_instance *instance)
 {
 	return (struct rr_core_actions){ send_attempt, cancel_attempt,
-					 take_answer,  send_peer,
-					 poll_health,  want_record,
+					 send_answer,  send_peer,
+					 poll_health,  record_offered_config,
 					 instance };
 }
 
--- a/tests/support/fake-cluster.c
+++ b/tests/support/fake-cluster.c
@@ -7,9 +7,9 @@
 
 #define KEYS_PER_SHARD 100
 
-int64_t fake_wall_us(const struct fake_cluster *world)
+int64_t fake_wall_us(const struct fake_cluster *cluster)
 {
-	return FAKE_WALL_S * G_USEC_PER_SEC + world->now_us;
+	return FAKE_WALL_S * G_USEC_PER_SEC + cluster->now_us;
 }
 
 static void free_answer(gpointer data)
@@ -50,28 +50,28 @@
 
 struct fake_cluster *fake_new_cluster(uint32_t seed)
 {
-	struct fake_cluster *world = g_new0(struct fake_cluster, 1);
-
-	world->seed = seed;
-	world->now_us = 1000 * FAKE_MS;
-	world->store_delay_us = 2 * FAKE_MS;
-	world->link_delay_us = FAKE_MS;
-	world->instances = g_ptr_array_new_with_free_func(free_instance);
-	world->replicas = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-						free_replica);
-	world->values = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					      fake_free_value);
-	world->events = new_event_queue();
-	return world;
+	struct fake_cluster *cluster = g_new0(struct fake_cluster, 1);
+
+	cluster->seed = seed;
+	cluster->now_us = 1000 * FAKE_MS;
+	cluster->store_delay_us = 2 * FAKE_MS;
+	cluster->link_delay_us = FAKE_MS;
+	cluster->instances = g_ptr_array_new_with_free_func(free_instance);
+	cluster->replicas = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+						  free_replica);
+	cluster->values = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+						fake_free_value);
+	cluster->events = new_event_queue();
+	return cluster;
 }
 
-void fake_drop_cluster(struct fake_cluster *world)
+void fake_drop_cluster(struct fake_cluster *cluster)
 {
-	drop_event_queue(world->events, fake_free_event);
-	g_ptr_array_unref(world->instances);
-	g_hash_table_destroy(world->replicas);
-	g_hash_table_destroy(world->values);
-	g_free(world);
+	drop_event_queue(cluster->events, fake_free_event);
+	g_ptr_array_unref(cluster->instances);
+	g_hash_table_destroy(cluster->replicas);
+	g_hash_table_destroy(cluster->values);
+	g_free(cluster);
 }
 
 static void fill_shard(struct rr_shard_config *shard, size_t i,
@@ -118,7 +118,7 @@
 	return config;
 }
 
-static void add_replica(struct fake_cluster *world,
+static void add_replica(struct fake_cluster *cluster,
 			const struct rr_shard_config *shard, size_t j)
 {
 	struct fake_replica *replica = g_new0(struct fake_replica, 1);
@@ -132,10 +132,10 @@
 	replica->latency_us = 3 * FAKE_MS;
 	replica->run_counts =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	g_hash_table_insert(world->replicas, replica->id, replica);
+	g_hash_table_insert(cluster->replicas, replica->id, replica);
 }
 
-void fake_add_replicas(struct fake_cluster *world,
+void fake_add_replicas(struct fake_cluster *cluster,
 		       const struct rr_config *config)
 {
 	for (size_t s = 0; s < config->n_services; s++) {
@@ -144,14 +144,15 @@
 		for (size_t i = 0; i < service->n_shards; i++) {
 			for (size_t j = 0; j < service->shards[i].n_replicas;
 			     j++)
-				add_replica(world, &service->shards[i], j);
+				add_replica(cluster, &service->shards[i], j);
 		}
 	}
 }
 
-struct fake_replica *fake_replica(struct fake_cluster *world, const char *id)
+struct fake_replica *fake_replica(struct fake_cluster *cluster, const char *id)
 {
-	struct fake_replica *replica = g_hash_table_lookup(world->replicas, id);
+	struct fake_replica *replica =
+		g_hash_table_lookup(cluster->replicas, id);
 
 	if (!replica)
 		g_error("no replica %s", id);
@@ -164,13 +165,13 @@
 	g_string_append_printf(data, "%s\n", line);
 }
 
-struct fake_instance *fake_add_instance(struct fake_cluster *world,
+struct fake_instance *fake_add_instance(struct fake_cluster *cluster,
 					const char *name, const char *zone,
 					uint64_t incarnation)
 {
 	struct fake_instance *instance = g_new0(struct fake_instance, 1);
 	struct rr_context_options context = {
-		.seed = world->seed + world->instances->len,
+		.seed = cluster->seed + cluster->instances->len,
 		.log = { .write = write_log, .max_level = RR_LOG_DECISION },
 	};
 	struct rr_core_options options = {
@@ -181,9 +182,9 @@
 		.store = fake_store_actions(instance),
 	};
 	char *address =
-		g_strdup_printf("127.0.0.1:%u", 8000 + world->instances->len);
+		g_strdup_printf("127.0.0.1:%u", 8000 + cluster->instances->len);
 
-	instance->cluster = world;
+	instance->cluster = cluster;
 	instance->name = g_strdup(name);
 	instance->zone = g_strdup(zone);
 	instance->answers = g_ptr_array_new_with_free_func(free_answer);
@@ -191,8 +192,8 @@
 	context.log.data = instance->log;
 	instance->ctx = rr_new_context(&context);
 	options.peer_address = address;
-	instance->core = rr_new_core(instance->ctx, &options, world->now_us);
-	g_ptr_array_add(world->instances, instance);
+	instance->core = rr_new_core(instance->ctx, &options, cluster->now_us);
+	g_ptr_array_add(cluster->instances, instance);
 	g_free(address);
 	return instance;
 }
@@ -213,34 +214,34 @@
 	g_free(record);
 }
 
-void fake_hint_all_members(struct fake_cluster *world)
+void fake_hint_all_members(struct fake_cluster *cluster)
 {
-	for (guint i = 0; i < world->instances->len; i++) {
+	for (guint i = 0; i < cluster->instances->len; i++) {
 		struct fake_instance *to =
-			g_ptr_array_index(world->instances, i);
+			g_ptr_array_index(cluster->instances, i);
 
-		for (guint j = 0; j < world->instances->len; j++) {
+		for (guint j = 0; j < cluster->instances->len; j++) {
 			struct fake_instance *other =
-				g_ptr_array_index(world->instances, j);
+				g_ptr_array_index(cluster->instances, j);
 			char *address =
 				g_strdup_printf("127.0.0.1:%u", 8000 + j);
 
 			if (to != other)
-				rr_core_hint_member(to->ctx, to->core,
-						    world->now_us, other->name,
-						    other->zone, address);
+				rr_core_hint_member(
+					to->ctx, to->core, cluster->now_us,
+					other->name, other->zone, address);
 			g_free(address);
 		}
 	}
 }
 
-static int64_t next_wake_us(const struct fake_cluster *world)
+static int64_t next_wake_us(const struct fake_cluster *cluster)
 {
 	int64_t wake_us = INT64_MAX;
 
-	for (guint i = 0; i < world->instances->len; i++) {
+	for (guint i = 0; i < cluster->instances->len; i++) {
 		struct fake_instance *instance =
-			g_ptr_array_index(world->instances, i);
+			g_ptr_array_index(cluster->instances, i);
 
 		if (instance->core)
 			wake_us = MIN(wake_us, rr_core_wake_us(instance->core));
@@ -248,49 +249,50 @@
 	return wake_us;
 }
 
-static void tick_due(struct fake_cluster *world)
+static void tick_due(struct fake_cluster *cluster)
 {
-	for (guint i = 0; i < world->instances->len; i++) {
+	for (guint i = 0; i < cluster->instances->len; i++) {
 		struct fake_instance *instance =
-			g_ptr_array_index(world->instances, i);
+			g_ptr_array_index(cluster->instances, i);
 
 		if (instance->core &&
-		    rr_core_wake_us(instance->core) <= world->now_us)
+		    rr_core_wake_us(instance->core) <= cluster->now_us)
 			rr_core_tick(instance->ctx, instance->core,
-				     world->now_us);
+				     cluster->now_us);
 	}
 }
 
-/* One step: the next event, or the ticks that are due before it. */
-static bool step(struct fake_cluster *world, int64_t until_us)
+/* Run the next event, or the ticks that are due before it. */
+static bool step(struct fake_cluster *cluster, int64_t until_us)
 {
-	int64_t wake_us = next_wake_us(world);
+	int64_t wake_us = next_wake_us(cluster);
 
-	if (next_event_us(world->events) <= MIN(until_us, wake_us))
-		return run_next_event(world->events, &world->now_us, world);
+	if (next_event_us(cluster->events) <= MIN(until_us, wake_us))
+		return run_next_event(cluster->events, &cluster->now_us,
+				      cluster);
 	if (wake_us > until_us)
 		return false;
-	world->now_us = MAX(world->now_us, wake_us);
-	tick_due(world);
+	cluster->now_us = MAX(cluster->now_us, wake_us);
+	tick_due(cluster);
 	return true;
 }
 
-void fake_run_for(struct fake_cluster *world, int64_t us)
+void fake_run_for(struct fake_cluster *cluster, int64_t us)
 {
-	int64_t until_us = world->now_us + us;
+	int64_t until_us = cluster->now_us + us;
 
-	while (step(world, until_us))
+	while (step(cluster, until_us))
 		;
-	world->now_us = until_us;
+	cluster->now_us = until_us;
 }
 
 bool fake_wait_for_answers(struct fake_instance *instance, guint n)
 {
-	struct fake_cluster *world = instance->cluster;
-	int64_t until_us = world->now_us + 60 * G_USEC_PER_SEC;
+	struct fake_cluster *cluster = instance->cluster;
+	int64_t until_us = cluster->now_us + 60 * G_USEC_PER_SEC;
 
 	while (instance->answers->len < n) {
-		if (!step(world, until_us))
+		if (!step(cluster, until_us))
 			return false;
 	}
 	return true;
@@ -359,13 +361,13 @@
 	return rr_counter_value(instance->ctx, counter);
 }
 
-uint32_t fake_total_attempts(struct fake_cluster *world)
+uint32_t fake_total_attempts(struct fake_cluster *cluster)
 {
 	uint32_t n = 0;
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, world->replicas);
+	g_hash_table_iter_init(&iter, cluster->replicas);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		n += ((struct fake_replica *)value)->attempts;
 	return n;
--- a/tests/support/fake-cluster.h
+++ b/tests/support/fake-cluster.h
@@ -1,5 +1,5 @@
 /*
- * fake-cluster.h - cores in virtual time on fake replicas, a fake store and
+ * fake-cluster.h - cores in virtual time with fake replicas, a fake store and
  * fake links, for focused tests of the core.
  */
 #ifndef TESTS_SUPPORT_FAKE_CLUSTER_H
@@ -12,20 +12,21 @@
 #include "support/event-queue.h"
 
 #define FAKE_MS 1000
-/* Wall-clock time of the world's start. */
+/* Wall-clock time at virtual time 0, in s since 1970. */
 #define FAKE_WALL_S INT64_C(1700000000)
 
 enum fake_mode {
 	FAKE_OK,
-	FAKE_SHED,	    /* refuses, with retry_after_ms */
-	FAKE_REFUSE,	    /* connection refused */
-	FAKE_NO_VERSION,    /* says it does not hold what is asked */
-	FAKE_HANG,	    /* never replies */
-	FAKE_LOSE_REPLY,    /* runs it; the reply is lost */
-	FAKE_TRUNCATE,	    /* a body cut short */
-	FAKE_WRONG_VERSION, /* rows of its newest, whatever was asked */
-	FAKE_DRAINING,	    /* refuses: leaving */
-	FAKE_DOWN,	    /* as FAKE_REFUSE, and no health */
+	FAKE_SHED,	 /* rejects with retry_after_ms */
+	FAKE_REFUSE,	 /* refuses connections */
+	FAKE_NO_VERSION, /* reports that it does not hold the version */
+	FAKE_HANG,	 /* never replies */
+	FAKE_LOSE_REPLY, /* runs the request; the reply is lost */
+	FAKE_TRUNCATE,	 /* truncates the body */
+	/* replies with its newest version, whatever was requested */
+	FAKE_WRONG_VERSION,
+	FAKE_DRAINING, /* rejects as draining */
+	FAKE_DOWN,     /* as FAKE_REFUSE; health polls find it unreachable */
 };
 
 struct fake_replica {
@@ -34,27 +35,28 @@
 	enum rr_upstream_state state;
 	uint64_t oldest;
 	uint64_t newest;
-	struct rr_key_range range; /* holds a row for each tenth key */
+	/* keys held, with a row for every tenth key */
+	struct rr_key_range range;
 	int64_t latency_us;
 	uint32_t retry_after_ms;
-	bool no_health; /* polls get no reply */
-	/* What it saw. */
+	bool no_health; /* no reply to health polls */
+	/* Counts of what the replica received. */
 	uint32_t attempts;
 	uint32_t polls;
 	uint32_t cancelled;
-	GHashTable *run_counts; /* Idempotency-Key -> times run */
+	GHashTable *run_counts; /* idempotency key -> times run */
 };
 
-/* What a caller was answered, copied. */
+/* A copy of an answer to a caller. */
 struct fake_answer {
 	uint64_t query_id;
 	enum rr_outcome outcome;
 	char *reason;
 	uint64_t version;
-	GArray *keys;	    /* uint64_t, of the rows */
-	GArray *versions;   /* uint64_t, that each row was made of */
-	GPtrArray *covered; /* char * */
-	GPtrArray *missing; /* char *: "shard:reason" */
+	GArray *keys;	    /* keys of the rows (uint64_t) */
+	GArray *versions;   /* version of each row (uint64_t) */
+	GPtrArray *covered; /* names of shards (char *) */
+	GPtrArray *missing; /* "shard:reason" (char *) */
 	char *result;
 	char *cursor;
 	bool replayed;
@@ -70,11 +72,12 @@
 	struct rr_core *core;
 	char *name;
 	char *zone;
-	bool partitioned;	   /* from all peers */
+	bool partitioned;	   /* cut off from all peers */
 	GPtrArray *answers;	   /* struct fake_answer */
-	GString *log;		   /* decision lines */
-	uint32_t sent_by_kind[16]; /* sent, by kind */
-	uint64_t offered_revision; /* calls of config_record */
+	GString *log;		   /* log lines */
+	uint32_t sent_by_kind[16]; /* messages sent, by kind */
+	/* revision of the last record passed to apply_config_record */
+	uint64_t offered_revision;
 };
 
 struct fake_cluster {
@@ -82,38 +85,43 @@
 	GPtrArray *instances;
 	GHashTable *replicas; /* id -> struct fake_replica */
 	struct event_queue *events;
-	GHashTable *values;	  /* store: key -> struct fake_value */
-	bool store_down;	  /* proof: never reached */
-	bool store_loses_replies; /* does it, and the reply is lost */
+	GHashTable *values; /* values of the store: key -> struct fake_value */
+	bool store_down;    /* calls fail with proof that they had no effect */
+	bool store_loses_replies; /* calls take effect; the replies are lost */
 	int64_t store_delay_us;
 	int64_t link_delay_us;
 	uint32_t seed;
 };
 
 struct fake_cluster *fake_new_cluster(uint32_t seed);
-void fake_drop_cluster(struct fake_cluster *world);
+void fake_drop_cluster(struct fake_cluster *cluster);
 
-/* A configuration of one service "desk", shards of 100 keys each. */
+/*
+ * Create a configuration of one service "desk", with shards of 100 keys each.
+ */
 struct rr_config *fake_config(uint64_t revision, size_t n_shards,
 			      size_t n_replicas, const char *const *zones,
 			      size_t n_zones);
-/* Make the fake replicas that a configuration names. */
-void fake_add_replicas(struct fake_cluster *world,
+/* Add the fake replicas that a configuration names. */
+void fake_add_replicas(struct fake_cluster *cluster,
 		       const struct rr_config *config);
-struct fake_replica *fake_replica(struct fake_cluster *world, const char *id);
+struct fake_replica *fake_replica(struct fake_cluster *cluster, const char *id);
 
-struct fake_instance *fake_add_instance(struct fake_cluster *world,
+struct fake_instance *fake_add_instance(struct fake_cluster *cluster,
 					const char *name, const char *zone,
 					uint64_t incarnation);
-/* It dies at once; nothing in flight reaches it. */
+/* Stop an instance without a drain; messages in flight to it are lost. */
 void fake_kill_instance(struct fake_instance *instance);
 void fake_set_config(struct fake_instance *instance, struct rr_config *config);
-/* Every instance is told of every other. */
-void fake_hint_all_members(struct fake_cluster *world);
+/* Pass every instance to every other as a member hint. */
+void fake_hint_all_members(struct fake_cluster *cluster);
 
-/* Run events and ticks up to now + us. */
-void fake_run_for(struct fake_cluster *world, int64_t us);
-/* Run until the instance has n answers; false if that takes a minute. */
+/* Run events and ticks for `us` microseconds of virtual time. */
+void fake_run_for(struct fake_cluster *cluster, int64_t us);
+/*
+ * Run until the instance has n answers; returns false if that takes longer than
+ * a minute.
+ */
 bool fake_wait_for_answers(struct fake_instance *instance, guint n);
 
 uint64_t fake_search(struct fake_instance *instance);
@@ -127,6 +135,6 @@
 		     const char *shard_reason);
 uint64_t fake_counter_value(struct fake_instance *instance,
 			    enum rr_counter counter);
-uint32_t fake_total_attempts(struct fake_cluster *world);
+uint32_t fake_total_attempts(struct fake_cluster *cluster);
 
 #endif
--- a/tests/support/fake-store.c
+++ b/tests/support/fake-store.c
@@ -11,7 +11,7 @@
 	uint64_t revision;
 };
 
-/* One call on its way: it takes effect, then its reply goes back. */
+/* A call in progress: it takes effect, then its reply is sent. */
 struct call {
 	struct fake_client *client;
 	bool write;
@@ -69,7 +69,7 @@
 				(gint32)store->max_delay_us + 1);
 }
 
-static enum fake_call_outcome draw_fate(struct fake_store *store, bool write)
+static enum fake_call_outcome draw_outcome(struct fake_store *store, bool write)
 {
 	uint32_t draw = (uint32_t)g_rand_int_range(store->random, 0, 1000);
 
@@ -77,18 +77,21 @@
 		store->n_next_outcomes--;
 		return store->next_outcome;
 	}
-	for (int fate = FAKE_UNAVAILABLE; fate < FAKE_CALL_OUTCOME_COUNT;
-	     fate++) {
-		if (draw < store->per_mille[fate])
-			return fate;
-		draw -= store->per_mille[fate];
+	for (int outcome = FAKE_UNAVAILABLE; outcome < FAKE_CALL_OUTCOME_COUNT;
+	     outcome++) {
+		if (draw < store->per_mille[outcome])
+			return outcome;
+		draw -= store->per_mille[outcome];
 	}
 	return FAKE_OK;
 }
 
-/* When the service takes a call that reaches it at arrival_us. */
-static int64_t find_turn_us(struct fake_store *store, bool write,
-			    int64_t arrival_us)
+/*
+ * Time at which a call that arrives at arrival_us takes effect, after those
+ * before it.
+ */
+static int64_t get_effect_time_us(struct fake_store *store, bool write,
+				  int64_t arrival_us)
 {
 	int64_t *free_us = write ? &store->write_free_us : &store->read_free_us;
 	uint32_t busy_us = write ? store->write_busy_us : store->read_busy_us;
@@ -97,7 +100,7 @@
 	return *free_us;
 }
 
-static void take_effect(struct fake_store *store, struct call *call)
+static void apply_call(struct fake_store *store, struct call *call)
 {
 	struct fake_value *value =
 		g_hash_table_lookup(store->values, call->key);
@@ -140,52 +143,52 @@
 	struct fake_store *store = context;
 	struct call *call = data;
 
-	take_effect(store, call);
+	apply_call(store, call);
 	push_event(store->events, store->now_us + draw_delay_us(store),
 		   run_reply, call);
 }
 
-/* The effect of a call whose reply is lost. */
-static void run_silent_effect(void *context, void *data)
+/* Apply a call whose reply is lost. */
+static void run_effect_without_reply(void *context, void *data)
 {
-	take_effect(context, data);
+	apply_call(context, data);
 	free_call(data);
 }
 
-static void add_silent_effect(struct fake_store *store, const struct call *call,
-			      int64_t due_us)
+static void add_effect_without_reply(struct fake_store *store,
+				     const struct call *call, int64_t due_us)
 {
 	struct call *effect = g_memdup2(call, sizeof(*call));
 
 	effect->key = g_strdup(call->key);
 	effect->bytes = g_memdup2(call->bytes, call->length);
-	push_event(store->events, due_us, run_silent_effect, effect);
+	push_event(store->events, due_us, run_effect_without_reply, effect);
 }
 
 static void add_call(struct fake_client *client, struct call *call)
 {
 	struct fake_store *store = client->store;
-	enum fake_call_outcome fate = draw_fate(store, call->write);
+	enum fake_call_outcome outcome = draw_outcome(store, call->write);
 	int64_t arrival_us = store->now_us + draw_delay_us(store);
 	int64_t late_us = store->max_late_us;
 
 	call->client = client;
 	call->status = RR_STORE_UNKNOWN;
-	if (fate == FAKE_OK) {
+	if (outcome == FAKE_OK) {
 		push_event(store->events,
-			   find_turn_us(store, call->write, arrival_us),
+			   get_effect_time_us(store, call->write, arrival_us),
 			   run_effect, call);
 		return;
 	}
-	if (fate == FAKE_UNAVAILABLE) {
+	if (outcome == FAKE_UNAVAILABLE) {
 		call->status = RR_STORE_UNAVAILABLE;
-	} else if (call->write && fate == FAKE_LOST_AFTER_EFFECT) {
-		add_silent_effect(store, call, arrival_us);
-	} else if (call->write && fate == FAKE_LATE_EFFECT) {
+	} else if (call->write && outcome == FAKE_LOST_AFTER_EFFECT) {
+		add_effect_without_reply(store, call, arrival_us);
+	} else if (call->write && outcome == FAKE_LATE_EFFECT) {
 		late_us =
 			late_us / 10 + (int64_t)(g_rand_double(store->random) *
 						 0.9 * (double)late_us);
-		add_silent_effect(store, call, arrival_us + late_us);
+		add_effect_without_reply(store, call, arrival_us + late_us);
 	}
 	push_event(store->events, arrival_us, run_reply, call);
 }
--- a/tests/support/fake-store.h
+++ b/tests/support/fake-store.h
@@ -1,8 +1,8 @@
 /*
  * fake-store.h - the platform's key-value service in memory and virtual time.
  *
- * The user sets now_us, makes calls through a client's port, and runs the
- * events that are due; replies come through the client's callback.
+ * The user sets now_us, makes calls through a client's port and runs the events
+ * that are due.  Replies are passed to the client's callback.
  */
 #ifndef SUPPORT_FAKE_STORE_H
 #define SUPPORT_FAKE_STORE_H
@@ -14,28 +14,35 @@
 #include "ragwort/store.h"
 #include "support/event-queue.h"
 
-/* What becomes of a call. */
+/* Outcome of a call. */
 enum fake_call_outcome {
 	FAKE_OK,
-	FAKE_UNAVAILABLE,	  /* proof that it had no effect */
+	FAKE_UNAVAILABLE,	  /* fails, with proof of no effect */
 	FAKE_LOST_AFTER_EFFECT,	  /* took effect, no reply */
 	FAKE_LOST_WITHOUT_EFFECT, /* no effect, no reply */
-	FAKE_LATE_EFFECT,	  /* no reply, takes effect late_us later */
+	FAKE_LATE_EFFECT, /* no reply; takes effect later, see max_late_us */
 	FAKE_CALL_OUTCOME_COUNT,
 };
 
 struct fake_store {
 	int64_t now_us;
-	/* A call arrives after, and its reply after that, min to max. */
+	/*
+	 * Bounds of the delay before a call arrives, and of that before its
+	 * reply.
+	 */
 	uint32_t min_delay_us;
 	uint32_t max_delay_us;
-	uint32_t max_late_us; /* most; the least is a tenth */
-	/* Time that each call keeps the service to itself; 0: none. */
+	/* longest delay of FAKE_LATE_EFFECT; the shortest is a tenth */
+	uint32_t max_late_us;
+	/* Time for which each call occupies the service; 0: none. */
 	uint32_t write_busy_us;
 	uint32_t read_busy_us;
-	/* Calls in 1000 that have each fate; the rest is FAKE_OK. */
+	/* Calls in 1000 with each outcome; the rest are FAKE_OK. */
 	uint32_t per_mille[FAKE_CALL_OUTCOME_COUNT];
-	/* The next writes have this fate, before the odds are asked. */
+	/*
+	 * Outcome of the next n_next_outcomes writes; takes precedence over
+	 * per_mille.
+	 */
 	enum fake_call_outcome next_outcome;
 	uint32_t n_next_outcomes;
 
@@ -53,7 +60,7 @@
 
 struct fake_client {
 	struct fake_store *store;
-	/* NULL once its user is gone: replies are thrown away. */
+	/* NULL after its user was freed: replies are dropped. */
 	void (*reply)(void *data, const struct rr_store_reply *reply);
 	void *data;
 };
@@ -61,19 +68,19 @@
 struct fake_store *new_fake_store(uint32_t seed);
 void drop_fake_store(struct fake_store *store);
 
-/* The client must live as long as the store's events. */
+/* Return the store port of a client, which must outlive the store's events. */
 struct rr_store_port fake_client_port(struct fake_client *client);
 
-/* When the next event is due; INT64_MAX for none. */
+/* Return the time of the next event; INT64_MAX if none. */
 int64_t fake_store_due_us(const struct fake_store *store);
-/* Run one event; now_us moves to its time if that is later. */
+/* Run one event; now_us advances to its time if that is later. */
 void run_fake_store_event(struct fake_store *store);
 
-/* Look at a value without a call; NULL if it is not there. */
+/* Return a value without a call; NULL if absent. */
 const char *peek_fake_value(struct fake_store *store, const char *key,
 			    size_t *length, uint64_t *revision);
-/* Put a value without a call. */
+/* Set a value without a call. */
 void poke_fake_value(struct fake_store *store, const char *key,
-		     const char *value, size_t length);
+		     const char *bytes, size_t length);
 
 #endif
--- a/tests/support/replica-fixture.c
+++ b/tests/support/replica-fixture.c
@@ -1,5 +1,5 @@
 /*
- * replica-fixture.c - a port to one replica, driven by raw bytes.
+ * replica-fixture.c - a client of one replica, driven by raw bytes.
  */
 #include "support/replica-fixture.h"
 
@@ -7,74 +7,74 @@
 
 #include "platform/platform.h"
 
-static void take_reply(void *data, const struct rr_gate_reply *reply)
+static void handle_reply(void *data, const struct rr_gate_reply *reply)
 {
-	struct replica_fixture *scene = data;
-
-	scene->replies++;
-	scene->outcome = reply->outcome;
-	scene->status = reply->status;
-	scene->unreachable = reply->unreachable;
-	scene->wrong_incarnation = reply->wrong_incarnation;
-	scene->load = reply->load;
-	g_free(scene->signature);
-	scene->signature = g_strdup(reply->signature);
-	g_string_truncate(scene->body, 0);
+	struct replica_fixture *fixture = data;
+
+	fixture->replies++;
+	fixture->outcome = reply->outcome;
+	fixture->status = reply->status;
+	fixture->unreachable = reply->unreachable;
+	fixture->wrong_incarnation = reply->wrong_incarnation;
+	fixture->load = reply->load;
+	g_free(fixture->signature);
+	fixture->signature = g_strdup(reply->signature);
+	g_string_truncate(fixture->body, 0);
 	if (reply->length)
-		g_string_append_len(scene->body, (const char *)reply->body,
+		g_string_append_len(fixture->body, (const char *)reply->body,
 				    (gssize)reply->length);
 }
 
-static void take_probe(void *data, const char *endpoint, bool reached)
+static void handle_probe(void *data, const char *endpoint, bool reached)
 {
-	struct replica_fixture *scene = data;
+	struct replica_fixture *fixture = data;
 
-	scene->probes++;
-	scene->probe_reached = reached;
+	fixture->probes++;
+	fixture->probe_reached = reached;
 }
 
 struct replica_fixture *replica_new_fixture(void)
 {
-	struct replica_fixture *scene = g_new0(struct replica_fixture, 1);
+	struct replica_fixture *fixture = g_new0(struct replica_fixture, 1);
 	struct rr_replica_client_options options = {
 		.request_id_header = "Id",
 		.signature_header = "Seal",
 		.not_run_header = "Not-Run",
 		.load_header = "Load",
 		.parse_load = rr_decode_load,
-		.replied = take_reply,
-		.probed = take_probe,
-		.data = scene,
+		.replied = handle_reply,
+		.probed = handle_probe,
+		.data = fixture,
 	};
 
-	scene->ctx = rr_new_context(NULL);
-	scene->poller = rr_new_poller(NULL);
-	scene->body = g_string_new(NULL);
-	options.poller = scene->poller;
-	scene->client = rr_new_replica_client(scene->ctx, &options);
-	scene->listener = raw_listen();
-	return scene;
+	fixture->ctx = rr_new_context(NULL);
+	fixture->poller = rr_new_poller(NULL);
+	fixture->body = g_string_new(NULL);
+	options.poller = fixture->poller;
+	fixture->client = rr_new_replica_client(fixture->ctx, &options);
+	fixture->listener = raw_listen();
+	return fixture;
 }
 
-void replica_drop_fixture(struct replica_fixture *scene)
+void replica_drop_fixture(struct replica_fixture *fixture)
 {
-	rr_drop_replica_client(scene->client);
-	rr_drop_poller(scene->poller);
-	rr_drop_context(scene->ctx);
-	raw_drop_listener(scene->listener);
-	g_string_free(scene->body, TRUE);
-	g_free(scene->signature);
-	g_free(scene);
+	rr_drop_replica_client(fixture->client);
+	rr_drop_poller(fixture->poller);
+	rr_drop_context(fixture->ctx);
+	raw_drop_listener(fixture->listener);
+	g_string_free(fixture->body, TRUE);
+	g_free(fixture->signature);
+	g_free(fixture);
 }
 
-uint64_t replica_send(struct replica_fixture *scene, const char *head,
+uint64_t replica_send(struct replica_fixture *fixture, const char *head,
 		      const char *body, bool idempotent, bool no_body)
 {
-	struct rr_gate_attempt_info send = {
-		.attempt = ++scene->next_attempt,
+	struct rr_gate_attempt_info info = {
+		.attempt = ++fixture->next_attempt,
 		.endpoint = "r",
 		.incarnation = "r",
-		.address = scene->listener->address,
+		.address = fixture->listener->address,
 		.deadline_ms = 1000,
 		.idempotent = idempotent,
 		.max_idle_connections = 1,
@@ -88,36 +88,36 @@
 		.no_body = no_body,
 	};
 
-	rr_send_to_replica(scene->client, g_get_monotonic_time(), &send,
+	rr_send_to_replica(fixture->client, g_get_monotonic_time(), &info,
 			   &request);
-	return send.attempt;
+	return info.attempt;
 }
 
-uint64_t replica_send_get(struct replica_fixture *scene)
+uint64_t replica_send_get(struct replica_fixture *fixture)
 {
-	return replica_send(scene, REPLICA_GET, NULL, true, false);
+	return replica_send(fixture, REPLICA_GET, NULL, true, false);
 }
 
-struct raw_peer *replica_send_and_accept(struct replica_fixture *scene)
+struct raw_peer *replica_send_and_accept(struct replica_fixture *fixture)
 {
 	struct raw_peer *peer;
 
-	replica_send_get(scene);
-	peer = raw_accept(scene->listener);
+	replica_send_get(fixture);
+	peer = raw_accept(fixture->listener);
 	raw_expect(peer, REPLICA_GET);
 	return peer;
 }
 
-struct raw_peer *replica_serve_once(struct replica_fixture *scene)
+struct raw_peer *replica_serve_once(struct replica_fixture *fixture)
 {
 	struct raw_peer *peer;
 
-	replica_send_get(scene);
-	peer = raw_accept(scene->listener);
+	replica_send_get(fixture);
+	peer = raw_accept(fixture->listener);
 	raw_expect(peer, "\r\n\r\n");
 	raw_send(peer, REPLICA_OK "\r\nab");
-	raw_run_until(&scene->replies, 1);
-	g_assert_cmpint(scene->outcome, ==, RR_GATE_ANSWERED);
+	raw_run_until(&fixture->replies, 1);
+	g_assert_cmpint(fixture->outcome, ==, RR_GATE_ANSWERED);
 	g_string_truncate(peer->received, 0);
 	return peer;
 }
--- a/tests/support/replica-fixture.h
+++ b/tests/support/replica-fixture.h
@@ -1,5 +1,6 @@
 /*
- * replica-fixture.h - a port to one replica whose bytes the test sends itself.
+ * replica-fixture.h - a client of one replica whose bytes the test sends
+ * itself.
  */
 #ifndef TESTS_SUPPORT_REPLICA_FIXTURE_H
 #define TESTS_SUPPORT_REPLICA_FIXTURE_H
@@ -34,21 +35,26 @@
 	bool probe_reached;
 };
 
-/* A listener, and a port that knows headers Id, Seal, Not-Run and Load. */
+/*
+ * Create a listener, and a client with the headers Id, Seal, Not-Run and Load.
+ */
 struct replica_fixture *replica_new_fixture(void);
-void replica_drop_fixture(struct replica_fixture *scene);
+void replica_drop_fixture(struct replica_fixture *fixture);
 
-/* Send a request as one attempt; returns its id. */
-uint64_t replica_send(struct replica_fixture *scene, const char *head,
+/* Send a request as one attempt; returns the attempt's id. */
+uint64_t replica_send(struct replica_fixture *fixture, const char *head,
 		      const char *body, bool idempotent, bool no_body);
 
-/* Send REPLICA_GET, which may be repeated. */
-uint64_t replica_send_get(struct replica_fixture *scene);
+/* Send REPLICA_GET, which is idempotent. */
+uint64_t replica_send_get(struct replica_fixture *fixture);
 
-/* Ask, and have the request on a new connection. */
-struct raw_peer *replica_send_and_accept(struct replica_fixture *scene);
+/* Send REPLICA_GET and read it from a new connection. */
+struct raw_peer *replica_send_and_accept(struct replica_fixture *fixture);
 
-/* Ask once more on a new connection or a kept one, and answer it well. */
-struct raw_peer *replica_serve_once(struct replica_fixture *scene);
+/*
+ * Send REPLICA_GET, read it from a new connection and answer it successfully.
+ * The connection is kept for reuse.
+ */
+struct raw_peer *replica_serve_once(struct replica_fixture *fixture);
 
 #endif
--- a/tests/test-coverage.c
+++ b/tests/test-coverage.c
@@ -14,9 +14,10 @@
 #define KEYS 64
 
 /*
- * Story: during a split a search said "complete" though the keys between two
- * replies were in neither.  The replies came in any order, some overlapping.
- * Cause: coverage was counted per shard and not per key.
+ * Compares unions of random ranges, in any order and overlapping, with an array
+ * of keys.  Guards against coverage that is counted per shard instead of per
+ * key: during a split a search was reported as complete though keys between two
+ * replies were covered by neither.
  */
 static void test_random_unions(void **state)
 {
@@ -25,7 +26,7 @@
 	(void)state;
 	for (int round = 0; round < 2000; round++) {
 		struct rr_coverage *coverage = rr_new_coverage();
-		bool held[KEYS] = { false };
+		bool covered[KEYS] = { false };
 
 		for (int i = 0; i < 6; i++) {
 			struct rr_key_range range = {
@@ -34,27 +35,27 @@
 			};
 
 			for (uint64_t k = range.from; k < range.to; k++)
-				held[k] = true;
+				covered[k] = true;
 			rr_add_range(coverage, range);
 		}
 		for (uint64_t from = 0; from < KEYS; from += 5) {
 			struct rr_key_range within = { from, KEYS };
-			struct rr_key_range hole;
+			struct rr_key_range gap;
 			uint64_t k = from;
 
-			while (k < KEYS && held[k])
+			while (k < KEYS && covered[k])
 				k++;
 			assert_int_equal(rr_covers_key(coverage, from),
-					 held[from]);
+					 covered[from]);
 			assert_int_equal(
-				rr_find_first_gap(coverage, within, &hole),
+				rr_find_first_gap(coverage, within, &gap),
 				k < KEYS);
 			if (k == KEYS)
 				continue;
-			assert_int_equal(hole.from, k);
-			while (k < KEYS && !held[k])
+			assert_int_equal(gap.from, k);
+			while (k < KEYS && !covered[k])
 				k++;
-			assert_int_equal(hole.to, k);
+			assert_int_equal(gap.to, k);
 		}
 		rr_drop_coverage(coverage);
 	}
--- a/tests/test-gather.c
+++ b/tests/test-gather.c
@@ -1,5 +1,6 @@
 /*
- * test-gather.c - merged records, and when to stop waiting for parts.
+ * test-gather.c - merged records, and the decision when to stop waiting for
+ * parts.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -32,7 +33,7 @@
 		assert_int_equal(top->records[i * RR_RECORD_BYTES], letters[i]);
 }
 
-static void test_greatest_records_falling(void **state)
+static void test_greatest_records_descending(void **state)
 {
 	struct rr_top_records top;
 
@@ -57,8 +58,8 @@
 	rr_clear_top_records(&top);
 }
 
-/* Bytes count without sign: 0xff is greater than 'z'. */
-static void test_bytes_without_sign(void **state)
+/* Bytes are compared as unsigned: 0xff is greater than 'z'. */
+static void test_bytes_are_unsigned(void **state)
 {
 	struct rr_top_records top;
 	uint8_t high[RR_RECORD_BYTES];
@@ -71,7 +72,7 @@
 	rr_clear_top_records(&top);
 }
 
-static void test_rest_is_no_record(void **state)
+static void test_trailing_bytes_are_ignored(void **state)
 {
 	struct rr_top_records top;
 	uint8_t bytes[RR_RECORD_BYTES + 7] = { 1 };
@@ -93,9 +94,9 @@
 		char letters[65] = "";
 		char sorted[65];
 		int n = g_rand_int_range(rand, 0, 64);
-		size_t most = (size_t)g_rand_int_range(rand, 1, 24);
+		size_t capacity = (size_t)g_rand_int_range(rand, 1, 24);
 
-		rr_init_top_records(&top, most);
+		rr_init_top_records(&top, capacity);
 		for (int i = 0; i < n; i++)
 			letters[i] = (char)g_rand_int_range(rand, 'a', 'j');
 		add(&top, letters);
@@ -103,21 +104,21 @@
 		for (int i = 0; i < n; i++) {
 			for (int j = i + 1; j < n; j++) {
 				if (sorted[j] > sorted[i]) {
-					char kept = sorted[i];
+					char swapped = sorted[i];
 
 					sorted[i] = sorted[j];
-					sorted[j] = kept;
+					sorted[j] = swapped;
 				}
 			}
 		}
-		sorted[MIN((size_t)n, most)] = '\0';
+		sorted[MIN((size_t)n, capacity)] = '\0';
 		assert_top(&top, sorted);
 		rr_clear_top_records(&top);
 	}
 	g_rand_free(rand);
 }
 
-static void test_least_parts(void **state)
+static void test_required_parts(void **state)
 {
 	assert_int_equal(rr_required_parts(20, 0.89), 18);
 	assert_int_equal(rr_required_parts(20, 0.75), 15);
@@ -127,23 +128,23 @@
 	assert_int_equal(rr_required_parts(3, 0), 1);
 }
 
-static enum rr_gather_step decide(size_t in, size_t lacking, size_t hopeless,
-				  int64_t now_us)
+static enum rr_gather_step decide(size_t answered, size_t failed,
+				  size_t unreachable, int64_t now_us)
 {
 	struct rr_gather_state state = {
 		.now_us = now_us,
 		.answer_by_us = 35 * MS,
 		.parts = 20,
-		.answered = in,
-		.failed = lacking,
-		.unreachable = hopeless,
+		.answered = answered,
+		.failed = failed,
+		.unreachable = unreachable,
 		.required = 15,
 	};
 
 	return rr_decide_gather(&state);
 }
 
-static void test_waits_until_the_cut(void **state)
+static void test_waits_until_the_objective(void **state)
 {
 	assert_int_equal(decide(0, 0, 0, 0), RR_GATHER_WAIT);
 	assert_int_equal(decide(19, 0, 0, 34 * MS), RR_GATHER_WAIT);
@@ -152,24 +153,26 @@
 	assert_int_equal(decide(18, 2, 0, 5 * MS), RR_GATHER_ANSWER);
 }
 
-/* Too few parts at the objective: whole seconds are left, a late answer is
- * better than none. */
-static void test_waits_for_the_least_share(void **state)
+/*
+ * Too few parts at the objective: the deadline is seconds away, and a late
+ * answer is better than none.
+ */
+static void test_waits_for_required_parts(void **state)
 {
 	assert_int_equal(decide(14, 0, 0, 35 * MS), RR_GATHER_WAIT);
 	assert_int_equal(decide(14, 5, 0, 200 * MS), RR_GATHER_WAIT);
 	assert_int_equal(decide(15, 0, 0, 200 * MS), RR_GATHER_ANSWER);
 }
 
-static void test_fails_as_soon_as_it_must(void **state)
+static void test_fails_once_required_parts_are_impossible(void **state)
 {
 	assert_int_equal(decide(0, 6, 0, 1 * MS), RR_GATHER_FAIL);
 	assert_int_equal(decide(14, 6, 0, 1 * MS), RR_GATHER_FAIL);
 	assert_int_equal(decide(0, 5, 0, 1 * MS), RR_GATHER_WAIT);
 }
 
-/* A part that is known to be out of reach is not waited for. */
-static void test_hopeless_parts_are_not_waited_for(void **state)
+/* A part that is known to be unreachable is not awaited. */
+static void test_unreachable_parts_are_not_awaited(void **state)
 {
 	assert_int_equal(decide(18, 0, 2, 5 * MS), RR_GATHER_ANSWER);
 	assert_int_equal(decide(17, 0, 2, 5 * MS), RR_GATHER_WAIT);
@@ -179,16 +182,16 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_greatest_records_falling),
+		cmocka_unit_test(test_greatest_records_descending),
 		cmocka_unit_test(test_equal_records_all_count),
-		cmocka_unit_test(test_bytes_without_sign),
-		cmocka_unit_test(test_rest_is_no_record),
+		cmocka_unit_test(test_bytes_are_unsigned),
+		cmocka_unit_test(test_trailing_bytes_are_ignored),
 		cmocka_unit_test(test_against_sorting),
-		cmocka_unit_test(test_least_parts),
-		cmocka_unit_test(test_waits_until_the_cut),
-		cmocka_unit_test(test_waits_for_the_least_share),
-		cmocka_unit_test(test_fails_as_soon_as_it_must),
-		cmocka_unit_test(test_hopeless_parts_are_not_waited_for),
+		cmocka_unit_test(test_required_parts),
+		cmocka_unit_test(test_waits_until_the_objective),
+		cmocka_unit_test(test_waits_for_required_parts),
+		cmocka_unit_test(test_fails_once_required_parts_are_impossible),
+		cmocka_unit_test(test_unreachable_parts_are_not_awaited),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-replica-pool.c
+++ b/tests/test-replica-pool.c
@@ -1,5 +1,5 @@
 /*
- * test-replica-pool.c - connections to replicas: made, kept, used again, ended.
+ * test-replica-pool.c - connections to replicas: opened, kept, reused, closed.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,205 +12,212 @@
 
 #include "support/replica-fixture.h"
 
-/* A kept connection that the replica has closed meanwhile is not used for
- * what may run once. */
+/*
+ * A kept connection that the replica has closed is not reused for a request
+ * that is not idempotent.
+ */
 static void test_closed_connection_is_noticed(void **state)
 {
-	struct replica_fixture *scene = replica_new_fixture();
-	struct raw_peer *peer = replica_serve_once(scene);
+	struct replica_fixture *fixture = replica_new_fixture();
+	struct raw_peer *peer = replica_serve_once(fixture);
 
 	raw_drop(peer);
 	g_usleep(20000);
-	replica_send(scene, "POST /2 HTTP/1.1\r\nHost: h\r\n\r\n", NULL, false,
-		     false);
-	peer = raw_accept(scene->listener);
+	replica_send(fixture, "POST /2 HTTP/1.1\r\nHost: h\r\n\r\n", NULL,
+		     false, false);
+	peer = raw_accept(fixture->listener);
 	raw_expect(peer, "POST /2");
 	raw_drop(peer);
-	replica_drop_fixture(scene);
+	replica_drop_fixture(fixture);
 }
 
-static void test_connection_close_is_heeded(void **state)
+static void test_connection_close_is_obeyed(void **state)
 {
-	struct replica_fixture *scene = replica_new_fixture();
-	struct raw_peer *peer = replica_send_and_accept(scene);
+	struct replica_fixture *fixture = replica_new_fixture();
+	struct raw_peer *peer = replica_send_and_accept(fixture);
 
 	raw_send(peer, REPLICA_OK "Connection: close\r\n\r\nab");
-	raw_run_until(&scene->replies, 1);
-	assert_int_equal(scene->outcome, RR_GATE_ANSWERED);
+	raw_run_until(&fixture->replies, 1);
+	assert_int_equal(fixture->outcome, RR_GATE_ANSWERED);
 	raw_expect_end(peer);
 	raw_drop(peer);
-	replica_drop_fixture(scene);
+	replica_drop_fixture(fixture);
 }
 
-/* It is not used for longer than the replica says it keeps it. */
-static void test_keep_alive_is_heeded(void **state)
+/* A connection is not reused for longer than the replica says it keeps it. */
+static void test_keep_alive_timeout_is_obeyed(void **state)
 {
-	struct replica_fixture *scene = replica_new_fixture();
+	struct replica_fixture *fixture = replica_new_fixture();
 	struct raw_peer *first;
 	struct raw_peer *second;
 
-	replica_send_get(scene);
-	first = raw_accept(scene->listener);
+	replica_send_get(fixture);
+	first = raw_accept(fixture->listener);
 	raw_expect(first, REPLICA_GET);
 	raw_send(first, REPLICA_OK "Keep-Alive: timeout=1\r\n\r\nab");
-	raw_run_until(&scene->replies, 1);
+	raw_run_until(&fixture->replies, 1);
 	raw_run_for(500000);
-	replica_send_get(scene);
-	second = raw_accept(scene->listener);
+	replica_send_get(fixture);
+	second = raw_accept(fixture->listener);
 	raw_expect(second, REPLICA_GET);
 	raw_drop(first);
 	raw_drop(second);
-	replica_drop_fixture(scene);
+	replica_drop_fixture(fixture);
 }
 
-static void test_withdrawn(void **state)
+static void test_cancelled_attempt(void **state)
 {
-	struct replica_fixture *scene = replica_new_fixture();
+	struct replica_fixture *fixture = replica_new_fixture();
 	struct raw_peer *peer;
-	uint64_t attempt = replica_send_get(scene);
+	uint64_t attempt = replica_send_get(fixture);
 
-	peer = raw_accept(scene->listener);
+	peer = raw_accept(fixture->listener);
 	raw_expect(peer, REPLICA_GET);
-	rr_cancel_replica_attempt(scene->client, attempt);
+	rr_cancel_replica_attempt(fixture->client, attempt);
 	raw_expect_end(peer);
-	assert_int_equal(scene->replies, 0);
+	assert_int_equal(fixture->replies, 0);
 	raw_drop(peer);
-	replica_drop_fixture(scene);
+	replica_drop_fixture(fixture);
 }
 
-/* What has left cannot be recalled; what has not is as if never sent. */
-static void test_recall(void **state)
+/*
+ * An attempt that was sent cannot be taken back; one that was not counts as
+ * never sent.
+ */
+static void test_cancel_unsent_attempt(void **state)
 {
-	struct replica_fixture *scene = replica_new_fixture();
-	uint64_t attempt = replica_send_get(scene);
+	struct replica_fixture *fixture = replica_new_fixture();
+	uint64_t attempt = replica_send_get(fixture);
 
-	assert_true(rr_cancel_unsent_attempt(scene->client, attempt));
+	assert_true(rr_cancel_unsent_attempt(fixture->client, attempt));
 	raw_run_for(30000);
-	assert_int_equal(scene->replies, 0);
-	replica_drop_fixture(scene);
-	scene = replica_new_fixture();
-	raw_drop(replica_send_and_accept(scene));
-	assert_false(
-		rr_cancel_unsent_attempt(scene->client, scene->next_attempt));
-	replica_drop_fixture(scene);
+	assert_int_equal(fixture->replies, 0);
+	replica_drop_fixture(fixture);
+	fixture = replica_new_fixture();
+	raw_drop(replica_send_and_accept(fixture));
+	assert_false(rr_cancel_unsent_attempt(fixture->client,
+					      fixture->next_attempt));
+	replica_drop_fixture(fixture);
 }
 
-/* What may run once is given up some time after its deadline. */
-static void test_silence(void **state)
+/*
+ * A request that is not idempotent is abandoned some time after its deadline.
+ */
+static void test_reply_timeout(void **state)
 {
-	struct replica_fixture *scene = replica_new_fixture();
+	struct replica_fixture *fixture = replica_new_fixture();
 	struct raw_peer *peer;
 
-	replica_send(scene, REPLICA_GET, NULL, false, false);
-	peer = raw_accept(scene->listener);
+	replica_send(fixture, REPLICA_GET, NULL, false, false);
+	peer = raw_accept(fixture->listener);
 	raw_expect(peer, REPLICA_GET);
-	rr_tick_replica_client(scene->client,
+	rr_tick_replica_client(fixture->client,
 			       g_get_monotonic_time() + 900 * 1000);
-	assert_int_equal(scene->replies, 0);
-	rr_tick_replica_client(scene->client,
+	assert_int_equal(fixture->replies, 0);
+	rr_tick_replica_client(fixture->client,
 			       g_get_monotonic_time() + 1600 * 1000);
-	assert_int_equal(scene->replies, 1);
-	assert_int_equal(scene->outcome, RR_GATE_NO_REPLY);
+	assert_int_equal(fixture->replies, 1);
+	assert_int_equal(fixture->outcome, RR_GATE_NO_REPLY);
 	raw_drop(peer);
-	replica_drop_fixture(scene);
+	replica_drop_fixture(fixture);
 }
 
-static void test_open_and_forget(void **state)
+static void test_preconnect_and_close(void **state)
 {
-	struct replica_fixture *scene = replica_new_fixture();
+	struct replica_fixture *fixture = replica_new_fixture();
 	struct raw_peer *peer;
 
-	rr_preconnect_replica(scene->client, g_get_monotonic_time(), "r",
-			      scene->listener->address);
-	peer = raw_accept(scene->listener);
+	rr_preconnect_replica(fixture->client, g_get_monotonic_time(), "r",
+			      fixture->listener->address);
+	peer = raw_accept(fixture->listener);
 	raw_run_for(20000);
-	replica_send_get(scene);
+	replica_send_get(fixture);
 	raw_expect(peer, REPLICA_GET);
 	raw_send(peer, REPLICA_OK "\r\nab");
-	raw_run_until(&scene->replies, 1);
-	rr_close_replica_conns(scene->client, "r");
+	raw_run_until(&fixture->replies, 1);
+	rr_close_replica_conns(fixture->client, "r");
 	raw_expect_end(peer);
 	raw_drop(peer);
-	replica_drop_fixture(scene);
+	replica_drop_fixture(fixture);
 }
 
 /*
- * Story: all instances lose power.  Their connections still count at the
- * replicas when they are back, so that a cap that was full of connections at
- * rest has no room for new ones.  Few are kept.
+ * After a power failure of all instances, the replicas still count their old
+ * connections.  If these had filled the connection cap while idle, no new
+ * connection would be accepted.  So only few idle connections are kept.
  */
-static void test_few_are_kept_at_rest(void **state)
+static void test_idle_connections_are_limited(void **state)
 {
-	struct replica_fixture *scene = replica_new_fixture();
+	struct replica_fixture *fixture = replica_new_fixture();
 	struct raw_peer *peers[2];
 
-	replica_send_get(scene);
-	replica_send_get(scene);
-	peers[0] = raw_accept(scene->listener);
-	peers[1] = raw_accept(scene->listener);
+	replica_send_get(fixture);
+	replica_send_get(fixture);
+	peers[0] = raw_accept(fixture->listener);
+	peers[1] = raw_accept(fixture->listener);
 	for (int i = 0; i < 2; i++) {
 		raw_expect(peers[i], REPLICA_GET);
 		raw_send(peers[i], REPLICA_OK "\r\nab");
-		raw_run_until(&scene->replies, i + 1);
+		raw_run_until(&fixture->replies, i + 1);
 	}
 	raw_expect_end(peers[1]);
 	g_string_truncate(peers[0]->received, 0);
-	replica_send_get(scene);
+	replica_send_get(fixture);
 	raw_expect(peers[0], REPLICA_GET);
 	raw_drop(peers[0]);
 	raw_drop(peers[1]);
-	replica_drop_fixture(scene);
+	replica_drop_fixture(fixture);
 }
 
 static void test_probe(void **state)
 {
-	struct replica_fixture *scene = replica_new_fixture();
-
-	rr_probe_replica(scene->client, g_get_monotonic_time(), "r",
-			 scene->listener->address);
-	raw_run_until(&scene->probes, 1);
-	assert_true(scene->probe_reached);
-	raw_close_listener(scene->listener);
-	rr_probe_replica(scene->client, g_get_monotonic_time(), "r",
-			 scene->listener->address);
-	for (int i = 0; scene->probes < 2 && i < 1000; i++) {
+	struct replica_fixture *fixture = replica_new_fixture();
+
+	rr_probe_replica(fixture->client, g_get_monotonic_time(), "r",
+			 fixture->listener->address);
+	raw_run_until(&fixture->probes, 1);
+	assert_true(fixture->probe_reached);
+	raw_close_listener(fixture->listener);
+	rr_probe_replica(fixture->client, g_get_monotonic_time(), "r",
+			 fixture->listener->address);
+	for (int i = 0; fixture->probes < 2 && i < 1000; i++) {
 		raw_run_for(1000);
-		rr_tick_replica_client(scene->client, g_get_monotonic_time());
+		rr_tick_replica_client(fixture->client, g_get_monotonic_time());
 	}
-	assert_int_equal(scene->probes, 2);
-	assert_false(scene->probe_reached);
-	replica_drop_fixture(scene);
+	assert_int_equal(fixture->probes, 2);
+	assert_false(fixture->probe_reached);
+	replica_drop_fixture(fixture);
 }
 
-static void test_nobody_listens(void **state)
+static void test_connection_refused(void **state)
 {
-	struct replica_fixture *scene = replica_new_fixture();
+	struct replica_fixture *fixture = replica_new_fixture();
 
-	raw_close_listener(scene->listener);
-	replica_send_get(scene);
-	for (int i = 0; !scene->replies && i < 1000; i++) {
+	raw_close_listener(fixture->listener);
+	replica_send_get(fixture);
+	for (int i = 0; !fixture->replies && i < 1000; i++) {
 		raw_run_for(1000);
-		rr_tick_replica_client(scene->client, g_get_monotonic_time());
+		rr_tick_replica_client(fixture->client, g_get_monotonic_time());
 	}
-	assert_int_equal(scene->replies, 1);
-	assert_int_equal(scene->outcome, RR_GATE_UNSENT);
-	assert_true(scene->unreachable);
-	replica_drop_fixture(scene);
+	assert_int_equal(fixture->replies, 1);
+	assert_int_equal(fixture->outcome, RR_GATE_UNSENT);
+	assert_true(fixture->unreachable);
+	replica_drop_fixture(fixture);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_closed_connection_is_noticed),
-		cmocka_unit_test(test_connection_close_is_heeded),
-		cmocka_unit_test(test_keep_alive_is_heeded),
-		cmocka_unit_test(test_withdrawn),
-		cmocka_unit_test(test_recall),
-		cmocka_unit_test(test_silence),
-		cmocka_unit_test(test_open_and_forget),
-		cmocka_unit_test(test_few_are_kept_at_rest),
+		cmocka_unit_test(test_connection_close_is_obeyed),
+		cmocka_unit_test(test_keep_alive_timeout_is_obeyed),
+		cmocka_unit_test(test_cancelled_attempt),
+		cmocka_unit_test(test_cancel_unsent_attempt),
+		cmocka_unit_test(test_reply_timeout),
+		cmocka_unit_test(test_preconnect_and_close),
+		cmocka_unit_test(test_idle_connections_are_limited),
 		cmocka_unit_test(test_probe),
-		cmocka_unit_test(test_nobody_listens),
+		cmocka_unit_test(test_connection_refused),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
