--- a/tests/test-core-search.c
+++ b/tests/test-core-search.c
@@ -307,9 +307,9 @@
 }
 
 /*
- * One of many shards hangs (a hundred in the case behind this test, which
- * stopped a whole line).  With `answer: latency` the caller gets the other
- * shards at once, with the missing one named.
+ * Guards against one hanging shard, of a hundred, that delays the answer to the
+ * deadline and brings a line to a standstill.  With `answer: latency` the
+ * caller gets the other shards at once, with the missing one named.
  */
 static void test_latency_mode_answers_at_min_coverage(void **state)
 {
