--- a/include/ragwort/fingerprint.h
+++ b/include/ragwort/fingerprint.h
@@ -1,5 +1,5 @@
 /*
- * fingerprint.h - the identity of a request's content.
+ * fingerprint.h - content hash that identifies a request.
  *
  * All attempts at the same content have the same fingerprint, at any instance.
  * It is the leading half of a SHA-256 hash (FIPS 180-4): a request cannot be
@@ -20,7 +20,7 @@
 	uint64_t low; /* both 0: unset */
 };
 
-/* The parts of a request that do not differ between attempts. */
+/* The parts of a request that are the same in all of its attempts. */
 struct rr_fingerprint_parts {
 	const char *method;
 	const char *host;
@@ -31,16 +31,19 @@
 	size_t body_length;
 };
 
-/* Hash a request's parts.  Linear in the length of the body. */
+/* Hash the parts of a request.  Linear in the length of the body. */
 struct rr_fingerprint rr_fingerprint(const struct rr_fingerprint_parts *parts);
-/* False if it is unset. */
+/* Whether the fingerprint is set, that is, not all zero. */
 bool rr_is_fingerprint_set(const struct rr_fingerprint *fingerprint);
 bool rr_same_fingerprint(const struct rr_fingerprint *a,
 			 const struct rr_fingerprint *b);
 /* Write 32 lower-case hexadecimal digits to `text`, and return it. */
 char *rr_format_fingerprint(const struct rr_fingerprint *fingerprint,
 			    char text[RR_FINGERPRINT_TEXT_SIZE]);
-/* Parse 32 lower-case hexadecimal digits.  False if `text` is malformed. */
+/*
+ * Parse 32 lower-case hexadecimal digits.  Return false if `text` is malformed
+ * or all zero.
+ */
 bool rr_parse_fingerprint(const char *text, struct rr_fingerprint *fingerprint);
 
 #endif
--- a/include/ragwort/quarantine.h
+++ b/include/ragwort/quarantine.h
@@ -1,6 +1,8 @@
 /*
- * quarantine.h - queries of death: requests that crash the replicas that run
- * them, as instances share them through the store.
+ * quarantine.h - entries of the store for queries of death.
+ *
+ * A query of death is a request that crashes the replicas that run it.
+ * Instances share what they know of such requests through the store.
  */
 #ifndef RAGWORT_QUARANTINE_H
 #define RAGWORT_QUARANTINE_H
@@ -15,16 +17,16 @@
 
 struct rr_quarantine_entry {
 	struct rr_fingerprint fingerprint;
-	char **crashed; /* lifetimes of replicas, NULL-terminated */
-	/* Quarantined: not sent to replicas.  Otherwise only suspected. */
+	char **crashed; /* incarnations of replicas, NULL-terminated */
+	/* Not sent to replicas, except for trials; false: only suspected. */
 	bool quarantined;
-	uint32_t trials; /* canary requests sent while quarantined */
+	uint32_t trials; /* number of canary requests sent while quarantined */
 };
 
 /* An update of an entry. */
 struct rr_quarantine_report {
 	const struct rr_quarantine_entry *entry;
-	/* Remove the entry: a replica has completed the request. */
+	/* Remove the entry, as a replica has completed the request. */
 	bool released;
 	/*
 	 * Claim a trial: write the entry only if it is unchanged in the store,
@@ -33,8 +35,10 @@
 	bool claim;
 };
 
+/* Return a deep copy, to be freed with rr_free_quarantine_entry(). */
 struct rr_quarantine_entry *
 rr_copy_quarantine_entry(const struct rr_quarantine_entry *entry);
+/* Free an entry and its list of replicas.  NULL is ignored. */
 void rr_free_quarantine_entry(struct rr_quarantine_entry *entry);
 
 #endif
--- a/source/base/fingerprint.c
+++ b/source/base/fingerprint.c
@@ -1,5 +1,5 @@
 /*
- * fingerprint.c - a hash of a request's parts.
+ * fingerprint.c - content hash of a request, and its text form.
  */
 #include "ragwort/fingerprint.h"
 
@@ -9,12 +9,15 @@
 #define HASH_BYTES 32
 #define HALF_DIGITS 16
 
-/* Prefixes each part with its length, so that parts cannot be shifted. */
+/*
+ * Prefixes each part with its length, so that moving bytes from one part to
+ * the next changes the hash.
+ */
 static void add_part(GChecksum *hash, const void *bytes, size_t length)
 {
-	uint64_t counted = GUINT64_TO_LE((uint64_t)length);
+	uint64_t length_le = GUINT64_TO_LE((uint64_t)length);
 
-	g_checksum_update(hash, (const guchar *)&counted, sizeof(counted));
+	g_checksum_update(hash, (const guchar *)&length_le, sizeof(length_le));
 	if (length)
 		g_checksum_update(hash, bytes, (gssize)length);
 }
--- a/source/core/cold-share.c
+++ b/source/core/cold-share.c
@@ -1,28 +1,29 @@
 /*
- * cold-share.c - one instance's part of what a cold replica bears.
+ * cold-share.c - one instance's share of the request rate of a cold replica.
  */
 #include "core/cold-share.h"
 
 #include <glib.h>
 
 /*
- * A second and what two ways differ by: requests count that were sent and
- * arrived within one.
+ * One second, plus the difference in network delay between two requests: the
+ * limit applies to the requests that arrive in any second as well as to those
+ * that are sent in it.
  */
 #define WINDOW_US (1100 * 1000)
 
-uint32_t rr_cold_share(double bound, uint32_t instances, uint32_t before)
+uint32_t rr_cold_share(double max_per_s, uint32_t instances, uint32_t rank)
 {
-	uint32_t all = (uint32_t)MIN(bound, (double)G_MAXINT32);
-	uint32_t owners = MIN(instances, all);
+	uint32_t total = (uint32_t)MIN(max_per_s, (double)G_MAXINT32);
+	uint32_t participants = MIN(instances, total);
 	uint32_t share;
 
 #ifdef RR_MUTANT_COLD_SHARE_UNDIVIDED
-	return MIN(all, RR_COLD_MAX_PER_S);
+	return MIN(total, RR_COLD_MAX_PER_S);
 #endif
-	if (before >= owners)
+	if (rank >= participants)
 		return 0;
-	share = all / owners + (before < all % owners);
+	share = total / participants + (rank < total % participants);
 	return MIN(share, RR_COLD_MAX_PER_S);
 }
 
--- a/source/core/cold-share.h
+++ b/source/core/cold-share.h
@@ -1,10 +1,10 @@
 /*
- * cold-share.h - how many requests an instance may send a cold replica in any
- * second, so that all instances together stay within what it bears.
+ * cold-share.h - rate limit on the requests of one instance to a cold replica.
  *
- * No agreement and no call to the store: of the instances that are known, a few
- * are drawn for each replica by rendezvous hashing, and have shares that differ
- * by one at most.  Where there is enough for all, all are.
+ * The shares of all instances add up to no more than the replica can serve
+ * while cold.  They need neither agreement nor a call to the store: rendezvous
+ * hashing over the known instances selects a few for each replica, or all where
+ * the rate is high enough, and the shares of these differ by one at most.
  */
 #ifndef RAGWORT_CORE_COLD_SHARE_H
 #define RAGWORT_CORE_COLD_SHARE_H
@@ -13,25 +13,27 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* The most that one instance sends a cold replica in a second. */
+/* Maximum number of requests per second from one instance. */
 #define RR_COLD_MAX_PER_S 32
 
 /*
- * What one instance may send in any second.  `bound` is what all may,
- * `instances` how many take part, `before` how many of them go before this one
- * in the order of the replica.  0: nothing.
+ * Return how many requests this instance may send in any second; 0 for none.
+ * `max_per_s` is the limit for all instances together, `instances` the number
+ * of instances that send to the replica, `rank` the number of those that
+ * precede this one in the replica's rendezvous order.
  */
-uint32_t rr_cold_share(double bound, uint32_t instances, uint32_t before);
+uint32_t rr_cold_share(double max_per_s, uint32_t instances, uint32_t rank);
 
-/* Sendings to one replica of late; all zero: none. */
+/* Times of the latest requests to one replica; all zero: none sent yet. */
 struct rr_cold_window {
-	int64_t sent_us[RR_COLD_MAX_PER_S]; /* a ring */
-	uint64_t n_sent;
+	int64_t sent_us[RR_COLD_MAX_PER_S]; /* ring buffer */
+	uint64_t n_sent;		    /* since the replica became known */
 };
 
-/* Whether one more may be sent to stay within a share. */
+/* Whether another request at `now_us` stays within `share` per second. */
 bool rr_cold_window_has_room(const struct rr_cold_window *window,
 			     int64_t now_us, uint32_t share);
+/* Record a request sent at `now_us`. */
 void rr_add_to_cold_window(struct rr_cold_window *window, int64_t now_us);
 
 #endif
--- a/source/core/evacuation.c
+++ b/source/core/evacuation.c
@@ -1,26 +1,26 @@
 /*
- * evacuation.c - a zone that is to get nothing, and its return.
+ * evacuation.c - evacuation state of a zone and its slow start afterwards.
  */
 #include "core/evacuation.h"
 
 bool rr_update_evacuation(struct rr_evacuation *evacuation, int64_t now_us,
-			  uint64_t revision, bool in_force)
+			  uint64_t revision, bool active)
 {
 #ifndef RR_MUTANT_EVACUATION_GOES_BACK
 	if (revision <= evacuation->revision)
 		return false;
 #endif
 	evacuation->revision = revision;
-	if (in_force == evacuation->active)
+	if (active == evacuation->active)
 		return false;
-	evacuation->active = in_force;
-	evacuation->ended = !in_force;
+	evacuation->active = active;
+	evacuation->ended = !active;
 	evacuation->changed_us = now_us;
 	return true;
 }
 
 double rr_zone_traffic_share(const struct rr_evacuation *evacuation,
-			     int64_t now_us, int64_t return_us)
+			     int64_t now_us, int64_t slow_start_us)
 {
 	int64_t since_us = now_us - evacuation->changed_us;
 
@@ -29,9 +29,9 @@
 #ifdef RR_MUTANT_EVACUATION_ENDS_AT_ONCE
 	return 1;
 #endif
-	if (!evacuation->ended || since_us >= return_us)
+	if (!evacuation->ended || since_us >= slow_start_us)
 		return 1;
-	return (double)since_us / (double)return_us;
+	return (double)since_us / (double)slow_start_us;
 }
 
 bool rr_is_cold_after_evacuation(const struct rr_evacuation *evacuation,
--- a/source/core/evacuation.h
+++ b/source/core/evacuation.h
@@ -1,6 +1,8 @@
 /*
- * evacuation.h - whether the operators want nothing sent to a zone, and how
- * much of the work a zone gets that they have just taken back.
+ * evacuation.h - evacuation state of an availability zone.
+ *
+ * Operators evacuate a zone so that no requests are sent to it.  After the end
+ * of the evacuation its share of the traffic grows slowly.
  */
 #ifndef RAGWORT_CORE_EVACUATION_H
 #define RAGWORT_CORE_EVACUATION_H
@@ -8,32 +10,32 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* All zero: a zone that never was evacuated. */
+/* All zero: the zone was never evacuated. */
 struct rr_evacuation {
-	bool active;
-	bool ended;	    /* taken back, and not for long */
-	uint64_t revision;  /* of the store, of the latest change known */
-	int64_t changed_us; /* when that change was learnt here */
+	bool active;	    /* no requests are sent to the zone */
+	bool ended;	    /* was evacuated, and is so no longer */
+	uint64_t revision;  /* store revision of the latest known change */
+	int64_t changed_us; /* when this instance received that change */
 };
 
 /*
- * Take in what is told of a zone.  False if it changes nothing: it is known
- * already, or older than what is known.  Guards against an instance that has
- * fallen behind and tells of an evacuation that is over, or of the time before
- * one that is in force.
+ * Apply an update from the store.  Return false if it changes nothing, since it
+ * is already known or older than the latest known change.  Guards against an
+ * instance that lags behind and reports an evacuation that has ended, or the
+ * state before one that is active.
  */
 bool rr_update_evacuation(struct rr_evacuation *evacuation, int64_t now_us,
-			  uint64_t revision, bool in_force);
+			  uint64_t revision, bool active);
 
 /*
- * The share of its work that a zone gets, from 0 to 1.  After it was taken
- * back it grows for `return_us`, so that its replicas, which may be cold, do
- * not get the work of all instances in one moment.
+ * Return the share of its usual traffic that a zone gets, 0 to 1.  It grows
+ * linearly for `slow_start_us` after the end of an evacuation, so that its
+ * replicas, which may be cold, do not get the traffic of all instances at once.
  */
 double rr_zone_traffic_share(const struct rr_evacuation *evacuation,
-			     int64_t now_us, int64_t return_us);
+			     int64_t now_us, int64_t slow_start_us);
 
-/* Whether the replicas of a zone may be cold for having been evacuated. */
+/* Whether the zone's evacuation ended less than `cold_us` ago. */
 bool rr_is_cold_after_evacuation(const struct rr_evacuation *evacuation,
 				 int64_t now_us, int64_t cold_us);
 
--- a/source/core/retry-budget.c
+++ b/source/core/retry-budget.c
@@ -1,5 +1,5 @@
 /*
- * retry-budget.c - extra attempts within a sliding window.
+ * retry-budget.c - retry budget over a sliding window.
  */
 #include "core/retry-budget.h"
 
@@ -7,101 +7,103 @@
 
 #define SLOTS (RR_RETRY_BUDGET_SLOTS + 1)
 
-void rr_init_retry_budget(struct rr_retry_budget *allowance, int64_t window_us,
-			  int64_t began_us)
+void rr_init_retry_budget(struct rr_retry_budget *budget, int64_t window_us,
+			  int64_t started_us)
 {
-	*allowance = (struct rr_retry_budget){
+	*budget = (struct rr_retry_budget){
 		.slot_us = MAX(window_us / RR_RETRY_BUDGET_SLOTS, 1),
-		.slack_from_us = began_us + window_us,
+		.slack_from_us = started_us + window_us,
 	};
 }
 
-void rr_set_retry_budget(struct rr_retry_budget *allowance, double ratio,
+void rr_set_retry_budget(struct rr_retry_budget *budget, double ratio,
 			 double slack)
 {
-	allowance->ratio = ratio;
-	allowance->slack = slack;
+	budget->ratio = ratio;
+	budget->slack = slack;
 }
 
-static void empty_slot(struct rr_retry_budget *allowance, size_t slot)
+static void clear_slot(struct rr_retry_budget *budget, size_t slot)
 {
-	allowance->earned_sum -= allowance->earned[slot];
-	allowance->spent_sum -= allowance->spent[slot];
-	allowance->earned[slot] = 0;
-	allowance->spent[slot] = 0;
+	budget->earned_sum -= budget->earned[slot];
+	budget->spent_sum -= budget->spent[slot];
+	budget->earned[slot] = 0;
+	budget->spent[slot] = 0;
 }
 
-/* Empty the slots that have come since the newest one. */
-static size_t slot_at(struct rr_retry_budget *allowance, int64_t now_us)
+/* Advances to the slot of `now_us` and clears the slots passed on the way. */
+static size_t advance_to(struct rr_retry_budget *budget, int64_t now_us)
 {
-	int64_t now = now_us / allowance->slot_us;
+	int64_t now = now_us / budget->slot_us;
 
-	allowance->newest_slot = MAX(allowance->newest_slot, now - SLOTS);
-	while (allowance->newest_slot < now)
-		empty_slot(allowance,
-			   (size_t)(++allowance->newest_slot % SLOTS));
-	return (size_t)(allowance->newest_slot % SLOTS);
+	budget->newest_slot = MAX(budget->newest_slot, now - SLOTS);
+	while (budget->newest_slot < now)
+		clear_slot(budget, (size_t)(++budget->newest_slot % SLOTS));
+	return (size_t)(budget->newest_slot % SLOTS);
 }
 
-/* The oldest slot lies partly before the window: it earns nothing. */
-static double allowed(const struct rr_retry_budget *allowance, size_t slot,
-		      int64_t now_us)
+/*
+ * Requests in the oldest slot are not counted, since the slot lies partly
+ * before the window.
+ */
+static double extras_allowed(const struct rr_retry_budget *budget, size_t slot,
+			     int64_t now_us)
 {
 	size_t oldest = (slot + 1) % SLOTS;
-	uint32_t earned = allowance->earned_sum - allowance->earned[oldest];
-	double slack = allowance->slack;
+	uint32_t earned = budget->earned_sum - budget->earned[oldest];
+	double slack = budget->slack;
 
 #ifndef RR_MUTANT_ALLOWANCE_AT_ONCE
-	if (now_us < allowance->slack_from_us)
+	if (now_us < budget->slack_from_us)
 		slack = 0;
 #endif
 
-	return allowance->ratio * earned + slack;
+	return budget->ratio * earned + slack;
 }
 
-double rr_extras_left(struct rr_retry_budget *allowance, int64_t now_us)
+double rr_extras_left(struct rr_retry_budget *budget, int64_t now_us)
 {
-	size_t slot = slot_at(allowance, now_us);
+	size_t slot = advance_to(budget, now_us);
 
-	return allowed(allowance, slot, now_us) - allowance->spent_sum;
+	return extras_allowed(budget, slot, now_us) - budget->spent_sum;
 }
 
-double rr_extras_used_fraction(struct rr_retry_budget *allowance,
-			       int64_t now_us)
+double rr_extras_used_fraction(struct rr_retry_budget *budget, int64_t now_us)
 {
-	double most = allowed(allowance, slot_at(allowance, now_us), now_us);
-	double spent = allowance->spent_sum;
+	double limit =
+		extras_allowed(budget, advance_to(budget, now_us), now_us);
+	double spent = budget->spent_sum;
 
-	return spent < most ? spent / most : 1;
+	return spent < limit ? spent / limit : 1;
 }
 
-void rr_earn_extra(struct rr_retry_budget *allowance, int64_t now_us)
+void rr_earn_extra(struct rr_retry_budget *budget, int64_t now_us)
 {
-	allowance->earned[slot_at(allowance, now_us)]++;
-	allowance->earned_sum++;
+	budget->earned[advance_to(budget, now_us)]++;
+	budget->earned_sum++;
 }
 
-bool rr_take_extra(struct rr_retry_budget *allowance, int64_t now_us)
+bool rr_take_extra(struct rr_retry_budget *budget, int64_t now_us)
 {
-	if (rr_extras_left(allowance, now_us) < 1)
+	if (rr_extras_left(budget, now_us) < 1)
 		return false;
-	allowance->spent[slot_at(allowance, now_us)]++;
-	allowance->spent_sum++;
+	budget->spent[advance_to(budget, now_us)]++;
+	budget->spent_sum++;
 	return true;
 }
 
-void rr_return_extra(struct rr_retry_budget *allowance, int64_t now_us)
+void rr_return_extra(struct rr_retry_budget *budget, int64_t now_us)
 {
-	size_t slot = slot_at(allowance, now_us);
+	size_t slot = advance_to(budget, now_us);
 
-	/* In a slot that was counted: the newest that has any. */
+	/* Subtracts from the newest slot that has any. */
 	for (size_t i = 0; i < SLOTS; i++) {
-		uint32_t *spent = &allowance->spent[(slot + SLOTS - i) % SLOTS];
+		uint32_t *spent = &budget->spent[(slot + SLOTS - i) % SLOTS];
 
 		if (!*spent)
 			continue;
 		(*spent)--;
-		allowance->spent_sum--;
+		budget->spent_sum--;
 		return;
 	}
 }
--- a/source/core/retry-budget.h
+++ b/source/core/retry-budget.h
@@ -1,51 +1,54 @@
 /*
- * retry-budget.h - how many extra attempts a service may get: in any window, a
- * share of its requests and so many more.
+ * retry-budget.h - limit on the extra attempts of a service.
  *
- * A leaf: it knows neither requests nor replicas.  Unlike a bucket of tokens,
- * whose savings come back only as requests earn them, the slack is there anew
- * for each window.
+ * Extra attempts are retries and hedges.  In any window their number is at most
+ * a fixed ratio of the requests plus a constant, the slack.  Unlike a token
+ * bucket, which refills only as requests earn tokens, the slack is available
+ * again in every window.  Independent of requests and replicas.
  */
-#ifndef RAGWORT_CORE_ALLOWANCE_H
-#define RAGWORT_CORE_ALLOWANCE_H
+#ifndef RAGWORT_CORE_RETRY_BUDGET_H
+#define RAGWORT_CORE_RETRY_BUDGET_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Slots of a window; what it is off by is one of them, always too strict. */
+/*
+ * Slots per window.  The limit is inexact by up to one slot, and always on the
+ * strict side.
+ */
 #define RR_RETRY_BUDGET_SLOTS 20
 
 struct rr_retry_budget {
-	double ratio;
-	double slack;
-	int64_t slot_us;
-	int64_t slack_from_us; /* no slack before */
+	double ratio;	       /* extra attempts per request */
+	double slack;	       /* extra attempts per window in addition */
+	int64_t slot_us;       /* length of a slot */
+	int64_t slack_from_us; /* start of the time with slack */
 	int64_t newest_slot;   /* number of the newest slot */
-	uint32_t earned[RR_RETRY_BUDGET_SLOTS + 1];
-	uint32_t spent[RR_RETRY_BUDGET_SLOTS + 1];
-	uint32_t earned_sum; /* of all slots; asked for at each step */
-	uint32_t spent_sum;
+	uint32_t earned[RR_RETRY_BUDGET_SLOTS + 1]; /* requests, by slot */
+	uint32_t spent[RR_RETRY_BUDGET_SLOTS + 1];  /* extras, by slot */
+	uint32_t earned_sum; /* of all slots; read by every check */
+	uint32_t spent_sum;  /* of all slots */
 };
 
 /*
- * A new one.  A process that began at `began_us` has no slack for a window.
- * Guards against a restart that spends its part of one window twice.
+ * Initialise a budget with a window of `window_us`.  `started_us` is the time
+ * the process started: the slack is 0 for one window after it.  Guards against
+ * a process that restarts and so spends the slack of one window twice.
  */
-void rr_init_retry_budget(struct rr_retry_budget *allowance, int64_t window_us,
-			  int64_t began_us);
-/* Set what is allowed; what was spent stays counted. */
-void rr_set_retry_budget(struct rr_retry_budget *allowance, double ratio,
+void rr_init_retry_budget(struct rr_retry_budget *budget, int64_t window_us,
+			  int64_t started_us);
+/* Set ratio and slack.  Extra attempts already made still count. */
+void rr_set_retry_budget(struct rr_retry_budget *budget, double ratio,
 			 double slack);
-/* A request came, which earns its share. */
-void rr_earn_extra(struct rr_retry_budget *allowance, int64_t now_us);
-/* Take one extra attempt; false if there is none left. */
-bool rr_take_extra(struct rr_retry_budget *allowance, int64_t now_us);
-/* One that was taken reached nobody. */
-void rr_return_extra(struct rr_retry_budget *allowance, int64_t now_us);
-/* How many are left; below 0 when the allowance has shrunk. */
-double rr_extras_left(struct rr_retry_budget *allowance, int64_t now_us);
-/* The part of the allowance that is used, 0 to 1. */
-double rr_extras_used_fraction(struct rr_retry_budget *allowance,
-			       int64_t now_us);
+/* Count a request, which adds `ratio` to the budget. */
+void rr_earn_extra(struct rr_retry_budget *budget, int64_t now_us);
+/* Charge one extra attempt.  Return false if the budget is exhausted. */
+bool rr_take_extra(struct rr_retry_budget *budget, int64_t now_us);
+/* Refund an extra attempt that reached no replica. */
+void rr_return_extra(struct rr_retry_budget *budget, int64_t now_us);
+/* Return the extra attempts left; negative after the budget was reduced. */
+double rr_extras_left(struct rr_retry_budget *budget, int64_t now_us);
+/* Return the used fraction of the budget, 0 to 1. */
+double rr_extras_used_fraction(struct rr_retry_budget *budget, int64_t now_us);
 
 #endif
--- a/source/core/timer.c
+++ b/source/core/timer.c
@@ -1,13 +1,13 @@
 /*
- * timer.c - a binary heap of due times.
+ * timer.c - timers in a binary heap.
  */
 #include "core/timer.h"
 
 #include <glib.h>
 
 struct rr_timers {
-	GArray *heap; /* struct rr_timer, the earliest first */
-	uint64_t next_order;
+	GArray *heap; /* struct rr_timer, a min-heap by due time */
+	uint64_t next_sequence;
 };
 
 struct rr_timers *rr_new_timers(void)
@@ -40,10 +40,10 @@
 
 static void swap_timers(struct rr_timer *a, struct rr_timer *b)
 {
-	struct rr_timer kept = *a;
+	struct rr_timer copy = *a;
 
 	*a = *b;
-	*b = kept;
+	*b = copy;
 }
 
 void rr_set_timer(struct rr_timers *timers, int64_t due_us,
@@ -51,42 +51,42 @@
 {
 	struct rr_timer timer = {
 		.due_us = due_us,
-		.sequence = timers->next_order++,
+		.sequence = timers->next_sequence++,
 		.kind = kind,
 		.index = index,
 		.id = id,
 	};
-	guint at = timers->heap->len;
+	guint pos = timers->heap->len;
 
 	g_array_append_val(timers->heap, timer);
-	while (at > 0) {
-		guint parent = (at - 1) / 2;
+	while (pos > 0) {
+		guint parent = (pos - 1) / 2;
 
-		if (!is_before(timer_at(timers, at), timer_at(timers, parent)))
+		if (!is_before(timer_at(timers, pos), timer_at(timers, parent)))
 			break;
-		swap_timers(timer_at(timers, at), timer_at(timers, parent));
-		at = parent;
+		swap_timers(timer_at(timers, pos), timer_at(timers, parent));
+		pos = parent;
 	}
 }
 
 static void sift_down(struct rr_timers *timers)
 {
-	guint at = 0;
+	guint pos = 0;
 
 	for (;;) {
-		guint first = at;
-		guint child = 2 * at + 1;
+		guint earliest = pos;
+		guint child = 2 * pos + 1;
 
 		for (guint i = child; i <= child + 1; i++) {
 			if (i < timers->heap->len &&
 			    is_before(timer_at(timers, i),
-				      timer_at(timers, first)))
-				first = i;
+				      timer_at(timers, earliest)))
+				earliest = i;
 		}
-		if (first == at)
+		if (earliest == pos)
 			return;
-		swap_timers(timer_at(timers, at), timer_at(timers, first));
-		at = first;
+		swap_timers(timer_at(timers, pos), timer_at(timers, earliest));
+		pos = earliest;
 	}
 }
 
--- a/source/core/weighted-choice.c
+++ b/source/core/weighted-choice.c
@@ -1,5 +1,5 @@
 /*
- * weighted-choice.c - a weighted coin.
+ * weighted-choice.c - weighted random choice between two replicas.
  */
 #include "core/weighted-choice.h"
 
