--- a/source/core/concurrency-limit.c
+++ b/source/core/concurrency-limit.c
@@ -1,21 +1,21 @@
 /*
- * concurrency-limit.c - an adaptive limit of attempts at one replica.
+ * concurrency-limit.c - adaptive concurrency limit for one replica.
  *
- * It starts at this instance's part of the slots.  It grows as long as
- * attempts sent at the limit take no longer than those that find no queue
- * (the replica's slots stand idle while an answer and the next attempt are on
- * their way), and shrinks when they do, on refusals and on losses.  Instances
- * so share a replica without a message between them.
+ * The limit starts at this instance's share of the replica's slots.  It grows
+ * as long as attempts sent at the limit take no longer than attempts that find
+ * no queue: the slots are idle while a response and the next attempt are in
+ * transit.  It shrinks when they take longer, on rejections and on losses.
+ * Instances thus share a replica without communicating.
  */
 #include "core/concurrency-limit.h"
 
 #include <glib.h>
 
-/* More time than this, against a replica that is not busy, is its queue. */
-#define QUEUE_FACTOR 1.5
-#define QUEUE_SHRINK 0.98
-#define GROW_FACTOR 1.25
-#define TIME_WEIGHT 0.0625
+/* A higher ratio of the latency to that without a queue indicates a queue. */
+#define QUEUE_LATENCY_RATIO 1.5
+#define SHRINK_FACTOR 0.98
+#define GROW_LATENCY_RATIO 1.25
+#define LATENCY_WEIGHT 0.0625
 
 void rr_reset_limit(struct rr_concurrency_limit *limit, uint32_t share)
 {
@@ -30,41 +30,42 @@
 	return MAX(1, MIN((uint32_t)limit->value, highest));
 }
 
-static void mix_time(double *estimate, double took)
+static void update_mean(double *mean, double latency)
 {
-	if (*estimate <= 0)
-		*estimate = took;
+	if (*mean <= 0)
+		*mean = latency;
 	else
-		*estimate += TIME_WEIGHT * (took - *estimate);
+		*mean += LATENCY_WEIGHT * (latency - *mean);
 }
 
 /*
- * Time alone takes the limit no lower than this instance's slots: where times
- * spread widely they look like a queue that is not there.  Refusals do.
+ * Latency alone reduces the limit no further than this instance's share, since
+ * widely spread latencies look like a queue where there is none.  Rejections
+ * reduce it further.
  */
 static void shrink_to_share(struct rr_concurrency_limit *limit, double share)
 {
 	if (limit->value > share)
-		limit->value = MAX(share, limit->value * QUEUE_SHRINK);
+		limit->value = MAX(share, limit->value * SHRINK_FACTOR);
 }
 
 void rr_adapt_limit(struct rr_concurrency_limit *limit,
-		    const struct rr_limit_bounds *bounds, double took,
-		    double unqueued, uint32_t in_flight)
+		    const struct rr_limit_bounds *bounds, double latency,
+		    double unloaded, uint32_t in_flight)
 {
-	double free;
+	double baseline;
 
 	if (in_flight <= bounds->share)
-		mix_time(&limit->unloaded_time, took);
+		update_mean(&limit->unloaded_time, latency);
 	if (in_flight < (uint32_t)limit->value)
 		return;
-	mix_time(&limit->loaded_time, took);
-	free = unqueued > 0 ? unqueued : limit->unloaded_time;
-	if (free <= 0)
+	update_mean(&limit->loaded_time, latency);
+	baseline = unloaded > 0 ? unloaded : limit->unloaded_time;
+	if (baseline <= 0)
 		return;
-	if (limit->loaded_time > QUEUE_FACTOR * free)
+	if (limit->loaded_time > QUEUE_LATENCY_RATIO * baseline)
 		shrink_to_share(limit, bounds->share);
-	else if (limit->loaded_time < GROW_FACTOR * free)
+	else if (limit->loaded_time < GROW_LATENCY_RATIO * baseline)
 		limit->value += 1 / MAX(1.0, limit->value);
 	limit->value = MIN(limit->value, (double)bounds->highest);
 }
--- a/source/core/passive-health.h
+++ b/source/core/passive-health.h
@@ -1,75 +1,84 @@
 /*
- * passive-health.h - what an instance has seen of one replica itself: how slow it is,
- * how often its answers are lost, whether it seems gone.
+ * passive-health.h - passive health checks of one replica.
  *
- * A leaf: it knows neither requests nor who sends them.  Reports of replicas
- * about themselves lag or mislead, so none goes in here.
+ * Slowness, loss rate and reachability of a replica, as this instance observes
+ * them on its own attempts.  What replicas report about themselves is not used,
+ * since it lags or misleads.  Independent of requests and of their senders.
  */
-#ifndef RAGWORT_CORE_TRACK_H
-#define RAGWORT_CORE_TRACK_H
+#ifndef RAGWORT_CORE_PASSIVE_HEALTH_H
+#define RAGWORT_CORE_PASSIVE_HEALTH_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
 struct rr_passive_health {
-	/* Time of its answers against the usual time of the same work. */
+	/* Ratio of its response time to the usual time of the same work. */
 	double slowness;
-	int64_t slowness_sampled_us; /* when that was last told; 0: never */
-	/* Share of attempts without a usable answer, when last told. */
+	int64_t slowness_sampled_us; /* time of the last sample; 0: none */
+	/* Fraction of attempts lost or rejected, at `loss_sampled_us`. */
 	double loss_rate;
-	int64_t loss_sampled_us;
+	int64_t loss_sampled_us; /* time of the last loss or response */
 	/*
-	 * How long it has been silent: time with an attempt open, since its
-	 * last sign of life.
+	 * Time with an attempt in flight since the last contact, not counting
+	 * the time since `open_since_us`.
 	 */
 	int64_t silent_us;
-	int64_t open_since_us; /* 0: no attempt is open */
-	uint32_t consecutive_silences;
-	int64_t suspected_until_us;
+	int64_t open_since_us;	       /* 0: no attempt is in flight */
+	uint32_t consecutive_silences; /* suspicions since the last contact */
+	int64_t suspected_until_us;    /* 0: not suspected */
 };
 
-/* How a loss showed. */
+/* Kinds of lost attempts. */
 enum rr_loss {
-	RR_LOSS_BROKEN, /* reset, cut short or garbled: the replica is there */
-	RR_LOSS_UNREACHABLE, /* no connection or no byte: it may be gone */
+	RR_LOSS_BROKEN, /* reset, truncated or malformed: replica is reachable */
+	RR_LOSS_UNREACHABLE, /* no connection or no byte: it may be down */
 };
 
-void rr_init_passive_health(struct rr_passive_health *track);
-/* An answer took `took_us`, where `typical_us` is usual (0: not known). */
-void rr_observe_answer(struct rr_passive_health *track, int64_t now_us,
-		       int64_t took_us, int64_t typical_us);
-/* As above for one that is still open: it takes at least that. */
-void rr_observe_overdue(struct rr_passive_health *track, int64_t now_us,
+/* Set the state of a replica of which nothing is known. */
+void rr_init_passive_health(struct rr_passive_health *health);
+/*
+ * Record a response that took `latency_us`, where `typical_us` is usual; 0 if
+ * the usual time is not known.
+ */
+void rr_observe_answer(struct rr_passive_health *health, int64_t now_us,
+		       int64_t latency_us, int64_t typical_us);
+/*
+ * Record an attempt that has been in flight for `age_us`: it takes at least
+ * that long.  Ignored unless `age_us` is well above `typical_us`.
+ */
+void rr_observe_overdue(struct rr_passive_health *health, int64_t now_us,
 			int64_t age_us, int64_t typical_us);
-void rr_observe_loss(struct rr_passive_health *track, int64_t now_us,
+/* Record a lost attempt. */
+void rr_observe_loss(struct rr_passive_health *health, int64_t now_us,
 		     enum rr_loss loss);
-/* A probe did not reach it either. */
-void rr_observe_unreachable(struct rr_passive_health *track, int64_t now_us);
-/* Its first open attempt begins, or its last one ends. */
-void rr_resume_silence_clock(struct rr_passive_health *track, int64_t now_us);
-void rr_pause_silence_clock(struct rr_passive_health *track, int64_t now_us);
-/* How long it has been silent with an attempt open. */
-int64_t rr_silence_us(const struct rr_passive_health *track, int64_t now_us);
-/* It refused for want of room, with proof. */
-void rr_observe_rejection(struct rr_passive_health *track, int64_t now_us);
-/* Seen anew after it seemed gone, by another sign than an answer. */
-void rr_observe_contact(struct rr_passive_health *track, int64_t now_us);
+/* Record a probe that did not reach the replica either. */
+void rr_observe_unreachable(struct rr_passive_health *health, int64_t now_us);
+/* Resume with the first attempt in flight; pause when the last one ends. */
+void rr_resume_silence_clock(struct rr_passive_health *health, int64_t now_us);
+void rr_pause_silence_clock(struct rr_passive_health *health, int64_t now_us);
+/* Return how long it has been silent while an attempt was in flight. */
+int64_t rr_silence_us(const struct rr_passive_health *health, int64_t now_us);
+/* Record a confirmed rejection for lack of capacity. */
+void rr_observe_rejection(struct rr_passive_health *health, int64_t now_us);
+/* Record contact: the replica is not suspected any more. */
+void rr_observe_contact(struct rr_passive_health *health, int64_t now_us);
 
 /*
- * How slow it is believed to be, 1 as usual.  What was seen fades with time:
- * nothing else would tell that a replica, which is no longer asked, is well.
+ * Return its estimated slowness; 1 is the usual speed.  Observations decay with
+ * time, since a replica that gets no more requests yields no observation of its
+ * recovery.
  */
-double rr_decayed_slowness(const struct rr_passive_health *track,
+double rr_decayed_slowness(const struct rr_passive_health *health,
 			   int64_t now_us);
-/* The share of attempts that it loses; what was seen fades as above. */
-double rr_decayed_loss_rate(const struct rr_passive_health *track,
+/* Return its loss rate, 0 to 1, which decays in the same way. */
+double rr_decayed_loss_rate(const struct rr_passive_health *health,
 			    int64_t now_us);
-/* Whether it seems gone: nothing is expected of it until it is tried anew. */
-bool rr_is_suspected(const struct rr_passive_health *track, int64_t now_us);
+/* Whether it is suspected to be down, and is to get no attempts for now. */
+bool rr_is_suspected(const struct rr_passive_health *health, int64_t now_us);
 /*
- * It was reached by a probe: it may be tried again.  Suspected once more
- * before it answers, it is left alone for longer.
+ * Record a probe that reached the replica, which may get attempts again.  If it
+ * is suspected again before it responds, the suspicion lasts longer.
  */
-void rr_observe_reachable(struct rr_passive_health *track);
+void rr_observe_reachable(struct rr_passive_health *health);
 
 #endif
--- a/source/core/request-trace.h
+++ b/source/core/request-trace.h
@@ -1,12 +1,12 @@
 /*
- * request-trace.h - what was decided for one request, kept until its end and then
- * told whole or not at all.
+ * request-trace.h - event trace of one request, logged when the request ends.
  *
- * Most requests go well and are not worth their lines.  Which ones are is
- * known only at the end, so decisions are kept as small records meanwhile.
+ * A trace is logged as a whole or not at all.  Most requests succeed and are not
+ * worth logging.  Which ones are is known only at the end, so the decisions are
+ * kept as small records until then.
  */
-#ifndef RAGWORT_CORE_TRAIL_H
-#define RAGWORT_CORE_TRAIL_H
+#ifndef RAGWORT_CORE_REQUEST_TRACE_H
+#define RAGWORT_CORE_REQUEST_TRACE_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -18,63 +18,65 @@
 	RR_TRACE_SENT,
 	RR_TRACE_REPLY,
 	RR_TRACE_CANCELLED,
-	RR_TRACE_QUEUED,	/* no replica had room */
-	RR_TRACE_NOT_SENT,	/* a hedge or repeat that could not be */
-	RR_TRACE_CALLER_CLOSED, /* its caller closed */
+	RR_TRACE_QUEUED,	/* no replica had capacity */
+	RR_TRACE_NOT_SENT,	/* a hedge or retry that was not possible */
+	RR_TRACE_CALLER_CLOSED, /* the caller closed the connection */
 };
 
-/* One decision with what decided it; strings live as long as the gate. */
+/* One decision and its inputs.  Strings are owned by the gate. */
 struct rr_trace_event {
 	int64_t at_us;
 	enum rr_trace_event_kind kind;
-	const char *reason;  /* or outcome */
-	const char *service; /* may be NULL, and those below */
-	char *endpoint;	     /* the trail's */
-	uint64_t attempt;
+	const char *reason;  /* or the outcome */
+	const char *service; /* or NULL */
+	char *endpoint;	     /* or NULL; owned by the trace */
+	uint64_t attempt;    /* 0: not about an attempt */
 	uint32_t status;
 	uint32_t in_flight;
 	double slowness;
-	uint32_t pace_percent; /* that the replica last told; 0: it did not */
-	double extras_left;    /* of the service, when it was decided */
+	uint32_t pace_percent; /* last reported by the replica; 0: none */
+	double extras_left;    /* of the service, at that time */
 };
 
 struct rr_request_trace {
 	GArray *events; /* struct rr_trace_event */
 };
 
-/* Lines that may be written: so many a second, saved up for two. */
+/* Rate limit on log lines; unused lines are saved for two seconds. */
 struct rr_log_budget {
-	double tokens;
+	double tokens; /* lines that may be written now */
 	double lines_per_s;
 	int64_t refilled_us;
 };
 
-void rr_init_trace(struct rr_request_trace *trail);
-void rr_clear_trace(struct rr_request_trace *trail);
-/* Keep a step; the endpoint's id is copied. */
-void rr_add_trace_event(struct rr_request_trace *trail,
-			const struct rr_trace_event *step);
+/* Initialise an empty trace; rr_clear_trace() frees its contents. */
+void rr_init_trace(struct rr_request_trace *trace);
+void rr_clear_trace(struct rr_request_trace *trace);
+/* Append an event; the id of the endpoint is copied. */
+void rr_add_trace_event(struct rr_request_trace *trace,
+			const struct rr_trace_event *event);
 /*
- * Take the lines of a trail from the budget.  Ordinary ones get only what is
- * left while half of it is saved, so that those that went wrong find room.
+ * Charge the lines of a trace to the budget.  Return false if there are too few
+ * left.  Traces of `ordinary` requests leave half of the capacity in reserve, so
+ * that failed requests can still be logged.
  */
 bool rr_take_log_lines(struct rr_log_budget *budget, int64_t now_us,
 		       size_t lines, bool ordinary);
-/* Write the steps of a request that began at `began_us`. */
-void rr_log_trace(struct rr_context *ctx, const struct rr_request_trace *trail,
-		  const char *request, int64_t began_us);
-/* Those steps only that are wanted; how many these are. */
+/* Log the events of a request that started at `started_us`. */
+void rr_log_trace(struct rr_context *ctx, const struct rr_request_trace *trace,
+		  const char *request, int64_t started_us);
+/* Log, or count, only the events for which `matches` returns true. */
 void rr_log_trace_matching(struct rr_context *ctx,
-			   const struct rr_request_trace *trail,
-			   const char *request, int64_t began_us,
-			   bool (*wanted)(void *data,
-					  const struct rr_trace_event *step),
+			   const struct rr_request_trace *trace,
+			   const char *request, int64_t started_us,
+			   bool (*matches)(void *data,
+					   const struct rr_trace_event *event),
 			   void *data);
-size_t rr_count_trace_events(const struct rr_request_trace *trail,
-			     bool (*wanted)(void *data,
-					    const struct rr_trace_event *step),
-			     void *data);
-/* Whether this id is among those told although they went well. */
+size_t rr_count_trace_events(
+	const struct rr_request_trace *trace,
+	bool (*matches)(void *data, const struct rr_trace_event *event),
+	void *data);
+/* Whether a request with this id is logged even if it succeeds. */
 bool rr_is_sampled(const char *request_id);
 
 #endif
--- a/source/core/wait-queue.c
+++ b/source/core/wait-queue.c
@@ -1,21 +1,22 @@
 /*
- * wait-queue.c - the order in which waiting work is served.
+ * wait-queue.c - queueing discipline for requests that wait for capacity.
  */
 #include "core/wait-queue.h"
 
 /*
- * Waiting for more than this part of the time until its cut shows that the
- * work behind will be late: what remains has to hold the work itself, and a
- * second try.
+ * An entry that has waited for more than this fraction of the time until its
+ * objective shows that those behind it will be late: the remaining time has to
+ * suffice for the work itself and for a retry.
  */
-#define OVERRUN_PART 0.35
+#define OVERLOAD_WAIT_FRACTION 0.35
 /*
- * A newcomer is turned away when its own wait would be more than this part.
- * Less than the part above, or the last one taken would show as overrun.
- * Replayed burst (the test): of 168 that two can do in five seconds 168 are in
- * time, 141 with 0.35, 64 without.
+ * A new entry is rejected if its own wait would exceed this fraction.  It is
+ * less than the fraction above, or the last entry admitted would indicate
+ * overload.  In the burst of tests/test-wait-queue.c, in which two workers can
+ * serve 168 requests in 5 s, 168 are in time with this value, 141 with 0.35 and
+ * 64 without the check.
  */
-#define NEWCOMER_PART 0.25
+#define ADMISSION_WAIT_FRACTION 0.25
 
 void rr_init_wait_queue(struct rr_wait_queue *queue)
 {
@@ -43,7 +44,8 @@
 {
 	double allowed_us = (double)(waiter->answer_by_us - waiter->since_us);
 
-	return (double)(now_us - waiter->since_us) > OVERRUN_PART * allowed_us;
+	return (double)(now_us - waiter->since_us) >
+	       OVERLOAD_WAIT_FRACTION * allowed_us;
 }
 
 bool rr_is_overloaded(const struct rr_wait_queue *queue, int64_t now_us)
@@ -56,23 +58,24 @@
 }
 
 bool rr_would_overload(const struct rr_wait_queue *queue,
-		       const struct rr_overload_inputs *outlook)
+		       const struct rr_overload_inputs *inputs)
 {
-	double ahead_us =
-		(double)queue->waiters->len * (double)outlook->typical_us;
-	double allowed_us = NEWCOMER_PART *
-			    (double)(outlook->answer_by_us - outlook->now_us);
+	double queued_work_us =
+		(double)queue->waiters->len * (double)inputs->typical_us;
+	double allowed_us = ADMISSION_WAIT_FRACTION *
+			    (double)(inputs->answer_by_us - inputs->now_us);
 
 #ifdef RR_MUTANT_QUEUE_NO_OUTLOOK
 	allowed_us = G_MAXDOUBLE;
 #endif
-	return ahead_us > allowed_us * outlook->capacity ||
-	       rr_is_overloaded(queue, outlook->now_us);
+	return queued_work_us > allowed_us * inputs->capacity ||
+	       rr_is_overloaded(queue, inputs->now_us);
 }
 
-/* Whether `a`, which is newer, goes before `b`. */
-static bool goes_before(const struct rr_waiter *a, const struct rr_waiter *b,
-			int64_t in_time_us, bool newest_first)
+/* Whether `a`, the newer entry, is served before `b`. */
+static bool is_served_before(const struct rr_waiter *a,
+			     const struct rr_waiter *b, int64_t in_time_us,
+			     bool newest_first)
 {
 	bool a_in_time = a->answer_by_us >= in_time_us;
 	bool b_in_time = b->answer_by_us >= in_time_us;
@@ -97,8 +100,9 @@
 	if (!queue->waiters->len)
 		return false;
 	for (guint i = 1; i < queue->waiters->len; i++) {
-		if (goes_before(waiter_at(queue, i), waiter_at(queue, best),
-				now_us + typical_us, newest_first))
+		if (is_served_before(waiter_at(queue, i),
+				     waiter_at(queue, best),
+				     now_us + typical_us, newest_first))
 			best = i;
 	}
 	*waiter = *waiter_at(queue, best);
--- a/source/core/wait-queue.h
+++ b/source/core/wait-queue.h
@@ -1,8 +1,9 @@
 /*
- * wait-queue.h - work that waits in this instance for room at a service.
+ * wait-queue.h - queue of requests that wait for capacity of a service.
  *
- * It waits here and not at the replicas: here it can be withdrawn for
- * nothing, and be served in the order that does callers most good.  A leaf.
+ * Requests wait in the instance instead of at the replicas, since here they can
+ * be cancelled at no cost and be served in the order that is best for callers.
+ * Independent of requests and replicas.
  */
 #ifndef RAGWORT_CORE_WAIT_QUEUE_H
 #define RAGWORT_CORE_WAIT_QUEUE_H
@@ -12,50 +13,52 @@
 #include <stdint.h>
 
 struct rr_waiter {
-	uint64_t request; /* the request, and which of its parts */
-	uint32_t part;
-	uint32_t priority; /* 0 is the highest */
-	int64_t since_us;
-	int64_t answer_by_us; /* an answer after this misses its objective */
+	uint64_t request;     /* id of the request */
+	uint32_t part;	      /* index of the part in the request */
+	uint32_t priority;    /* 0 is the highest */
+	int64_t since_us;     /* when it was queued */
+	int64_t answer_by_us; /* a later response misses the objective */
 };
 
 struct rr_wait_queue {
-	GArray *waiters; /* struct rr_waiter, the oldest first */
+	GArray *waiters; /* struct rr_waiter, oldest first */
 };
 
+/* Initialise an empty queue; rr_clear_wait_queue() frees its entries. */
 void rr_init_wait_queue(struct rr_wait_queue *queue);
 void rr_clear_wait_queue(struct rr_wait_queue *queue);
+/* Append a copy of `waiter`. */
 void rr_push_waiter(struct rr_wait_queue *queue,
 		    const struct rr_waiter *waiter);
 /*
- * Take the one to serve next; false if none waits.  The work takes about
- * `typical_us`.
+ * Remove the entry to serve next.  Return false if the queue is empty.  The
+ * work takes about `typical_us`.
  *
- * Those that can still be in time go before those that cannot, and of them
- * the highest priority first.  Within one priority the oldest goes first
- * while all are served soon.  Once the oldest has used up much of its time
- * with waiting, more comes than can be served: then the newest goes first,
- * since the oldest would be late, and so would everyone after it.
+ * Entries that can still meet their objective precede those that cannot; among
+ * these the highest priority comes first, and within a priority the oldest
+ * entry.  Under overload the newest entry comes first instead: once an entry
+ * has spent much of its time waiting, more requests arrive than can be served,
+ * and serving the oldest first would make it and all that follow late.
  */
 bool rr_pop_waiter(struct rr_wait_queue *queue, int64_t now_us,
 		   int64_t typical_us, struct rr_waiter *waiter);
-/* Whether more comes than can be served: see above. */
+/* Whether more requests arrive than can be served; see above. */
 bool rr_is_overloaded(const struct rr_wait_queue *queue, int64_t now_us);
 
-/* What the wait of one more is reckoned from. */
+/* Inputs for the estimated wait of a new entry. */
 struct rr_overload_inputs {
 	int64_t now_us;
-	int64_t answer_by_us; /* its own */
-	int64_t typical_us;   /* one piece of work */
-	uint32_t capacity;    /* so many at once */
+	int64_t answer_by_us; /* of the new entry */
+	int64_t typical_us;   /* time to serve one entry */
+	uint32_t capacity;    /* entries served at the same time */
 };
 
 /*
- * Whether it is overrun, or would be with one more: what waits already takes
- * up too much of the newcomer's time.  Turned away then, before a backlog
- * shows by its age, fewer are served late.
+ * Whether the queue is overloaded, or would be with a new entry, since the work
+ * already queued takes too much of its time.  Rejecting entries then, before the
+ * age of the backlog shows the overload, leaves fewer to be served late.
  */
 bool rr_would_overload(const struct rr_wait_queue *queue,
-		       const struct rr_overload_inputs *outlook);
+		       const struct rr_overload_inputs *inputs);
 
 #endif
