--- a/source/core/gate-cold.c
+++ b/source/core/gate-cold.c
@@ -1,8 +1,9 @@
 /*
- * gate-cold.c - cold replicas: which they are, and how many requests they get.
+ * gate-cold.c - rate limit on requests to cold replicas.
  *
- * A replica that has just started, or whose zone was evacuated, falls over if
- * it gets more than it bears in a second from all instances together.
+ * A replica is cold when it has just started, or when the evacuation of its zone
+ * has just ended.  It becomes overloaded and fails if all instances together
+ * send it more requests per second than it can serve while cold.
  */
 #include "core/gate-private.h"
 
@@ -11,11 +12,11 @@
 int64_t rr_cold_period_us(const struct rr_gate *gate,
 			  const struct rr_gate_service *service)
 {
-	const struct rr_route_service *told =
+	const struct rr_route_service *config =
 		rr_find_service_config(gate, service->name);
 
-	return told && told->cold_ms ? (int64_t)told->cold_ms * 1000 :
-				       gate->policy.return_cold_us;
+	return config && config->cold_ms ? (int64_t)config->cold_ms * 1000 :
+					   gate->policy.return_cold_us;
 }
 
 bool rr_is_cold(const struct rr_gate *gate, const struct rr_endpoint *endpoint)
@@ -28,29 +29,33 @@
 		       rr_cold_period_us(gate, endpoint->service));
 }
 
-/* What all instances together may send it in a second; 0: no bound is told. */
-static double bound_of(const struct rr_gate *gate,
-		       const struct rr_endpoint *endpoint)
+/*
+ * Returns the limit for all instances together, in requests per second; 0 if
+ * none is configured for the service.
+ */
+static double max_rate_of(const struct rr_gate *gate,
+			  const struct rr_endpoint *endpoint)
 {
-	const struct rr_route_service *told =
+	const struct rr_route_service *config =
 		rr_find_service_config(gate, endpoint->service->name);
 
-	if (!told || told->cold_per_s <= 0)
+	if (!config || config->cold_per_s <= 0)
 		return 0;
 	return gate->policy.share_cold_part *
-	       (told->cold_per_s * gate->cold_overage + gate->cold_slack);
+	       (config->cold_per_s * gate->cold_overage + gate->cold_slack);
 }
 
 /* Whether a peer sends attempts to replicas of a service. */
-static bool takes_part(const struct rr_gate_peer *peer,
-		       const struct rr_gate_service *service)
+static bool sends_to(const struct rr_gate_peer *peer,
+		     const struct rr_gate_service *service)
 {
 	return !service->is_shard || peer->is_coordinator;
 }
 
-/* This instance's share, by the instances that are known now. */
-static uint32_t find_share(const struct rr_gate *gate,
-			   const struct rr_endpoint *endpoint, double bound)
+/* Computes this instance's share from the instances known now. */
+static uint32_t compute_share(const struct rr_gate *gate,
+			      const struct rr_endpoint *endpoint,
+			      double max_per_s)
 {
 	const struct rr_gate_peer *self =
 		gate->instance ?
@@ -59,49 +64,49 @@
 	GHashTableIter iter;
 	gpointer value;
 	uint32_t instances = 0;
-	uint32_t before = 0;
-	uint64_t own;
+	uint32_t rank = 0;
+	uint64_t own_weight;
 
-	/* The others do not count an instance that is not in the list. */
-	if (!self || !takes_part(self, endpoint->service))
+	/* Peers do not count an instance that is missing from the list. */
+	if (!self || !sends_to(self, endpoint->service))
 		return 0;
-	own = rr_rendezvous_weight(endpoint->incarnation, self->id);
+	own_weight = rr_rendezvous_weight(endpoint->incarnation, self->id);
 	g_hash_table_iter_init(&iter, gate->peers);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct rr_gate_peer *peer = value;
 
-		if (!takes_part(peer, endpoint->service))
+		if (!sends_to(peer, endpoint->service))
 			continue;
 		instances++;
-		before += peer != self &&
-			  rr_rendezvous_weight(endpoint->incarnation,
-					       peer->id) >= own;
+		rank += peer != self &&
+			rr_rendezvous_weight(endpoint->incarnation, peer->id) >=
+				own_weight;
 	}
-	return rr_cold_share(bound, instances, before);
+	return rr_cold_share(max_per_s, instances, rank);
 }
 
-/* The same, kept until the instances or the routes change. */
-static uint32_t share_of(const struct rr_gate *gate,
-			 struct rr_endpoint *endpoint, double bound)
+/* Returns the share, cached until the instances or the limit change. */
+static uint32_t cached_share(const struct rr_gate *gate,
+			     struct rr_endpoint *endpoint, double max_per_s)
 {
 	struct rr_cold_quota *cold = endpoint->cold_quota;
 
 	if (!cold)
 		cold = endpoint->cold_quota = g_new0(struct rr_cold_quota, 1);
 	if (cold->peers_version != gate->peers_version ||
-	    cold->bound != bound) {
+	    cold->bound != max_per_s) {
 		cold->peers_version = gate->peers_version;
-		cold->bound = bound;
-		cold->share = find_share(gate, endpoint, bound);
+		cold->bound = max_per_s;
+		cold->share = compute_share(gate, endpoint, max_per_s);
 	}
 	return cold->share;
 }
 
 /*
- * Guards against a restart: what the process before sent in the last second is
- * not known.
+ * Guards against exceeding the limit after a restart: it is not known what the
+ * previous process sent in the last second.
  */
-static bool has_just_begun(const struct rr_gate *gate)
+static bool has_just_started(const struct rr_gate *gate)
 {
 	return gate->now_us - gate->process_started_us < G_USEC_PER_SEC;
 }
@@ -109,15 +114,15 @@
 bool rr_has_cold_quota_left(const struct rr_gate *gate,
 			    struct rr_endpoint *endpoint)
 {
-	double bound =
-		rr_is_cold(gate, endpoint) ? bound_of(gate, endpoint) : 0;
+	double max_per_s =
+		rr_is_cold(gate, endpoint) ? max_rate_of(gate, endpoint) : 0;
 	uint32_t share;
 
-	if (bound <= 0)
+	if (max_per_s <= 0)
 		return true;
-	if (has_just_begun(gate))
+	if (has_just_started(gate))
 		return false;
-	share = share_of(gate, endpoint, bound);
+	share = cached_share(gate, endpoint, max_per_s);
 	return rr_cold_window_has_room(&endpoint->cold_quota->window,
 				       gate->now_us, share);
 }
--- a/source/core/gate-evacuate.c
+++ b/source/core/gate-evacuate.c
@@ -1,9 +1,8 @@
 /*
- * gate-evacuate.c - replicas of zones that the operators have evacuated, and of
- * zones that they have just taken back.
+ * gate-evacuate.c - routing around evacuated zones, and their slow start.
  *
- * The rule for attempts: what a replica has begins and ends there, what has not
- * left goes elsewhere.
+ * Attempts that were already sent to a replica of the zone complete there.
+ * Attempts that were not yet sent are redirected to other zones.
  */
 #include "core/gate-private.h"
 
@@ -21,7 +20,7 @@
 
 bool rr_is_service_evacuated(const struct rr_gate_service *service)
 {
-	bool any = false;
+	bool has_endpoint = false;
 
 	for (guint i = 0; i < service->endpoints->len; i++) {
 		const struct rr_endpoint *endpoint =
@@ -31,9 +30,9 @@
 			continue;
 		if (!endpoint->zone->evacuation->active)
 			return false;
-		any = true;
+		has_endpoint = true;
 	}
-	return any;
+	return has_endpoint;
 }
 
 bool rr_skip_in_slow_start(struct rr_context *ctx, const struct rr_gate *gate,
@@ -51,8 +50,8 @@
 }
 
 /*
- * Ids of the attempts under way in a zone: an attempt's end may end others, so
- * that none may be held on to.
+ * Lists the attempts in flight in a zone.  Returns ids instead of pointers, since
+ * ending one attempt may end and free others.
  */
 static GArray *list_attempts(const struct rr_gate *gate, const char *zone)
 {
@@ -71,14 +70,15 @@
 }
 
 /*
- * Guards against attempts that wait for a connection, and would be sent after
- * the zone was to get nothing more.  Returns how many are left to end there.
+ * Redirects attempts that wait for a connection, which would otherwise be sent
+ * after the start of the evacuation.  Returns how many attempts remain in the
+ * zone.
  */
 static guint redirect_unsent(struct rr_context *ctx, struct rr_gate *gate,
 			     const char *zone)
 {
 	GArray *ids = list_attempts(gate, zone);
-	guint left = 0;
+	guint remaining = 0;
 
 	for (guint i = 0; i < ids->len; i++) {
 		struct rr_gate_attempt *attempt = g_hash_table_lookup(
@@ -86,13 +86,13 @@
 
 		if (attempt && !rr_redirect_unsent(ctx, gate, attempt,
 						   RR_REASON_EVACUATED))
-			left++;
+			remaining++;
 	}
 	g_array_unref(ids);
-	return left;
+	return remaining;
 }
 
-/* Replicas of a zone, in the list or of late. */
+/* Counts the known replicas of a zone, listed or recently unlisted. */
 static guint count_endpoints(const struct rr_gate *gate, const char *zone)
 {
 	GHashTableIter iter;
@@ -108,8 +108,8 @@
 	return n;
 }
 
-/* Parts that wait are tried anew: elsewhere, or where there is room again. */
-static void flush_services(struct rr_context *ctx, struct rr_gate *gate)
+/* Retries queued parts, in other zones or where there is capacity again. */
+static void flush_queues(struct rr_context *ctx, struct rr_gate *gate)
 {
 	GList *services = g_hash_table_get_values(gate->services);
 
@@ -134,7 +134,7 @@
 			    int64_t now_us, const char *zone, uint64_t revision,
 			    bool in_force)
 {
-	guint left = 0;
+	guint remaining = 0;
 
 	gate->now_us = now_us;
 	if (!rr_update_evacuation(rr_get_evacuation(gate, zone), now_us,
@@ -144,8 +144,8 @@
 	return;
 #endif
 	if (in_force)
-		left = redirect_unsent(ctx, gate, zone);
-	flush_services(ctx, gate);
+		remaining = redirect_unsent(ctx, gate, zone);
+	flush_queues(ctx, gate);
 	rr_update_isolation(ctx, gate);
 	rr_set_gauge(ctx, RR_G_ZONES_EVACUATED, count_evacuated(gate));
 	rr_log(ctx, RR_LOG_WARNING,
@@ -153,5 +153,5 @@
 	       RR_FIELD_STRING("zone", zone),
 	       RR_FIELD_U64("revision", revision),
 	       RR_FIELD_U64("endpoints", count_endpoints(gate, zone)),
-	       RR_FIELD_U64("in_flight", left));
+	       RR_FIELD_U64("in_flight", remaining));
 }
--- a/source/core/gate-quarantine.c
+++ b/source/core/gate-quarantine.c
@@ -11,8 +11,8 @@
 #include "core/gate-private.h"
 
 /* Maximum number of closed attempts kept per replica while it is probed. */
-#define MOST_CLOSED 64
-/* Reasons of answers. */
+#define MAX_CLOSED 64
+/* Reasons reported in responses and log lines. */
 #define CRASHES_REPLICAS "crashes-replicas"
 #define IN_QUARANTINE "quarantined"
 
@@ -63,27 +63,27 @@
 }
 
 static struct rr_gate_request *
-find_run_of(const struct rr_gate *gate,
-	    const struct rr_fingerprint *fingerprint)
+find_request_by_fingerprint(const struct rr_gate *gate,
+			    const struct rr_fingerprint *fingerprint)
 {
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, gate->requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct rr_gate_request *run = value;
+		struct rr_gate_request *request = value;
 
-		if (rr_same_fingerprint(&run->fingerprint, fingerprint))
-			return run;
+		if (rr_same_fingerprint(&request->fingerprint, fingerprint))
+			return request;
 	}
 	return NULL;
 }
 
-static void report(struct rr_gate *gate, struct rr_quarantine_record *record,
-		   bool released)
+static void report_record(struct rr_gate *gate,
+			  struct rr_quarantine_record *record, bool released)
 {
 	struct rr_quarantine_entry entry = rr_make_quarantine_entry(record);
-	struct rr_quarantine_report told = {
+	struct rr_quarantine_report update = {
 		.entry = &entry,
 		.released = released,
 	};
@@ -91,13 +91,14 @@
 	record->n_published = record->n_crashed;
 	record->quarantine_published = record->quarantined;
 	record->maybe_stored = true;
-	gate->actions.report(gate->actions.data, &told);
+	gate->actions.report(gate->actions.data, &update);
 }
 
 /*
  * Publishes a quarantine at once, but a suspicion only when the request has
- * ended without a completed attempt.  Guards against a write for each
- * bystander, which usually completes at another replica.
+ * ended without a completed attempt.  Guards against a write for each request
+ * that was merely in flight at a crashed replica: it usually completes at
+ * another one.
  */
 static void publish_record(struct rr_gate *gate,
 			   struct rr_quarantine_record *record)
@@ -110,19 +111,21 @@
 	return;
 #endif
 	if (is_unpublished &&
-	    (record->quarantined || !find_run_of(gate, &record->fingerprint)))
-		report(gate, record, false);
+	    (record->quarantined ||
+	     !find_request_by_fingerprint(gate, &record->fingerprint)))
+		report_record(gate, record, false);
 }
 
-/* Withdraw all attempts at the content and answer the callers. */
-static void stop_runs_of(struct rr_context *ctx, struct rr_gate *gate,
-			 const struct rr_fingerprint *fingerprint)
+/* Fails all requests with a fingerprint, which cancels their attempts. */
+static void
+fail_requests_by_fingerprint(struct rr_context *ctx, struct rr_gate *gate,
+			     const struct rr_fingerprint *fingerprint)
 {
-	struct rr_gate_request *run;
+	struct rr_gate_request *request;
 
-	while ((run = find_run_of(gate, fingerprint))) {
-		run->final_rejection = true;
-		rr_fail_request(ctx, gate, run, IN_QUARANTINE);
+	while ((request = find_request_by_fingerprint(gate, fingerprint))) {
+		request->final_rejection = true;
+		rr_fail_request(ctx, gate, request, IN_QUARANTINE);
 	}
 }
 
@@ -137,125 +140,132 @@
 		log_record(ctx, gate, record, RR_LOG_WARNING,
 			   "request-quarantined", CRASHES_REPLICAS);
 		set_quarantine_gauge(ctx, gate);
-		stop_runs_of(ctx, gate, &fingerprint);
+		fail_requests_by_fingerprint(ctx, gate, &fingerprint);
 	}
 	record = rr_find_quarantine_record(gate->quarantine, &fingerprint);
 	if (record)
 		publish_record(gate, record);
 }
 
-/* Canaries. */
+/* Canary requests. */
 
 void rr_send_canary(struct rr_context *ctx, struct rr_gate *gate,
-		    struct rr_gate_request *run)
+		    struct rr_gate_request *request)
 {
-	for (size_t i = 0; i < run->n_parts; i++) {
-		if (run->parts[i].status == RR_PART_PENDING &&
-		    (rr_try_send_part(ctx, gate, run, i, "canary") ||
-		     run->parts[i].queued))
+	for (size_t i = 0; i < request->n_parts; i++) {
+		if (request->parts[i].status == RR_PART_PENDING &&
+		    (rr_try_send_part(ctx, gate, request, i, "canary") ||
+		     request->parts[i].queued))
 			return;
 	}
-	rr_fail_request(ctx, gate, run,
-			run->n_closed ? CRASHES_REPLICAS : "no-replica");
+	rr_fail_request(ctx, gate, request,
+			request->n_closed ? CRASHES_REPLICAS : "no-replica");
 }
 
 /*
- * Guards against serialising requests at replicas that only lose answers: a
- * crash has to be confirmed.
+ * Requires a confirmed crash.  Guards against serialising requests to replicas
+ * that only lose responses.
  */
 static bool is_suspicious(const struct rr_gate *gate,
-			  const struct rr_gate_request *run)
+			  const struct rr_gate_request *request)
 {
 #ifdef RR_MUTANT_GATE_SENDS_ALL_AT_ONCE
 	return false;
 #endif
-	return !run->completed && run->n_crashed &&
+	return !request->completed && request->n_crashed &&
 	       !rr_is_harmless(gate->quarantine, gate->now_us,
-			       &run->fingerprint);
+			       &request->fingerprint);
 }
 
-/* The latest attempt, if it was sent after the first one was closed. */
-static struct rr_gate_attempt *find_canary(const struct rr_gate_request *run)
+/* Returns the latest attempt if it was sent after the first close, or NULL. */
+static struct rr_gate_attempt *
+find_canary(const struct rr_gate_request *request)
 {
-	struct rr_gate_attempt *last =
-		g_queue_peek_tail((GQueue *)&run->in_flight);
+	struct rr_gate_attempt *latest =
+		g_queue_peek_tail((GQueue *)&request->in_flight);
 
-	return last && last->sent_us >= run->first_close_us ? last : NULL;
+	return latest && latest->sent_us >= request->first_close_us ? latest :
+								      NULL;
 }
 
 static void become_canary(struct rr_context *ctx, struct rr_gate *gate,
-			  struct rr_gate_request *run)
+			  struct rr_gate_request *request)
 {
-	run->canary = true;
-	rr_cancel_other_attempts(ctx, gate, run, find_canary(run), "suspected");
-	if (!run->in_flight.length)
-		rr_send_canary(ctx, gate, run);
+	request->canary = true;
+	rr_cancel_other_attempts(ctx, gate, request, find_canary(request),
+				 "suspected");
+	if (!request->in_flight.length)
+		rr_send_canary(ctx, gate, request);
 }
 
-/* Continue a request after the probe of a replica that had closed on it. */
-static void resolve_run(struct rr_context *ctx, struct rr_gate *gate,
-			const struct rr_closed_attempt *attempt, bool crashed)
+/* Continues a request after the probe of a replica that closed its attempt. */
+static void resolve_attempt(struct rr_context *ctx, struct rr_gate *gate,
+			    const struct rr_closed_attempt *attempt,
+			    bool crashed)
 {
-	struct rr_gate_request *run = rr_find_request(gate, attempt->request);
+	struct rr_gate_request *request =
+		rr_find_request(gate, attempt->request);
 
-	if (!run)
+	if (!request)
 		return;
-	run->n_unresolved--;
-	run->n_crashed += crashed;
-	run->parts[attempt->part].n_crashed += crashed;
-	if (!run->canary) {
-		if (is_suspicious(gate, run))
-			become_canary(ctx, gate, run);
+	request->n_unresolved--;
+	request->n_crashed += crashed;
+	request->parts[attempt->part].n_crashed += crashed;
+	if (!request->canary) {
+		if (is_suspicious(gate, request))
+			become_canary(ctx, gate, request);
 		return;
 	}
-	if (run->in_flight.length || run->n_unresolved)
+	if (request->in_flight.length || request->n_unresolved)
 		return;
 	if (crashed)
-		rr_fail_request(ctx, gate, run, CRASHES_REPLICAS);
+		rr_fail_request(ctx, gate, request, CRASHES_REPLICAS);
 	else
-		rr_send_canary(ctx, gate, run);
+		rr_send_canary(ctx, gate, request);
 }
 
 bool rr_continue_canary(struct rr_context *ctx, struct rr_gate *gate,
-			struct rr_gate_request *run)
+			struct rr_gate_request *request)
 {
-	if (!run->canary && !is_suspicious(gate, run))
+	if (!request->canary && !is_suspicious(gate, request))
 		return false;
-	if (!run->canary)
-		become_canary(ctx, gate, run);
-	else if (!run->in_flight.length && !run->n_unresolved)
-		rr_send_canary(ctx, gate, run);
+	if (!request->canary)
+		become_canary(ctx, gate, request);
+	else if (!request->in_flight.length && !request->n_unresolved)
+		rr_send_canary(ctx, gate, request);
 	return true;
 }
 
 void rr_end_canary(struct rr_context *ctx, struct rr_gate *gate,
-		   struct rr_gate_request *run, size_t index)
+		   struct rr_gate_request *request, size_t index)
 {
-	run->completed = true;
-	if (!run->canary)
+	request->completed = true;
+	if (!request->canary)
 		return;
-	run->canary = false;
-	for (size_t i = 0; i < run->n_parts; i++) {
-		struct rr_gate_part *part = &run->parts[i];
+	request->canary = false;
+	for (size_t i = 0; i < request->n_parts; i++) {
+		struct rr_gate_part *part = &request->parts[i];
 
 		if (i == index || part->status != RR_PART_PENDING ||
 		    part->n_in_flight || part->queued)
 			continue;
-		if (!rr_try_send_part(ctx, gate, run, i, "canary-answered") &&
+		if (!rr_try_send_part(ctx, gate, request, i,
+				      "canary-answered") &&
 		    !part->queued)
-			rr_fail_part(run, part);
+			rr_fail_part(request, part);
 	}
 }
 
 bool rr_start_canary(struct rr_context *ctx, struct rr_gate *gate,
-		     struct rr_gate_request *run)
+		     struct rr_gate_request *request)
 {
-	if (!run->trial &&
+	if (!request->trial &&
 	    (rr_quarantine_is_empty(gate->quarantine) ||
-	     !rr_find_quarantine_record(gate->quarantine, &run->fingerprint)))
+	     !rr_find_quarantine_record(gate->quarantine,
+					&request->fingerprint)))
 		return false;
-	run->canary = true;
-	rr_send_canary(ctx, gate, run);
+	request->canary = true;
+	rr_send_canary(ctx, gate, request);
 	return true;
 }
 
@@ -263,19 +273,19 @@
 			    const struct rr_gate_attempt *attempt)
 {
 	struct rr_endpoint *endpoint = attempt->endpoint;
-	struct rr_gate_request *run = attempt->request;
+	struct rr_gate_request *request = attempt->request;
 	struct rr_closed_attempt closed = {
 		.crash = {
 			.fingerprint = attempt->fingerprint,
 			.sent_us = attempt->sent_us,
 			.closed_us = gate->now_us,
 		},
-		.request = run ? run->id : 0,
+		.request = request ? request->id : 0,
 		.part = attempt->part,
 	};
 
-	if (run && !run->n_closed++)
-		run->first_close_us = gate->now_us;
+	if (request && !request->n_closed++)
+		request->first_close_us = gate->now_us;
 	/* Draining and unlisted replicas are expected to exit. */
 	if (!gate->policy.quarantine_known ||
 	    endpoint->service == gate->coordinators || !endpoint->listed ||
@@ -284,21 +294,21 @@
 	if (!endpoint->closed_attempts)
 		endpoint->closed_attempts = g_array_new(
 			FALSE, FALSE, sizeof(struct rr_closed_attempt));
-	if (endpoint->closed_attempts->len == MOST_CLOSED)
+	if (endpoint->closed_attempts->len == MAX_CLOSED)
 		return;
 	g_array_append_val(endpoint->closed_attempts, closed);
-	if (run)
-		run->n_unresolved++;
+	if (request)
+		request->n_unresolved++;
 	if (endpoint->closed_attempts->len == 1)
 		gate->actions.probe(gate->actions.data, endpoint->incarnation,
 				    endpoint->address);
 }
 
 static void note_crash(struct rr_context *ctx, struct rr_gate *gate,
-		       const struct rr_crash *crash, const char *lifetime)
+		       const struct rr_crash *crash, const char *incarnation)
 {
-	struct rr_quarantine_record *record =
-		rr_add_crash(gate->quarantine, gate->now_us, crash, lifetime);
+	struct rr_quarantine_record *record = rr_add_crash(
+		gate->quarantine, gate->now_us, crash, incarnation);
 
 	if (!record)
 		return;
@@ -331,7 +341,7 @@
 		if (!reached)
 			note_crash(ctx, gate, &attempt->crash,
 				   endpoint->incarnation);
-		resolve_run(ctx, gate, attempt, !reached);
+		resolve_attempt(ctx, gate, attempt, !reached);
 	}
 	g_array_unref(closed);
 }
@@ -352,53 +362,55 @@
 	if (!record)
 		return;
 	if (record->maybe_stored)
-		report(gate, record, true);
+		report_record(gate, record, true);
 	release_record(ctx, gate, record,
 		       record->quarantined ? RR_LOG_WARNING : RR_LOG_INFO,
 		       "ran-to-its-end");
 }
 
-/* Quarantine. */
+/* Quarantine and trials. */
 
-static void refuse_quarantined(struct rr_context *ctx, struct rr_gate *gate,
-			       struct rr_gate_request *run)
+static void reject_quarantined(struct rr_context *ctx, struct rr_gate *gate,
+			       struct rr_gate_request *request)
 {
-	const struct rr_quarantine_record *record =
-		rr_find_quarantine_record(gate->quarantine, &run->fingerprint);
+	const struct rr_quarantine_record *record = rr_find_quarantine_record(
+		gate->quarantine, &request->fingerprint);
 	int64_t wait_us = record ? record->next_trial_us - gate->now_us : 0;
 
-	/* Without a remaining hold, Retry-After is drawn as usual. */
+	/* If no hold remains, Retry-After is chosen as usual. */
 	if (wait_us > 0)
-		run->retry_after_ms = (uint32_t)MIN(wait_us / 1000, G_MAXINT32);
-	run->final_rejection = true;
+		request->retry_after_ms =
+			(uint32_t)MIN(wait_us / 1000, G_MAXINT32);
+	request->final_rejection = true;
 	rr_count(ctx, RR_N_QUARANTINE_REJECTED, 1);
-	rr_fail_request(ctx, gate, run, IN_QUARANTINE);
+	rr_fail_request(ctx, gate, request, IN_QUARANTINE);
 }
 
-static void claim_trial(struct rr_gate *gate, struct rr_gate_request *run,
+static void claim_trial(struct rr_gate *gate, struct rr_gate_request *request,
 			struct rr_quarantine_record *record)
 {
 	struct rr_quarantine_entry entry = rr_make_quarantine_entry(record);
-	struct rr_quarantine_report told = { .entry = &entry, .claim = true };
+	struct rr_quarantine_report update = { .entry = &entry, .claim = true };
 
 	entry.trials++;
-	record->claimant_id = run->id;
-	run->claim_pending = true;
+	record->claimant_id = request->id;
+	request->claim_pending = true;
 	rr_set_timer(gate->timers,
 		     gate->now_us + gate->policy.quarantine_claim_us,
-		     RR_TIMER_GATE_CLAIM_TIMEOUT, run->id, 0);
-	gate->actions.report(gate->actions.data, &told);
+		     RR_TIMER_GATE_CLAIM_TIMEOUT, request->id, 0);
+	gate->actions.report(gate->actions.data, &update);
 }
 
 enum rr_quarantine_step rr_check_quarantine(struct rr_context *ctx,
 					    struct rr_gate *gate,
-					    struct rr_gate_request *run)
+					    struct rr_gate_request *request)
 {
 	struct rr_quarantine_record *record;
 
 	if (rr_quarantine_is_empty(gate->quarantine))
 		return RR_QUARANTINE_PASS;
-	record = rr_find_quarantine_record(gate->quarantine, &run->fingerprint);
+	record = rr_find_quarantine_record(gate->quarantine,
+					   &request->fingerprint);
 	if (!record)
 		return RR_QUARANTINE_PASS;
 #ifdef RR_MUTANT_GATE_IGNORES_QUARANTINE
@@ -407,34 +419,34 @@
 	if (!record->quarantined)
 		return RR_QUARANTINE_PASS;
 #ifdef RR_MUTANT_GATE_TRIES_AT_WILL
-	run->trial = true;
+	request->trial = true;
 	return RR_QUARANTINE_PASS;
 #endif
 	if (record->trials >= gate->policy.quarantine_trials ||
 	    gate->now_us < record->next_trial_us || record->claimant_id) {
-		refuse_quarantined(ctx, gate, run);
+		reject_quarantined(ctx, gate, request);
 		return RR_QUARANTINE_REJECTED;
 	}
-	claim_trial(gate, run, record);
+	claim_trial(gate, request, record);
 	return RR_QUARANTINE_CLAIMING;
 }
 
 void rr_handle_claim_timeout(struct rr_context *ctx, struct rr_gate *gate,
 			     uint64_t id)
 {
-	struct rr_gate_request *run = rr_find_request(gate, id);
+	struct rr_gate_request *request = rr_find_request(gate, id);
 
-	if (run && run->claim_pending)
-		refuse_quarantined(ctx, gate, run);
+	if (request && request->claim_pending)
+		reject_quarantined(ctx, gate, request);
 }
 
 void rr_drop_pending_claim(struct rr_gate *gate,
-			   const struct rr_gate_request *run)
+			   const struct rr_gate_request *request)
 {
-	struct rr_quarantine_record *record =
-		rr_find_quarantine_record(gate->quarantine, &run->fingerprint);
+	struct rr_quarantine_record *record = rr_find_quarantine_record(
+		gate->quarantine, &request->fingerprint);
 
-	if (record && record->claimant_id == run->id)
+	if (record && record->claimant_id == request->id)
 		record->claimant_id = 0;
 }
 
@@ -445,27 +457,27 @@
 {
 	struct rr_quarantine_record *record = rr_find_quarantine_record(
 		gate->quarantine, &entry->fingerprint);
-	struct rr_gate_request *run;
+	struct rr_gate_request *request;
 
 	gate->now_us = now_us;
 	if (!record)
 		return;
-	run = rr_find_request(gate, record->claimant_id);
+	request = rr_find_request(gate, record->claimant_id);
 	record->claimant_id = 0;
 	if (granted)
 		rr_update_trial_count(gate->quarantine, now_us, record,
 				      entry->trials);
-	if (!run || !run->claim_pending)
+	if (!request || !request->claim_pending)
 		return;
-	run->claim_pending = false;
+	request->claim_pending = false;
 	if (!granted) {
-		refuse_quarantined(ctx, gate, run);
+		reject_quarantined(ctx, gate, request);
 		return;
 	}
 	log_record(ctx, gate, record, RR_LOG_WARNING, "request-tried",
 		   "hold-over");
-	run->trial = true;
-	rr_start_request(ctx, gate, run);
+	request->trial = true;
+	rr_start_request(ctx, gate, request);
 }
 
 void rr_gate_apply_quarantine(struct rr_context *ctx, struct rr_gate *gate,
@@ -475,7 +487,7 @@
 {
 	struct rr_quarantine_record *record =
 		rr_find_quarantine_record(gate->quarantine, fingerprint);
-	bool was_in_force = record && record->quarantined;
+	bool was_quarantined = record && record->quarantined;
 
 	gate->now_us = now_us;
 	if (!entry) {
@@ -485,11 +497,11 @@
 		return;
 	}
 	record = rr_merge_quarantine_entry(gate->quarantine, now_us, entry);
-	if (record->quarantined && !was_in_force) {
+	if (record->quarantined && !was_quarantined) {
 		log_record(ctx, gate, record, RR_LOG_WARNING,
 			   "request-quarantined", "reported");
 		set_quarantine_gauge(ctx, gate);
-		stop_runs_of(ctx, gate, fingerprint);
+		fail_requests_by_fingerprint(ctx, gate, fingerprint);
 	}
 	record = rr_find_quarantine_record(gate->quarantine, fingerprint);
 	if (record)
--- a/source/core/gate-zone.c
+++ b/source/core/gate-zone.c
@@ -1,10 +1,11 @@
 /*
- * gate-zone.c - replicas and availability zones that have fallen silent.
+ * gate-zone.c - detection of unreachable replicas and availability zones.
  *
- * What is silent is left alone and probed by new connections, so that no
- * request has to find out; an instance that hears nothing from any other
- * zone, and cannot serve without them, says that it is not ready: callers
- * who can reach another zone are better off there.
+ * Unreachable replicas and zones get no requests.  They are probed by opening
+ * connections, so that their recovery is found without risking a request.  An
+ * instance that receives nothing from any other zone, and cannot serve its
+ * routes without them, reports that it is not ready: callers that can reach
+ * another zone are served better there.
  */
 #include "core/gate-private.h"
 
@@ -54,7 +55,7 @@
 		rr_pause_silence_clock(&endpoint->zone->track, gate->now_us);
 }
 
-static void set_probe(struct rr_gate *gate, struct rr_endpoint *endpoint)
+static void schedule_probe(struct rr_gate *gate, struct rr_endpoint *endpoint)
 {
 	if (endpoint->probing)
 		return;
@@ -63,13 +64,13 @@
 		     RR_TIMER_GATE_PROBE, endpoint->number, 0);
 }
 
-/* Any replica of a zone, drawn at random. */
-static struct rr_endpoint *draw_of_zone(struct rr_context *ctx,
-					const struct rr_gate *gate,
-					const struct rr_gate_zone *zone)
+/* Chooses a random replica of a zone; NULL if there is none. */
+static struct rr_endpoint *choose_zone_replica(struct rr_context *ctx,
+					       const struct rr_gate *gate,
+					       const struct rr_gate_zone *zone)
 {
-	struct rr_endpoint *drawn = NULL;
-	uint32_t seen = 0;
+	struct rr_endpoint *chosen = NULL;
+	uint32_t n_seen = 0;
 	GHashTableIter iter;
 	gpointer value;
 
@@ -79,16 +80,16 @@
 
 		if (endpoint->zone != zone || endpoint->draining)
 			continue;
-		if (!rr_random_below(ctx, ++seen))
-			drawn = endpoint;
+		if (!rr_random_below(ctx, ++n_seen))
+			chosen = endpoint;
 	}
-	return drawn;
+	return chosen;
 }
 
 static void probe_zone(struct rr_context *ctx, struct rr_gate *gate,
 		       struct rr_gate_zone *zone)
 {
-	struct rr_endpoint *endpoint = draw_of_zone(ctx, gate, zone);
+	struct rr_endpoint *endpoint = choose_zone_replica(ctx, gate, zone);
 
 	if (!endpoint)
 		return;
@@ -97,15 +98,15 @@
 			    endpoint->address);
 }
 
-/* Look at a zone again after so long, and not before. */
-static void watch_zone(struct rr_gate *gate, struct rr_gate_zone *zone,
-		       int64_t after_us)
+/* Sets the timer of a zone, which replaces the previous one. */
+static void set_zone_timer(struct rr_gate *gate, struct rr_gate_zone *zone,
+			   int64_t after_us)
 {
 	rr_set_timer(gate->timers, gate->now_us + after_us,
 		     RR_TIMER_GATE_ZONE_PROBE, zone->number, ++zone->timer_seq);
 }
 
-/* Find out by probes whether a zone is silent. */
+/* Starts probes to find out whether a zone is unreachable. */
 static void suspect_zone(struct rr_context *ctx, struct rr_gate *gate,
 			 struct rr_gate_zone *zone)
 {
@@ -117,13 +118,13 @@
 	zone->probed = false;
 	for (uint32_t i = 0; i < gate->policy.suspect_zone_probes; i++)
 		probe_zone(ctx, gate, zone);
-	watch_zone(gate, zone, gate->policy.suspect_probe_timeout_us);
+	set_zone_timer(gate, zone, gate->policy.suspect_probe_timeout_us);
 }
 
 /*
- * Guards against an instance that has too little work to notice a cut: callers
- * are led to other zones once all of a zone's instances say that they are not
- * ready, and one that does not know keeps them there.
+ * Guards against an instance with too little traffic to notice that its zone is
+ * isolated: callers are directed to other zones once all instances of a zone
+ * report that they are not ready, and one that has not noticed keeps them there.
  */
 void rr_gate_suspect_zones(struct rr_context *ctx, struct rr_gate *gate,
 			   int64_t now_us)
@@ -147,7 +148,7 @@
 	return gate->isolated;
 }
 
-static bool is_any_silent(const struct rr_gate *gate)
+static bool is_any_unreachable(const struct rr_gate *gate)
 {
 	for (guint i = 0; i < gate->zones->len; i++) {
 		const struct rr_gate_zone *zone =
@@ -159,24 +160,25 @@
 	return false;
 }
 
-static bool seems_cut(const struct rr_gate *gate,
-		      const struct rr_gate_zone *zone)
+static bool seems_unreachable(const struct rr_gate *gate,
+			      const struct rr_gate_zone *zone)
 {
-	uint32_t enough = is_any_silent(gate) ?
-				  gate->policy.silence_next_unanswered :
-				  gate->policy.silence_unanswered;
+	uint32_t threshold = is_any_unreachable(gate) ?
+				     gate->policy.silence_next_unanswered :
+				     gate->policy.silence_unanswered;
 
-	return zone->unanswered >= enough &&
+	return zone->unanswered >= threshold &&
 	       rr_silence_us(&zone->track, gate->now_us) >=
 		       gate->policy.silence_zone_us;
 }
 
-static void silence_zone(struct rr_context *ctx, struct rr_gate *gate,
-			 struct rr_gate_zone *zone);
+static void mark_unreachable(struct rr_context *ctx, struct rr_gate *gate,
+			     struct rr_gate_zone *zone);
 
 /*
- * A cut takes several zones at a time, but once one of them is silent there
- * may be no more work that would show it of the others.
+ * A network partition often affects several zones at once, but as soon as one is
+ * known to be unreachable there may be no more attempts to the others that would
+ * reveal it.
  */
 static void suspect_other_zones(struct rr_context *ctx, struct rr_gate *gate)
 {
@@ -185,16 +187,16 @@
 
 		if (zone->is_local || zone->unreachable)
 			continue;
-		if (seems_cut(gate, zone))
-			silence_zone(ctx, gate, zone);
+		if (seems_unreachable(gate, zone))
+			mark_unreachable(ctx, gate, zone);
 		else if (gate->now_us - zone->last_contact_us >=
 			 gate->policy.suspect_zone_us)
 			suspect_zone(ctx, gate, zone);
 	}
 }
 
-static void silence_zone(struct rr_context *ctx, struct rr_gate *gate,
-			 struct rr_gate_zone *zone)
+static void mark_unreachable(struct rr_context *ctx, struct rr_gate *gate,
+			     struct rr_gate_zone *zone)
 {
 	if (zone->unreachable || !gate->policy.silence_of_zones)
 		return;
@@ -205,12 +207,12 @@
 	       RR_FIELD_I64("silent_us",
 			    rr_silence_us(&zone->track, gate->now_us)));
 	zone->suspected = false;
-	watch_zone(gate, zone, gate->policy.silence_probe_us);
+	set_zone_timer(gate, zone, gate->policy.silence_probe_us);
 	suspect_other_zones(ctx, gate);
 	rr_update_isolation(ctx, gate);
 }
 
-/* Whether each replica of a zone is suspected by itself. */
+/* Whether every replica of a zone is suspected on its own account. */
 static bool are_all_suspected(const struct rr_gate *gate,
 			      const struct rr_gate_zone *zone)
 {
@@ -228,9 +230,9 @@
 	return true;
 }
 
-/* Attempts that wait count as well: they may do so for a second. */
-static void look_for_silence(struct rr_context *ctx, struct rr_gate *gate,
-			     struct rr_gate_zone *zone)
+/* Attempts in flight count too, since they may stay open for a second. */
+static void suspect_if_silent(struct rr_context *ctx, struct rr_gate *gate,
+			      struct rr_gate_zone *zone)
 {
 	if (zone->unanswered + zone->n_in_flight >=
 		    gate->policy.suspect_zone_unanswered &&
@@ -239,26 +241,26 @@
 		suspect_zone(ctx, gate, zone);
 }
 
-static void judge_zone(struct rr_context *ctx, struct rr_gate *gate,
+static void check_zone(struct rr_context *ctx, struct rr_gate *gate,
 		       struct rr_gate_zone *zone)
 {
 	zone->unanswered++;
-	if (seems_cut(gate, zone) || are_all_suspected(gate, zone))
-		silence_zone(ctx, gate, zone);
+	if (seems_unreachable(gate, zone) || are_all_suspected(gate, zone))
+		mark_unreachable(ctx, gate, zone);
 	else if (zone->unanswered >= gate->policy.silence_unanswered)
-		suspect_zone(ctx, gate,
-			     zone); /* refused at once: no time passes */
+		/* Connections are refused, so that no silence adds up. */
+		suspect_zone(ctx, gate, zone);
 	else
-		look_for_silence(ctx, gate, zone);
+		suspect_if_silent(ctx, gate, zone);
 }
 
-static void suspect(struct rr_context *ctx, struct rr_gate *gate,
-		    struct rr_endpoint *endpoint, const char *reason)
+static void suspect_replica(struct rr_context *ctx, struct rr_gate *gate,
+			    struct rr_endpoint *endpoint, const char *reason)
 {
-	bool already = rr_is_suspected(&endpoint->track, gate->now_us);
+	bool was_suspected = rr_is_suspected(&endpoint->track, gate->now_us);
 
 	rr_observe_loss(&endpoint->track, gate->now_us, RR_LOSS_UNREACHABLE);
-	if (already)
+	if (was_suspected)
 		return;
 	rr_log(ctx, RR_LOG_INFO, "endpoint-suspected",
 	       RR_FIELD_STRING("endpoint", endpoint->id),
@@ -266,28 +268,28 @@
 	       RR_FIELD_STRING("reason", reason),
 	       RR_FIELD_I64("for_us",
 			    endpoint->track.suspected_until_us - gate->now_us));
-	set_probe(gate, endpoint);
+	schedule_probe(gate, endpoint);
 }
 
-static void judge_replica(struct rr_context *ctx, struct rr_gate *gate,
+static void check_replica(struct rr_context *ctx, struct rr_gate *gate,
 			  struct rr_endpoint *endpoint)
 {
 	if (rr_silence_us(&endpoint->track, gate->now_us) >=
 	    gate->policy.silence_replica_us)
-		suspect(ctx, gate, endpoint, "silent");
+		suspect_replica(ctx, gate, endpoint, "silent");
 }
 
 void rr_note_attempt_cancelled(struct rr_context *ctx, struct rr_gate *gate,
 			       struct rr_endpoint *endpoint)
 {
-	judge_replica(ctx, gate, endpoint);
-	judge_zone(ctx, gate, endpoint->zone);
+	check_replica(ctx, gate, endpoint);
+	check_zone(ctx, gate, endpoint->zone);
 }
 
 /*
- * Guards against silence that is never judged: where no extra attempt is left,
- * an attempt is not given up before its request's deadline, and requests
- * would go to a dead replica until then.
+ * Checks the silence of attempts that are still in flight.  Without this check,
+ * if the retry budget is exhausted, an attempt is not abandoned before its
+ * request's deadline, and more requests would go to a dead replica until then.
  */
 void rr_note_attempt_overdue(struct rr_context *ctx, struct rr_gate *gate,
 			     struct rr_endpoint *endpoint)
@@ -295,9 +297,9 @@
 #ifndef RR_MUTANT_GATE_OPEN_IS_FINE
 	if (gate->policy.silence_of_open_attempts &&
 	    !rr_is_suspected(&endpoint->track, gate->now_us))
-		judge_replica(ctx, gate, endpoint);
+		check_replica(ctx, gate, endpoint);
 #endif
-	look_for_silence(ctx, gate, endpoint->zone);
+	suspect_if_silent(ctx, gate, endpoint->zone);
 }
 
 void rr_note_attempt_lost(struct rr_context *ctx, struct rr_gate *gate,
@@ -307,12 +309,12 @@
 		rr_observe_loss(&endpoint->track, gate->now_us, loss);
 		return;
 	}
-	suspect(ctx, gate, endpoint, "unreachable");
-	judge_zone(ctx, gate, endpoint->zone);
+	suspect_replica(ctx, gate, endpoint, "unreachable");
+	check_zone(ctx, gate, endpoint->zone);
 }
 
-static void zone_alive(struct rr_context *ctx, struct rr_gate *gate,
-		       struct rr_gate_zone *zone)
+static void record_zone_contact(struct rr_context *ctx, struct rr_gate *gate,
+				struct rr_gate_zone *zone)
 {
 	rr_observe_contact(&zone->track, gate->now_us);
 	zone->unanswered = 0;
@@ -331,7 +333,7 @@
 		     struct rr_endpoint *endpoint)
 {
 	rr_observe_contact(&endpoint->track, gate->now_us);
-	zone_alive(ctx, gate, endpoint->zone);
+	record_zone_contact(ctx, gate, endpoint->zone);
 }
 
 static struct rr_endpoint *find_endpoint(const struct rr_gate *gate,
@@ -358,9 +360,9 @@
 	endpoint->probing = false;
 	if (endpoint->draining || !endpoint->track.consecutive_silences)
 		return;
-	/* A silent zone is probed as one. */
+	/* An unreachable zone is probed as a whole. */
 	if (endpoint->zone->unreachable) {
-		set_probe(gate, endpoint);
+		schedule_probe(gate, endpoint);
 		return;
 	}
 	endpoint->probing = true;
@@ -381,45 +383,47 @@
 }
 
 /*
- * Suspicion of a zone ends with its first sign of life.  Guards against a cut that
- * takes half a second to show by attempts alone, while each request of that
- * time is lost.  It holds where replicas pause, since their machines answer.
+ * Marks a suspected zone as unreachable if no probe succeeded in time.  Any
+ * contact with the zone ends the suspicion before.  Guards against a partition
+ * that takes half a second to detect by attempts alone, while all requests of
+ * that time are lost.  A pause of the replicas does not count as a partition,
+ * since their machines still accept connections.
  */
-static void end_suspicion(struct rr_context *ctx, struct rr_gate *gate,
-			  struct rr_gate_zone *zone)
+static void confirm_suspicion(struct rr_context *ctx, struct rr_gate *gate,
+			      struct rr_gate_zone *zone)
 {
 	if (gate->now_us - zone->suspected_us <
 		    gate->policy.suspect_probe_timeout_us ||
 	    !zone->probed)
 		return;
 #ifndef RR_MUTANT_GATE_SLOW_PROBES
-	silence_zone(ctx, gate, zone);
+	mark_unreachable(ctx, gate, zone);
 #endif
 }
 
 void rr_handle_zone_timer(struct rr_context *ctx, struct rr_gate *gate,
-			  uint64_t number, uint32_t watch)
+			  uint64_t number, uint32_t sequence)
 {
 	struct rr_gate_zone *zone = find_zone(gate, number);
 
-	if (!zone || zone->timer_seq != watch)
+	if (!zone || zone->timer_seq != sequence)
 		return;
 	if (zone->suspected)
-		end_suspicion(ctx, gate, zone);
+		confirm_suspicion(ctx, gate, zone);
 	if (!zone->unreachable && !zone->suspected)
 		return;
 	if (zone->unreachable)
 		suspect_other_zones(ctx, gate);
 	probe_zone(ctx, gate, zone);
-	watch_zone(gate, zone, gate->policy.silence_probe_us);
+	set_zone_timer(gate, zone, gate->policy.silence_probe_us);
 }
 
 void rr_gate_handle_probe_result(struct rr_context *ctx, struct rr_gate *gate,
-				 int64_t now_us, const char *lifetime,
+				 int64_t now_us, const char *incarnation,
 				 bool reached)
 {
 	struct rr_endpoint *endpoint =
-		g_hash_table_lookup(gate->incarnations, lifetime);
+		g_hash_table_lookup(gate->incarnations, incarnation);
 
 	gate->now_us = now_us;
 	if (!endpoint)
@@ -428,24 +432,24 @@
 	rr_resolve_closed_attempts(ctx, gate, endpoint, reached);
 	if (reached) {
 		rr_observe_reachable(&endpoint->track);
-		zone_alive(ctx, gate, endpoint->zone);
+		record_zone_contact(ctx, gate, endpoint->zone);
 		rr_send_queued_parts(ctx, gate, endpoint->service);
 		return;
 	}
 	if (++endpoint->zone->failed_probes >=
 		    gate->policy.silence_failed_probes &&
 	    endpoint->zone->suspected)
-		silence_zone(ctx, gate, endpoint->zone);
+		mark_unreachable(ctx, gate, endpoint->zone);
 	if (endpoint->track.consecutive_silences && !endpoint->draining) {
 		rr_observe_unreachable(&endpoint->track, now_us);
-		set_probe(gate, endpoint);
+		schedule_probe(gate, endpoint);
 	}
 }
 
-/* Whether the replicas that can be reached are enough for a route. */
+/* Whether enough services are reachable to serve a route. */
 static bool can_serve(const struct rr_gate *gate, const struct rr_route *route)
 {
-	size_t least =
+	size_t required =
 		route->mode == RR_ROUTE_GATHER ?
 			rr_required_parts(route->n_parts, route->min_share) :
 			1;
@@ -458,12 +462,12 @@
 		if (service && rr_is_service_reachable(gate, service))
 			reachable++;
 	}
-	return reachable >= least;
+	return reachable >= required;
 }
 
-static bool hears_no_other_zone(const struct rr_gate *gate)
+static bool are_other_zones_unreachable(const struct rr_gate *gate)
 {
-	bool any = false;
+	bool has_other_zone = false;
 
 	for (guint i = 0; i < gate->zones->len; i++) {
 		const struct rr_gate_zone *zone =
@@ -473,12 +477,12 @@
 			continue;
 		if (!zone->unreachable)
 			return false;
-		any = true;
+		has_other_zone = true;
 	}
-	return any;
+	return has_other_zone;
 }
 
-static bool lacks_a_route(const struct rr_gate *gate)
+static bool has_unserved_route(const struct rr_gate *gate)
 {
 	for (size_t i = 0;
 	     gate->route_table && i < rr_count_routes(gate->route_table); i++) {
@@ -491,7 +495,8 @@
 void rr_update_isolation(struct rr_context *ctx, struct rr_gate *gate)
 {
 	bool isolated = gate->policy.silence_unready &&
-			hears_no_other_zone(gate) && lacks_a_route(gate);
+			are_other_zones_unreachable(gate) &&
+			has_unserved_route(gate);
 
 	if (isolated == gate->isolated)
 		return;
--- a/source/core/quarantine.c
+++ b/source/core/quarantine.c
@@ -7,14 +7,14 @@
 #include <string.h>
 
 /* Bounds memory.  The oldest record is evicted, suspected ones first. */
-#define MOST_RECORDS 1024
-/* Backoff between trials. */
+#define MAX_RECORDS 1024
+/* Growth of the hold with each trial, for the first MAX_HOLDS trials. */
 #define HOLD_FACTOR 4
-#define MOST_HOLDS 8
-/* A power of two. */
+#define MAX_HOLDS 8
+/* Size of the cache of completed requests.  A power of two. */
 #define HARMLESS_SLOTS 2048
 
-/* A slot of the cache, which is direct-mapped. */
+/* A slot of the direct-mapped cache of completed requests. */
 struct harmless {
 	struct rr_fingerprint fingerprint;
 	int64_t at_us;
@@ -23,8 +23,8 @@
 struct rr_quarantine {
 	struct rr_quarantine_options options;
 	GHashTable *records; /* fingerprint -> struct rr_quarantine_record */
-	uint32_t n_in_force;
-	struct harmless harmless[HARMLESS_SLOTS];
+	uint32_t n_quarantined;
+	struct harmless harmless[HARMLESS_SLOTS]; /* by fingerprint */
 };
 
 static guint hash_fingerprint(gconstpointer key)
@@ -34,7 +34,7 @@
 	return (guint)fingerprint->low;
 }
 
-static gboolean are_same(gconstpointer a, gconstpointer b)
+static gboolean equal_fingerprints(gconstpointer a, gconstpointer b)
 {
 	return rr_same_fingerprint(a, b);
 }
@@ -54,8 +54,8 @@
 	struct rr_quarantine *quarantine = g_new0(struct rr_quarantine, 1);
 
 	quarantine->options = *options;
-	quarantine->records = g_hash_table_new_full(hash_fingerprint, are_same,
-						    NULL, free_record);
+	quarantine->records = g_hash_table_new_full(
+		hash_fingerprint, equal_fingerprints, NULL, free_record);
 	return quarantine;
 }
 
@@ -79,7 +79,7 @@
 
 uint32_t rr_count_quarantined(const struct rr_quarantine *quarantine)
 {
-	return quarantine->n_in_force;
+	return quarantine->n_quarantined;
 }
 
 void rr_remove_quarantine_record(struct rr_quarantine *quarantine,
@@ -90,70 +90,71 @@
 
 	if (!record)
 		return;
-	quarantine->n_in_force -= record->quarantined;
+	quarantine->n_quarantined -= record->quarantined;
 	g_hash_table_remove(quarantine->records, fingerprint);
 }
 
-static bool goes_before(const struct rr_quarantine_record *a,
-			const struct rr_quarantine_record *b)
+static bool is_evicted_before(const struct rr_quarantine_record *a,
+			      const struct rr_quarantine_record *b)
 {
 	if (a->quarantined != b->quarantined)
 		return !a->quarantined;
 	return a->first_crash_us < b->first_crash_us;
 }
 
-static void make_room(struct rr_quarantine *quarantine)
+static void evict_if_full(struct rr_quarantine *quarantine)
 {
-	struct rr_quarantine_record *first = NULL;
+	struct rr_quarantine_record *victim = NULL;
 	GHashTableIter iter;
 	gpointer value;
 
-	if (g_hash_table_size(quarantine->records) < MOST_RECORDS)
+	if (g_hash_table_size(quarantine->records) < MAX_RECORDS)
 		return;
 	g_hash_table_iter_init(&iter, quarantine->records);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		if (!first || goes_before(value, first))
-			first = value;
+		if (!victim || is_evicted_before(value, victim))
+			victim = value;
 	}
-	rr_remove_quarantine_record(quarantine, &first->fingerprint);
+	rr_remove_quarantine_record(quarantine, &victim->fingerprint);
 }
 
 static struct rr_quarantine_record *
-record_of(struct rr_quarantine *quarantine, int64_t since_us,
-	  const struct rr_fingerprint *fingerprint)
+get_record(struct rr_quarantine *quarantine, int64_t first_crash_us,
+	   const struct rr_fingerprint *fingerprint)
 {
 	struct rr_quarantine_record *record =
 		rr_find_quarantine_record(quarantine, fingerprint);
 
 	if (record)
 		return record;
-	make_room(quarantine);
+	evict_if_full(quarantine);
 	record = g_new0(struct rr_quarantine_record, 1);
 	record->fingerprint = *fingerprint;
-	record->first_crash_us = since_us;
+	record->first_crash_us = first_crash_us;
 	g_hash_table_insert(quarantine->records, &record->fingerprint, record);
 	return record;
 }
 
 static bool has_crashed(const struct rr_quarantine_record *record,
-			const char *lifetime)
+			const char *incarnation)
 {
-	return g_strv_contains((const char *const *)record->crashed, lifetime);
+	return g_strv_contains((const char *const *)record->crashed,
+			       incarnation);
 }
 
-/* Replicas beyond the maximum are not listed. */
+/* Ignores replicas beyond the maximum. */
 static void add_crashed(struct rr_quarantine_record *record,
-			const char *lifetime)
+			const char *incarnation)
 {
 	if (record->n_crashed < RR_QUARANTINE_MAX_CRASHED &&
-	    !has_crashed(record, lifetime))
-		record->crashed[record->n_crashed++] = g_strdup(lifetime);
+	    !has_crashed(record, incarnation))
+		record->crashed[record->n_crashed++] = g_strdup(incarnation);
 }
 
 struct rr_quarantine_record *rr_add_crash(struct rr_quarantine *quarantine,
 					  int64_t now_us,
 					  const struct rr_crash *crash,
-					  const char *lifetime)
+					  const char *incarnation)
 {
 	struct rr_quarantine_record *record;
 	bool repeated;
@@ -162,8 +163,8 @@
 	if (rr_is_harmless(quarantine, now_us, &crash->fingerprint))
 		return NULL;
 #endif
-	record = record_of(quarantine, crash->closed_us, &crash->fingerprint);
-	if (has_crashed(record, lifetime))
+	record = get_record(quarantine, crash->closed_us, &crash->fingerprint);
+	if (has_crashed(record, incarnation))
 		return NULL;
 	repeated =
 		record->n_crashed && crash->sent_us >= record->first_crash_us;
@@ -172,29 +173,30 @@
 #endif
 	record->crash_repeated |= repeated;
 	record->first_crash_us = MIN(record->first_crash_us, crash->closed_us);
-	add_crashed(record, lifetime);
+	add_crashed(record, incarnation);
 	return record;
 }
 
-/* Earliest time of the next trial. */
-static int64_t retry_at(const struct rr_quarantine *quarantine, int64_t now_us,
-			uint32_t trials)
+/* Returns the earliest time of the next trial. */
+static int64_t next_trial_at(const struct rr_quarantine *quarantine,
+			     int64_t now_us, uint32_t trials)
 {
 	int64_t hold_us = quarantine->options.hold_us;
 
-	for (uint32_t i = 0; i < MIN(trials, MOST_HOLDS); i++)
+	for (uint32_t i = 0; i < MIN(trials, MAX_HOLDS); i++)
 		hold_us *= HOLD_FACTOR;
 	return now_us + hold_us;
 }
 
-static void put_into_force(struct rr_quarantine *quarantine, int64_t now_us,
-			   struct rr_quarantine_record *record)
+static void start_quarantine(struct rr_quarantine *quarantine, int64_t now_us,
+			     struct rr_quarantine_record *record)
 {
 	if (record->quarantined)
 		return;
 	record->quarantined = true;
-	record->next_trial_us = retry_at(quarantine, now_us, record->trials);
-	quarantine->n_in_force++;
+	record->next_trial_us =
+		next_trial_at(quarantine, now_us, record->trials);
+	quarantine->n_quarantined++;
 }
 
 void rr_update_trial_count(const struct rr_quarantine *quarantine,
@@ -204,7 +206,7 @@
 	if (trials <= record->trials)
 		return;
 	record->trials = trials;
-	record->next_trial_us = retry_at(quarantine, now_us, trials);
+	record->next_trial_us = next_trial_at(quarantine, now_us, trials);
 }
 
 struct rr_quarantine_record *
@@ -212,12 +214,12 @@
 			  const struct rr_quarantine_entry *entry)
 {
 	struct rr_quarantine_record *record =
-		record_of(quarantine, now_us, &entry->fingerprint);
+		get_record(quarantine, now_us, &entry->fingerprint);
 
-	for (char **lifetime = entry->crashed; *lifetime; lifetime++)
-		add_crashed(record, *lifetime);
+	for (char **incarnation = entry->crashed; *incarnation; incarnation++)
+		add_crashed(record, *incarnation);
 	if (entry->quarantined)
-		put_into_force(quarantine, now_us, record);
+		start_quarantine(quarantine, now_us, record);
 	rr_update_trial_count(quarantine, now_us, record, entry->trials);
 	record->maybe_stored = true;
 	record->n_published = g_strv_length(entry->crashed);
@@ -232,7 +234,7 @@
 	if (record->quarantined || !record->crash_repeated ||
 	    record->n_crashed < quarantine->options.crash_threshold)
 		return false;
-	put_into_force(quarantine, now_us, record);
+	start_quarantine(quarantine, now_us, record);
 	return true;
 }
 
--- a/source/core/quarantine.h
+++ b/source/core/quarantine.h
@@ -6,7 +6,7 @@
  * at least one of them on an attempt that was sent after an earlier crash.
  * Requests that completed recently are not suspected.
  *
- * No input or output.  Times are microseconds of a monotonic clock.
+ * Performs no input or output.  Times are microseconds of a monotonic clock.
  */
 #ifndef RAGWORT_CORE_QUARANTINE_H
 #define RAGWORT_CORE_QUARANTINE_H
@@ -17,41 +17,46 @@
 
 struct rr_quarantine_record {
 	struct rr_fingerprint fingerprint;
-	/* Lifetimes of replicas, NULL-terminated. */
+	/* Incarnations of replicas, NULL-terminated. */
 	char *crashed[RR_QUARANTINE_MAX_CRASHED + 1];
-	guint n_crashed;
+	guint n_crashed; /* length of crashed[] */
 	/* A replica crashed on an attempt sent after an earlier crash. */
 	bool crash_repeated;
 	bool quarantined;
-	uint32_t trials;
+	uint32_t trials; /* number of trials that any instance has sent */
 	int64_t first_crash_us; /* when the first crash became known here */
 	int64_t next_trial_us;	/* quarantined: earliest time of a trial */
 	uint64_t
-		claimant_id; /* id of the request that waits for a claim, or 0 */
-	guint n_published;   /* entries of crashed[] that were published */
-	bool quarantine_published; /* in_force was published */
+		claimant_id; /* id of the request that waits for a claim; 0: none */
+	guint n_published; /* entries of crashed[] that were published */
+	bool quarantine_published; /* `quarantined` was published */
 	bool maybe_stored;	   /* the store may hold an entry */
 };
 
 struct rr_quarantine_options {
 	uint32_t
-		crash_threshold; /* crashed replicas that quarantine a request */
-	int64_t hold_us;     /* until the first trial; quadruples each time */
-	int64_t harmless_us; /* how long a completed run clears a request */
+		crash_threshold; /* number of crashed replicas needed to quarantine */
+	int64_t hold_us; /* time until the first trial; quadruples with each trial */
+	int64_t harmless_us; /* how long a completed attempt protects a request */
 };
 
 struct rr_quarantine;
 
+/* Return an empty table, to be freed with rr_drop_quarantine(). */
 struct rr_quarantine *
 rr_new_quarantine(const struct rr_quarantine_options *options);
 void rr_drop_quarantine(struct rr_quarantine *quarantine);
 
-/* NULL if absent.  Valid until the next call that adds a record. */
+/*
+ * Return a record, or NULL if absent.  Owned by the table, and valid until the
+ * next call that adds a record.
+ */
 struct rr_quarantine_record *
 rr_find_quarantine_record(const struct rr_quarantine *quarantine,
 			  const struct rr_fingerprint *fingerprint);
+/* Whether no request is suspected or quarantined. */
 bool rr_quarantine_is_empty(const struct rr_quarantine *quarantine);
-/* Number of quarantined requests. */
+/* Return the number of quarantined requests. */
 uint32_t rr_count_quarantined(const struct rr_quarantine *quarantine);
 
 /* An attempt during which its replica crashed. */
@@ -62,35 +67,41 @@
 };
 
 /*
- * Add a crash.  NULL if it is ignored: the request completed recently, or this
- * crash was added before.
+ * Add a crash of a replica.  Return the record of the request, or NULL if the
+ * crash is ignored, since the request completed recently or the crash of this
+ * incarnation was added before.
  */
 struct rr_quarantine_record *rr_add_crash(struct rr_quarantine *quarantine,
 					  int64_t now_us,
 					  const struct rr_crash *crash,
-					  const char *lifetime);
-/* Merge an entry of the store. */
+					  const char *incarnation);
+/* Merge an entry of the store.  Return the record of its request. */
 struct rr_quarantine_record *
 rr_merge_quarantine_entry(struct rr_quarantine *quarantine, int64_t now_us,
 			  const struct rr_quarantine_entry *entry);
-/* Quarantine a request if its crashes suffice.  True if it was not before. */
+/*
+ * Quarantine a request if its crashes suffice.  Return false if they do not, or
+ * if it was quarantined before.
+ */
 bool rr_quarantine_if_confirmed(struct rr_quarantine *quarantine,
 				int64_t now_us,
 				struct rr_quarantine_record *record);
-/* Set the number of trials that any instance has sent. */
+/* Raise the number of trials that any instance has sent. */
 void rr_update_trial_count(const struct rr_quarantine *quarantine,
 			   int64_t now_us, struct rr_quarantine_record *record,
 			   uint32_t trials);
+/* Remove a record, if there is one. */
 void rr_remove_quarantine_record(struct rr_quarantine *quarantine,
 				 const struct rr_fingerprint *fingerprint);
 
-/* A replica completed the request. */
+/* Record that a replica completed the request. */
 void rr_mark_harmless(struct rr_quarantine *quarantine, int64_t now_us,
 		      const struct rr_fingerprint *fingerprint);
+/* Whether a replica completed the request recently. */
 bool rr_is_harmless(const struct rr_quarantine *quarantine, int64_t now_us,
 		    const struct rr_fingerprint *fingerprint);
 
-/* The record as a store entry.  Valid until the record changes. */
+/* Return a record as a store entry.  Valid until the record changes. */
 struct rr_quarantine_entry
 rr_make_quarantine_entry(const struct rr_quarantine_record *record);
 
