--- a/tests/test-cold-share.c
+++ b/tests/test-cold-share.c
@@ -1,5 +1,5 @@
 /*
- * test-cold-share.c - what all instances together send a cold replica.
+ * test-cold-share.c - shares of instances in the rate limit of a cold replica.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,48 +15,49 @@
 #define MS ((int64_t)1000)
 #define SECOND_MS 1000
 
-/* Instances that go before the i-th at a replica. */
-static uint32_t count_before(const char *replica, uint32_t i, uint32_t n)
+/* Returns the rank of the i-th of `n` instances in the order of a replica. */
+static uint32_t find_rank(const char *replica, uint32_t i, uint32_t n)
 {
 	char *self = g_strdup_printf("inst%u", i);
-	uint64_t own = rr_rendezvous_weight(replica, self);
-	uint32_t before = 0;
+	uint64_t own_weight = rr_rendezvous_weight(replica, self);
+	uint32_t rank = 0;
 
 	for (uint32_t j = 0; j < n; j++) {
 		char *other = g_strdup_printf("inst%u", j);
 
-		before += j != i && rr_rendezvous_weight(replica, other) >= own;
+		rank += j != i &&
+			rr_rendezvous_weight(replica, other) >= own_weight;
 		g_free(other);
 	}
 	g_free(self);
-	return before;
+	return rank;
 }
 
-static uint32_t sum_shares(const char *replica, double bound, uint32_t n)
+static uint32_t sum_shares(const char *replica, double max_per_s, uint32_t n)
 {
 	uint32_t sum = 0;
 
 	for (uint32_t i = 0; i < n; i++)
-		sum += rr_cold_share(bound, n, count_before(replica, i, n));
+		sum += rr_cold_share(max_per_s, n, find_rank(replica, i, n));
 	return sum;
 }
 
-/* Guards against a fleet whose shares add up to more than a replica bears. */
-static void test_shares_add_up_within_the_bound(void **state)
+/* Guards against shares that add up to more than the limit of a replica. */
+static void test_shares_add_up_within_the_limit(void **state)
 {
 	static const uint32_t sizes[] = { 1, 3, 9, 74, 300 };
-	static const double bounds[] = { 0.5, 1, 4.9, 17, 41 };
+	static const double limits[] = { 0.5, 1, 4.9, 17, 41 };
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
-		for (size_t j = 0; j < G_N_ELEMENTS(bounds); j++)
-			assert_true(sum_shares("i-1@5", bounds[j], sizes[i]) <=
-				    bounds[j]);
+		for (size_t j = 0; j < G_N_ELEMENTS(limits); j++)
+			assert_true(sum_shares("i-1@5", limits[j], sizes[i]) <=
+				    limits[j]);
 	}
 }
 
-/* Guards against a large fleet in which each share is less than one. */
-static void test_a_large_fleet_still_warms_it(void **state)
+/* Guards against a large fleet in which each share is rounded down to 0. */
+static void test_large_fleet_uses_the_whole_limit(void **state)
 {
 	(void)state;
 	assert_int_equal(sum_shares("i-1@5", 17, 300), 17);
@@ -64,8 +65,8 @@
 	assert_int_equal(sum_shares("i-3@5", 17, 3), 17);
 }
 
-/* Guards against two bursts that share a second. */
-static void test_any_second_holds_a_share(void **state)
+/* Guards against two bursts within the same second. */
+static void test_share_holds_in_any_second(void **state)
 {
 	struct rr_cold_window window = { 0 };
 	int64_t sent_ms[400];
@@ -96,9 +97,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_shares_add_up_within_the_bound),
-		cmocka_unit_test(test_a_large_fleet_still_warms_it),
-		cmocka_unit_test(test_any_second_holds_a_share),
+		cmocka_unit_test(test_shares_add_up_within_the_limit),
+		cmocka_unit_test(test_large_fleet_uses_the_whole_limit),
+		cmocka_unit_test(test_share_holds_in_any_second),
 		cmocka_unit_test(test_no_share_sends_nothing),
 	};
 
--- a/tests/test-evacuation.c
+++ b/tests/test-evacuation.c
@@ -1,5 +1,5 @@
 /*
- * test-evacuation.c - what is known of one zone's evacuation.
+ * test-evacuation.c - evacuation state of one zone.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,8 +12,8 @@
 
 #define MS ((int64_t)1000)
 
-/* Guards against news of an evacuation that is over, told late. */
-static void test_older_revisions_count_for_nothing(void **state)
+/* Guards against a late update about an evacuation that has ended. */
+static void test_older_revisions_are_ignored(void **state)
 {
 	struct rr_evacuation evacuation = { 0 };
 
@@ -27,8 +27,8 @@
 	assert_false(evacuation.active);
 }
 
-/* Guards against a removal that is told of a zone never known as evacuated. */
-static void test_an_end_alone_changes_nothing(void **state)
+/* Guards against a slow start of a zone that was never evacuated. */
+static void test_end_without_evacuation(void **state)
 {
 	struct rr_evacuation evacuation = { 0 };
 
@@ -38,8 +38,8 @@
 	assert_true(rr_zone_traffic_share(&evacuation, 1 * MS, 3000 * MS) == 1);
 }
 
-/* Guards against a zone that gets all of its work in one moment. */
-static void test_a_zone_returns_gradually(void **state)
+/* Guards against a zone that gets all of its traffic back at once. */
+static void test_slow_start(void **state)
 {
 	struct rr_evacuation evacuation = { 0 };
 
@@ -60,8 +60,8 @@
 		rr_is_cold_after_evacuation(&evacuation, 3000 * MS, 1000 * MS));
 }
 
-/* Guards against a second evacuation that ends with the first one's return. */
-static void test_evacuated_again_while_it_returns(void **state)
+/* Guards against a slow start that ends a second evacuation. */
+static void test_evacuated_again_in_slow_start(void **state)
 {
 	struct rr_evacuation evacuation = { 0 };
 
@@ -77,10 +77,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_older_revisions_count_for_nothing),
-		cmocka_unit_test(test_an_end_alone_changes_nothing),
-		cmocka_unit_test(test_a_zone_returns_gradually),
-		cmocka_unit_test(test_evacuated_again_while_it_returns),
+		cmocka_unit_test(test_older_revisions_are_ignored),
+		cmocka_unit_test(test_end_without_evacuation),
+		cmocka_unit_test(test_slow_start),
+		cmocka_unit_test(test_evacuated_again_in_slow_start),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-fingerprint.c
+++ b/tests/test-fingerprint.c
@@ -1,6 +1,8 @@
 /*
- * test-fingerprint.c - repeats of a request have one fingerprint, other
- * requests have others.
+ * test-fingerprint.c - equality and text form of fingerprints.
+ *
+ * Repeats of a request have the same fingerprint, different requests have
+ * different ones.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -29,7 +31,7 @@
 	};
 }
 
-static void test_a_repeat_has_the_same(void **state)
+static void test_repeat_has_the_same_fingerprint(void **state)
 {
 	char *copied = g_strdup("/a/1?b=2");
 	struct rr_fingerprint_parts a =
@@ -45,7 +47,7 @@
 	g_free(copied);
 }
 
-static void test_each_part_counts(void **state)
+static void test_every_part_is_hashed(void **state)
 {
 	const struct rr_fingerprint_parts all[] = {
 		parts_of("POST", "h", "/a/1", "token", "body"),
@@ -55,7 +57,7 @@
 		parts_of("POST", "h", "/a/1", "other", "body"),
 		parts_of("POST", "h", "/a/1", NULL, "body"),
 		parts_of("POST", "h", "/a/1", "token", NULL),
-		/* The same bytes, divided in another way. */
+		/* The same bytes, divided differently between the parts. */
 		parts_of("POST", "h", "/a/1token", "", "body"),
 		parts_of("POST", "h", "/a/1", "", "tokenbody"),
 	};
@@ -71,7 +73,7 @@
 	}
 }
 
-static void test_text(void **state)
+static void test_text_form(void **state)
 {
 	struct rr_fingerprint x = { 0x1234abcd, 0xfe00000000000001 };
 	struct rr_fingerprint y;
@@ -94,9 +96,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_repeat_has_the_same),
-		cmocka_unit_test(test_each_part_counts),
-		cmocka_unit_test(test_text),
+		cmocka_unit_test(test_repeat_has_the_same_fingerprint),
+		cmocka_unit_test(test_every_part_is_hashed),
+		cmocka_unit_test(test_text_form),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-request-trace.c
+++ b/tests/test-request-trace.c
@@ -1,6 +1,5 @@
 /*
- * test-request-trace.c - which requests are told, whole or not at all, and how many
- * lines that makes.
+ * test-request-trace.c - log lines of request traces, their rate and sampling.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,10 +15,10 @@
 
 #define SECOND_US ((int64_t)1000000)
 
-static void note(struct rr_request_trace *trail, int64_t at_us,
-		 const char *endpoint)
+static void add_sent_event(struct rr_request_trace *trace, int64_t at_us,
+			   const char *endpoint)
 {
-	struct rr_trace_event step = {
+	struct rr_trace_event event = {
 		.at_us = at_us,
 		.kind = RR_TRACE_SENT,
 		.reason = "first",
@@ -28,40 +27,40 @@
 		.attempt = 1,
 	};
 
-	rr_add_trace_event(trail, &step);
+	rr_add_trace_event(trace, &event);
 }
 
-static void keep_line(void *data, enum rr_log_level level, const char *line)
+static void append_line(void *data, enum rr_log_level level, const char *line)
 {
 	g_string_append(data, line);
 	g_string_append_c(data, '\n');
 }
 
-static void test_steps_as_lines(void **state)
+static void test_events_as_log_lines(void **state)
 {
 	GString *out = g_string_new(NULL);
 	struct rr_context_options options = {
-		.log = { .write = keep_line,
+		.log = { .write = append_line,
 			 .data = out,
 			 .max_level = RR_LOG_INFO },
 	};
 	struct rr_context *ctx = rr_new_context(&options);
-	struct rr_request_trace trail;
+	struct rr_request_trace trace;
 	char endpoint[] = "i-1";
 
-	rr_init_trace(&trail);
-	note(&trail, 5000, endpoint);
-	/* The replica may be gone before its line is written. */
+	rr_init_trace(&trace);
+	add_sent_event(&trace, 5000, endpoint);
+	/* The replica's id may be freed before its line is written. */
 	memset(endpoint, 'x', 3);
-	rr_log_trace(ctx, &trail, "id", 2000);
+	rr_log_trace(ctx, &trace, "id", 2000);
 	assert_non_null(strstr(out->str, "event=sent request=id after_us=3000 "
 					 "attempt=1 service=s endpoint=i-1"));
-	rr_clear_trace(&trail);
+	rr_clear_trace(&trace);
 	rr_drop_context(ctx);
 	g_string_free(out, TRUE);
 }
 
-/* Lines written in ten seconds by so many requests of 41 lines a second. */
+/* Returns the lines logged in ten seconds by `per_s` requests of 41 lines each. */
 static size_t write_for_ten_seconds(int per_s, bool ordinary)
 {
 	struct rr_log_budget budget = { .lines_per_s = 100 };
@@ -75,18 +74,18 @@
 	return lines;
 }
 
-/* At ten times the load there are no more lines than the bound allows. */
-static void test_bound_holds(void **state)
+/* Guards against more lines than the limit allows, at ten times the load. */
+static void test_rate_limit(void **state)
 {
-	size_t calm = write_for_ten_seconds(20, false);
-	size_t busy = write_for_ten_seconds(200, false);
+	size_t lines_at_20 = write_for_ten_seconds(20, false);
+	size_t lines_at_200 = write_for_ten_seconds(200, false);
 
-	assert_in_range(calm, 700, 1000);
-	assert_in_range(busy, 700, 1000);
+	assert_in_range(lines_at_20, 700, 1000);
+	assert_in_range(lines_at_200, 700, 1000);
 }
 
-/* Ordinary requests leave room for those that go wrong. */
-static void test_ordinary_ones_come_last(void **state)
+/* Guards against ordinary requests that leave no lines for failed ones. */
+static void test_reserve_for_failed_requests(void **state)
 {
 	struct rr_log_budget budget = { .lines_per_s = 100 };
 
@@ -97,7 +96,7 @@
 	assert_true(rr_take_log_lines(&budget, 11 * SECOND_US, 90, false));
 }
 
-static void test_sampling_goes_by_the_id(void **state)
+static void test_sampling_by_id(void **state)
 {
 	int n = 0;
 
@@ -114,10 +113,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_steps_as_lines),
-		cmocka_unit_test(test_bound_holds),
-		cmocka_unit_test(test_ordinary_ones_come_last),
-		cmocka_unit_test(test_sampling_goes_by_the_id),
+		cmocka_unit_test(test_events_as_log_lines),
+		cmocka_unit_test(test_rate_limit),
+		cmocka_unit_test(test_reserve_for_failed_requests),
+		cmocka_unit_test(test_sampling_by_id),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-retry-budget.c
+++ b/tests/test-retry-budget.c
@@ -1,5 +1,5 @@
 /*
- * test-retry-budget.c - extra attempts within a sliding window.
+ * test-retry-budget.c - extra attempts allowed in a sliding window.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,42 +16,43 @@
 #define RATIO 0.2
 #define SLACK 30
 
-static struct rr_retry_budget started(int64_t began_us)
+static struct rr_retry_budget new_budget(int64_t started_us)
 {
-	struct rr_retry_budget allowance;
+	struct rr_retry_budget budget;
 
-	rr_init_retry_budget(&allowance, WINDOW, began_us);
-	rr_set_retry_budget(&allowance, RATIO, SLACK);
-	return allowance;
+	rr_init_retry_budget(&budget, WINDOW, started_us);
+	rr_set_retry_budget(&budget, RATIO, SLACK);
+	return budget;
 }
 
-static int take_all(struct rr_retry_budget *allowance, int64_t now_us)
+static int take_all(struct rr_retry_budget *budget, int64_t now_us)
 {
 	int n = 0;
 
-	while (rr_take_extra(allowance, now_us))
+	while (rr_take_extra(budget, now_us))
 		n++;
 	return n;
 }
 
 /*
- * Story: replicas shed for nine seconds, twice, with seconds between.  Saved
- * tokens were spent on the first spell, and in the second one searches failed
- * though the service was owed its slack anew.
+ * Guards against slack that is not renewed.  Replicas reject requests for nine
+ * seconds, twice, a few seconds apart.  A token bucket was emptied the first
+ * time, so that searches failed the second time although a new window should
+ * have had its slack.
  */
-static void test_second_spell_has_its_slack(void **state)
+static void test_slack_is_renewed(void **state)
 {
-	struct rr_retry_budget allowance = started(0);
+	struct rr_retry_budget budget = new_budget(0);
 
-	assert_int_equal(take_all(&allowance, 20 * SECOND), SLACK);
-	assert_int_equal(take_all(&allowance, 29 * SECOND), 0);
-	assert_int_equal(take_all(&allowance, 31 * SECOND), SLACK);
+	assert_int_equal(take_all(&budget, 20 * SECOND), SLACK);
+	assert_int_equal(take_all(&budget, 29 * SECOND), 0);
+	assert_int_equal(take_all(&budget, 31 * SECOND), SLACK);
 }
 
-/* Whatever is asked when, no window that ends with an extra attempt has more. */
-static void test_any_window(void **state)
+/* No window that ends with an extra attempt exceeds the limit, at random load. */
+static void test_limit_holds_in_every_window(void **state)
 {
-	struct rr_retry_budget allowance = started(0);
+	struct rr_retry_budget budget = new_budget(0);
 	GRand *rand = g_rand_new_with_seed(5);
 	GArray *spent = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	GArray *earned = g_array_new(FALSE, FALSE, sizeof(int64_t));
@@ -63,11 +64,11 @@
 
 		now += g_rand_int_range(rand, 0, 20000);
 		if (g_rand_boolean(rand)) {
-			rr_earn_extra(&allowance, now);
+			rr_earn_extra(&budget, now);
 			g_array_append_val(earned, now);
 		}
 		if (g_rand_int_range(rand, 0, 3) ||
-		    !rr_take_extra(&allowance, now))
+		    !rr_take_extra(&budget, now))
 			continue;
 		g_array_append_val(spent, now);
 		for (guint k = spent->len; k > 0; k--)
@@ -85,54 +86,57 @@
 }
 
 /*
- * Story: an instance spends its slack, is killed and is back within a second.
- * Its predecessor's attempts still count: it has no slack for a window, and
- * only what its own requests earn.
+ * Guards against slack that is spent twice.  An instance spends its slack, is
+ * killed and restarts within a second.  The attempts of the previous process
+ * still count, so there is no slack for one window, only what requests earn.
  */
 static void test_restart_has_no_slack(void **state)
 {
-	struct rr_retry_budget allowance = started(50 * SECOND);
+	struct rr_retry_budget budget = new_budget(50 * SECOND);
 
-	assert_int_equal(take_all(&allowance, 51 * SECOND), 0);
+	assert_int_equal(take_all(&budget, 51 * SECOND), 0);
 	for (int i = 0; i < 10; i++)
-		rr_earn_extra(&allowance, 52 * SECOND);
-	assert_int_equal(take_all(&allowance, 52 * SECOND), 2);
-	assert_int_equal(take_all(&allowance, 63 * SECOND), SLACK);
+		rr_earn_extra(&budget, 52 * SECOND);
+	assert_int_equal(take_all(&budget, 52 * SECOND), 2);
+	assert_int_equal(take_all(&budget, 63 * SECOND), SLACK);
 }
 
-/* More instances than thought: what was spent stays counted. */
-static void test_smaller_share(void **state)
+/*
+ * The share shrinks when more instances become known: extra attempts already
+ * made still count.
+ */
+static void test_reduced_slack(void **state)
 {
-	struct rr_retry_budget allowance = started(0);
+	struct rr_retry_budget budget = new_budget(0);
 
-	assert_int_equal(take_all(&allowance, 20 * SECOND), SLACK);
-	rr_set_retry_budget(&allowance, RATIO, SLACK / 2.0);
-	assert_true(rr_extras_left(&allowance, 20 * SECOND) < 0);
-	assert_float_equal(rr_extras_used_fraction(&allowance, 20 * SECOND), 1,
+	assert_int_equal(take_all(&budget, 20 * SECOND), SLACK);
+	rr_set_retry_budget(&budget, RATIO, SLACK / 2.0);
+	assert_true(rr_extras_left(&budget, 20 * SECOND) < 0);
+	assert_float_equal(rr_extras_used_fraction(&budget, 20 * SECOND), 1,
 			   1e-9);
-	assert_int_equal(take_all(&allowance, 31 * SECOND), SLACK / 2);
+	assert_int_equal(take_all(&budget, 31 * SECOND), SLACK / 2);
 }
 
-static void test_returned_ones_count_no_more(void **state)
+static void test_refunded_extras_do_not_count(void **state)
 {
-	struct rr_retry_budget allowance = started(0);
-
-	assert_int_equal(take_all(&allowance, 20 * SECOND), SLACK);
-	rr_return_extra(&allowance, 22 * SECOND);
-	assert_int_equal(take_all(&allowance, 22 * SECOND), 1);
-	/* Where none is counted, nothing happens. */
-	rr_return_extra(&allowance, 99 * SECOND);
-	assert_int_equal(take_all(&allowance, 99 * SECOND), SLACK);
+	struct rr_retry_budget budget = new_budget(0);
+
+	assert_int_equal(take_all(&budget, 20 * SECOND), SLACK);
+	rr_return_extra(&budget, 22 * SECOND);
+	assert_int_equal(take_all(&budget, 22 * SECOND), 1);
+	/* With no extra attempt counted, a refund has no effect. */
+	rr_return_extra(&budget, 99 * SECOND);
+	assert_int_equal(take_all(&budget, 99 * SECOND), SLACK);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_second_spell_has_its_slack),
-		cmocka_unit_test(test_any_window),
+		cmocka_unit_test(test_slack_is_renewed),
+		cmocka_unit_test(test_limit_holds_in_every_window),
 		cmocka_unit_test(test_restart_has_no_slack),
-		cmocka_unit_test(test_smaller_share),
-		cmocka_unit_test(test_returned_ones_count_no_more),
+		cmocka_unit_test(test_reduced_slack),
+		cmocka_unit_test(test_refunded_extras_do_not_count),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-wait-queue.c
+++ b/tests/test-wait-queue.c
@@ -1,6 +1,5 @@
 /*
- * test-wait-queue.c - the order in which waiting work is served, and what it
- * is good for when more comes than can be done.
+ * test-wait-queue.c - order of the queue, and requests in time under overload.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,14 +15,14 @@
 #define MS 1000
 #define WORK_US (10 * MS)
 
-static void push(struct rr_wait_queue *queue, uint64_t run, uint32_t priority,
-		 int64_t since_us, int64_t cut_us)
+static void push(struct rr_wait_queue *queue, uint64_t request,
+		 uint32_t priority, int64_t since_us, int64_t answer_by_us)
 {
 	struct rr_waiter waiter = {
-		.request = run,
+		.request = request,
 		.priority = priority,
 		.since_us = since_us,
-		.answer_by_us = cut_us,
+		.answer_by_us = answer_by_us,
 	};
 
 	rr_push_waiter(queue, &waiter);
@@ -37,7 +36,7 @@
 								0;
 }
 
-static void test_oldest_first_while_all_goes_well(void **state)
+static void test_oldest_first_without_overload(void **state)
 {
 	struct rr_wait_queue queue;
 
@@ -67,7 +66,7 @@
 	rr_clear_wait_queue(&queue);
 }
 
-static void test_newest_first_when_overrun(void **state)
+static void test_newest_first_under_overload(void **state)
 {
 	struct rr_wait_queue queue;
 
@@ -81,8 +80,8 @@
 	rr_clear_wait_queue(&queue);
 }
 
-/* Work that would be late anyway does not make other work late. */
-static void test_those_in_time_go_first(void **state)
+/* Guards against entries that will be late anyway and make others late. */
+static void test_entries_in_time_go_first(void **state)
 {
 	struct rr_wait_queue queue;
 
@@ -95,62 +94,62 @@
 }
 
 /*
- * Story: with a zone cut, shards of which one replica is left get 20 % more
- * work than it can do.  Served oldest first, everybody waits for the whole
- * of the time they have and nearly all come late; the queue has to give up
- * some so that the others are in time.  The load: a piece of work each 10 ms
- * that takes 12 ms, 100 ms to be in time, for 20 s.
+ * With a zone unreachable, the only remaining replica of a shard gets 20 % more
+ * requests than it can serve.  Served oldest first, all requests wait for nearly
+ * all of the time they have and most are late; the queue has to let some be late
+ * so that the others are in time.  Load: for 20 s a request every 10 ms that
+ * takes 12 ms and is in time within 100 ms.
  */
-static void test_replay_of_an_overrun_shard(void **state)
+static void test_overloaded_shard(void **state)
 {
 	const int64_t gap_us = 10 * MS;
 	const int64_t work_us = 12 * MS;
 	const int64_t allowed_us = 100 * MS;
 	struct rr_wait_queue queue;
 	struct rr_waiter waiter;
-	int64_t free_us = 0;
+	int64_t idle_us = 0;
 	int64_t next_us = 0;
 	uint64_t n = 0;
 	int in_time = 0;
 
 	rr_init_wait_queue(&queue);
 	while (next_us < 20 * 1000 * MS) {
-		while (next_us <= free_us) {
+		while (next_us <= idle_us) {
 			push(&queue, ++n, 1, next_us, next_us + allowed_us);
 			next_us += gap_us;
 		}
-		if (!rr_pop_waiter(&queue, free_us, work_us, &waiter)) {
-			free_us = next_us;
+		if (!rr_pop_waiter(&queue, idle_us, work_us, &waiter)) {
+			idle_us = next_us;
 			continue;
 		}
-		free_us = MAX(free_us, waiter.since_us) + work_us;
-		if (free_us <= waiter.answer_by_us)
+		idle_us = MAX(idle_us, waiter.since_us) + work_us;
+		if (idle_us <= waiter.answer_by_us)
 			in_time++;
 	}
-	/* What the replica can do at all is 10 / 12 of what comes. */
+	/* The replica can serve at most 10 / 12 of the requests. */
 	assert_true(in_time > 0.80 * (double)n);
 	rr_clear_wait_queue(&queue);
 }
 
 /*
- * Story: a burst brings nine times the usual load for five seconds.  A queue
- * that takes everything until its oldest has waited too long turns away only
- * then, and serves much of what it took too late.  The load: two at once, 60
- * ms each, one more each 4 ms, 190 ms to be in time.
+ * A burst brings nine times the usual load for five seconds.  A queue that
+ * rejects requests only once its oldest entry has waited too long serves many of
+ * those it admitted too late.  Load: a request every 4 ms that takes 60 ms and is
+ * in time within 190 ms; two are served at the same time.
  */
-static void test_replay_of_a_burst(void **state)
+static void test_burst(void **state)
 {
 	const int64_t work_us = 60 * MS;
 	const int64_t allowed_us = 190 * MS;
 	struct rr_wait_queue queue;
 	struct rr_waiter waiter;
-	int64_t free_us[2] = { 0, 0 };
-	int taken = 0;
+	int64_t idle_us[2] = { 0, 0 };
+	int admitted = 0;
 	int in_time = 0;
 
 	rr_init_wait_queue(&queue);
 	for (int64_t now_us = 0; now_us < 5000 * MS; now_us += 4 * MS) {
-		struct rr_overload_inputs outlook = {
+		struct rr_overload_inputs inputs = {
 			.now_us = now_us,
 			.answer_by_us = now_us + allowed_us,
 			.typical_us = work_us,
@@ -158,32 +157,33 @@
 		};
 
 		for (int i = 0; i < 2; i++) {
-			if (free_us[i] > now_us ||
+			if (idle_us[i] > now_us ||
 			    !rr_pop_waiter(&queue, now_us, work_us, &waiter))
 				continue;
-			free_us[i] = now_us + work_us;
-			in_time += free_us[i] <= waiter.answer_by_us;
+			idle_us[i] = now_us + work_us;
+			in_time += idle_us[i] <= waiter.answer_by_us;
 		}
-		if (rr_would_overload(&queue, &outlook))
+		if (rr_would_overload(&queue, &inputs))
 			continue;
-		taken++;
-		push(&queue, (uint64_t)taken, 1, now_us, now_us + allowed_us);
+		admitted++;
+		push(&queue, (uint64_t)admitted, 1, now_us,
+		     now_us + allowed_us);
 	}
-	/* All that two can do in the time, and next to nothing in vain. */
+	/* Nearly all that two workers can serve, and few that are late. */
 	assert_true(in_time > 0.9 * 2 * 5000 / 60);
-	assert_true(in_time > 0.95 * taken);
+	assert_true(in_time > 0.95 * admitted);
 	rr_clear_wait_queue(&queue);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_oldest_first_while_all_goes_well),
+		cmocka_unit_test(test_oldest_first_without_overload),
 		cmocka_unit_test(test_highest_priority_first),
-		cmocka_unit_test(test_newest_first_when_overrun),
-		cmocka_unit_test(test_those_in_time_go_first),
-		cmocka_unit_test(test_replay_of_an_overrun_shard),
-		cmocka_unit_test(test_replay_of_a_burst),
+		cmocka_unit_test(test_newest_first_under_overload),
+		cmocka_unit_test(test_entries_in_time_go_first),
+		cmocka_unit_test(test_overloaded_shard),
+		cmocka_unit_test(test_burst),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
