--- a/tests/test-quarantine.c
+++ b/tests/test-quarantine.c
@@ -1,5 +1,5 @@
 /*
- * test-quarantine.c - what puts a request into quarantine, and what does not.
+ * test-quarantine.c - conditions under which a request is quarantined.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,7 +16,7 @@
 
 static const struct rr_fingerprint deadly = { 1, 2 };
 
-static struct rr_quarantine *new_quarantine(void)
+static struct rr_quarantine *new_table(void)
 {
 	struct rr_quarantine_options options = {
 		.crash_threshold = 3,
@@ -27,9 +27,9 @@
 	return rr_new_quarantine(&options);
 }
 
-/* It was sent and closed at these times; whether that puts it into force. */
+/* Adds a crash of `incarnation`.  Returns whether it starts the quarantine. */
 static bool crash(struct rr_quarantine *quarantine, int64_t sent_us,
-		  int64_t closed_us, const char *lifetime)
+		  int64_t closed_us, const char *incarnation)
 {
 	struct rr_crash crash = {
 		.fingerprint = deadly,
@@ -37,15 +37,15 @@
 		.closed_us = closed_us,
 	};
 	struct rr_quarantine_record *record =
-		rr_add_crash(quarantine, closed_us, &crash, lifetime);
+		rr_add_crash(quarantine, closed_us, &crash, incarnation);
 
 	return record &&
 	       rr_quarantine_if_confirmed(quarantine, closed_us, record);
 }
 
-static void test_three_replicas_one_after_the_other(void **state)
+static void test_three_crashes_in_sequence(void **state)
 {
-	struct rr_quarantine *quarantine = new_quarantine();
+	struct rr_quarantine *quarantine = new_table();
 
 	(void)state;
 	assert_false(crash(quarantine, 0, 10, "a"));
@@ -57,23 +57,23 @@
 	rr_drop_quarantine(quarantine);
 }
 
-/* Guards against condemning what ran at many replicas that die at once. */
-static void test_replicas_that_die_at_once(void **state)
+/* Guards against quarantine of a request in flight at replicas that all crash at once. */
+static void test_simultaneous_crashes(void **state)
 {
-	struct rr_quarantine *quarantine = new_quarantine();
+	struct rr_quarantine *quarantine = new_table();
 
 	(void)state;
 	for (char name[] = "a"; *name < 'm'; ++*name)
 		assert_false(crash(quarantine, 0, 10 + *name, name));
-	/* A later attempt crashes as well: it was no bystander. */
+	/* A later attempt crashes a replica too, so the request is the cause. */
 	assert_true(crash(quarantine, 200, 210, "z"));
 	rr_drop_quarantine(quarantine);
 }
 
-/* Guards against one crash that is told by several attempts. */
-static void test_a_replica_counts_once(void **state)
+/* Guards against counting one crash for each of several attempts. */
+static void test_replica_counts_once(void **state)
 {
-	struct rr_quarantine *quarantine = new_quarantine();
+	struct rr_quarantine *quarantine = new_table();
 
 	(void)state;
 	for (int i = 0; i < 9; i++)
@@ -81,10 +81,10 @@
 	rr_drop_quarantine(quarantine);
 }
 
-/* Guards against bystanders that are asked all the time. */
-static void test_one_that_ran_to_its_end_is_harmless(void **state)
+/* Guards against quarantine of frequent requests that are not the cause. */
+static void test_completed_request_is_harmless(void **state)
 {
-	struct rr_quarantine *quarantine = new_quarantine();
+	struct rr_quarantine *quarantine = new_table();
 	struct rr_fingerprint other = { 1, 3 };
 
 	(void)state;
@@ -94,17 +94,17 @@
 				   name));
 	assert_true(rr_quarantine_is_empty(quarantine));
 	assert_false(rr_is_harmless(quarantine, 2 * S, &other));
-	/* It may crash replicas all the same, from some moment on. */
+	/* The request may still begin to crash replicas later. */
 	assert_false(crash(quarantine, 12 * S, 12 * S + 1, "p"));
 	assert_false(crash(quarantine, 13 * S, 13 * S + 1, "q"));
 	assert_true(crash(quarantine, 14 * S, 14 * S + 1, "r"));
 	rr_drop_quarantine(quarantine);
 }
 
-/* Guards against crashes that are divided among instances. */
-static void test_crashes_of_others_count(void **state)
+/* Guards against crashes that are not added up across instances. */
+static void test_crashes_of_peers_count(void **state)
 {
-	struct rr_quarantine *quarantine = new_quarantine();
+	struct rr_quarantine *quarantine = new_table();
 	char *crashed[] = { (char *)"a", (char *)"b", NULL };
 	struct rr_quarantine_entry entry = {
 		.fingerprint = deadly,
@@ -124,9 +124,9 @@
 	rr_drop_quarantine(quarantine);
 }
 
-static void test_trials_become_rarer(void **state)
+static void test_trial_backoff(void **state)
 {
-	struct rr_quarantine *quarantine = new_quarantine();
+	struct rr_quarantine *quarantine = new_table();
 	char *crashed[] = { (char *)"a", NULL };
 	struct rr_quarantine_entry entry = {
 		.fingerprint = deadly,
@@ -140,7 +140,7 @@
 	assert_true(record->next_trial_us == 5 + HOLD_US);
 	rr_update_trial_count(quarantine, HOLD_US + 5, record, 1);
 	assert_true(record->next_trial_us == HOLD_US + 5 + 4 * HOLD_US);
-	/* An entry of before that tells nothing new. */
+	/* An outdated entry changes nothing. */
 	entry.trials = 0;
 	rr_merge_quarantine_entry(quarantine, 2 * HOLD_US, &entry);
 	assert_int_equal(record->trials, 1);
@@ -151,10 +151,10 @@
 	rr_drop_quarantine(quarantine);
 }
 
-/* Guards against a flood of distinct bad requests: those in force stay. */
+/* Guards against unbounded memory with many distinct suspected requests. */
 static void test_memory_is_bounded(void **state)
 {
-	struct rr_quarantine *quarantine = new_quarantine();
+	struct rr_quarantine *quarantine = new_table();
 	uint32_t n = 0;
 
 	(void)state;
@@ -183,12 +183,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_three_replicas_one_after_the_other),
-		cmocka_unit_test(test_replicas_that_die_at_once),
-		cmocka_unit_test(test_a_replica_counts_once),
-		cmocka_unit_test(test_one_that_ran_to_its_end_is_harmless),
-		cmocka_unit_test(test_crashes_of_others_count),
-		cmocka_unit_test(test_trials_become_rarer),
+		cmocka_unit_test(test_three_crashes_in_sequence),
+		cmocka_unit_test(test_simultaneous_crashes),
+		cmocka_unit_test(test_replica_counts_once),
+		cmocka_unit_test(test_completed_request_is_harmless),
+		cmocka_unit_test(test_crashes_of_peers_count),
+		cmocka_unit_test(test_trial_backoff),
 		cmocka_unit_test(test_memory_is_bounded),
 	};
 
