--- a/source/core/gate-cold.c
+++ b/source/core/gate-cold.c
@@ -1,9 +1,9 @@
 /*
  * gate-cold.c - rate limit on requests to cold replicas.
  *
- * A replica is cold when it has just started, or when the evacuation of its zone
- * has just ended.  It becomes overloaded and fails if all instances together
- * send it more requests per second than it can serve while cold.
+ * A replica is cold when it has just started, or when the evacuation of its
+ * zone has just ended.  It becomes overloaded and fails if all instances
+ * together send it more requests per second than it can serve while cold.
  */
 #include "core/gate-private.h"
 
--- a/source/core/gate-evacuate.c
+++ b/source/core/gate-evacuate.c
@@ -50,8 +50,8 @@
 }
 
 /*
- * Lists the attempts in flight in a zone.  Returns ids instead of pointers, since
- * ending one attempt may end and free others.
+ * Lists the attempts in flight in a zone.  Returns ids instead of pointers,
+ * since ending one attempt may end and free others.
  */
 static GArray *list_attempts(const struct rr_gate *gate, const char *zone)
 {
--- a/source/core/gate-incarnation.c
+++ b/source/core/gate-incarnation.c
@@ -1,10 +1,10 @@
 /*
  * gate-incarnation.c - matching of list entries to incarnations of replicas.
  *
- * A replica may restart under the same id.  Draining state, connections, attempts
- * in flight and measurements of an earlier incarnation do not apply to the new
- * one.  Entries may arrive late and in any order, so the latest start time known
- * of an id is kept after its entry is removed.
+ * A replica may restart under the same id.  Draining state, connections,
+ * attempts in flight and measurements of an earlier incarnation do not apply to
+ * the new one.  Entries may arrive late and in any order, so the latest start
+ * time known of an id is kept after its entry is removed.
  */
 #include "core/gate-private.h"
 
--- a/source/core/gate-loop-delay.c
+++ b/source/core/gate-loop-delay.c
@@ -11,8 +11,8 @@
 #define MIN_LOGGED_US (50 * 1000)
 
 /*
- * Moves a time by the delay, but not past now: what started during the delay was
- * delayed by less.  0 means unset.
+ * Moves a time by the delay, but not past now: what started during the delay
+ * was delayed by less.  0 means unset.
  */
 static int64_t add_delay(int64_t since_us, int64_t delay_us, int64_t now_us)
 {
--- a/source/core/gate-zone.c
+++ b/source/core/gate-zone.c
@@ -124,7 +124,8 @@
 /*
  * Guards against an instance with too little traffic to notice that its zone is
  * isolated: callers are directed to other zones once all instances of a zone
- * report that they are not ready, and one that has not noticed keeps them there.
+ * report that they are not ready, and one that has not noticed keeps them
+ * there.
  */
 void rr_gate_suspect_zones(struct rr_context *ctx, struct rr_gate *gate,
 			   int64_t now_us)
@@ -176,9 +177,9 @@
 			     struct rr_gate_zone *zone);
 
 /*
- * A network partition often affects several zones at once, but as soon as one is
- * known to be unreachable there may be no more attempts to the others that would
- * reveal it.
+ * A network partition often affects several zones at once, but as soon as one
+ * is known to be unreachable there may be no more attempts to the others that
+ * would reveal it.
  */
 static void suspect_other_zones(struct rr_context *ctx, struct rr_gate *gate)
 {
--- a/source/core/request-trace.h
+++ b/source/core/request-trace.h
@@ -1,9 +1,9 @@
 /*
  * request-trace.h - event trace of one request, logged when the request ends.
  *
- * A trace is logged as a whole or not at all.  Most requests succeed and are not
- * worth logging.  Which ones are is known only at the end, so the decisions are
- * kept as small records until then.
+ * A trace is logged as a whole or not at all.  Most requests succeed and are
+ * not worth logging.  Which ones are is known only at the end, so the decisions
+ * are kept as small records until then.
  */
 #ifndef RAGWORT_CORE_REQUEST_TRACE_H
 #define RAGWORT_CORE_REQUEST_TRACE_H
@@ -57,8 +57,8 @@
 			const struct rr_trace_event *event);
 /*
  * Charge the lines of a trace to the budget.  Return false if there are too few
- * left.  Traces of `ordinary` requests leave half of the capacity in reserve, so
- * that failed requests can still be logged.
+ * left.  Traces of `ordinary` requests leave half of the capacity in reserve,
+ * so that failed requests can still be logged.
  */
 bool rr_take_log_lines(struct rr_log_budget *budget, int64_t now_us,
 		       size_t lines, bool ordinary);
--- a/source/core/wait-queue.h
+++ b/source/core/wait-queue.h
@@ -55,8 +55,8 @@
 
 /*
  * Whether the queue is overloaded, or would be with a new entry, since the work
- * already queued takes too much of its time.  Rejecting entries then, before the
- * age of the backlog shows the overload, leaves fewer to be served late.
+ * already queued takes too much of its time.  Rejecting entries then, before
+ * the age of the backlog shows the overload, leaves fewer to be served late.
  */
 bool rr_would_overload(const struct rr_wait_queue *queue,
 		       const struct rr_overload_inputs *inputs);
--- a/tests/test-evacuation.c
+++ b/tests/test-evacuation.c
@@ -27,7 +27,7 @@
 	assert_false(evacuation.active);
 }
 
-/* Guards against a slow start of a zone that was never evacuated. */
+/* Guards against a removal received for a zone not known as evacuated. */
 static void test_end_without_evacuation(void **state)
 {
 	struct rr_evacuation evacuation = { 0 };
--- a/tests/test-gate-cold.c
+++ b/tests/test-gate-cold.c
@@ -56,7 +56,7 @@
 	return n;
 }
 
-/* Guards against overload of a cold replica: the limit is 0.7 * (8 * 1.5 + 5). */
+/* Guards against overload of a cold replica: limit 0.7 * (8 * 1.5 + 5). */
 static void test_rate_limit_of_a_cold_replica(void **state)
 {
 	struct gate_fixture *fixture = new_cold_fixture(8);
--- a/tests/test-gate-quarantine.c
+++ b/tests/test-gate-quarantine.c
@@ -17,7 +17,7 @@
 
 #define HOLD_MS ((uint32_t)600000)
 
-static const struct rr_fingerprint deadly = { 7, 1 };
+static const struct rr_fingerprint crashing = { 7, 1 };
 static const struct rr_fingerprint other = { 7, 2 };
 
 static struct gate_fixture *new_fixture(const struct test_route *route)
@@ -29,11 +29,11 @@
 	g_free(path);
 	g_ptr_array_set_size(fixture->attempts, 0);
 	g_ptr_array_set_size(fixture->answers, 0);
-	fixture->fingerprint = deadly;
+	fixture->fingerprint = crashing;
 	return fixture;
 }
 
-/* Closes the first `n` attempts, and then lets the probes of all replicas fail. */
+/* Closes the first `n` attempts before any probe of their replicas fails. */
 static void crash_at_once(struct gate_fixture *fixture, guint n)
 {
 	for (guint i = 0; i < n; i++)
@@ -64,13 +64,13 @@
 {
 	char *crashed[] = { (char *)"x", (char *)"y", (char *)"z", NULL };
 	struct rr_quarantine_entry entry = {
-		.fingerprint = deadly,
+		.fingerprint = crashing,
 		.crashed = crashed,
 		.quarantined = true,
 	};
 
 	rr_gate_apply_quarantine(fixture->ctx, fixture->gate, fixture->now_us,
-				 &deadly, &entry);
+				 &crashing, &entry);
 }
 
 /* Guards against a search that crashes two replicas of every shard. */
@@ -83,7 +83,10 @@
 	assert_int_equal(fixture->attempts->len, 4);
 	test_advance_time(fixture, TEST_MS);
 	crash_at_once(fixture, 2);
-	/* Both were retried before the first crash was known; one retry remains. */
+	/*
+	 * Both were retried before the first crash was known; one retry
+	 * remains.
+	 */
 	assert_int_equal(fixture->attempts->len, 6);
 	assert_int_equal(test_count_open_attempts(fixture), 1);
 	test_advance_time(fixture, 100 * TEST_MS);
@@ -279,7 +282,7 @@
 	test_list_replica(fixture, replica, "s", "a");
 	test_set_routes(fixture, 5, &test_non_idempotent_route, 1);
 	test_advance_time(fixture, TEST_MS);
-	fixture->fingerprint = deadly;
+	fixture->fingerprint = crashing;
 	return fixture;
 }
 
@@ -343,13 +346,13 @@
 	struct gate_fixture *fixture = new_fixture(&test_search_route);
 	char *crashed[] = { (char *)"x", NULL };
 	struct rr_quarantine_entry entry = {
-		.fingerprint = deadly,
+		.fingerprint = crashing,
 		.crashed = crashed,
 	};
 
 	(void)state;
 	rr_gate_apply_quarantine(fixture->ctx, fixture->gate, fixture->now_us,
-				 &deadly, &entry);
+				 &crashing, &entry);
 	test_submit(fixture, "/search/1", 900);
 	assert_int_equal(fixture->attempts->len, 1);
 	test_reply(fixture, last_sent(fixture), RR_GATE_ANSWERED, 200);
@@ -472,7 +475,7 @@
 		.host = "h",
 		.path = "/search/1",
 		.path_length = strlen("/search/1"),
-		.fingerprint = deadly,
+		.fingerprint = crashing,
 		.deadline_ms = 900,
 		.forward_deadline_us = 80 * TEST_MS,
 	};
@@ -493,7 +496,7 @@
 	apply_quarantine(fixture);
 	assert_rejected(fixture, "/search/1");
 	rr_gate_apply_quarantine(fixture->ctx, fixture->gate, fixture->now_us,
-				 &deadly, NULL);
+				 &crashing, NULL);
 	test_submit(fixture, "/search/1", 900);
 	assert_int_equal(test_count_open_attempts(fixture), 4);
 	test_free_gate(fixture);
--- a/tests/test-gate-zone.c
+++ b/tests/test-gate-zone.c
@@ -25,10 +25,10 @@
 }
 
 /*
- * A network partition makes all replicas of the other zones unreachable at once,
- * and searches need shards that have replicas only there.  The instance has to
- * report that it is not ready, so that callers use another zone, and to detect
- * by connection probes when the others are reachable again.
+ * A network partition makes all replicas of the other zones unreachable at
+ * once, and searches need shards that have replicas only there.  The instance
+ * has to report that it is not ready, so that callers use another zone, and to
+ * detect by connection probes when the others are reachable again.
  */
 static void test_isolated_zone(void **state)
 {
@@ -66,11 +66,11 @@
 }
 
 /*
- * Guards against slow detection when a zone is isolated from two others at once.
- * Most attempts go to one of these, which is found unreachable by five attempts
- * without a reply.  To the other only three were in flight, and no more are sent
- * since the searches lack the first.  Callers were rejected for 0.7 s longer,
- * until two probes had failed.
+ * Guards against slow detection when a zone is isolated from two others at
+ * once.  Most attempts go to one of these, which is found unreachable by five
+ * attempts without a reply.  To the other only three were in flight, and no
+ * more are sent since the searches lack the first.  Callers were rejected for
+ * 0.7 s longer, until two probes had failed.
  */
 static void test_two_zones_unreachable_at_once(void **state)
 {
@@ -96,8 +96,8 @@
 
 /*
  * Of two other zones one becomes unreachable half a second before the other.
- * The first must not count as reachable again when the second is checked, or the
- * instance does not notice that it is isolated.
+ * The first must not count as reachable again when the second is checked, or
+ * the instance does not notice that it is isolated.
  */
 static void test_two_zones_unreachable_in_sequence(void **state)
 {
@@ -142,9 +142,9 @@
 }
 
 /*
- * The partition resets connections, so that no silence adds up, and requests are
- * sent to only some of the zone's replicas.  Probes of other replicas have to
- * show that the whole zone is unreachable.
+ * The partition resets connections, so that no silence adds up, and requests
+ * are sent to only some of the zone's replicas.  Probes of other replicas have
+ * to show that the whole zone is unreachable.
  */
 static void test_zone_resets_connections(void **state)
 {
@@ -317,8 +317,8 @@
 }
 
 /*
- * Guards against a zone taken for unreachable when its replicas all pause at once
- * for 0.1 s.  Their machines still accept connections.
+ * Guards against a zone taken for unreachable when its replicas all pause at
+ * once for 0.1 s.  Their machines still accept connections.
  */
 static void test_pause_is_not_a_partition(void **state)
 {
@@ -349,8 +349,8 @@
 /*
  * Guards against taking the instance's own delay for silence.  A slow instance
  * gathers searches of 180 shards, and its own work blocks its event loop for
- * 150 ms while all responses wait unread.  It took all zones for unreachable and
- * reported that it was isolated, so that callers were directed away from a
+ * 150 ms while all responses wait unread.  It took all zones for unreachable
+ * and reported that it was isolated, so that callers were directed away from a
  * healthy fleet.
  */
 static void test_loop_delay_is_not_silence(void **state)
@@ -395,10 +395,10 @@
 
 /*
  * A zone of sixty instances is isolated.  The strong ones, which gather all
- * searches, detect it within half a second.  A weak one sends so few attempts that
- * it takes five seconds, and callers are directed elsewhere only once all
- * instances report that they are not ready.  A report from a peer has to make it
- * probe the zones and find out.
+ * searches, detect it within half a second.  A weak one sends so few attempts
+ * that it takes five seconds, and callers are directed elsewhere only once all
+ * instances report that they are not ready.  A report from a peer has to make
+ * it probe the zones and find out.
  */
 static void test_isolation_reported_by_peer(void **state)
 {
--- a/tests/test-passive-health.c
+++ b/tests/test-passive-health.c
@@ -39,8 +39,8 @@
 }
 
 /*
- * Guards against a slow replica that looks healthy: each of its slow attempts is
- * cancelled when a hedge completes, so that only its fast ones are sampled.
+ * Guards against a slow replica that looks healthy: each of its slow attempts
+ * is cancelled when a hedge completes, so that only its fast ones are sampled.
  */
 static void test_overdue_attempts_count(void **state)
 {
--- a/tests/test-quarantine.c
+++ b/tests/test-quarantine.c
@@ -14,7 +14,7 @@
 #define S G_USEC_PER_SEC
 #define HOLD_US ((int64_t)600 * S)
 
-static const struct rr_fingerprint deadly = { 1, 2 };
+static const struct rr_fingerprint crashing = { 1, 2 };
 
 static struct rr_quarantine *new_table(void)
 {
@@ -32,7 +32,7 @@
 		  int64_t closed_us, const char *incarnation)
 {
 	struct rr_crash crash = {
-		.fingerprint = deadly,
+		.fingerprint = crashing,
 		.sent_us = sent_us,
 		.closed_us = closed_us,
 	};
@@ -57,7 +57,7 @@
 	rr_drop_quarantine(quarantine);
 }
 
-/* Guards against quarantine of a request in flight at replicas that all crash at once. */
+/* Guards against quarantine because of replicas that crash at the same time. */
 static void test_simultaneous_crashes(void **state)
 {
 	struct rr_quarantine *quarantine = new_table();
@@ -65,7 +65,9 @@
 	(void)state;
 	for (char name[] = "a"; *name < 'm'; ++*name)
 		assert_false(crash(quarantine, 0, 10 + *name, name));
-	/* A later attempt crashes a replica too, so the request is the cause. */
+	/*
+	 * A later attempt crashes a replica too, so the request is the cause.
+	 */
 	assert_true(crash(quarantine, 200, 210, "z"));
 	rr_drop_quarantine(quarantine);
 }
@@ -88,7 +90,7 @@
 	struct rr_fingerprint other = { 1, 3 };
 
 	(void)state;
-	rr_mark_harmless(quarantine, 1 * S, &deadly);
+	rr_mark_harmless(quarantine, 1 * S, &crashing);
 	for (char name[] = "a"; *name < 'g'; ++*name)
 		assert_false(crash(quarantine, 2 * S + *name, 2 * S + *name + 1,
 				   name));
@@ -107,7 +109,7 @@
 	struct rr_quarantine *quarantine = new_table();
 	char *crashed[] = { (char *)"a", (char *)"b", NULL };
 	struct rr_quarantine_entry entry = {
-		.fingerprint = deadly,
+		.fingerprint = crashing,
 		.crashed = crashed,
 	};
 	struct rr_quarantine_record *record =
@@ -129,7 +131,7 @@
 	struct rr_quarantine *quarantine = new_table();
 	char *crashed[] = { (char *)"a", NULL };
 	struct rr_quarantine_entry entry = {
-		.fingerprint = deadly,
+		.fingerprint = crashing,
 		.crashed = crashed,
 		.quarantined = true,
 	};
@@ -145,13 +147,16 @@
 	rr_merge_quarantine_entry(quarantine, 2 * HOLD_US, &entry);
 	assert_int_equal(record->trials, 1);
 	assert_true(record->next_trial_us == HOLD_US + 5 + 4 * HOLD_US);
-	rr_remove_quarantine_record(quarantine, &deadly);
+	rr_remove_quarantine_record(quarantine, &crashing);
 	assert_int_equal(rr_count_quarantined(quarantine), 0);
-	assert_null(rr_find_quarantine_record(quarantine, &deadly));
+	assert_null(rr_find_quarantine_record(quarantine, &crashing));
 	rr_drop_quarantine(quarantine);
 }
 
-/* Guards against unbounded memory with many distinct suspected requests. */
+/*
+ * Guards against unbounded memory with many distinct suspected requests, and
+ * against eviction of a quarantined one.
+ */
 static void test_memory_is_bounded(void **state)
 {
 	struct rr_quarantine *quarantine = new_table();
@@ -176,7 +181,7 @@
 		n += rr_find_quarantine_record(quarantine, &other) != NULL;
 	}
 	assert_int_equal(n, 1023);
-	assert_non_null(rr_find_quarantine_record(quarantine, &deadly));
+	assert_non_null(rr_find_quarantine_record(quarantine, &crashing));
 	rr_drop_quarantine(quarantine);
 }
 
--- a/tests/test-request-trace.c
+++ b/tests/test-request-trace.c
@@ -60,7 +60,10 @@
 	g_string_free(out, TRUE);
 }
 
-/* Returns the lines logged in ten seconds by `per_s` requests of 41 lines each. */
+/*
+ * Returns the lines logged in ten seconds, at `per_s` requests per second of 41
+ * lines each.
+ */
 static size_t write_for_ten_seconds(int per_s, bool ordinary)
 {
 	struct rr_log_budget budget = { .lines_per_s = 100 };
--- a/tests/test-retry-budget.c
+++ b/tests/test-retry-budget.c
@@ -49,7 +49,7 @@
 	assert_int_equal(take_all(&budget, 31 * SECOND), SLACK);
 }
 
-/* No window that ends with an extra attempt exceeds the limit, at random load. */
+/* Guards against a window that exceeds the limit, under random load. */
 static void test_limit_holds_in_every_window(void **state)
 {
 	struct rr_retry_budget budget = new_budget(0);
--- a/tests/test-wait-queue.c
+++ b/tests/test-wait-queue.c
@@ -95,10 +95,10 @@
 
 /*
  * With a zone unreachable, the only remaining replica of a shard gets 20 % more
- * requests than it can serve.  Served oldest first, all requests wait for nearly
- * all of the time they have and most are late; the queue has to let some be late
- * so that the others are in time.  Load: for 20 s a request every 10 ms that
- * takes 12 ms and is in time within 100 ms.
+ * requests than it can serve.  Served oldest first, all requests wait for
+ * nearly all of the time they have and most are late; the queue has to let some
+ * be late so that the others are in time.  Load: for 20 s a request every 10 ms
+ * that takes 12 ms and is in time within 100 ms.
  */
 static void test_overloaded_shard(void **state)
 {
@@ -133,9 +133,9 @@
 
 /*
  * A burst brings nine times the usual load for five seconds.  A queue that
- * rejects requests only once its oldest entry has waited too long serves many of
- * those it admitted too late.  Load: a request every 4 ms that takes 60 ms and is
- * in time within 190 ms; two are served at the same time.
+ * rejects requests only once its oldest entry has waited too long serves many
+ * of those it admitted too late.  Load: a request every 4 ms that takes 60 ms
+ * and is in time within 190 ms; two are served at the same time.
  */
 static void test_burst(void **state)
 {
