--- a/tests/test-gate-quarantine.c
+++ b/tests/test-gate-quarantine.c
@@ -33,7 +33,10 @@
 	return fixture;
 }
 
-/* Closes the first `n` attempts before any probe of their replicas fails. */
+/*
+ * Closes the first `n` attempts before the probe of any of their replicas
+ * fails, which is how bystanders are affected by a crash.
+ */
 static void crash_at_once(struct gate_fixture *fixture, guint n)
 {
 	for (guint i = 0; i < n; i++)
