--- a/source/core/ledger-bucket.c
+++ b/source/core/ledger-bucket.c
@@ -1,5 +1,5 @@
 /*
- * ledger-bucket.c - read and write one bucket key, one call at a time.
+ * ledger-bucket.c - reads and writes of a bucket key, one call at a time.
  */
 #include <string.h>
 
@@ -7,23 +7,32 @@
 #include "ragwort/counters.h"
 #include "ragwort/invariant.h"
 
-/* How long after retention an entry is kept: spares the edge of the age. */
+/*
+ * Time that an entry is kept beyond the retention: avoids races at the age
+ * limit.
+ */
 #define PRUNE_MARGIN_S 600
-/* The floor moves in steps, so that most writes need not look for old ids. */
-#define PRUNE_STEP_S 60
+/*
+ * The minimum creation time is rounded down to this, so that most writes need
+ * not search for expired ids.
+ */
+#define PRUNE_GRANULARITY_S 60
 #define FIRST_BACKOFF_MS 50
 #define MAX_BACKOFF_MS 1000
-/* Waits after a second failed write in a row: up to 2, 4, ... 64 ms. */
+/*
+ * From the second consecutive failed write on, the wait is random, up to 2, 4,
+ * ... 64 ms.
+ */
 #define MAX_WRITE_DOUBLINGS 6
 
 /*
- * Calls in flight of one ledger.  With a store at its limit more calls only
- * wait there, and each write meets more conflicts; claims that wait here join
- * one write.
+ * Maximum number of calls in flight per ledger. At a store that has reached its
+ * limit, further calls only queue and each write meets more conflicts; claims
+ * that wait here instead share one write.
  */
-#define MAX_CALLS 4
+#define MAX_CALLS_IN_FLIGHT 4
 
-static void drop_value(struct rr_ledger_bucket *bucket)
+static void discard_value(struct rr_ledger_bucket *bucket)
 {
 	rr_drop_ledger_value(bucket->value);
 	bucket->value = NULL;
@@ -48,7 +57,7 @@
 {
 	const struct rr_store_port *store = &ledger->options.store;
 
-	drop_value(bucket);
+	discard_value(bucket);
 	start_call(ctx, ledger, bucket, now_us, RR_LEDGER_CALL_READ);
 	store->get(store->data, bucket->call_id, bucket->key);
 }
@@ -67,7 +76,10 @@
 	g_free(bytes);
 }
 
-/* A claim that is still acted on has to find its own entry. */
+/*
+ * Keep the entry of a claim that is still tracked, since it has to find its own
+ * entry.
+ */
 static bool keep_entry(const void *data, const struct rr_ledger_entry *entry)
 {
 	const struct rr_ledger *ledger = data;
@@ -77,41 +89,45 @@
 	       g_hash_table_contains(ledger->claims, &entry->sequence);
 }
 
-/* The newest id that a clock, of whichever instance, let pass. */
-static int64_t find_newest_s(const struct rr_ledger_bucket *bucket)
+/*
+ * The newest creation time of an id that passed the age check, by the clock of
+ * any instance.
+ */
+static int64_t find_max_created_s(const struct rr_ledger_bucket *bucket)
 {
-	int64_t newest_s = bucket->value->max_created_s;
+	int64_t max_s = bucket->value->max_created_s;
 
 	for (GList *link = bucket->pending_claims.head; link;
 	     link = link->next) {
 		const struct rr_claim *claim = link->data;
 
-		newest_s = MAX(newest_s, claim->created_s);
+		max_s = MAX(max_s, claim->created_s);
 	}
-	return newest_s;
+	return max_s;
 }
 
 /*
- * Raise the floor to what is past retention by this instance's clock, but
- * never past retention before the newest id: a clock far ahead of all others
- * then prunes nothing that they would still accept.
+ * Raise the minimum creation time to the retention limit by the clock of this
+ * instance, but never beyond the retention before the newest id. Otherwise, a
+ * clock far ahead of all others would prune entries of ids that the others
+ * still accept.
  */
 static void prune_bucket(const struct rr_ledger *ledger,
 			 struct rr_ledger_bucket *bucket, int64_t now_us)
 {
 	int64_t wall_s = (now_us + ledger->wall_offset_us) / G_USEC_PER_SEC;
-	int64_t floor_s = MIN(wall_s, find_newest_s(bucket));
+	int64_t new_min_created_s = MIN(wall_s, find_max_created_s(bucket));
 
-	floor_s -= ledger->options.retention_s + PRUNE_MARGIN_S;
-	floor_s -= floor_s % PRUNE_STEP_S;
+	new_min_created_s -= ledger->options.retention_s + PRUNE_MARGIN_S;
+	new_min_created_s -= new_min_created_s % PRUNE_GRANULARITY_S;
 #ifdef RR_MUTANT_LEDGER_PRUNE_EARLY
-	floor_s = wall_s - ledger->options.retention_s / 4;
+	new_min_created_s = wall_s - ledger->options.retention_s / 4;
 #endif
-	if (floor_s > 0)
-		rr_prune_ledger_value(bucket->value, floor_s, keep_entry,
-				      ledger);
+	if (new_min_created_s > 0)
+		rr_prune_ledger_value(bucket->value, new_min_created_s,
+				      keep_entry, ledger);
 #ifdef RR_MUTANT_LEDGER_PRUNE_EARLY
-	bucket->value->floor_s = 0;
+	bucket->value->min_created_s = 0;
 #endif
 }
 
@@ -125,8 +141,8 @@
 	return false;
 }
 
-static void leave_work(struct rr_ledger *ledger,
-		       struct rr_ledger_bucket *bucket, GList *link)
+static void remove_pending_claim(struct rr_ledger *ledger,
+				 struct rr_ledger_bucket *bucket, GList *link)
 {
 	struct rr_claim *claim = link->data;
 
@@ -137,9 +153,12 @@
 		rr_remove_claim(ledger, claim);
 }
 
-/* Bring the value to what all claims want; whether it has to be written. */
-static bool apply_work(struct rr_context *ctx, struct rr_ledger *ledger,
-		       struct rr_ledger_bucket *bucket)
+/*
+ * Apply the pending claims to the value. Returns whether it has to be written.
+ */
+static bool apply_pending_claims(struct rr_context *ctx,
+				 struct rr_ledger *ledger,
+				 struct rr_ledger_bucket *bucket)
 {
 	bool write = false;
 	GList *next;
@@ -153,7 +172,7 @@
 			rr_apply_claim(ctx, ledger, claim, &finished);
 		write |= claim->in_flight;
 		if (finished)
-			leave_work(ledger, bucket, link);
+			remove_pending_claim(ledger, bucket, link);
 	}
 	return write;
 }
@@ -164,24 +183,24 @@
 	if (bucket->call != RR_LEDGER_CALL_NONE || now_us < bucket->retry_us)
 		return;
 	if (!bucket->pending_claims.length ||
-	    ledger->calls_in_flight >= MAX_CALLS)
+	    ledger->calls_in_flight >= MAX_CALLS_IN_FLIGHT)
 		return;
 	if (!bucket->value || any_needs_read(bucket)) {
 		start_read(ctx, ledger, bucket, now_us);
 		return;
 	}
 	prune_bucket(ledger, bucket, now_us);
-	if (apply_work(ctx, ledger, bucket))
+	if (apply_pending_claims(ctx, ledger, bucket))
 		start_write(ctx, ledger, bucket, now_us);
 }
 
 /*
- * Say "not claimed" at once to every claim of which no write can take effect
- * any more, so that callers need not wait for their deadline.
+ * Reject immediately every pending claim of which no write can take effect any
+ * more, so that callers need not wait for their deadline.
  */
-static void refuse_waiting(struct rr_ledger *ledger,
-			   struct rr_ledger_bucket *bucket, const char *reason,
-			   uint32_t retry_after_ms)
+static void reject_pending_claims(struct rr_ledger *ledger,
+				  struct rr_ledger_bucket *bucket,
+				  const char *reason, uint32_t retry_after_ms)
 {
 	GList *next;
 
@@ -194,12 +213,12 @@
 			continue;
 		rr_queue_claim_result(ledger, claim->id, RR_CLAIM_REJECTED,
 				      reason, retry_after_ms);
-		leave_work(ledger, bucket, link);
+		remove_pending_claim(ledger, bucket, link);
 	}
 }
 
-static uint32_t back_off(struct rr_context *ctx, struct rr_ledger *ledger,
-			 struct rr_ledger_bucket *bucket, int64_t now_us)
+static uint32_t schedule_retry(struct rr_context *ctx, struct rr_ledger *ledger,
+			       struct rr_ledger_bucket *bucket, int64_t now_us)
 {
 	uint32_t limit_ms = FIRST_BACKOFF_MS
 			    << MIN(ledger->consecutive_failures, 8);
@@ -212,23 +231,26 @@
 	return wait_ms;
 }
 
-/* The store does not answer: that concerns the claims of all buckets. */
-static void note_store_down(struct rr_context *ctx, struct rr_ledger *ledger,
-			    struct rr_ledger_bucket *bucket, int64_t now_us)
+/* The store does not answer, which concerns the claims of all buckets. */
+static void handle_store_failure(struct rr_context *ctx,
+				 struct rr_ledger *ledger,
+				 struct rr_ledger_bucket *bucket,
+				 int64_t now_us)
 {
-	uint32_t wait_ms = back_off(ctx, ledger, bucket, now_us);
+	uint32_t wait_ms = schedule_retry(ctx, ledger, bucket, now_us);
 	GPtrArray *active = ledger->active_buckets;
 
 	rr_count(ctx, RR_N_STORE_FAILURES, 1);
 	ledger->store_unreachable = true;
 	ledger->retry_us = bucket->retry_us;
 	for (guint i = 0; i < active->len; i++)
-		refuse_waiting(ledger, active->pdata[i], "store-unavailable",
-			       wait_ms);
+		reject_pending_claims(ledger, active->pdata[i],
+				      "store-unavailable", wait_ms);
 }
 
-static void note_success(struct rr_ledger *ledger,
-			 struct rr_ledger_bucket *bucket, uint64_t revision)
+static void handle_store_success(struct rr_ledger *ledger,
+				 struct rr_ledger_bucket *bucket,
+				 uint64_t revision)
 {
 	ledger->store_unreachable = false;
 	ledger->consecutive_failures = 0;
@@ -253,18 +275,19 @@
 }
 
 /*
- * At once when the value is known, since the next call, for another claim,
- * may fail: a claim that took effect would then be refused.
+ * Settle claims as soon as the value is known: the next call, for another
+ * claim, may fail, and a claim that took effect would then be rejected.
  */
-static void settle_work(struct rr_context *ctx, struct rr_ledger *ledger,
-			struct rr_ledger_bucket *bucket)
+static void resolve_pending_claims(struct rr_context *ctx,
+				   struct rr_ledger *ledger,
+				   struct rr_ledger_bucket *bucket)
 {
 	GList *next;
 
 	for (GList *link = bucket->pending_claims.head; link; link = next) {
 		next = link->next;
 		if (rr_resolve_claim(ctx, ledger, link->data))
-			leave_work(ledger, bucket, link);
+			remove_pending_claim(ledger, bucket, link);
 	}
 }
 
@@ -273,8 +296,9 @@
 					   GError **error)
 {
 	if (reply->revision < bucket->highest_revision) {
-		g_set_error_literal(error, g_quark_from_static_string("ledger"),
-				    0, "the key's revision went back");
+		g_set_error_literal(
+			error, g_quark_from_static_string("ledger"), 0,
+			"revision of the key is lower than one seen before");
 		return NULL;
 	}
 	if (!reply->value || !reply->length)
@@ -282,14 +306,14 @@
 	return rr_decode_ledger_value(reply->value, reply->length, error);
 }
 
-static void take_read(struct rr_context *ctx, struct rr_ledger *ledger,
-		      struct rr_ledger_bucket *bucket, int64_t now_us,
-		      const struct rr_store_reply *reply)
+static void handle_read_reply(struct rr_context *ctx, struct rr_ledger *ledger,
+			      struct rr_ledger_bucket *bucket, int64_t now_us,
+			      const struct rr_store_reply *reply)
 {
 	GError *error = NULL;
 
 	if (reply->status != RR_STORE_OK) {
-		note_store_down(ctx, ledger, bucket, now_us);
+		handle_store_failure(ctx, ledger, bucket, now_us);
 		return;
 	}
 	bucket->value = decode_read(bucket, reply, &error);
@@ -299,42 +323,43 @@
 		       RR_FIELD_STRING("key", bucket->key),
 		       RR_FIELD_STRING("error", error->message));
 		g_clear_error(&error);
-		refuse_waiting(ledger, bucket, "ledger-unreadable",
-			       back_off(ctx, ledger, bucket, now_us));
+		reject_pending_claims(
+			ledger, bucket, "ledger-unreadable",
+			schedule_retry(ctx, ledger, bucket, now_us));
 		return;
 	}
-	note_success(ledger, bucket, reply->revision);
+	handle_store_success(ledger, bucket, reply->revision);
 	/*
-	 * A write without a reply compares the revision when it arrives: once
-	 * the key has another one it has taken effect or never will, and the
-	 * value says which.  While the revision is the same nothing is known:
-	 * the write may still be on its way, although we just read a value
-	 * without it.
+	 * A write without a reply compares the revision when it reaches the
+	 * store. Once the key has another revision, the write has either taken
+	 * effect or never will, and the value shows which. While the revision
+	 * is unchanged nothing is known: the write may still be in transit,
+	 * although the value just read lacks it.
 	 */
 	if (bucket->in_doubt_revision != reply->revision)
 		bucket->write_in_doubt = false;
 #ifdef RR_MUTANT_LEDGER_NO_FENCE
-	bucket->unknown_write = false;
+	bucket->write_in_doubt = false;
 #endif
-	settle_work(ctx, ledger, bucket);
+	resolve_pending_claims(ctx, ledger, bucket);
 }
 
-static void end_flight(struct rr_ledger_bucket *bucket, bool exposed)
+static void discard_write(struct rr_ledger_bucket *bucket, bool may_take_effect)
 {
-	drop_value(bucket);
+	discard_value(bucket);
 	for (GList *link = bucket->pending_claims.head; link;
 	     link = link->next) {
 		struct rr_claim *claim = link->data;
 
-		if (claim->in_flight && exposed)
+		if (claim->in_flight && may_take_effect)
 			claim->in_doubt = true;
 		claim->in_flight = false;
 	}
 }
 
-/* A claim's time to be settled starts when its write got no reply. */
-static void expose_write(struct rr_ledger *ledger,
-			 struct rr_ledger_bucket *bucket, int64_t now_us)
+/* The time allowed to settle a claim starts when its write got no reply. */
+static void mark_write_in_doubt(struct rr_ledger *ledger,
+				struct rr_ledger_bucket *bucket, int64_t now_us)
 {
 	int64_t deadline_us =
 		now_us + (int64_t)ledger->options.call_timeout_ms * 1000;
@@ -348,15 +373,16 @@
 	}
 	bucket->write_in_doubt = true;
 	bucket->in_doubt_revision = bucket->revision;
-	end_flight(bucket, true);
+	discard_write(bucket, true);
 }
 
 /*
- * The first write that fails is tried again at once, later ones after a
- * random wait: instances that write one bucket at the same time part.
+ * The first failed write is retried immediately, later ones after a random
+ * wait, which separates instances that write the same bucket at the same time.
  */
-static void wait_after_write(struct rr_context *ctx,
-			     struct rr_ledger_bucket *bucket, int64_t now_us)
+static void delay_after_failed_write(struct rr_context *ctx,
+				     struct rr_ledger_bucket *bucket,
+				     int64_t now_us)
 {
 	uint32_t doublings =
 		MIN(bucket->consecutive_write_failures, MAX_WRITE_DOUBLINGS);
@@ -366,9 +392,9 @@
 			now_us + rr_random_below(ctx, 1000u << doublings);
 }
 
-static void take_write(struct rr_context *ctx, struct rr_ledger *ledger,
-		       struct rr_ledger_bucket *bucket, int64_t now_us,
-		       const struct rr_store_reply *reply)
+static void handle_write_reply(struct rr_context *ctx, struct rr_ledger *ledger,
+			       struct rr_ledger_bucket *bucket, int64_t now_us,
+			       const struct rr_store_reply *reply)
 {
 	enum rr_store_status status = reply->status;
 
@@ -379,24 +405,24 @@
 	switch (status) {
 	case RR_STORE_OK:
 		commit_value(bucket);
-		note_success(ledger, bucket, reply->revision);
+		handle_store_success(ledger, bucket, reply->revision);
 		bucket->write_in_doubt = false;
 		bucket->consecutive_write_failures = 0;
-		settle_work(ctx, ledger, bucket);
+		resolve_pending_claims(ctx, ledger, bucket);
 		break;
 	case RR_STORE_CONFLICT:
 		rr_count(ctx, RR_N_LEDGER_CONFLICTS, 1);
-		end_flight(bucket, false);
-		wait_after_write(ctx, bucket, now_us);
+		discard_write(bucket, false);
+		delay_after_failed_write(ctx, bucket, now_us);
 		break;
 	case RR_STORE_UNAVAILABLE:
-		end_flight(bucket, false);
-		note_store_down(ctx, ledger, bucket, now_us);
+		discard_write(bucket, false);
+		handle_store_failure(ctx, ledger, bucket, now_us);
 		break;
 	case RR_STORE_UNKNOWN:
 		rr_count(ctx, RR_N_STORE_FAILURES, 1);
-		expose_write(ledger, bucket, now_us);
-		wait_after_write(ctx, bucket, now_us);
+		mark_write_in_doubt(ledger, bucket, now_us);
+		delay_after_failed_write(ctx, bucket, now_us);
 		break;
 	}
 }
@@ -410,21 +436,24 @@
 	ledger->calls_in_flight--;
 	bucket->call = RR_LEDGER_CALL_NONE;
 	if (call == RR_LEDGER_CALL_READ) {
-		take_read(ctx, ledger, bucket, now_us, reply);
-		/* At once: the longer after the read, the more conflicts. */
+		handle_read_reply(ctx, ledger, bucket, now_us, reply);
+		/*
+		 * Write immediately: conflicts are more likely the longer ago
+		 * the read was.
+		 */
 		rr_advance_bucket(ctx, ledger, bucket, now_us);
 	} else {
-		take_write(ctx, ledger, bucket, now_us, reply);
+		handle_write_reply(ctx, ledger, bucket, now_us, reply);
 	}
 }
 
 /*
- * A claim whose write could not be settled in time is given up: it was not
- * sent, so nothing ran for it.  Its entry may be in the store or get there
- * yet, so it is taken out by its nonce once the store answers again; until
- * then others see the id as held.
+ * Abandon a claim whose write could not be settled in time. Its request was not
+ * sent, so nothing ran for it. Its entry may be in the store or may still be
+ * written, so it is removed by its sequence number once the store answers
+ * again; until then other instances see the id as held.
  */
-static void give_up_claim(struct rr_context *ctx, struct rr_ledger *ledger,
+static void abandon_claim(struct rr_context *ctx, struct rr_ledger *ledger,
 			  struct rr_claim *claim)
 {
 	rr_count(ctx, RR_N_CLAIMS_UNRESOLVED, 1);
@@ -446,12 +475,12 @@
 		    claim->in_flight || now_us < claim->deadline_us)
 			continue;
 		if (claim->in_doubt) {
-			give_up_claim(ctx, ledger, claim);
+			abandon_claim(ctx, ledger, claim);
 			continue;
 		}
 		rr_queue_claim_result(ledger, claim->id, RR_CLAIM_REJECTED,
 				      "store-slow", MAX_BACKOFF_MS);
-		leave_work(ledger, bucket, link);
+		remove_pending_claim(ledger, bucket, link);
 	}
 }
 
@@ -479,7 +508,8 @@
 	GPtrArray *active = ledger->active_buckets;
 
 	for (guint i = 0;
-	     i < active->len && ledger->calls_in_flight < MAX_CALLS; i++)
+	     i < active->len && ledger->calls_in_flight < MAX_CALLS_IN_FLIGHT;
+	     i++)
 		rr_advance_bucket(ctx, ledger, active->pdata[i], now_us);
 }
 
@@ -491,7 +521,7 @@
 	if (bucket->call != RR_LEDGER_CALL_NONE)
 		wake_us = bucket->call_deadline_us;
 	else if (bucket->pending_claims.length &&
-		 ledger->calls_in_flight < MAX_CALLS)
+		 ledger->calls_in_flight < MAX_CALLS_IN_FLIGHT)
 		wake_us = bucket->retry_us;
 	for (GList *link = bucket->pending_claims.head; link;
 	     link = link->next) {
--- a/source/core/ledger-claim.c
+++ b/source/core/ledger-claim.c
@@ -1,5 +1,5 @@
 /*
- * ledger-claim.c - judge one claim by what its bucket holds.
+ * ledger-claim.c - decision on one claim from the value of its bucket.
  */
 #include "core/ledger-private.h"
 #include "ragwort/counters.h"
@@ -7,17 +7,20 @@
 
 #include <string.h>
 
-/* The platform holds values up to a megabyte; new claims stop before. */
-#define FULL_BYTES 900000
-/* No result may take a value past this. */
+/*
+ * The platform limits values to one megabyte; new claims are rejected below
+ * that.
+ */
+#define MAX_BYTES_FOR_NEW_CLAIMS 900000
+/* Results are not stored if they would enlarge a value beyond this. */
 #define MAX_VALUE_BYTES 1000000
 #define MAX_RESULT_BYTES 16384
 #define HELD_RETRY_MS 1000
 #define FULL_RETRY_MS 60000
 
-static bool is_ours(const struct rr_ledger *ledger,
-		    const struct rr_claim *claim,
-		    const struct rr_ledger_entry *entry)
+static bool is_own_entry(const struct rr_ledger *ledger,
+			 const struct rr_claim *claim,
+			 const struct rr_ledger_entry *entry)
 {
 	return entry && entry->sequence == claim->id &&
 	       entry->incarnation == ledger->options.incarnation &&
@@ -30,9 +33,10 @@
 }
 
 /*
- * A claim held when we last looked may be done or released by now, and a full
- * bucket pruned: only a look that began after the claim was asked may say so.
- * An absent entry needs no look, since the swap compares the revision.
+ * An id that was held at the last read may be done or released by now, and a
+ * full bucket may have been pruned: only a read that began after the claim was
+ * requested can decide this. An absent entry needs no read, since the
+ * compare-and-swap compares the revision.
  */
 bool rr_claim_needs_read(const struct rr_claim *claim)
 {
@@ -43,13 +47,14 @@
 		return false;
 	entry = rr_find_ledger_entry(value, claim->name);
 	if (!entry)
-		return value->encoded_size_bound >= FULL_BYTES;
+		return value->encoded_size_bound >= MAX_BYTES_FOR_NEW_CLAIMS;
 	return !entry->done && !entry->uncommitted;
 }
 
-static void tell_found(struct rr_context *ctx, struct rr_ledger *ledger,
-		       const struct rr_claim *claim,
-		       const struct rr_ledger_entry *entry)
+static void report_existing_entry(struct rr_context *ctx,
+				  struct rr_ledger *ledger,
+				  const struct rr_claim *claim,
+				  const struct rr_ledger_entry *entry)
 {
 	struct rr_queued_claim_result *outcome;
 
@@ -70,12 +75,12 @@
 	outcome->result_length = entry->result_length;
 }
 
-static void tell_ours(struct rr_context *ctx, struct rr_ledger *ledger,
-		      struct rr_claim *claim,
-		      const struct rr_ledger_entry *entry)
+static void report_acquired(struct rr_context *ctx, struct rr_ledger *ledger,
+			    struct rr_claim *claim,
+			    const struct rr_ledger_entry *entry)
 {
 	rr_invariant("at-most-once", claim->state == RR_CLAIM_STATE_PENDING);
-	rr_invariant("at-most-once", is_ours(ledger, claim, entry));
+	rr_invariant("at-most-once", is_own_entry(ledger, claim, entry));
 	rr_invariant("at-most-once", !entry->done && !entry->uncommitted);
 	claim->state = RR_CLAIM_STATE_ACQUIRED;
 	rr_count(ctx, RR_N_CLAIMS, 1);
@@ -100,28 +105,29 @@
 	rr_add_ledger_entry(value, &entry);
 }
 
-/* Why an id that is not in the bucket cannot get in; NULL if it can. */
-static const char *refuse_entry(const struct rr_claim *claim,
-				uint32_t *retry_after_ms)
+/* Return why an id without an entry cannot be inserted; NULL if it can. */
+static const char *find_reject_reason(const struct rr_claim *claim,
+				      uint32_t *retry_after_ms)
 {
 	const struct rr_ledger_value *value = claim->bucket->value;
 
 	*retry_after_ms = 0;
 	/*
-	 * The entry of an id made before the floor may have been pruned, by
-	 * whatever clock: it could have run already.  The floor is part of
-	 * the value, so every instance sees it with the pruned entries.
+	 * The entry of an id created before this time may have been pruned, by
+	 * the clock of any instance, so the request may already have run. The
+	 * minimum is part of the value, so every instance sees it together with
+	 * the pruned entries.
 	 */
 	if (claim->created_s < value->min_created_s)
 		return "id-too-old";
-	if (value->encoded_size_bound >= FULL_BYTES) {
+	if (value->encoded_size_bound >= MAX_BYTES_FOR_NEW_CLAIMS) {
 		*retry_after_ms = FULL_RETRY_MS;
 		return "ledger-full";
 	}
 	return NULL;
 }
 
-static bool apply_waiting(struct rr_context *ctx, struct rr_ledger *ledger,
+static bool apply_pending(struct rr_context *ctx, struct rr_ledger *ledger,
 			  struct rr_claim *claim, bool *finished)
 {
 	struct rr_ledger_bucket *bucket = claim->bucket;
@@ -132,24 +138,25 @@
 	entry = rr_find_ledger_entry(bucket->value, claim->name);
 #ifdef RR_MUTANT_LEDGER_TAKEOVER
 	if (entry && !entry->done && !entry->uncommitted &&
-	    !is_ours(ledger, claim, entry)) {
+	    !is_own_entry(ledger, claim, entry)) {
 		rr_remove_ledger_entry(bucket->value, claim->name);
 		entry = NULL;
 	}
 #endif
 	if (entry && entry->uncommitted)
 		return false;
-	rr_invariant("at-most-once", !is_ours(ledger, claim, entry));
+	rr_invariant("at-most-once", !is_own_entry(ledger, claim, entry));
 	/*
-	 * An earlier write of this claim may still take effect: any answer
-	 * but "ours" has to wait until a later write has fenced it off.
+	 * An earlier write of this claim may still take effect: any outcome but
+	 * RR_CLAIM_ACQUIRED has to wait until a later write changes the
+	 * revision and so invalidates it.
 	 */
-	reason = entry ? NULL : refuse_entry(claim, &retry_after_ms);
+	reason = entry ? NULL : find_reject_reason(claim, &retry_after_ms);
 	if ((entry || reason) && claim->in_doubt)
 		return true;
 	*finished = entry || reason;
 	if (entry)
-		tell_found(ctx, ledger, claim, entry);
+		report_existing_entry(ctx, ledger, claim, entry);
 	else if (reason)
 		rr_queue_claim_result(ledger, claim->id, RR_CLAIM_REJECTED,
 				      reason, retry_after_ms);
@@ -158,7 +165,7 @@
 	return !*finished;
 }
 
-/* The result as far as it fits: without it the id still counts as done. */
+/* Store the result if it fits; without it the id still counts as done. */
 static void finish_entry(struct rr_ledger_value *value,
 			 struct rr_ledger_entry *entry,
 			 const struct rr_claim *claim)
@@ -179,12 +186,15 @@
 	struct rr_ledger_entry *entry;
 
 	entry = rr_find_ledger_entry(value, claim->name);
-	if (is_ours(ledger, claim, entry) && !entry->done) {
+	if (is_own_entry(ledger, claim, entry) && !entry->done) {
 		finish_entry(value, entry, claim);
 		return true;
 	}
-	/* Recorded; or pruned, or lost by the store: nothing to record in. */
-	if (!is_ours(ledger, claim, entry))
+	/*
+	 * Already recorded, or pruned, or lost by the store: no entry to
+	 * update.
+	 */
+	if (!is_own_entry(ledger, claim, entry))
 		rr_count(ctx, RR_N_CLAIMS_LOST, 1);
 	*finished = true;
 	return false;
@@ -197,12 +207,14 @@
 	struct rr_ledger_entry *entry;
 
 	entry = rr_find_ledger_entry(value, claim->name);
-	if (is_ours(ledger, claim, entry)) {
+	if (is_own_entry(ledger, claim, entry)) {
 		rr_invariant("at-most-once", !entry->done);
 		rr_remove_ledger_entry(value, claim->name);
 		return true;
 	}
-	/* A write that may still bring the entry has to be fenced off. */
+	/*
+	 * A write that may still insert the entry has to be invalidated first.
+	 */
 	if (claim->in_doubt)
 		return true;
 	*finished = true;
@@ -214,19 +226,19 @@
 {
 	const struct rr_ledger_bucket *bucket = claim->bucket;
 	const struct rr_ledger_entry *entry;
-	bool ours;
+	bool is_own;
 
 	entry = rr_find_ledger_entry(bucket->value, claim->name);
-	ours = is_ours(ledger, claim, entry);
-	if (ours && claim->state == RR_CLAIM_STATE_PENDING) {
-		tell_ours(ctx, ledger, claim, entry);
+	is_own = is_own_entry(ledger, claim, entry);
+	if (is_own && claim->state == RR_CLAIM_STATE_PENDING) {
+		report_acquired(ctx, ledger, claim, entry);
 		return true;
 	}
-	if (ours && claim->state == RR_CLAIM_STATE_RECORDING)
+	if (is_own && claim->state == RR_CLAIM_STATE_RECORDING)
 		return entry->done;
 	if (!bucket->write_in_doubt)
 		claim->in_doubt = false;
-	return claim->state == RR_CLAIM_STATE_RELEASING && !ours &&
+	return claim->state == RR_CLAIM_STATE_RELEASING && !is_own &&
 	       !claim->in_doubt;
 }
 
@@ -236,7 +248,7 @@
 	*finished = false;
 	switch (claim->state) {
 	case RR_CLAIM_STATE_PENDING:
-		return apply_waiting(ctx, ledger, claim, finished);
+		return apply_pending(ctx, ledger, claim, finished);
 	case RR_CLAIM_STATE_RECORDING:
 		return apply_recording(ctx, ledger, claim, finished);
 	case RR_CLAIM_STATE_RELEASING:
--- a/source/core/ledger-table.c
+++ b/source/core/ledger-table.c
@@ -1,6 +1,5 @@
 /*
- * ledger-table.c - which bucket an id is in, which buckets are active, and how
- * many values are kept.
+ * ledger-table.c - mapping of ids to buckets, and the active and idle buckets.
  */
 #include <string.h>
 #include <xxhash.h>
@@ -8,14 +7,17 @@
 #include "core/ledger-private.h"
 
 /*
- * Ids of one minute share a key, and the keys of a day take turns: what is
- * written for a claim is then a minute of ids and not the whole retention.
- * Both numbers and the hash map an id to its key for good; with others, ids
- * claimed before would not be found.
+ * Ids created in one minute share a key, and the keys are reused after a day. A
+ * write for a claim then contains the ids of one minute and not of the whole
+ * retention. Both numbers and the hash determine the key of an id permanently;
+ * after a change of any of them, ids claimed before would not be found.
  */
 #define DEFAULT_SLICE_S 60
-#define SLICES 1440
-/* Values of idle buckets that are kept; decoded they take about three times. */
+#define SLICES_PER_CYCLE 1440
+/*
+ * Limits for cached values of idle buckets, in encoded bytes; decoded, values
+ * take about three times as much memory.
+ */
 #define MAX_IDLE_BYTES 2000000
 #define MAX_IDLE_BUCKETS 1000
 
@@ -44,14 +46,15 @@
 }
 
 static struct rr_ledger_bucket *find_bucket(struct rr_ledger *ledger,
-					    const char *name, int64_t made_s)
+					    const char *name, int64_t created_s)
 {
 	const struct rr_ledger_options *options = &ledger->options;
 	int64_t slice_s =
 		options->time_slice_s ? options->time_slice_s : DEFAULT_SLICE_S;
 	uint32_t group = hash_group(name, options->buckets);
-	char *key = g_strdup_printf("ledger/%u/%d", group,
-				    (int)(made_s / slice_s % SLICES));
+	char *key =
+		g_strdup_printf("ledger/%u/%d", group,
+				(int)(created_s / slice_s % SLICES_PER_CYCLE));
 	struct rr_ledger_bucket *bucket =
 		g_hash_table_lookup(ledger->buckets, key);
 
@@ -66,8 +69,8 @@
 	return bucket;
 }
 
-static void leave_idle(struct rr_ledger *ledger,
-		       struct rr_ledger_bucket *bucket)
+static void remove_from_idle(struct rr_ledger *ledger,
+			     struct rr_ledger_bucket *bucket)
 {
 	if (!bucket->idle_link)
 		return;
@@ -85,20 +88,20 @@
 	g_queue_push_tail(&bucket->pending_claims, claim);
 	if (bucket->active)
 		return;
-	leave_idle(ledger, bucket);
+	remove_from_idle(ledger, bucket);
 	bucket->active = true;
 	g_ptr_array_add(ledger->active_buckets, bucket);
 }
 
-static void forget_bucket(struct rr_ledger *ledger,
-			  struct rr_ledger_bucket *bucket)
+static void evict_bucket(struct rr_ledger *ledger,
+			 struct rr_ledger_bucket *bucket)
 {
-	leave_idle(ledger, bucket);
+	remove_from_idle(ledger, bucket);
 	g_hash_table_remove(ledger->buckets, bucket->key);
 }
 
-static void enter_idle(struct rr_ledger *ledger,
-		       struct rr_ledger_bucket *bucket)
+static void add_to_idle(struct rr_ledger *ledger,
+			struct rr_ledger_bucket *bucket)
 {
 	if (!bucket->value) {
 		g_hash_table_remove(ledger->buckets, bucket->key);
@@ -109,7 +112,7 @@
 	ledger->idle_bytes += bucket->value->encoded_size_bound;
 	while (ledger->idle_bytes > MAX_IDLE_BYTES ||
 	       ledger->idle_buckets.length > MAX_IDLE_BUCKETS)
-		forget_bucket(ledger, g_queue_peek_head(&ledger->idle_buckets));
+		evict_bucket(ledger, g_queue_peek_head(&ledger->idle_buckets));
 }
 
 void rr_deactivate_idle_buckets(struct rr_ledger *ledger)
@@ -127,6 +130,6 @@
 		}
 		bucket->active = false;
 		g_ptr_array_remove_index(ledger->active_buckets, i);
-		enter_idle(ledger, bucket);
+		add_to_idle(ledger, bucket);
 	}
 }
--- a/source/core/ledger.c
+++ b/source/core/ledger.c
@@ -1,5 +1,5 @@
 /*
- * ledger.c - claims of request ids: the calls of users and their outcomes.
+ * ledger.c - public functions of the ledger and reporting of outcomes.
  */
 #include "ragwort/ledger.h"
 
@@ -10,11 +10,14 @@
 #include "ragwort/error.h"
 #include "ragwort/invariant.h"
 
-/* How far ahead of this instance's clock an id may be made. */
+/*
+ * Maximum time that the creation time of an id may be ahead of this instance's
+ * clock.
+ */
 #define MAX_FUTURE_S 300
 #define MIN_ID_TAIL 8
 #define MAX_ID_TAIL 64
-/* Seconds since 1970 up to the year 33658: enough, and no overflow. */
+/* Seconds since 1970 up to the year 33658, which cannot overflow. */
 #define MAX_ID_DIGITS 12
 
 static void free_claim(gpointer data)
@@ -27,11 +30,12 @@
 }
 
 /*
- * A late reply to a call of the process before, of the same instance name,
- * must not pass for the reply to a call of this one: it would tell of another
- * key.  Ids of each incarnation therefore have a first half of their own.
+ * A late reply to a call of an earlier process with the same instance name must
+ * not be mistaken for the reply to a call of this one, since it would describe
+ * another key. The upper half of call ids is therefore different for each
+ * incarnation.
  */
-static void mark_call_ids(const struct rr_ledger_options *options)
+static void set_call_id_prefix(const struct rr_ledger_options *options)
 {
 	XXH64_hash_t hash = XXH3_64bits_withSeed(options->instance,
 						 strlen(options->instance),
@@ -47,7 +51,7 @@
 
 	(void)ctx;
 #ifndef RR_MUTANT_LEDGER_CALL_IDS
-	mark_call_ids(options);
+	set_call_id_prefix(options);
 #endif
 	ledger->options = *options;
 	ledger->options.buckets = MAX(options->buckets, 1);
@@ -64,7 +68,7 @@
 	return ledger;
 }
 
-static void free_outcome(gpointer data)
+static void free_queued_result(gpointer data)
 {
 	struct rr_queued_claim_result *outcome = data;
 
@@ -81,7 +85,7 @@
 	g_hash_table_destroy(ledger->buckets);
 	g_hash_table_destroy(ledger->claims);
 	g_hash_table_destroy(ledger->timed_out_calls);
-	g_queue_clear_full(&ledger->queued_results, free_outcome);
+	g_queue_clear_full(&ledger->queued_results, free_queued_result);
 	g_free(ledger->instance);
 	g_free(ledger);
 }
@@ -91,14 +95,14 @@
 	ledger->options.retention_s = retention_s;
 }
 
-void rr_queue_claim_result(struct rr_ledger *ledger, uint64_t claim,
+void rr_queue_claim_result(struct rr_ledger *ledger, uint64_t claim_id,
 			   enum rr_claim_status status, const char *reason,
 			   uint32_t retry_after_ms)
 {
 	struct rr_queued_claim_result *outcome =
 		g_new0(struct rr_queued_claim_result, 1);
 
-	outcome->claim_id = claim;
+	outcome->claim_id = claim_id;
 	outcome->status = status;
 	outcome->reason = reason;
 	outcome->retry_after_ms = retry_after_ms;
@@ -110,8 +114,11 @@
 	g_hash_table_remove(ledger->claims, &claim->id);
 }
 
-/* Outcomes leave from here only, when no bucket is being worked on. */
-static void tell_outcomes(struct rr_ledger *ledger)
+/*
+ * Report queued outcomes. This is the only place that does, when no bucket is
+ * being processed.
+ */
+static void report_outcomes(struct rr_ledger *ledger)
 {
 	struct rr_queued_claim_result *outcome;
 
@@ -126,11 +133,11 @@
 		};
 
 		ledger->options.claimed(ledger->options.data, &result);
-		free_outcome(outcome);
+		free_queued_result(outcome);
 	}
 }
 
-bool rr_parse_request_id(const char *id, int64_t *made_s, GError **error)
+bool rr_parse_request_id(const char *id, int64_t *created_s, GError **error)
 {
 	size_t digits = strspn(id, "0123456789");
 	const char *tail = id + digits + 1;
@@ -138,8 +145,8 @@
 
 	if (!digits || digits > MAX_ID_DIGITS || id[digits] != '-') {
 		g_set_error(error, RR_ERROR, RR_ERROR_SYNTAX,
-			    "request id '%.80s' does not begin with seconds "
-			    "since 1970 and '-'",
+			    "request id '%.80s' does not start with seconds "
+			    "since 1970 followed by '-'",
 			    id);
 		return false;
 	}
@@ -149,42 +156,44 @@
 	if (tail[tail_length] || tail_length < MIN_ID_TAIL ||
 	    tail_length > MAX_ID_TAIL) {
 		g_set_error(error, RR_ERROR, RR_ERROR_SYNTAX,
-			    "request id '%.80s': after the seconds %d to %d of "
-			    "[A-Za-z0-9_.-] are allowed",
+			    "request id '%.80s': expected %d to %d characters "
+			    "of [A-Za-z0-9_.-] after the seconds",
 			    id, MIN_ID_TAIL, MAX_ID_TAIL);
 		return false;
 	}
-	*made_s = g_ascii_strtoll(id, NULL, 10);
+	*created_s = g_ascii_strtoll(id, NULL, 10);
 	return true;
 }
 
 /*
- * Why the id cannot be claimed whatever the store holds; NULL if it can.  A
- * wrong clock here only refuses too much or too little: what was pruned is
- * refused by the floor in the bucket, not by this check.
+ * Return why the id cannot be claimed regardless of the store's contents; NULL
+ * if it can. A wrong clock makes this check reject too many or too few ids, but
+ * no pruned id is accepted: those are rejected by the minimum creation time in
+ * the bucket.
  */
-static const char *refuse_id(const struct rr_ledger *ledger, const char *id,
-			     int64_t wall_us, int64_t *made_s)
+static const char *find_reject_reason(const struct rr_ledger *ledger,
+				      const char *id, int64_t wall_us,
+				      int64_t *created_s)
 {
 	int64_t wall_s = wall_us / G_USEC_PER_SEC;
 
-	if (!rr_parse_request_id(id, made_s, NULL))
+	if (!rr_parse_request_id(id, created_s, NULL))
 		return "id-malformed";
-	if (*made_s > wall_s + MAX_FUTURE_S)
+	if (*created_s > wall_s + MAX_FUTURE_S)
 		return "id-from-the-future";
-	if (*made_s < wall_s - (int64_t)ledger->options.retention_s)
+	if (*created_s < wall_s - (int64_t)ledger->options.retention_s)
 		return "id-too-old";
 	return NULL;
 }
 
 static struct rr_claim *add_claim(struct rr_ledger *ledger, uint64_t id,
-				  char *name, int64_t made_s, int64_t now_us)
+				  char *name, int64_t created_s, int64_t now_us)
 {
 	struct rr_claim *claim = g_new0(struct rr_claim, 1);
 
 	claim->id = id;
 	claim->name = name;
-	claim->created_s = made_s;
+	claim->created_s = created_s;
 	claim->stamp = ++ledger->logical_clock;
 	claim->deadline_us =
 		now_us + (int64_t)ledger->options.call_timeout_ms * 1000;
@@ -198,35 +207,37 @@
 			     const char *service, const char *id,
 			     uint64_t fingerprint)
 {
-	uint64_t number = ++ledger->last_claim_id;
+	uint64_t claim_id = ++ledger->last_claim_id;
 	struct rr_claim *claim;
 	const char *reason;
-	int64_t made_s;
+	int64_t created_s;
 
 	ledger->wall_offset_us = wall_us - now_us;
-	reason = refuse_id(ledger, id, wall_us, &made_s);
+	reason = find_reject_reason(ledger, id, wall_us, &created_s);
 	if (reason) {
-		rr_queue_claim_result(ledger, number, RR_CLAIM_REJECTED, reason,
-				      0);
-		return number;
+		rr_queue_claim_result(ledger, claim_id, RR_CLAIM_REJECTED,
+				      reason, 0);
+		return claim_id;
 	}
 	if (ledger->store_unreachable && now_us < ledger->retry_us) {
 		int64_t wait_ms = (ledger->retry_us - now_us) / 1000;
 
-		rr_queue_claim_result(ledger, number, RR_CLAIM_REJECTED,
+		rr_queue_claim_result(ledger, claim_id, RR_CLAIM_REJECTED,
 				      "store-unavailable",
 				      (uint32_t)wait_ms + 1);
-		return number;
+		return claim_id;
 	}
-	claim = add_claim(ledger, number, g_strdup_printf("%s/%s", service, id),
-			  made_s, now_us);
+	claim = add_claim(ledger, claim_id,
+			  g_strdup_printf("%s/%s", service, id), created_s,
+			  now_us);
 	claim->fingerprint = fingerprint;
 	rr_advance_bucket(ctx, ledger, claim->bucket, now_us);
-	return number;
+	return claim_id;
 }
 
-/* A claim that was told "ours"; anything else is an error of the user. */
-static struct rr_claim *find_running(struct rr_ledger *ledger, uint64_t id)
+/* Find an acquired claim; any other state is an error of the caller. */
+static struct rr_claim *find_acquired_claim(struct rr_ledger *ledger,
+					    uint64_t id)
 {
 	struct rr_claim *claim = g_hash_table_lookup(ledger->claims, &id);
 
@@ -235,52 +246,53 @@
 	return claim;
 }
 
-static void queue_work(struct rr_context *ctx, struct rr_ledger *ledger,
-		       struct rr_claim *claim, int64_t now_us)
+static void enqueue_and_advance(struct rr_context *ctx,
+				struct rr_ledger *ledger,
+				struct rr_claim *claim, int64_t now_us)
 {
 	rr_enqueue_claim(ledger, claim);
 	rr_advance_bucket(ctx, ledger, claim->bucket, now_us);
 }
 
 void rr_record_claim_result(struct rr_context *ctx, struct rr_ledger *ledger,
-			    int64_t now_us, uint64_t claim, const char *result,
-			    size_t length)
+			    int64_t now_us, uint64_t claim_id,
+			    const char *result, size_t length)
 {
-	struct rr_claim *running = find_running(ledger, claim);
+	struct rr_claim *acquired = find_acquired_claim(ledger, claim_id);
 
-	running->state = RR_CLAIM_STATE_RECORDING;
-	running->result = g_memdup2(result, length);
-	running->result_length = length;
-	queue_work(ctx, ledger, running, now_us);
+	acquired->state = RR_CLAIM_STATE_RECORDING;
+	acquired->result = g_memdup2(result, length);
+	acquired->result_length = length;
+	enqueue_and_advance(ctx, ledger, acquired, now_us);
 }
 
 void rr_release_claim(struct rr_context *ctx, struct rr_ledger *ledger,
-		      int64_t now_us, uint64_t claim)
+		      int64_t now_us, uint64_t claim_id)
 {
-	struct rr_claim *running = find_running(ledger, claim);
+	struct rr_claim *acquired = find_acquired_claim(ledger, claim_id);
 
-	running->state = RR_CLAIM_STATE_RELEASING;
-	queue_work(ctx, ledger, running, now_us);
+	acquired->state = RR_CLAIM_STATE_RELEASING;
+	enqueue_and_advance(ctx, ledger, acquired, now_us);
 }
 
 void rr_abandon_claim(struct rr_context *ctx, struct rr_ledger *ledger,
-		      uint64_t claim)
+		      uint64_t claim_id)
 {
-	struct rr_claim *running = find_running(ledger, claim);
+	struct rr_claim *acquired = find_acquired_claim(ledger, claim_id);
 
 	(void)ctx;
 #ifdef RR_MUTANT_LEDGER_RELEASE_UNKNOWN
-	running->state = RR_CLAIM_STATE_RELEASING;
-	rr_enqueue_claim(ledger, running);
+	acquired->state = RR_CLAIM_STATE_RELEASING;
+	rr_enqueue_claim(ledger, acquired);
 	return;
 #endif
-	rr_remove_claim(ledger, running);
+	rr_remove_claim(ledger, acquired);
 }
 
 bool rr_handle_ledger_reply(struct rr_context *ctx, struct rr_ledger *ledger,
 			    int64_t now_us, const struct rr_store_reply *reply)
 {
-	/* It was handled as unknown when its time was up. */
+	/* Already handled as RR_STORE_UNKNOWN when it timed out. */
 	if (g_hash_table_remove(ledger->timed_out_calls, &reply->call_id))
 		return true;
 	for (guint i = 0; i < ledger->active_buckets->len; i++) {
@@ -295,7 +307,7 @@
 		g_ptr_array_add(ledger->active_buckets, bucket);
 		rr_start_pending_calls(ctx, ledger, now_us);
 		rr_deactivate_idle_buckets(ledger);
-		tell_outcomes(ledger);
+		report_outcomes(ledger);
 		return true;
 	}
 	return false;
@@ -313,14 +325,16 @@
 	}
 	rr_start_pending_calls(ctx, ledger, now_us);
 	rr_deactivate_idle_buckets(ledger);
-	tell_outcomes(ledger);
+	report_outcomes(ledger);
 }
 
 int64_t rr_ledger_wake_us(const struct rr_ledger *ledger)
 {
 	int64_t wake_us = INT64_MAX;
 
-	/* Outcomes that a claim had at once wait for the next tick. */
+	/*
+	 * Outcomes that were known immediately are reported at the next tick.
+	 */
 	if (ledger->queued_results.length)
 		return 0;
 	for (guint i = 0; i < ledger->active_buckets->len; i++)
