--- a/include/ragwort/lifecycle.h
+++ b/include/ragwort/lifecycle.h
@@ -1,7 +1,7 @@
 /*
- * lifecycle.h - when an instance takes callers, turns them away and ends.
+ * lifecycle.h - readiness of an instance and the phases of a graceful stop.
  *
- * Pure: times and counts in, what to do out.
+ * Pure functions of times and counts, without I/O.
  */
 #ifndef RAGWORT_LIFECYCLE_H
 #define RAGWORT_LIFECYCLE_H
@@ -11,23 +11,30 @@
 #include <stdint.h>
 
 struct rr_lifecycle {
-	int64_t stop_requested_us; /* when the stop was asked for; 0: it was not */
+	int64_t stop_requested_us; /* time of the stop request; 0: none */
 	uint32_t stop_timeout_ms;
 };
 
 enum rr_stop_phase {
-	RR_STOP_KEEP_SERVING, /* serve on; answers end their connections */
-	/* Callers were led elsewhere: connections at rest may close. */
+	/* serve as usual; connections close after their next answer */
+	RR_STOP_KEEP_SERVING,
+	/* Callers are routed to other instances: idle connections may close. */
 	RR_STOP_CLOSE_IDLE,
-	/* The end is near: nothing new is taken, as it would be cut off. */
+	/*
+	 * The deadline is near: new requests are rejected, since they would be
+	 * interrupted.
+	 */
 	RR_STOP_REJECT_NEW,
 	RR_STOP_EXIT,
 };
 
 void rr_request_stop(struct rr_lifecycle *lifecycle, int64_t now_us);
-/* Whether callers may be sent here. */
+/* Return whether the platform may route callers to this instance. */
 bool rr_lifecycle_is_ready(const struct rr_lifecycle *lifecycle, bool serves);
-/* While stopping: what to do with so many requests and connections open. */
+/*
+ * Return the phase of a requested stop, given the numbers of requests and
+ * caller connections that are open.
+ */
 enum rr_stop_phase rr_find_stop_phase(const struct rr_lifecycle *lifecycle,
 				      int64_t now_us, size_t requests,
 				      size_t connections);
--- a/include/ragwort/peer.h
+++ b/include/ragwort/peer.h
@@ -1,5 +1,5 @@
 /*
- * peer.h - the typed messages between instances.
+ * peer.h - messages between instances as C structs.
  *
  * wire-peer.h encodes them; the core sees only these structs.
  */
@@ -19,12 +19,12 @@
 enum rr_peer_kind {
 	RR_PEER_PING = 1,
 	RR_PEER_ACK,
-	RR_PEER_PING_REQUEST, /* ping `target` for me */
-	RR_PEER_RELAY,	      /* run these shards for me */
+	RR_PEER_PING_REQUEST, /* ping `target` on behalf of the sender */
+	RR_PEER_RELAY,	      /* query these shards on behalf of the sender */
 	RR_PEER_RELAY_REPLY,
 	RR_PEER_RELAY_CANCEL,
-	RR_PEER_CONFIG_GET, /* send me your record */
-	RR_PEER_CONFIG,	    /* a whole record */
+	RR_PEER_CONFIG_GET, /* request the configuration record */
+	RR_PEER_CONFIG,	    /* a complete configuration record */
 };
 
 enum rr_member_state {
@@ -34,41 +34,48 @@
 	RR_MEMBER_DEAD,
 };
 
-/* What one instance believes of another; carried on pings and acks. */
+/* The state of a member as one instance knows it; carried on pings and acks. */
 struct rr_member_update {
 	char *instance;
-	char *zone;	      /* NULL where the state is dead */
-	char *address;	      /* peers' IP:PORT; likewise */
-	uint64_t incarnation; /* of the process; grows with each start */
-	uint32_t refutation;  /* raised by the member to refute a suspicion */
+	char *zone;	      /* NULL if the state is dead */
+	char *address;	      /* IP:PORT for peers; NULL likewise */
+	uint64_t incarnation; /* of the process; increases with each start */
+	/* incremented by the member to refute a suspicion */
+	uint32_t refutation;
 	enum rr_member_state state;
 };
 
 /* One shard of a relay. */
 struct rr_relay_shard {
 	char *shard;
-	char *preferred_replica; /* the replica the sender would take first */
-	/* Versions the sender has seen, 0 for none; of the reply: the range. */
+	char *preferred_replica; /* the replica that the sender would choose */
+	/*
+	 * Range of index versions that the sender knows of, 0 for none; in an
+	 * outcome, the range that the owner knows of.
+	 */
 	uint64_t oldest_version;
 	uint64_t newest_version;
 };
 
-/* What became of one shard of a relay. */
+/* The outcome of one shard of a relay. */
 struct rr_relay_outcome {
 	char *shard;
 	bool covered;
-	enum rr_missing_reason reason; /* where not covered */
-	/* Proof that no attempt was made for it, or that all were refused. */
+	enum rr_missing_reason reason; /* if not covered */
+	/*
+	 * Set with proof that no attempt was made, or that all were rejected.
+	 */
 	bool not_run;
 	uint64_t oldest_version;
 	uint64_t newest_version;
 	uint32_t attempts;
-	struct rr_key_range *ranges; /* really covered */
+	struct rr_key_range *ranges; /* key ranges that are covered */
 	size_t n_ranges;
 };
 
 struct rr_relay {
-	uint64_t query_id; /* the sender's; unique with its incarnation */
+	/* the sender's query id, unique together with its incarnation */
+	uint64_t query_id;
 	enum rr_request_kind kind;
 	char *service;
 	char *request_id;
@@ -77,11 +84,13 @@
 	uint64_t key_from;
 	uint64_t key_to;
 	uint32_t row_limit;
-	uint64_t version; /* the pin; 0: whatever the first reply has */
+	/* index version to read; 0: that of the first reply */
+	uint64_t version;
 	uint64_t map_epoch;
 	uint32_t remaining_ms; /* until the sender's deadline */
 	bool batch;
-	uint64_t config_revision; /* what the sender runs by */
+	/* revision of the configuration the sender uses */
+	uint64_t config_revision;
 	struct rr_relay_shard *shards;
 	size_t n_shards;
 };
@@ -89,10 +98,10 @@
 struct rr_relay_reply {
 	uint64_t query_id;
 	uint64_t version;
-	struct rr_rows *rows; /* of all covered shards, merged */
+	struct rr_rows *rows; /* merged rows of all covered shards */
 	struct rr_relay_outcome *outcomes;
 	size_t n_outcomes;
-	char *result; /* of a reservation; NULL otherwise */
+	char *result; /* result of a reservation; NULL otherwise */
 	uint32_t retry_after_ms;
 };
 
@@ -100,15 +109,24 @@
 	enum rr_peer_kind kind;
 	char *from;
 	uint64_t from_incarnation;
-	/* 0 when the sender does not know it; else others drop the message. */
+	/*
+	 * 0 if the sender does not know it; otherwise, an instance with another
+	 * incarnation drops the message.
+	 */
 	uint64_t to_incarnation;
-	uint64_t config_revision; /* the sender's, on every message */
+	uint64_t config_revision; /* the sender's; set in every message */
 	uint64_t sequence;	  /* ping, ack, ping request */
-	/* Of a ping: who is meant; of a ping request: whom to ping; of an
-	 * ack: who is proved to live, NULL for the sender itself. */
+	/*
+	 * In a ping, the addressed member; in a ping request, the member to
+	 * ping; in an ack, the member that is proved alive, NULL for the sender
+	 * itself.
+	 */
 	char *target;
-	/* Ping and ack: how many usable members the sender knows, and a hash
-	 * of them; two that differ have news for each other. */
+	/*
+	 * In pings and acks, the number of usable members that the sender
+	 * knows, and a hash of them; if the hashes of two members differ, they
+	 * have updates for each other.
+	 */
 	uint32_t members_count;
 	uint64_t members_digest;
 	struct rr_member_update *updates;
@@ -116,12 +134,13 @@
 	struct rr_relay *relay;
 	struct rr_relay_reply *relay_reply;
 	uint64_t cancel_query_id;
-	char *config_record; /* RR_PEER_CONFIG; a NUL follows the text */
+	/* RR_PEER_CONFIG; NUL-terminated, not counted in config_length */
+	char *config_record;
 	size_t config_length;
 };
 
 struct rr_peer_message *rr_new_peer_message(enum rr_peer_kind kind);
-/* Frees all that hangs on it. NULL is allowed. */
+/* Free a message with all it points to. NULL is allowed. */
 void rr_drop_peer_message(struct rr_peer_message *message);
 
 #endif
--- a/source/base/peer.c
+++ b/source/base/peer.c
@@ -1,5 +1,5 @@
 /*
- * peer.c - make and drop peer messages.
+ * peer.c - allocation and release of peer messages.
  */
 #include "ragwort/peer.h"
 
@@ -13,7 +13,7 @@
 	return message;
 }
 
-static void drop_relay(struct rr_relay *relay)
+static void free_relay(struct rr_relay *relay)
 {
 	if (!relay)
 		return;
@@ -29,7 +29,7 @@
 	g_free(relay);
 }
 
-static void drop_relay_reply(struct rr_relay_reply *reply)
+static void free_relay_reply(struct rr_relay_reply *reply)
 {
 	if (!reply)
 		return;
@@ -56,7 +56,7 @@
 	g_free(message->from);
 	g_free(message->target);
 	g_free(message->config_record);
-	drop_relay(message->relay);
-	drop_relay_reply(message->relay_reply);
+	free_relay(message->relay);
+	free_relay_reply(message->relay_reply);
 	g_free(message);
 }
--- a/source/core/lifecycle.c
+++ b/source/core/lifecycle.c
@@ -1,21 +1,25 @@
 /*
- * lifecycle.c - a stop that cuts nobody off.
+ * lifecycle.c - graceful stop that interrupts no request.
  */
 #include "ragwort/lifecycle.h"
 
 /*
- * The platform asks each second and leads new callers elsewhere after two
- * misses; until then they still come, and are served.
+ * The platform checks readiness every second and routes new callers to other
+ * instances after two failed checks; until then callers still arrive and are
+ * served.
  */
-#define LED_ELSEWHERE_US (2600 * 1000)
+#define REROUTE_US (2600 * 1000)
 /*
- * Before the end nothing new is taken for so long: nearly every request takes
- * less.  Guards against callers that come to the last, whose requests would
- * be read and then cut.
+ * New requests are rejected for this long before the exit; nearly every request
+ * takes less time. Guards against callers that still arrive at the very end,
+ * whose requests would be read and then interrupted.
  */
-#define LAST_TAKEN_US (500 * 1000)
-/* Left before the platform kills: an exit and its closes take a moment. */
-#define LAST_MOMENT_US (400 * 1000)
+#define REJECT_NEW_US (500 * 1000)
+/*
+ * Reserved for the exit and for closing connections before the platform kills
+ * the process.
+ */
+#define EXIT_MARGIN_US (400 * 1000)
 
 void rr_request_stop(struct rr_lifecycle *lifecycle, int64_t now_us)
 {
@@ -34,14 +38,14 @@
 {
 	int64_t since_us = now_us - lifecycle->stop_requested_us;
 	int64_t end_us =
-		(int64_t)lifecycle->stop_timeout_ms * 1000 - LAST_MOMENT_US;
+		(int64_t)lifecycle->stop_timeout_ms * 1000 - EXIT_MARGIN_US;
 
 	if (since_us >= end_us)
 		return RR_STOP_EXIT;
-	if (since_us < LED_ELSEWHERE_US)
+	if (since_us < REROUTE_US)
 		return RR_STOP_KEEP_SERVING;
 	if (!requests && !connections)
 		return RR_STOP_EXIT;
-	return since_us >= end_us - LAST_TAKEN_US ? RR_STOP_REJECT_NEW :
+	return since_us >= end_us - REJECT_NEW_US ? RR_STOP_REJECT_NEW :
 						    RR_STOP_CLOSE_IDLE;
 }
--- a/source/core/member-gossip.c
+++ b/source/core/member-gossip.c
@@ -1,32 +1,37 @@
 /*
- * member-gossip.c - what rides on pings and acks.
+ * member-gossip.c - updates carried by pings and acks.
  *
- * News of a change rides on a bounded number of messages (twice the binary
- * logarithm of the size: then all have heard it with high probability).  Who
- * missed it nevertheless, or was cut off, differs in the digest and is sent
- * entries of the table.  So a message stays bounded, whatever happened.
+ * An update is carried by a limited number of messages: twice the binary
+ * logarithm of the group size, after which all members have received it with
+ * high probability. A member that missed it nevertheless, or that was isolated,
+ * has a different digest and is sent entries of the table. The size of messages
+ * thus stays bounded in all cases.
  */
 #include <math.h>
 
 #include "core/member-private.h"
 #include "ragwort/invariant.h"
 
-#define PROMISE "membership"
-#define SENDS_PER_DOUBLING 2
-/* A newcomer's one long ack: not more often, so that a rack of newcomers
- * cannot make one member send nothing else. */
-#define SYNC_INTERVAL_US 200000
-/* A newcomer is who knows less than this part of the members: 3 in 4. */
-#define SYNC_BELOW_FACTOR 3
-#define SYNC_BELOW_DIVISOR 4
-/* Differing acks in a row before a member asks for a whole table, as if it
- * were a newcomer; twice as many before each further one. */
-#define FIRST_PATIENCE 12
-#define MAX_PATIENCE 768
-
-static uint32_t news_sends(const struct rr_members *members)
+#define INVARIANT "membership"
+#define TRANSMISSIONS_PER_DOUBLING 2
+/*
+ * Minimum interval between full-sync acks, so that a member is not fully
+ * occupied by many new members that start at the same time.
+ */
+#define FULL_SYNC_INTERVAL_US 200000
+/* A peer counts as new if it knows fewer than 3 in 4 of the members. */
+#define NEW_PEER_NUMERATOR 3
+#define NEW_PEER_DENOMINATOR 4
+/*
+ * Consecutive acks with a different digest before a member requests a full sync
+ * as if it were new; the threshold doubles for each further request.
+ */
+#define MIN_RESYNC_THRESHOLD 12
+#define MAX_RESYNC_THRESHOLD 768
+
+static uint32_t transmission_limit(const struct rr_members *members)
 {
-	return SENDS_PER_DOUBLING *
+	return TRANSMISSIONS_PER_DOUBLING *
 	       (uint32_t)ceil(log2((double)members->n_usable + 2));
 }
 
@@ -35,7 +40,7 @@
 	if (member->update_queued)
 		g_queue_unlink(&members->update_queue, &member->update_link);
 	member->update_queued = true;
-	member->transmissions_left = news_sends(members);
+	member->transmissions_left = transmission_limit(members);
 	g_queue_push_head_link(&members->update_queue, &member->update_link);
 }
 
@@ -62,8 +67,8 @@
 	update->state = member->state;
 }
 
-static void append_own(struct rr_members *members,
-		       struct rr_peer_message *message)
+static void append_self(struct rr_members *members,
+			struct rr_peer_message *message)
 {
 	struct member own = {
 		.instance = members->instance,
@@ -78,9 +83,9 @@
 }
 
 /*
- * Guards against a member that never learns the last of many changes: after
- * a partition, or when a whole fleet starts, entries that happen to be sent
- * are mostly known, and the rest would take minutes.
+ * Guards against a member that never learns the last of many changes: after a
+ * partition, or when all instances start at once, most of the entries that
+ * happen to be sent are already known, and the rest would take minutes.
  */
 void rr_compare_digest(struct rr_members *members,
 		       const struct rr_peer_message *ack)
@@ -90,34 +95,40 @@
 		return;
 	}
 	members->digest_mismatches = 0;
-	members->resync_threshold = FIRST_PATIENCE;
+	members->resync_threshold = MIN_RESYNC_THRESHOLD;
 }
 
-/* Whether to ask for a whole table with this ping: by knowing nobody. */
-static bool ask_for_table(struct rr_members *members)
+/*
+ * Return whether to request a full sync with this ping, which is done by
+ * reporting a member count of 0.
+ */
+static bool should_request_full_sync(struct rr_members *members)
 {
 	if (members->digest_mismatches <
-	    MAX(members->resync_threshold, FIRST_PATIENCE))
+	    MAX(members->resync_threshold, MIN_RESYNC_THRESHOLD))
 		return false;
 	members->digest_mismatches = 0;
 	members->resync_threshold =
-		MIN(MAX(members->resync_threshold, FIRST_PATIENCE) * 2,
-		    MAX_PATIENCE);
+		MIN(MAX(members->resync_threshold, MIN_RESYNC_THRESHOLD) * 2,
+		    MAX_RESYNC_THRESHOLD);
 	return true;
 }
 
-/* Newest news first; what was sent goes to the back until it is used up. */
-static void append_news(struct rr_members *members,
-			struct rr_peer_message *message,
-			const struct member *about)
+/*
+ * Append queued updates, newest first. A sent update moves to the end of the
+ * queue until its transmissions are used up.
+ */
+static void append_queued_updates(struct rr_members *members,
+				  struct rr_peer_message *message,
+				  const struct member *about)
 {
-	guint waiting = members->update_queue.length;
+	guint remaining = members->update_queue.length;
 
-	while (waiting-- && message->n_updates < RR_MEMBER_MAX_UPDATES) {
+	while (remaining-- && message->n_updates < RR_MEMBER_MAX_UPDATES) {
 		GList *link = g_queue_pop_head_link(&members->update_queue);
 		struct member *member = link->data;
 
-		rr_invariant(PROMISE, member && member->update_queued);
+		rr_invariant(INVARIANT, member && member->update_queued);
 		if (member != about)
 			append_update(message, member);
 		if (--member->transmissions_left)
@@ -138,20 +149,20 @@
 	message->members_count =
 		(uint32_t)members->n_usable + (members->leaving ? 0 : 1);
 	message->members_digest = members->digest;
-	if (kind == RR_PEER_PING && ask_for_table(members))
+	if (kind == RR_PEER_PING && should_request_full_sync(members))
 		message->members_count = 0;
 	message->updates =
 		g_new0(struct rr_member_update, RR_MEMBER_MAX_UPDATES);
-	append_own(members, message);
+	append_self(members, message);
 	if (about && about->state != RR_MEMBER_ALIVE)
 		append_update(message, about);
-	append_news(members, message, about);
+	append_queued_updates(members, message, about);
 	return message;
 }
 
-/* Entries that are not dead, from where the last filling ended. */
-static void append_table(struct rr_members *members,
-			 struct rr_peer_message *message, size_t limit)
+/* Append entries that are not dead, continuing after the last one sent. */
+static void append_table_entries(struct rr_members *members,
+				 struct rr_peer_message *message, size_t limit)
 {
 	guint n = members->table->len;
 
@@ -174,24 +185,24 @@
 
 	if (peer_digest == members->digest)
 		return;
-	if ((uint64_t)peer_count * SYNC_BELOW_DIVISOR <
-		    (uint64_t)message->members_count * SYNC_BELOW_FACTOR &&
+	if ((uint64_t)peer_count * NEW_PEER_DENOMINATOR <
+		    (uint64_t)message->members_count * NEW_PEER_NUMERATOR &&
 	    now_us >= members->next_full_sync_us) {
-		members->next_full_sync_us = now_us + SYNC_INTERVAL_US;
+		members->next_full_sync_us = now_us + FULL_SYNC_INTERVAL_US;
 		limit = RR_MEMBER_MAX_FULL_SYNC;
 		message->updates =
 			g_renew(struct rr_member_update, message->updates,
 				message->n_updates + members->table->len);
 	}
-	append_table(members, message, limit);
+	append_table_entries(members, message, limit);
 }
 
 void rr_send_member_message(struct rr_members *members, const char *instance,
 			    const char *address,
 			    struct rr_peer_message *message)
 {
-	rr_invariant(PROMISE, message->n_updates <= RR_MEMBER_MAX_FULL_SYNC);
-	rr_invariant(PROMISE, address != NULL);
+	rr_invariant(INVARIANT, message->n_updates <= RR_MEMBER_MAX_FULL_SYNC);
+	rr_invariant(INVARIANT, address != NULL);
 	members->options.send(members->options.data, instance, address,
 			      message);
 	rr_drop_peer_message(message);
--- a/source/core/member-hint.c
+++ b/source/core/member-hint.c
@@ -1,14 +1,17 @@
 /*
- * member-hint.c - instances that somebody named and nobody has heard yet.
+ * member-hint.c - instances known by hint only, which have not answered yet.
  */
 #include <string.h>
 
 #include "core/member-private.h"
 
-#define FIRST_DELAY_US 500000
-#define MAX_DELAY_US 30000000
-/* The platform's list brings a hint again as long as it stands there. */
-#define MAX_TRIES 20
+#define MIN_BACKOFF_US 500000
+#define MAX_BACKOFF_US 30000000
+/*
+ * After this many pings a hint is removed; the platform's instance list adds it
+ * again as long as it contains the instance.
+ */
+#define MAX_PINGS 20
 
 void rr_free_hint(void *data)
 {
@@ -40,7 +43,7 @@
 	struct hint *hint;
 
 	(void)ctx;
-	(void)zone; /* the member itself says it when it answers */
+	(void)zone; /* reported by the member itself when it answers */
 	if (!g_strcmp0(instance, members->instance) ||
 	    !strcmp(address, members->address))
 		return;
@@ -54,11 +57,11 @@
 	hint->instance = g_strdup(instance);
 	hint->address = g_strdup(address);
 	hint->next_ping_us = now_us;
-	hint->backoff_us = FIRST_DELAY_US;
+	hint->backoff_us = MIN_BACKOFF_US;
 	g_ptr_array_add(members->hints, hint);
 }
 
-/* Whether a live member answers at a seed's address. */
+/* Return whether a live member has the address of a seed. */
 static bool seed_is_known(const struct rr_members *members,
 			  const struct hint *hint)
 {
@@ -80,7 +83,7 @@
 	struct rr_peer_message *message;
 
 	hint->next_ping_us = now_us + hint->backoff_us;
-	hint->backoff_us = MIN(hint->backoff_us * 2, MAX_DELAY_US);
+	hint->backoff_us = MIN(hint->backoff_us * 2, MAX_BACKOFF_US);
 	if (seed_is_known(members, hint))
 		return;
 	hint->pings_sent++;
@@ -97,7 +100,7 @@
 	while (i < members->hints->len && limit) {
 		struct hint *hint = members->hints->pdata[i];
 
-		if (hint->instance && hint->pings_sent >= MAX_TRIES) {
+		if (hint->instance && hint->pings_sent >= MAX_PINGS) {
 			g_ptr_array_remove_index_fast(members->hints, i);
 			continue;
 		}
@@ -128,7 +131,7 @@
 {
 	int64_t next_us = INT64_MAX;
 
-	/* With members to ping already, hints wait for the next period. */
+	/* If there are members to ping, hints wait for the next period. */
 	if (members->n_usable)
 		return next_us;
 	for (guint i = 0; i < members->hints->len; i++) {
--- a/source/core/member-private.h
+++ b/source/core/member-private.h
@@ -1,21 +1,25 @@
 /*
- * member-private.h - inside of struct rr_members.
+ * member-private.h - internal state of struct rr_members.
  *
- * member.c has the public functions, member-table.c who is known and what is
- * believed, member-gossip.c what rides on a message, member-probe.c the pings.
+ * member.c has the public functions, member-table.c the member list and its
+ * states, member-gossip.c the updates carried by messages, member-probe.c the
+ * pings and member-hint.c the hints.
  */
 #ifndef RAGWORT_MEMBER_PRIVATE_H
 #define RAGWORT_MEMBER_PRIVATE_H
 
 #include "ragwort/member.h"
 
-/* Updates on one ping or ack, the sender's own included. */
+/* Maximum number of updates in a ping or ack, the sender's own included. */
 #define RR_MEMBER_MAX_UPDATES 24
-/* Of these, entries sent because the two sides' digests differ. */
+/* Of these, entries sent because the digests of the two sides differ. */
 #define RR_MEMBER_MAX_REPAIR 12
-/* Entries of the one long ack that a newcomer gets. */
+/* Maximum number of updates in the full-sync ack for a new member. */
 #define RR_MEMBER_MAX_FULL_SYNC 4000
-/* Members known, dead ones included; and hints not yet answered. */
+/*
+ * Maximum numbers of known members, dead ones included, and of unanswered
+ * hints.
+ */
 #define RR_MEMBER_MAX_KNOWN 8192
 #define RR_MEMBER_MAX_HINTS 4096
 
@@ -26,20 +30,28 @@
 	uint64_t incarnation;
 	uint32_t refutation;
 	enum rr_member_state state;
-	/* When a suspect, or a silent leaving one, is declared dead. */
+	/*
+	 * When a suspect, or an unresponsive leaving member, is declared dead;
+	 * INT64_MAX: not scheduled.
+	 */
 	int64_t suspicion_end_us; /* INT64_MAX: not */
 	int64_t dead_us;	  /* when it was declared dead */
-	int64_t rebroadcast_us; /* dead: tell so again then, if still silent */
-	bool left_gracefully;	/* said that it is leaving before it died */
-	bool ping_soon;		/* somebody believes otherwise: ask itself */
+	/* if dead: when to broadcast it again if there is still no reply */
+	int64_t rebroadcast_us;
+	/* announced that it is leaving before it died */
+	bool left_gracefully;
+	/* members disagree about its state: ping it directly */
+	bool ping_soon;
 	bool update_queued;
-	uint32_t transmissions_left; /* how often its news still rides */
-	uint64_t probe_weight;	     /* the highest are those we probe */
+	/* remaining messages that carry its update */
+	uint32_t transmissions_left;
+	/* the members with the highest weights are probed */
+	uint64_t probe_weight;
 	GList update_link;
 };
 
 struct hint {
-	char *instance; /* NULL: a seed, only the address is known */
+	char *instance; /* NULL: a seed, of which only the address is known */
 	char *address;
 	int64_t next_ping_us;
 	int64_t backoff_us;
@@ -55,11 +67,12 @@
 	int64_t expires_us;
 };
 
-/* The one probe under way. */
+/* The probe in progress; there is at most one. */
 struct probe {
-	struct member *target; /* NULL: none */
+	struct member *target; /* NULL: no probe in progress */
 	uint64_t sequence;
-	int64_t ping_request_us; /* when helpers are asked; INT64_MAX: were */
+	/* when ping requests are sent; INT64_MAX: already sent */
+	int64_t ping_request_us;
 	bool answered;
 };
 
@@ -71,33 +84,38 @@
 	uint32_t refutation;
 	bool leaving;
 
-	GPtrArray *table;    /* struct member, sorted by instance; not self */
-	size_t n_usable;     /* of the table */
-	size_t n_suspicions; /* members with a verdict to come */
+	/* struct member, sorted by instance; without self */
+	GPtrArray *table;
+	size_t n_usable;     /* usable members in the table */
+	size_t n_suspicions; /* number of members with a suspicion_end_us */
 	size_t n_dead;
-	uint64_t digest;     /* of usable members, self included */
-	GQueue update_queue; /* of news_link: what changed last comes first */
-	guint repair_cursor; /* next entry of the table to fill up with */
+	uint64_t digest; /* of usable members, self included */
+	/* links are member.update_link; latest change first */
+	GQueue update_queue;
+	guint repair_cursor; /* position in the table for repair updates */
 	int64_t next_full_sync_us;
-	bool applying_full_sync; /* the updates being applied are a long ack's */
-	uint32_t digest_mismatches; /* in a row, from members who know others */
-	uint32_t resync_threshold; /* of these, before the table is asked for */
+	bool applying_full_sync; /* set while applying a full-sync ack */
+	/* consecutive acks with a different digest */
+	uint32_t digest_mismatches;
+	/* digest_mismatches that trigger a full sync */
+	uint32_t resync_threshold;
 
 	GPtrArray *probe_order;
 	guint probe_cursor;
 	struct probe probe;
 	uint64_t next_sequence;
 	int64_t next_period_us;
-	int64_t reported_wake_us; /* as last told to the carrier */
-	uint32_t
-		local_slowness; /* 0: fine; how slow this instance itself seems */
+	/* last wake-up time computed for the caller */
+	int64_t reported_wake_us;
+	/* how slow this instance itself seems; 0: not slow */
+	uint32_t local_slowness;
 	uint32_t periods;
 	GArray *requested_pings; /* struct requested_ping */
 	GPtrArray *hints;
 
 	GArray *usable; /* struct rr_member_ref */
 	bool usable_stale;
-	bool change_pending; /* tell the callback before returning */
+	bool change_pending; /* call the changed callback before returning */
 };
 
 /* member-table.c */
@@ -105,7 +123,7 @@
 void rr_clear_member_table(struct rr_members *members);
 struct member *rr_lookup_member(const struct rr_members *members,
 				const char *instance);
-/* Take an update from a message or of our own making. */
+/* Apply an update from a message, or one created locally. */
 void rr_apply_member_update(struct rr_context *ctx, struct rr_members *members,
 			    int64_t now_us,
 			    const struct rr_member_update *update);
@@ -114,7 +132,10 @@
 			 int64_t now_us);
 void rr_suspect_member(struct rr_context *ctx, struct rr_members *members,
 		       struct member *member, int64_t now_us);
-/* Verdicts that are due, and dead members remembered for long enough. */
+/*
+ * Declare members dead whose suspicion ended, and remove dead members after the
+ * retention time.
+ */
 void rr_expire_members(struct rr_context *ctx, struct rr_members *members,
 		       int64_t now_us);
 int64_t rr_next_suspicion_end_us(const struct rr_members *members);
@@ -124,12 +145,15 @@
 void rr_queue_member_update(struct rr_members *members, struct member *member);
 void rr_unqueue_member_update(struct rr_members *members,
 			      struct member *member);
-/* A message with this instance's own update and news; `about` is a member
- * that has to hear what is believed of itself, or NULL. */
+/*
+ * Create a message with the update of this instance itself and with queued
+ * updates. `about` is a member that has to learn its own state as known here,
+ * or NULL.
+ */
 struct rr_peer_message *rr_new_member_message(struct rr_members *members,
 					      enum rr_peer_kind kind,
 					      const struct member *about);
-/* Add what a peer of that count and digest lacks. */
+/* Append updates that a peer with this member count and digest may lack. */
 void rr_append_repair_updates(struct rr_members *members,
 			      struct rr_peer_message *message, int64_t now_us,
 			      uint32_t peer_count, uint64_t peer_digest);
@@ -137,7 +161,7 @@
 			    const char *address,
 			    struct rr_peer_message *message);
 
-/* Note whether an ack's sender knows the same members. */
+/* Record whether the sender of an ack knows the same members. */
 void rr_compare_digest(struct rr_members *members,
 		       const struct rr_peer_message *ack);
 
@@ -163,7 +187,7 @@
 void rr_free_hint(void *hint);
 /* Ping up to `limit` hints that are due. */
 void rr_ping_hints(struct rr_members *members, int64_t now_us, uint32_t limit);
-/* A member is known now: its hints are done. */
+/* Remove the hints for a member that is now known. */
 void rr_remove_member_hints(struct rr_members *members,
 			    const struct member *member);
 int64_t rr_next_hint_us(const struct rr_members *members);
--- a/source/core/member-probe.c
+++ b/source/core/member-probe.c
@@ -1,20 +1,25 @@
 /*
- * member-probe.c - pings: one member each period, of those that this one
- * watches, in a shuffled order, so that each is pinged once a round.
+ * member-probe.c - probing of members.
+ *
+ * Each period pings one of the members that this instance watches, in a
+ * shuffled order, so that each is pinged once per round.
  */
 #include <string.h>
 
 #include "core/member-private.h"
 #include "ragwort/invariant.h"
 
-/* Members probed in turn; see begin_round(). */
+/* Number of members probed in turn; see start_round(). */
 #define MAX_WATCHED 32
-/* Pings beside the probe, each period: hints, and members to ask soon. */
+/*
+ * Maximum number of pings per period in addition to the probe: to hints and to
+ * members with ping_soon set.
+ */
 #define EXTRA_PINGS 4
-/* Periods from one ping of a dead member to the next. */
+/* Number of periods between pings of dead members. */
 #define DEAD_PING_PERIODS 4
-#define MAX_HELPED 64
-#define HELPED_PERIODS 2
+#define MAX_REQUESTED_PINGS 64
+#define REQUESTED_PING_PERIODS 2
 
 int64_t rr_probe_period_us(const struct rr_members *members)
 {
@@ -22,40 +27,40 @@
 	       (1 + members->local_slowness);
 }
 
-/* Put a member in the place of the lightest, if it is heavier. */
-static void replace_lightest(GPtrArray *order, struct member *member)
+/* Replace the entry with the lowest weight if the member has a higher one. */
+static void replace_lowest_weight(GPtrArray *order, struct member *member)
 {
-	guint lightest = 0;
+	guint lowest = 0;
 
 	for (guint i = 1; i < order->len; i++) {
 		struct member *other = order->pdata[i];
-		struct member *least = order->pdata[lightest];
+		struct member *least = order->pdata[lowest];
 
 		if (other->probe_weight < least->probe_weight)
-			lightest = i;
+			lowest = i;
 	}
-	if (((struct member *)order->pdata[lightest])->probe_weight <
+	if (((struct member *)order->pdata[lowest])->probe_weight <
 	    member->probe_weight)
-		order->pdata[lightest] = member;
+		order->pdata[lowest] = member;
 }
 
-/* A member that joins and is to be watched comes up in the present round. */
+/* A member that joins and is to be watched is probed in the current round. */
 void rr_insert_in_probe_order(struct rr_context *ctx,
 			      struct rr_members *members, struct member *member)
 {
 	GPtrArray *order = members->probe_order;
-	guint rest = order->len - members->probe_cursor;
+	guint n_remaining = order->len - members->probe_cursor;
 
 	if (g_ptr_array_find(order, member, NULL))
 		return;
 	if (order->len >= MAX_WATCHED) {
-		replace_lightest(order, member);
+		replace_lowest_weight(order, member);
 		return;
 	}
-	g_ptr_array_insert(
-		order,
-		(gint)(members->probe_cursor + rr_random_below(ctx, rest + 1)),
-		member);
+	g_ptr_array_insert(order,
+			   (gint)(members->probe_cursor +
+				  rr_random_below(ctx, n_remaining + 1)),
+			   member);
 }
 
 void rr_remove_from_probe_order(struct rr_members *members,
@@ -72,7 +77,7 @@
 		members->probe_cursor--;
 }
 
-static gint heavier_first(gconstpointer a, gconstpointer b)
+static gint compare_weight_descending(gconstpointer a, gconstpointer b)
 {
 	const struct member *const *first = a;
 	const struct member *const *second = b;
@@ -94,13 +99,14 @@
 }
 
 /*
- * Who is probed: a few that only our name and theirs determine, so that the
- * connections to them stay.  Were it everybody in turn, with 1,200 members
- * nearly every ping would open a connection, which costs far more processor
- * time and bytes than the ping.  Each member still has about as many that
- * probe it, and news still crosses the fleet in a few steps.
+ * Choose the members to probe: a few that are determined only by the names of
+ * both sides, so that the connections to them persist. If all members were
+ * probed in turn, nearly every ping among 1,200 members would open a
+ * connection, which costs far more CPU time and bytes than the ping. Each
+ * member is still probed by about the same number of others, and updates still
+ * reach all members in a few steps.
  */
-static void begin_round(struct rr_context *ctx, struct rr_members *members)
+static void start_round(struct rr_context *ctx, struct rr_members *members)
 {
 	GPtrArray *order = members->probe_order;
 
@@ -113,7 +119,7 @@
 			g_ptr_array_add(order, member);
 	}
 	if (order->len > MAX_WATCHED) {
-		g_ptr_array_sort(order, heavier_first);
+		g_ptr_array_sort(order, compare_weight_descending);
 		g_ptr_array_set_size(order, MAX_WATCHED);
 	}
 	shuffle(ctx, order);
@@ -131,7 +137,7 @@
 			if (member->state != RR_MEMBER_DEAD)
 				return member;
 		}
-		begin_round(ctx, members);
+		start_round(ctx, members);
 	}
 	return NULL;
 }
@@ -164,7 +170,7 @@
 	probe->target = NULL;
 }
 
-static void begin_probe(struct rr_context *ctx, struct rr_members *members,
+static void start_probe(struct rr_context *ctx, struct rr_members *members,
 			int64_t now_us)
 {
 	struct probe *probe = &members->probe;
@@ -180,11 +186,11 @@
 }
 
 /*
- * Ping members of which somebody believes something else than they would
- * say: a suspect hears of the suspicion from us and can refute it, a dead
- * one that lives does the same.
+ * Ping members whose state is disputed: a suspect learns of the suspicion from
+ * this instance and can refute it, and so can a member that is alive but was
+ * declared dead.
  */
-static uint32_t ping_doubtful(struct rr_members *members, int64_t now_us)
+static uint32_t ping_disputed(struct rr_members *members, int64_t now_us)
 {
 	uint32_t limit = EXTRA_PINGS;
 	guint n = members->table->len;
@@ -205,7 +211,10 @@
 	return limit;
 }
 
-/* One dead member at random: it may be back, or a partition may be over. */
+/*
+ * Ping a random dead member: it may have restarted, or a partition may have
+ * ended.
+ */
 static void ping_dead(struct rr_context *ctx, struct rr_members *members)
 {
 	struct member *chosen = NULL;
@@ -228,15 +237,15 @@
 void rr_start_probe_period(struct rr_context *ctx, struct rr_members *members,
 			   int64_t now_us)
 {
-	uint32_t extra;
+	uint32_t extra_pings;
 
 	members->periods++;
 	finish_probe(ctx, members, now_us);
 	rr_expire_requested_pings(members, now_us);
-	begin_probe(ctx, members, now_us);
-	extra = ping_doubtful(members, now_us);
+	start_probe(ctx, members, now_us);
+	extra_pings = ping_disputed(members, now_us);
 	ping_dead(ctx, members);
-	rr_ping_hints(members, now_us, extra);
+	rr_ping_hints(members, now_us, extra_pings);
 	members->next_period_us = now_us + rr_probe_period_us(members);
 }
 
@@ -252,11 +261,14 @@
 			       message);
 }
 
-/* No ack in time: the way there may be at fault, so others try theirs. */
+/*
+ * No ack arrived in time. The network path from this instance may be at fault,
+ * so other members are asked to ping the target.
+ */
 void rr_send_ping_requests(struct rr_context *ctx, struct rr_members *members)
 {
 	GPtrArray *order = members->probe_order;
-	uint32_t wanted = members->options.ping_request_fanout;
+	uint32_t remaining = members->options.ping_request_fanout;
 	guint n = order->len;
 	guint start = n ? rr_random_below(ctx, n) : 0;
 
@@ -264,14 +276,14 @@
 #ifdef RR_MUTANT_MEMBER_NO_HELPERS
 	return;
 #endif
-	for (guint i = 0; i < n && wanted; i++) {
+	for (guint i = 0; i < n && remaining; i++) {
 		struct member *helper = order->pdata[(start + i) % n];
 
 		if (helper == members->probe.target ||
 		    helper->state != RR_MEMBER_ALIVE)
 			continue;
 		send_ping_request(members, helper);
-		wanted--;
+		remaining--;
 	}
 }
 
@@ -300,26 +312,26 @@
 			    const struct rr_peer_message *message)
 {
 	struct member *target = rr_lookup_member(members, message->target);
-	struct requested_ping helped;
+	struct requested_ping requested;
 
-	if (!target || members->requested_pings->len >= MAX_HELPED)
+	if (!target || members->requested_pings->len >= MAX_REQUESTED_PINGS)
 		return;
-	helped.requester = g_strdup(message->from);
-	helped.requester_sequence = message->sequence;
-	helped.target = g_strdup(message->target);
-	helped.expires_us =
-		now_us + HELPED_PERIODS * rr_probe_period_us(members);
-	helped.sequence = send_ping(members, target);
-	g_array_append_val(members->requested_pings, helped);
+	requested.requester = g_strdup(message->from);
+	requested.requester_sequence = message->sequence;
+	requested.target = g_strdup(message->target);
+	requested.expires_us =
+		now_us + REQUESTED_PING_PERIODS * rr_probe_period_us(members);
+	requested.sequence = send_ping(members, target);
+	g_array_append_val(members->requested_pings, requested);
 }
 
-static void clear_helped(struct rr_members *members, guint at)
+static void remove_requested_ping(struct rr_members *members, guint at)
 {
-	struct requested_ping *helped = &g_array_index(
+	struct requested_ping *requested = &g_array_index(
 		members->requested_pings, struct requested_ping, at);
 
-	g_free(helped->requester);
-	g_free(helped->target);
+	g_free(requested->requester);
+	g_free(requested->target);
 	g_array_remove_index_fast(members->requested_pings, at);
 }
 
@@ -331,46 +343,47 @@
 		if (g_array_index(members->requested_pings,
 				  struct requested_ping, i)
 			    .expires_us <= now_us)
-			clear_helped(members, i);
+			remove_requested_ping(members, i);
 		else
 			i++;
 	}
 }
 
-static void pass_on_ack(struct rr_members *members, guint at)
+static void forward_ack(struct rr_members *members, guint at)
 {
-	struct requested_ping *helped = &g_array_index(
+	struct requested_ping *requested = &g_array_index(
 		members->requested_pings, struct requested_ping, at);
-	struct member *to = rr_lookup_member(members, helped->requester);
-	struct member *target = rr_lookup_member(members, helped->target);
+	struct member *to = rr_lookup_member(members, requested->requester);
+	struct member *target = rr_lookup_member(members, requested->target);
 
 	if (to) {
 		struct rr_peer_message *ack =
 			rr_new_member_message(members, RR_PEER_ACK, target);
 
-		ack->target = g_strdup(helped->target);
-		send_ack(members, to, ack, helped->requester_sequence);
+		ack->target = g_strdup(requested->target);
+		send_ack(members, to, ack, requested->requester_sequence);
 	}
-	clear_helped(members, at);
+	remove_requested_ping(members, at);
 }
 
 void rr_handle_ack(struct rr_members *members,
 		   const struct rr_peer_message *message)
 {
-	const char *proved = message->target ? message->target : message->from;
+	const char *alive_instance =
+		message->target ? message->target : message->from;
 	struct probe *probe = &members->probe;
 
 	rr_compare_digest(members, message);
 	if (probe->target && probe->sequence == message->sequence &&
-	    !strcmp(probe->target->instance, proved))
+	    !strcmp(probe->target->instance, alive_instance))
 		probe->answered = true;
 	for (guint i = 0; i < members->requested_pings->len; i++) {
-		struct requested_ping *helped = &g_array_index(
+		struct requested_ping *requested = &g_array_index(
 			members->requested_pings, struct requested_ping, i);
 
-		if (helped->sequence == message->sequence &&
-		    !strcmp(helped->target, proved)) {
-			pass_on_ack(members, i);
+		if (requested->sequence == message->sequence &&
+		    !strcmp(requested->target, alive_instance)) {
+			forward_ack(members, i);
 			return;
 		}
 	}
--- a/source/core/member-table.c
+++ b/source/core/member-table.c
@@ -1,10 +1,10 @@
 /*
- * member-table.c - who is known and what is believed of each.
+ * member-table.c - the member list and the state of each member.
  *
- * An update overrides a belief when its incarnation is higher, or with the
- * same incarnation its refutation, or with the same refutation its state in
- * the order alive, suspect, leaving, dead.  Everyone applies this one rule,
- * so beliefs agree whatever the order in which news comes.
+ * An update overrides the known state if its incarnation is higher, or with the
+ * same incarnation its refutation, or with the same refutation its state, in
+ * the order alive, suspect, leaving, dead. All members apply this rule, so
+ * their states converge regardless of the order in which updates arrive.
  */
 #include <math.h>
 #include <string.h>
@@ -14,7 +14,7 @@
 #include "ragwort/counters.h"
 #include "ragwort/invariant.h"
 
-#define PROMISE "membership"
+#define INVARIANT "membership"
 
 static const char *const state_names[] = {
 	[RR_MEMBER_ALIVE] = "alive",
@@ -44,8 +44,11 @@
 	g_ptr_array_unref(members->table);
 }
 
-/* The first entry not before the name: where it is or would go. */
-static guint find_place(const struct rr_members *members, const char *instance)
+/*
+ * Return the index of the first entry whose name is not less than the given
+ * one.
+ */
+static guint find_index(const struct rr_members *members, const char *instance)
 {
 	guint low = 0;
 	guint high = members->table->len;
@@ -65,7 +68,7 @@
 struct member *rr_lookup_member(const struct rr_members *members,
 				const char *instance)
 {
-	guint at = find_place(members, instance);
+	guint at = find_index(members, instance);
 	struct member *member;
 
 	if (at >= members->table->len)
@@ -85,19 +88,19 @@
 	       member->state == RR_MEMBER_SUSPECT;
 }
 
-static void set_verdict(struct rr_members *members, struct member *member,
-			int64_t verdict_us)
+static void set_suspicion_end(struct rr_members *members, struct member *member,
+			      int64_t end_us)
 {
 	if (member->suspicion_end_us != INT64_MAX)
 		members->n_suspicions--;
-	member->suspicion_end_us = verdict_us;
-	if (verdict_us != INT64_MAX)
+	member->suspicion_end_us = end_us;
+	if (end_us != INT64_MAX)
 		members->n_suspicions++;
 }
 
-/* Take the member out of the sums, or put it back, around a change. */
-static void account(struct rr_members *members, const struct member *member,
-		    bool add)
+/* Add a member to the totals or remove it; called around each change. */
+static void update_totals(struct rr_members *members,
+			  const struct member *member, bool add)
 {
 	if (member->state == RR_MEMBER_DEAD)
 		members->n_dead += add ? 1 : (size_t)-1;
@@ -109,8 +112,9 @@
 }
 
 /*
- * Time for a suspect to refute.  It grows with the logarithm of the size, as
- * the time does that news takes to reach it and its answer to come back.
+ * Return the time that a suspect has to refute. It grows with the logarithm of
+ * the group size, as does the time for an update to reach the suspect and for
+ * its refutation to come back.
  */
 static int64_t suspicion_us(const struct rr_members *members)
 {
@@ -136,15 +140,16 @@
 {
 	bool was_usable = is_usable(member);
 
-	account(members, member, false);
+	update_totals(members, member, false);
 	if (member->state == RR_MEMBER_LEAVING)
 		member->left_gracefully = true;
 	member->state = state;
-	account(members, member, true);
-	set_verdict(members, member, INT64_MAX);
+	update_totals(members, member, true);
+	set_suspicion_end(members, member, INT64_MAX);
 	member->rebroadcast_us = INT64_MAX;
 	if (state == RR_MEMBER_SUSPECT)
-		set_verdict(members, member, now_us + suspicion_us(members));
+		set_suspicion_end(members, member,
+				  now_us + suspicion_us(members));
 	if (state == RR_MEMBER_DEAD)
 		member->dead_us = now_us;
 	if (state == RR_MEMBER_ALIVE) {
@@ -170,21 +175,22 @@
 				    now_us);
 	else if (member->state == RR_MEMBER_LEAVING &&
 		 member->suspicion_end_us == INT64_MAX)
-		set_verdict(members, member, now_us + suspicion_us(members));
+		set_suspicion_end(members, member,
+				  now_us + suspicion_us(members));
 }
 
-static void forget_member(struct rr_members *members, guint at)
+static void remove_member(struct rr_members *members, guint at)
 {
 	struct member *member = members->table->pdata[at];
 
-	rr_invariant(PROMISE, member->state == RR_MEMBER_DEAD);
-	account(members, member, false);
+	rr_invariant(INVARIANT, member->state == RR_MEMBER_DEAD);
+	update_totals(members, member, false);
 	rr_unqueue_member_update(members, member);
 	rr_remove_from_probe_order(members, member);
 	g_ptr_array_remove_index(members->table, at);
 }
 
-/* Make room by forgetting the member that has been dead longest. */
+/* Make room by removing the member that has been dead for longest. */
 static bool make_room(struct rr_members *members)
 {
 	guint oldest = members->table->len;
@@ -203,7 +209,7 @@
 	}
 	if (oldest == members->table->len)
 		return false;
-	forget_member(members, oldest);
+	remove_member(members, oldest);
 	return true;
 }
 
@@ -212,7 +218,7 @@
 {
 	struct member *member;
 
-	/* What is unknown and gone needs no place. */
+	/* An unknown member that is already gone needs no entry. */
 	if (update->state == RR_MEMBER_DEAD ||
 	    update->state == RR_MEMBER_LEAVING || !update->zone ||
 	    !update->address || !make_room(members))
@@ -223,16 +229,17 @@
 	member->address = g_strdup(update->address);
 	member->incarnation = update->incarnation;
 	member->refutation = update->refutation;
-	member->state = RR_MEMBER_LEAVING; /* not counted as usable yet */
+	/* placeholder, not counted as usable */
+	member->state = RR_MEMBER_LEAVING;
 	member->suspicion_end_us = INT64_MAX;
 	member->update_link.data = member;
 	member->probe_weight =
 		rr_rendezvous_weight(members->instance, member->instance);
 	g_ptr_array_insert(members->table,
-			   (gint)find_place(members, member->instance), member);
+			   (gint)find_index(members, member->instance), member);
 	rr_set_member_state(ctx, members, member, update->state, now_us);
 	member->left_gracefully = false;
-	/* What a whole table taught is no news to others. */
+	/* Members learned from a full sync are not new to others. */
 	if (members->applying_full_sync)
 		rr_unqueue_member_update(members, member);
 }
@@ -249,22 +256,22 @@
 }
 
 /*
- * Somebody believes something of this instance itself.  A suspicion is
- * refuted with a higher number, which overrides it wherever it went; without
- * that, one lost ack would take a live instance out everywhere.
+ * Handle an update about this instance itself. A suspicion is refuted with a
+ * higher refutation number, which overrides it wherever it spread; otherwise,
+ * one lost ack would remove a live instance from all member lists.
  */
 static void handle_own_update(struct rr_context *ctx,
 			      struct rr_members *members,
 			      const struct rr_member_update *update)
 {
-	enum rr_member_state own =
+	enum rr_member_state own_state =
 		members->leaving ? RR_MEMBER_LEAVING : RR_MEMBER_ALIVE;
 
 	if (!overrides(update, members->options.incarnation,
-		       members->refutation, own))
+		       members->refutation, own_state))
 		return;
 	if (update->incarnation > members->options.incarnation) {
-		/* Another process runs under this name and started later. */
+		/* Another process with this name started later. */
 		rr_log(ctx, RR_LOG_WARNING, "member_name_taken",
 		       RR_FIELD_STRING("instance", members->instance),
 		       RR_FIELD_U64("incarnation", update->incarnation));
@@ -279,8 +286,8 @@
 	       RR_FIELD_U64("refutation", members->refutation));
 }
 
-static void replace_text(struct rr_members *members, char **text,
-			 const char *with)
+static void replace_string(struct rr_members *members, char **text,
+			   const char *with)
 {
 	if (!with || !strcmp(*text, with))
 		return;
@@ -308,9 +315,9 @@
 	if (!overrides(update, member->incarnation, member->refutation,
 		       member->state)) {
 		/*
-		 * Believed dead here and live there: after a partition both
-		 * sides meet like this.  Asking the member itself settles it,
-		 * for it will refute or stay silent.
+		 * The member is dead here but alive for the sender, as happens
+		 * on both sides after a partition. Pinging the member itself
+		 * decides it: it either refutes or does not answer.
 		 */
 		if (member->state == RR_MEMBER_DEAD &&
 		    update->state < RR_MEMBER_DEAD &&
@@ -319,21 +326,21 @@
 			member->ping_soon = true;
 		return;
 	}
-	account(members, member, false);
+	update_totals(members, member, false);
 	if (update->incarnation != member->incarnation) {
 		members->usable_stale = true;
 		members->change_pending = true;
 	}
 	member->incarnation = update->incarnation;
 	member->refutation = update->refutation;
-	replace_text(members, &member->zone, update->zone);
-	replace_text(members, &member->address, update->address);
-	account(members, member, true);
+	replace_string(members, &member->zone, update->zone);
+	replace_string(members, &member->address, update->address);
+	update_totals(members, member, true);
 	rr_set_member_state(ctx, members, member, update->state, now_us);
 }
 
-static bool forgettable(const struct rr_members *members,
-			const struct member *member, int64_t now_us)
+static bool has_retention_ended(const struct rr_members *members,
+				const struct member *member, int64_t now_us)
 {
 #ifdef RR_MUTANT_MEMBER_FORGET_DEAD
 	return true;
@@ -356,8 +363,8 @@
 			rr_set_member_state(ctx, members, member,
 					    RR_MEMBER_DEAD, now_us);
 		} else if (member->state == RR_MEMBER_DEAD) {
-			if (forgettable(members, member, now_us)) {
-				forget_member(members, i);
+			if (has_retention_ended(members, member, now_us)) {
+				remove_member(members, i);
 				continue;
 			}
 			if (member->rebroadcast_us <= now_us) {
--- a/source/core/member.c
+++ b/source/core/member.c
@@ -1,6 +1,6 @@
 /*
- * member.c - events of the membership: time, messages, leaving; and what it
- * tells.
+ * member.c - public functions of the membership: ticks, messages, leaving and
+ * queries.
  */
 #include <string.h>
 
@@ -8,22 +8,28 @@
 #include "ragwort/counters.h"
 #include "ragwort/invariant.h"
 
-#define PROMISE "membership"
-#define DEFAULT_PERIOD_MS 500
+#define INVARIANT "membership"
+#define DEFAULT_PROBE_PERIOD_MS 500
 #define DEFAULT_ACK_TIMEOUT_MS 150
-#define DEFAULT_SUSPECT_MS 2500
-#define DEFAULT_INDIRECT_PINGS 3
-#define DEFAULT_REMEMBER_DEAD_MS 3600000
-#define MAX_HEALTH 8
-/* A call that comes this much after the time it was due shows a pause. */
-#define LATE_US 250000
-/* Members told at once by one that leaves; gossip tells the rest. */
-#define LEAVE_PINGS 32
-
-static void set_default(uint32_t *value, uint32_t otherwise)
+#define DEFAULT_SUSPICION_TIMEOUT_MS 2500
+#define DEFAULT_PING_REQUEST_FANOUT 3
+#define DEFAULT_DEAD_RETENTION_MS 3600000
+#define MAX_LOCAL_SLOWNESS 8
+/*
+ * A tick or message that is handled this long after the tick was due indicates
+ * that the process was paused.
+ */
+#define PAUSE_THRESHOLD_US 250000
+/*
+ * Number of members that a leaving instance notifies directly; gossip informs
+ * the others.
+ */
+#define MAX_LEAVE_PINGS 32
+
+static void set_default(uint32_t *value, uint32_t default_value)
 {
 	if (!*value)
-		*value = otherwise;
+		*value = default_value;
 }
 
 struct rr_members *rr_new_members(struct rr_context *ctx,
@@ -34,11 +40,11 @@
 	struct rr_members_options *own = &members->options;
 
 	*own = *options;
-	set_default(&own->probe_period_ms, DEFAULT_PERIOD_MS);
+	set_default(&own->probe_period_ms, DEFAULT_PROBE_PERIOD_MS);
 	set_default(&own->ack_timeout_ms, DEFAULT_ACK_TIMEOUT_MS);
-	set_default(&own->suspicion_timeout_ms, DEFAULT_SUSPECT_MS);
-	set_default(&own->ping_request_fanout, DEFAULT_INDIRECT_PINGS);
-	set_default(&own->dead_retention_ms, DEFAULT_REMEMBER_DEAD_MS);
+	set_default(&own->suspicion_timeout_ms, DEFAULT_SUSPICION_TIMEOUT_MS);
+	set_default(&own->ping_request_fanout, DEFAULT_PING_REQUEST_FANOUT);
+	set_default(&own->dead_retention_ms, DEFAULT_DEAD_RETENTION_MS);
 	members->instance = g_strdup(options->instance);
 	members->zone = g_strdup(options->zone);
 	members->address = g_strdup(options->address);
@@ -54,7 +60,7 @@
 		g_array_new(FALSE, FALSE, sizeof(struct rr_member_ref));
 	members->usable_stale = true;
 	members->digest = rr_hash_member(members->instance, own->incarnation);
-	/* Sequences of an earlier process of this name are not ours. */
+	/* Avoids the sequence numbers of an earlier process of this name. */
 	members->next_sequence = rr_random_u64(ctx) >> 1;
 	members->next_period_us =
 		now_us + rr_random_below(ctx, own->probe_period_ms * 1000);
@@ -90,25 +96,26 @@
 }
 
 /*
- * This instance itself was paused when the call comes long after it was due.
- * Guards against an instance that was stopped for a minute and on its first
- * tick finds every probe and suspicion overdue: it would declare the whole
- * fleet dead.  The probe is judged by nobody, verdicts wait as long as the
- * pause took, and the next probes get more time.
+ * Detect a pause of this instance itself, when a call comes long after the tick
+ * was due. Guards against an instance that was stopped for a minute and finds
+ * every probe and suspicion overdue at its first tick: it would declare all
+ * members dead. The current probe is dropped without a result, suspicions are
+ * extended by the length of the pause, and the next probes get more time.
  */
-static void notice_pause(struct rr_members *members, int64_t now_us)
+static void handle_pause(struct rr_members *members, int64_t now_us)
 {
 	int64_t late_us;
 
 	if (members->reported_wake_us == INT64_MAX ||
-	    now_us - members->reported_wake_us <= LATE_US)
+	    now_us - members->reported_wake_us <= PAUSE_THRESHOLD_US)
 		return;
 	late_us = now_us - members->reported_wake_us;
 #ifdef RR_MUTANT_MEMBER_NO_PAUSE
 	return;
 #endif
 	members->probe.target = NULL;
-	members->local_slowness = MIN(members->local_slowness + 1, MAX_HEALTH);
+	members->local_slowness =
+		MIN(members->local_slowness + 1, MAX_LOCAL_SLOWNESS);
 	for (guint i = 0; i < members->table->len; i++) {
 		struct member *member = members->table->pdata[i];
 
@@ -119,7 +126,7 @@
 	members->reported_wake_us = now_us;
 }
 
-/* The end of every event: tell changes, note when the next tick is due. */
+/* Finish an event: report changes and record when the next tick is due. */
 static void finish_event(struct rr_context *ctx, struct rr_members *members)
 {
 	members->reported_wake_us = find_wake_us(members);
@@ -143,9 +150,9 @@
 	members->applying_full_sync = false;
 }
 
-/* A message of another kind shows that its sender lives. */
-static void note_sender(struct rr_members *members, struct member *from,
-			const struct rr_peer_message *message)
+/* A message of any other kind proves that its sender is alive. */
+static void mark_sender_alive(struct rr_members *members, struct member *from,
+			      const struct rr_peer_message *message)
 {
 	if (!from || from->incarnation != message->from_incarnation)
 		return;
@@ -161,7 +168,10 @@
 {
 	struct member *from = rr_lookup_member(members, message->from);
 
-	/* An earlier process of that name: what it says is out of date. */
+	/*
+	 * The message is from an earlier process of that name: its contents are
+	 * outdated.
+	 */
 	if (from && message->from_incarnation < from->incarnation) {
 		rr_count(ctx, RR_N_PEER_MESSAGES_STALE, 1);
 		return;
@@ -178,7 +188,7 @@
 		rr_handle_ping_request(members, now_us, message);
 		break;
 	default:
-		note_sender(members, from, message);
+		mark_sender_alive(members, from, message);
 		break;
 	}
 }
@@ -187,8 +197,11 @@
 			      struct rr_members *members, int64_t now_us,
 			      const struct rr_peer_message *message)
 {
-	notice_pause(members, now_us);
-	/* Our own name: an address that was given twice, or a loop. */
+	handle_pause(members, now_us);
+	/*
+	 * Ignore messages with this instance's own name: an address was listed
+	 * twice, or messages loop.
+	 */
 	if (strcmp(message->from, members->instance))
 		handle_message(ctx, members, now_us, message);
 	finish_event(ctx, members);
@@ -197,7 +210,7 @@
 void rr_tick_members(struct rr_context *ctx, struct rr_members *members,
 		     int64_t now_us)
 {
-	notice_pause(members, now_us);
+	handle_pause(members, now_us);
 	if (members->probe.target && !members->probe.answered &&
 	    members->probe.ping_request_us <= now_us)
 		rr_send_ping_requests(ctx, members);
@@ -218,13 +231,13 @@
 	return find_wake_us(members);
 }
 
-static void ping_for_leaving(struct rr_context *ctx, struct rr_members *members)
+static void send_leave_pings(struct rr_context *ctx, struct rr_members *members)
 {
 	guint n = members->table->len;
 	guint start = n ? rr_random_below(ctx, n) : 0;
-	uint32_t left = LEAVE_PINGS;
+	uint32_t remaining = MAX_LEAVE_PINGS;
 
-	for (guint i = 0; i < n && left; i++) {
+	for (guint i = 0; i < n && remaining; i++) {
 		struct member *member = members->table->pdata[(start + i) % n];
 		struct rr_peer_message *message;
 
@@ -235,7 +248,7 @@
 		message->target = g_strdup(member->instance);
 		rr_send_member_message(members, member->instance,
 				       member->address, message);
-		left--;
+		remaining--;
 	}
 }
 
@@ -244,13 +257,13 @@
 {
 	if (members->leaving)
 		return;
-	notice_pause(members, now_us);
+	handle_pause(members, now_us);
 	members->leaving = true;
 	members->digest ^=
 		rr_hash_member(members->instance, members->options.incarnation);
 	members->usable_stale = true;
 	members->change_pending = true;
-	ping_for_leaving(ctx, members);
+	send_leave_pings(ctx, members);
 	finish_event(ctx, members);
 }
 
@@ -265,22 +278,22 @@
 
 static void rebuild_usable(struct rr_members *members)
 {
-	bool own_to_come = !members->leaving;
+	bool self_pending = !members->leaving;
 
 	g_array_set_size(members->usable, 0);
 	for (guint i = 0; i < members->table->len; i++) {
 		struct member *member = members->table->pdata[i];
 
-		if (own_to_come &&
+		if (self_pending &&
 		    strcmp(members->instance, member->instance) < 0) {
 			add_usable(members, members->instance, members->zone);
-			own_to_come = false;
+			self_pending = false;
 		}
 		if (member->state == RR_MEMBER_ALIVE ||
 		    member->state == RR_MEMBER_SUSPECT)
 			add_usable(members, member->instance, member->zone);
 	}
-	if (own_to_come)
+	if (self_pending)
 		add_usable(members, members->instance, members->zone);
 	members->usable_stale = false;
 }
@@ -291,8 +304,9 @@
 	if (members->usable_stale)
 		rebuild_usable(members);
 	*n_members = members->usable->len;
-	rr_invariant(PROMISE, *n_members == members->n_usable +
-						    (members->leaving ? 0 : 1));
+	rr_invariant(INVARIANT,
+		     *n_members ==
+			     members->n_usable + (members->leaving ? 0 : 1));
 	return (const struct rr_member_ref *)members->usable->data;
 }
 
@@ -348,7 +362,7 @@
 
 size_t rr_members_bytes(const struct rr_members *members)
 {
-	/* An array of pointers each for table and probe order. */
+	/* One pointer each in the table and in the probe order. */
 	size_t bytes = sizeof(*members) +
 		       members->usable->len * sizeof(struct rr_member_ref);
 
--- a/source/core/members-view.c
+++ b/source/core/members-view.c
@@ -1,12 +1,15 @@
 /*
- * members-view.c - the core's copy of the usable members, what it has seen of
- * each peer, and messages to them.
+ * members-view.c - the core's copy of the usable members, its state per peer,
+ * and messages to peers.
  */
 #include "core/core-private.h"
 
-/* Instances are replaced each day under new names; this many may pile up. */
-#define SPARE_PEERS 64
-#define FORGET_PEER_US (600 * G_USEC_PER_SEC)
+/*
+ * Instances are replaced every day under new names; this many peers beyond
+ * twice the member count are kept before old ones are removed.
+ */
+#define MAX_EXTRA_PEERS 64
+#define PEER_RETENTION_US (600 * G_USEC_PER_SEC)
 
 void rr_clear_member_copies(struct rr_core *core)
 {
@@ -33,7 +36,7 @@
 	core->member_refs[i].zone_hash = member->zone_hash;
 }
 
-static void find_address(struct rr_core *core, struct rr_member_copy *copy)
+static void copy_address(struct rr_core *core, struct rr_member_copy *copy)
 {
 	const char *address = NULL;
 
@@ -58,7 +61,7 @@
 		copy_member(core, i, &members[i]);
 	core->n_members = n;
 	for (size_t i = 0; i < n; i++)
-		find_address(core, &core->member_copies[i]);
+		copy_address(core, &core->member_copies[i]);
 	core->members_generation++;
 }
 
@@ -103,17 +106,18 @@
 	rr_drop_peer_message(message);
 }
 
-static gboolean is_long_gone(gpointer key, gpointer value, gpointer data)
+static gboolean is_peer_expired(gpointer key, gpointer value, gpointer data)
 {
 	const struct rr_core *core = data;
 	const struct rr_peer *peer = value;
 
 	return !peer->relays_in_flight &&
-	       core->now_us - peer->last_contact_us > FORGET_PEER_US;
+	       core->now_us - peer->last_contact_us > PEER_RETENTION_US;
 }
 
 void rr_expire_peers(struct rr_core *core)
 {
-	if (g_hash_table_size(core->peers) > 2 * core->n_members + SPARE_PEERS)
-		g_hash_table_foreach_remove(core->peers, is_long_gone, core);
+	if (g_hash_table_size(core->peers) >
+	    2 * core->n_members + MAX_EXTRA_PEERS)
+		g_hash_table_foreach_remove(core->peers, is_peer_expired, core);
 }
--- a/source/core/owner.c
+++ b/source/core/owner.c
@@ -7,7 +7,10 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Odd numbers of no other meaning; the shifts spread high bits to low. */
+/*
+ * Arbitrary odd multipliers; the shifts in mix_weight() spread high bits to low
+ * ones.
+ */
 #define MIX_FIRST UINT64_C(0x9e3779b97f4a7c15)
 #define MIX_SECOND UINT64_C(0xbf58476d1ce4e5b9)
 
@@ -17,8 +20,8 @@
 }
 
 /*
- * The weight from two hashes: a name's is mixed with each instance's, which
- * costs a tenth of hashing both texts again for every pair.
+ * Compute the weight from two hashes: mixing the hash of the name with that of
+ * each instance costs a tenth of hashing both strings again for every pair.
  */
 static uint64_t mix_weight(uint64_t name_hash, uint64_t instance_hash)
 {
@@ -34,7 +37,10 @@
 	return mix_weight(rr_hash_name(name), rr_hash_name(instance));
 }
 
-/* Keep the k best of one more candidate, best first. */
+/*
+ * Insert a candidate into the k best, in descending order of weight. Returns
+ * the new count.
+ */
 static size_t insert_owner(size_t *owners, uint64_t *weights, size_t n,
 			   size_t k, size_t candidate, uint64_t weight)
 {
@@ -55,17 +61,17 @@
 	return n;
 }
 
-static uint64_t hash_or_stored(uint64_t stored, const char *name)
+static uint64_t get_or_compute_hash(uint64_t precomputed, const char *name)
 {
-	return stored ? stored : rr_hash_name(name);
+	return precomputed ? precomputed : rr_hash_name(name);
 }
 
-/* `zone_hash` 0: of all zones. */
-static size_t find_in_zone(const char *replica_id, uint64_t zone_hash,
+/* `zone_hash` 0: members of all zones. */
+static size_t find_in_zone(const char *name, uint64_t zone_hash,
 			   const struct rr_member_ref *members,
 			   size_t n_members, size_t k, size_t *owners)
 {
-	uint64_t replica_hash = rr_hash_name(replica_id);
+	uint64_t key_hash = rr_hash_name(name);
 	uint64_t weights[RR_MAX_OWNERS];
 	size_t n = 0;
 
@@ -73,21 +79,22 @@
 		const struct rr_member_ref *member = &members[i];
 		uint64_t weight;
 
-		if (zone_hash && zone_hash != hash_or_stored(member->zone_hash,
-							     member->zone))
+		if (zone_hash &&
+		    zone_hash != get_or_compute_hash(member->zone_hash,
+						     member->zone))
 			continue;
-		weight = mix_weight(replica_hash,
-				    hash_or_stored(member->instance_hash,
-						   member->instance));
+		weight = mix_weight(key_hash,
+				    get_or_compute_hash(member->instance_hash,
+							member->instance));
 #ifdef RR_MUTANT_OWNER_MODULO
-		weight = (i + replica_hash) % n_members;
+		weight = (i + key_hash) % n_members;
 #endif
 		n = insert_owner(owners, weights, n, k, i, weight);
 	}
 	return n;
 }
 
-size_t rr_find_owners(const char *replica_id, const char *replica_zone,
+size_t rr_find_owners(const char *name, const char *replica_zone,
 		      const struct rr_member_ref *members, size_t n_members,
 		      size_t k, size_t *owners)
 {
@@ -96,9 +103,9 @@
 	k = MIN(k, RR_MAX_OWNERS);
 	if (!k)
 		return 0;
-	n = find_in_zone(replica_id, rr_hash_name(replica_zone), members,
-			 n_members, k, owners);
+	n = find_in_zone(name, rr_hash_name(replica_zone), members, n_members,
+			 k, owners);
 	if (n)
 		return n;
-	return find_in_zone(replica_id, 0, members, n_members, k, owners);
+	return find_in_zone(name, 0, members, n_members, k, owners);
 }
