--- a/source/core/relay-reply.c
+++ b/source/core/relay-reply.c
@@ -1,38 +1,43 @@
 /*
- * relay-reply.c - an owner's reply is taken into the query that asked.
+ * relay-reply.c - merging of an owner's reply into the query.
  */
 #include "core/core-private.h"
 
 #include <string.h>
 
-/* The place of a shard's outcome in the relay; outcomes keep the order. */
-static guint find_place(const struct rr_query *query,
-			const struct rr_outgoing_relay *run, const char *shard,
-			guint guess)
+/*
+ * Return the position of a shard's task in the relay. Outcomes usually have the
+ * same order, so the search starts at `guess`. Returns the number of tasks if
+ * there is none.
+ */
+static guint find_task_position(const struct rr_query *query,
+				const struct rr_outgoing_relay *outgoing,
+				const char *shard, guint guess)
 {
-	for (guint i = 0; i < run->tasks->len; i++) {
-		guint place = (guess + i) % run->tasks->len;
-		uint32_t task = g_array_index(run->tasks, uint32_t, place);
+	for (guint i = 0; i < outgoing->tasks->len; i++) {
+		guint position = (guess + i) % outgoing->tasks->len;
+		uint32_t task =
+			g_array_index(outgoing->tasks, uint32_t, position);
 		const struct rr_shard_map *map =
 			&query->map->shards[query->tasks[task].shard];
 
 		if (!strcmp(map->config->name, shard))
-			return place;
+			return position;
 	}
-	return run->tasks->len;
+	return outgoing->tasks->len;
 }
 
-static struct rr_replica *named_replica(const struct rr_query *query,
-					const struct rr_outgoing_relay *run,
-					guint place)
+static struct rr_replica *
+get_preferred_replica(const struct rr_query *query,
+		      const struct rr_outgoing_relay *outgoing, guint position)
 {
-	uint32_t task = g_array_index(run->tasks, uint32_t, place);
-	size_t index = g_array_index(run->replicas, size_t, place);
+	uint32_t task = g_array_index(outgoing->tasks, uint32_t, position);
+	size_t index = g_array_index(outgoing->replicas, size_t, position);
 
 	return query->map->shards[query->tasks[task].shard].replicas[index];
 }
 
-static GArray *gather_ranges(const struct rr_relay_reply *reply)
+static GArray *collect_ranges(const struct rr_relay_reply *reply)
 {
 	GArray *ranges = g_array_new(FALSE, FALSE, sizeof(struct rr_key_range));
 
@@ -42,29 +47,32 @@
 	return ranges;
 }
 
-static bool rows_in_union(const struct rr_rows *rows, const GArray *ranges)
+static bool are_rows_covered(const struct rr_rows *rows, const GArray *ranges)
 {
-	struct rr_coverage *all = rr_new_coverage();
+	struct rr_coverage *coverage = rr_new_coverage();
 	size_t n = rr_count_rows(rows);
 	bool within = true;
 
 	for (guint i = 0; i < ranges->len; i++)
-		rr_add_range(all,
+		rr_add_range(coverage,
 			     g_array_index(ranges, struct rr_key_range, i));
 	for (size_t i = 0; within && i < n; i++)
-		within = rr_covers_key(all, rr_row_key(rows, i));
-	rr_drop_coverage(all);
+		within = rr_covers_key(coverage, rr_row_key(rows, i));
+	rr_drop_coverage(coverage);
 	return within;
 }
 
-/* Merge the reply's rows; false if they are not of the pin. */
+/*
+ * Merge the rows of the reply. Returns false if they do not match the version
+ * that the query is pinned to, or lie outside the reported ranges.
+ */
 static bool merge_reply(struct rr_context *ctx, struct rr_core *core,
 			struct rr_query *query,
-			const struct rr_outgoing_relay *run,
+			const struct rr_outgoing_relay *outgoing,
 			const struct rr_relay_reply *reply)
 {
-	GArray *ranges = gather_ranges(reply);
-	bool good = true;
+	GArray *ranges = collect_ranges(reply);
+	bool valid = true;
 
 	if (!ranges->len) {
 		g_array_unref(ranges);
@@ -72,27 +80,31 @@
 	}
 	if (!reply->version ||
 	    (query->pin_version && reply->version != query->pin_version))
-		good = false;
-	if (good && !rows_in_union(reply->rows, ranges))
-		good = false;
-	if (good && !query->pin_version)
+		valid = false;
+	if (valid && !are_rows_covered(reply->rows, ranges))
+		valid = false;
+	if (valid && !query->pin_version)
 		rr_pin_query(ctx, core, query, reply->version, query->pin_epoch,
 			     "first-reply");
-	if (good) {
-		bool cut = rr_count_rows(reply->rows) > run->row_limit;
+	if (valid) {
+		bool truncated =
+			rr_count_rows(reply->rows) > outgoing->row_limit;
 
-		query->has_more |= cut;
-		if (cut && query->kind == RR_LIST)
+		query->has_more |= truncated;
+		if (truncated && query->kind == RR_LIST)
 			rr_end_list_page(query, reply->rows);
 		rr_merge_rows(query, reply->rows,
 			      (const struct rr_key_range *)ranges->data,
 			      ranges->len, true, reply->version);
 	}
 	g_array_unref(ranges);
-	return good;
+	return valid;
 }
 
-/* The owner tried all it has of the shard; another zone may have more. */
+/*
+ * Mark the replicas of a zone as tried: the owner has tried all it can use
+ * there, but another zone may have more.
+ */
 static void mark_zone_tried(struct rr_query *query, struct rr_task *task,
 			    const char *zone)
 {
@@ -104,15 +116,16 @@
 	}
 }
 
-static void take_lacking(struct rr_context *ctx, struct rr_core *core,
-			 struct rr_query *query, const char *zone,
-			 uint32_t index, const struct rr_relay_outcome *outcome)
+static void handle_uncovered(struct rr_context *ctx, struct rr_core *core,
+			     struct rr_query *query, const char *zone,
+			     uint32_t index,
+			     const struct rr_relay_outcome *outcome)
 {
 	struct rr_task *task = &query->tasks[index];
-	bool other_owner =
+	bool try_other_owner =
 		outcome->not_run && outcome->reason == RR_MISSING_NO_REPLICA;
 
-	if (!other_owner)
+	if (!try_other_owner)
 		mark_zone_tried(query, task, zone);
 	if (outcome->reason == RR_MISSING_DEADLINE ||
 	    outcome->reason == RR_MISSING_MIN_COVERAGE ||
@@ -123,10 +136,10 @@
 				       outcome->not_run);
 }
 
-static void take_outcome(struct rr_context *ctx, struct rr_core *core,
-			 struct rr_query *query, const char *zone,
-			 uint32_t index, const struct rr_relay_outcome *outcome,
-			 bool good)
+static void handle_outcome(struct rr_context *ctx, struct rr_core *core,
+			   struct rr_query *query, const char *zone,
+			   uint32_t index,
+			   const struct rr_relay_outcome *outcome, bool valid)
 {
 	struct rr_task *task = &query->tasks[index];
 
@@ -138,10 +151,10 @@
 		query->n_maybe_run--;
 	}
 	if (!outcome->covered) {
-		take_lacking(ctx, core, query, zone, index, outcome);
+		handle_uncovered(ctx, core, query, zone, index, outcome);
 		return;
 	}
-	if (!good) {
+	if (!valid) {
 		mark_zone_tried(query, task, zone);
 		rr_handle_task_failure(ctx, core, query, index,
 				       RR_MISSING_VERSION, false);
@@ -158,33 +171,36 @@
 	rr_mark_task_covered(core, query, index);
 }
 
-static void take_outcomes(struct rr_context *ctx, struct rr_core *core,
-			  struct rr_query *query, struct rr_outgoing_relay *run,
-			  const struct rr_relay_reply *reply, bool good)
+static void handle_outcomes(struct rr_context *ctx, struct rr_core *core,
+			    struct rr_query *query,
+			    struct rr_outgoing_relay *outgoing,
+			    const struct rr_relay_reply *reply, bool valid)
 {
 	for (size_t i = 0; i < reply->n_outcomes; i++) {
 		const struct rr_relay_outcome *outcome = &reply->outcomes[i];
-		guint place = find_place(query, run, outcome->shard, (guint)i);
+		guint position = find_task_position(query, outgoing,
+						    outcome->shard, (guint)i);
 		uint32_t task;
 
-		if (place == run->tasks->len)
+		if (position == outgoing->tasks->len)
 			continue;
-		task = g_array_index(run->tasks, uint32_t, place);
+		task = g_array_index(outgoing->tasks, uint32_t, position);
 		rr_update_replica_versions(
-			core, named_replica(query, run, place),
+			core, get_preferred_replica(query, outgoing, position),
 			outcome->oldest_version, outcome->newest_version,
 			query->pin_epoch);
-		if (query->tasks[task].relay != run)
+		if (query->tasks[task].relay != outgoing)
 			continue;
 		if (outcome->not_run &&
 		    outcome->reason == RR_MISSING_NO_REPLICA)
-			rr_exclude_owner(query, run->instance);
-		take_outcome(ctx, core, query, run->zone, task, outcome, good);
+			rr_exclude_owner(query, outgoing->instance);
+		handle_outcome(ctx, core, query, outgoing->zone, task, outcome,
+			       valid);
 	}
 }
 
-static bool take_result(struct rr_query *query,
-			const struct rr_relay_reply *reply)
+static bool set_result(struct rr_query *query,
+		       const struct rr_relay_reply *reply)
 {
 	if (query->kind != RR_RESERVE)
 		return true;
@@ -198,41 +214,44 @@
 }
 
 static struct rr_outgoing_relay *
-match_relay(struct rr_core *core, const struct rr_peer_message *message)
+find_matching_relay(struct rr_core *core, const struct rr_peer_message *message)
 {
-	struct rr_outgoing_relay *run = g_hash_table_lookup(
+	struct rr_outgoing_relay *outgoing = g_hash_table_lookup(
 		core->relays, &message->relay_reply->query_id);
 
-	if (!run || strcmp(run->instance, message->from) ||
-	    run->incarnation != message->from_incarnation)
+	if (!outgoing || strcmp(outgoing->instance, message->from) ||
+	    outgoing->incarnation != message->from_incarnation)
 		return NULL;
-	return run;
+	return outgoing;
 }
 
 void rr_handle_relay_reply(struct rr_context *ctx, struct rr_core *core,
 			   const struct rr_peer_message *message)
 {
 	const struct rr_relay_reply *reply = message->relay_reply;
-	struct rr_outgoing_relay *run =
-		reply ? match_relay(core, message) : NULL;
+	struct rr_outgoing_relay *outgoing =
+		reply ? find_matching_relay(core, message) : NULL;
 	struct rr_query *query;
-	bool good;
+	bool valid;
 
-	/* Late, doubled, or of an owner's earlier life: not for this query. */
-	if (!run) {
+	/*
+	 * Late, duplicate, or from an earlier incarnation of the owner: does
+	 * not belong to a query.
+	 */
+	if (!outgoing) {
 		rr_count(ctx, RR_N_LATE_REPLIES, 1);
 		return;
 	}
-	query = run->query;
+	query = outgoing->query;
 	query->retry_after_ms =
 		MAX(query->retry_after_ms, reply->retry_after_ms);
 	if (query->kind == RR_RESERVE)
-		good = take_result(query, reply);
+		valid = set_result(query, reply);
 	else
-		good = merge_reply(ctx, core, query, run, reply);
-	if (!good)
+		valid = merge_reply(ctx, core, query, outgoing, reply);
+	if (!valid)
 		rr_count(ctx, RR_N_BAD_REPLIES, 1);
-	take_outcomes(ctx, core, query, run, reply, good);
-	rr_end_relay_if_complete(core, run);
+	handle_outcomes(ctx, core, query, outgoing, reply, valid);
+	rr_end_relay_if_complete(core, outgoing);
 	rr_schedule_query(core, query);
 }
--- a/source/core/relay-serve.c
+++ b/source/core/relay-serve.c
@@ -1,36 +1,44 @@
 /*
- * relay-serve.c - at the owner: a peer's shards are run as a query of ours
- * that is never relayed on, and their rows go back merged.
+ * relay-serve.c - relays at the owner.
+ *
+ * The shards that a peer requests are run as a query of this instance which is
+ * never relayed further, and their rows are sent back merged.
  */
 #include "core/core-private.h"
 
 #include <string.h>
 
-/* So long a guarded relay is remembered, to know a second copy by. */
-#define REMEMBER_US (600 * G_USEC_PER_SEC)
+/*
+ * Time that a non-idempotent relay is remembered, to detect duplicates of it.
+ */
+#define SERVED_RELAY_RETENTION_US (600 * G_USEC_PER_SEC)
 
-/* Progress is told after this part of an attempt's time-out, or sooner. */
-#define PROGRESS_PART 4
-#define LEAST_PROGRESS_US 5000
+/*
+ * Progress is reported after the time-out of an attempt divided by this, or
+ * earlier.
+ */
+#define PROGRESS_TIMEOUT_DIVISOR 4
+#define MIN_PROGRESS_US 5000
 
 struct served_relay {
 	char *name;
-	int64_t at_us;
+	int64_t received_us;
 };
 
-static char *relay_name(const struct rr_peer_message *message, uint64_t id)
+static char *format_relay_name(const struct rr_peer_message *message,
+			       uint64_t id)
 {
 	return g_strdup_printf("%s/%" G_GINT64_MODIFIER "x/%" G_GINT64_MODIFIER
 			       "x",
 			       message->from, message->from_incarnation, id);
 }
 
-static void forget_old_relays(struct rr_core *core)
+static void expire_served_relays(struct rr_core *core)
 {
 	struct served_relay *oldest;
 
 	while ((oldest = g_queue_peek_head(&core->served_relay_order)) &&
-	       core->now_us - oldest->at_us > REMEMBER_US) {
+	       core->now_us - oldest->received_us > SERVED_RELAY_RETENTION_US) {
 		g_queue_pop_head(&core->served_relay_order);
 		g_hash_table_remove(core->served_relays, oldest->name);
 		g_free(oldest->name);
@@ -49,48 +57,51 @@
 	g_hash_table_destroy(core->served_relays);
 }
 
-/* It may run once only: the peer holds the claim for it. */
-static bool is_guarded_relay(const struct rr_relay *relay)
+/*
+ * Return whether the relay may run only once: the peer holds the claim for it.
+ */
+static bool is_at_most_once_relay(const struct rr_relay *relay)
 {
 	return relay->kind == RR_RESERVE || relay->idempotency_key;
 }
 
 /*
- * Whether the relay was taken before.  A message can come twice; a
- * reservation run for each copy would be two reservations under one claim.
- * Reads are remembered only while they run: a second run of one is no harm.
+ * Return whether the relay was received before. A message can arrive twice; a
+ * reservation that ran for each copy would be two reservations under one claim.
+ * Reads are remembered only while they run, since running one twice is
+ * harmless.
  */
-static bool seen_before(struct rr_core *core,
-			const struct rr_peer_message *message)
+static bool is_duplicate_relay(struct rr_core *core,
+			       const struct rr_peer_message *message)
 {
 	struct served_relay *entry;
-	char *name = relay_name(message, message->relay->query_id);
+	char *name = format_relay_name(message, message->relay->query_id);
 
-	forget_old_relays(core);
+	expire_served_relays(core);
 #ifdef RR_MUTANT_RELAY_TWICE
-	g_hash_table_remove_all(core->served);
-	g_hash_table_remove_all(core->origins);
+	g_hash_table_remove_all(core->served_relays);
+	g_hash_table_remove_all(core->relay_origins);
 #endif
 	if (g_hash_table_contains(core->served_relays, name) ||
 	    g_hash_table_contains(core->relay_origins, name)) {
 		g_free(name);
 		return true;
 	}
-	if (!is_guarded_relay(message->relay)) {
+	if (!is_at_most_once_relay(message->relay)) {
 		g_free(name);
 		return false;
 	}
 	entry = g_new(struct served_relay, 1);
 	entry->name = name;
-	entry->at_us = core->now_us;
+	entry->received_us = core->now_us;
 	g_queue_push_tail(&core->served_relay_order, entry);
 	g_hash_table_add(core->served_relays, name);
 	return false;
 }
 
-static struct rr_peer_message *start_reply(const struct rr_core *core,
-					   uint64_t incarnation, uint64_t id,
-					   size_t n_outcomes)
+static struct rr_peer_message *new_relay_reply(const struct rr_core *core,
+					       uint64_t incarnation,
+					       uint64_t id, size_t n_outcomes)
 {
 	struct rr_peer_message *message =
 		rr_prepare_peer_message(core, RR_PEER_RELAY_REPLY);
@@ -104,16 +115,19 @@
 	return message;
 }
 
-/* Nothing was sent for any shard, and the peer is told so at once. */
-static void refuse_relay(struct rr_context *ctx, struct rr_core *core,
+/*
+ * Reject a relay: no attempt was sent for any shard, and the peer is notified
+ * immediately.
+ */
+static void reject_relay(struct rr_context *ctx, struct rr_core *core,
 			 const struct rr_peer_message *message,
 			 const char *address, enum rr_missing_reason reason,
-			 uint32_t retry_after_ms, const char *why)
+			 uint32_t retry_after_ms, const char *reject_reason)
 {
 	const struct rr_relay *relay = message->relay;
 	struct rr_peer_message *reply =
-		start_reply(core, message->from_incarnation, relay->query_id,
-			    relay->n_shards);
+		new_relay_reply(core, message->from_incarnation,
+				relay->query_id, relay->n_shards);
 
 	reply->relay_reply->retry_after_ms = retry_after_ms;
 	for (size_t i = 0; i < relay->n_shards; i++) {
@@ -127,15 +141,18 @@
 	rr_log(ctx, RR_LOG_DECISION, "refuse-relay",
 	       RR_FIELD_STRING("request", relay->request_id),
 	       RR_FIELD_STRING("peer", message->from),
-	       RR_FIELD_STRING("reason", why));
+	       RR_FIELD_STRING("reason", reject_reason));
 	rr_send_peer_message(ctx, core, message->from, address, reply);
 }
 
-/* Only these of the relay's shards are run: the ones known here. */
+/*
+ * Add tasks for the shards of the relay that this instance knows; the others
+ * are recorded in unknown_shards.
+ */
 static void add_known_shards(struct rr_query *query,
 			     const struct rr_relay *relay)
 {
-	/* Shards come in the map's order: the next is not far. */
+	/* Shards are listed in the order of the map: the next one is close. */
 	size_t guess = 0;
 
 	for (size_t i = 0; i < relay->n_shards; i++) {
@@ -162,23 +179,26 @@
 	}
 }
 
-/* Well before the peer would take this owner for dead. */
-static int64_t progress_after_us(const struct rr_query *query)
+/*
+ * Return the delay before progress is reported, well before the peer would
+ * consider this owner dead.
+ */
+static int64_t progress_delay_us(const struct rr_query *query)
 {
 	const struct rr_service_config *config = query->map->service;
-	int64_t latest_us =
-		(int64_t)config->attempt_timeout_ms * (1000 / PROGRESS_PART);
-	int64_t usual_us =
+	int64_t delay_us = (int64_t)config->attempt_timeout_ms *
+			   (1000 / PROGRESS_TIMEOUT_DIVISOR);
+	int64_t typical_us =
 		rr_sketch_quantile_us(&query->service->latencies, 0.95);
 
-	if (usual_us)
-		latest_us = MIN(latest_us, 2 * usual_us);
-	return MAX(latest_us, LEAST_PROGRESS_US);
+	if (typical_us)
+		delay_us = MIN(delay_us, 2 * typical_us);
+	return MAX(delay_us, MIN_PROGRESS_US);
 }
 
-static void run_relay(struct rr_context *ctx, struct rr_core *core,
-		      const struct rr_peer_message *message,
-		      const char *address, struct rr_service *service)
+static void start_relayed_query(struct rr_context *ctx, struct rr_core *core,
+				const struct rr_peer_message *message,
+				const char *address, struct rr_service *service)
 {
 	const struct rr_relay *relay = message->relay;
 	struct rr_request request = {
@@ -207,16 +227,17 @@
 	add_known_shards(query, relay);
 	if (!query->at_most_once)
 		rr_set_timer(core->timers,
-			     core->now_us + progress_after_us(query),
+			     core->now_us + progress_delay_us(query),
 			     RR_TIMER_PROGRESS, query->id, 0);
 	g_hash_table_insert(core->relay_origins,
-			    relay_name(message, relay->query_id), &query->id);
+			    format_relay_name(message, relay->query_id),
+			    &query->id);
 	rr_schedule_query(core, query);
 }
 
-static const char *refuse_outright(const struct rr_core *core,
-				   const struct rr_peer_message *message,
-				   const struct rr_service *service)
+static const char *find_reject_reason(const struct rr_core *core,
+				      const struct rr_peer_message *message,
+				      const struct rr_service *service)
 {
 	if (core->draining)
 		return "stopping";
@@ -224,9 +245,9 @@
 		return "unknown-service";
 	/*
 	 * A message queued for an instance that died reaches its replacement,
-	 * which can't know whether the reservation ran before.
+	 * which cannot know whether the reservation ran before.
 	 */
-	if (is_guarded_relay(message->relay) && !message->to_incarnation)
+	if (is_at_most_once_relay(message->relay) && !message->to_incarnation)
 		return "no-incarnation";
 	return NULL;
 }
@@ -236,12 +257,12 @@
 {
 	const struct rr_relay *relay = message->relay;
 	const char *address;
-	const char *why;
+	const char *reject_reason;
 	uint64_t incarnation;
 	uint32_t retry_after_ms = 0;
 	struct rr_service *service;
 
-	if (!relay || !relay->service || seen_before(core, message)) {
+	if (!relay || !relay->service || is_duplicate_relay(core, message)) {
 		rr_count(ctx, RR_N_PEER_MESSAGES_STALE, 1);
 		return;
 	}
@@ -250,27 +271,27 @@
 		address = "";
 	rr_count(ctx, RR_N_RELAYS_RECEIVED, 1);
 	service = rr_find_service_state(core, relay->service);
-	why = refuse_outright(core, message, service);
-	if (why) {
-		refuse_relay(ctx, core, message, address, RR_MISSING_NO_REPLICA,
-			     0, why);
+	reject_reason = find_reject_reason(core, message, service);
+	if (reject_reason) {
+		reject_relay(ctx, core, message, address, RR_MISSING_NO_REPLICA,
+			     0, reject_reason);
 		return;
 	}
-	why = rr_check_query_admission(core, service,
-				       relay->batch ? RR_BATCH : RR_INTERACTIVE,
-				       relay->remaining_ms, &retry_after_ms);
-	if (why) {
-		refuse_relay(ctx, core, message, address, RR_MISSING_SHED,
-			     retry_after_ms, why);
+	reject_reason = rr_check_query_admission(
+		core, service, relay->batch ? RR_BATCH : RR_INTERACTIVE,
+		relay->remaining_ms, &retry_after_ms);
+	if (reject_reason) {
+		reject_relay(ctx, core, message, address, RR_MISSING_SHED,
+			     retry_after_ms, reject_reason);
 		return;
 	}
-	run_relay(ctx, core, message, address, service);
+	start_relayed_query(ctx, core, message, address, service);
 }
 
 void rr_handle_relay_cancel(struct rr_context *ctx, struct rr_core *core,
 			    const struct rr_peer_message *message)
 {
-	char *name = relay_name(message, message->cancel_query_id);
+	char *name = format_relay_name(message, message->cancel_query_id);
 	uint64_t *id = g_hash_table_lookup(core->relay_origins, name);
 	struct rr_query *query = id ? rr_find_query(core, *id) : NULL;
 
@@ -289,7 +310,7 @@
 		.from = query->origin,
 		.from_incarnation = query->origin_incarnation,
 	};
-	char *name = relay_name(&sender, query->origin_query_id);
+	char *name = format_relay_name(&sender, query->origin_query_id);
 
 	g_hash_table_remove(core->relay_origins, name);
 	g_free(name);
@@ -310,7 +331,9 @@
 	}
 }
 
-/* The ranges really covered by replies to the task, within what was asked. */
+/*
+ * Set the ranges that replies to the task covered, within the requested range.
+ */
 static void fill_ranges(const struct rr_query *query,
 			const struct rr_task *task,
 			struct rr_relay_outcome *outcome)
@@ -352,7 +375,7 @@
 	fill_ranges(query, task, outcome);
 }
 
-static struct rr_rows *merged_rows(const struct rr_query *query)
+static struct rr_rows *build_merged_rows(const struct rr_query *query)
 {
 	GArray *sorted = rr_sorted_rows(query, query->row_limit);
 	struct rr_rows *rows = rr_new_rows();
@@ -370,8 +393,8 @@
 	return rows;
 }
 
-static void fill_unknown(const struct rr_query *query,
-			 struct rr_relay_outcome *outcomes)
+static void fill_unknown_shards(const struct rr_query *query,
+				struct rr_relay_outcome *outcomes)
 {
 	for (guint i = 0; i < query->unknown_shards->len; i++) {
 		outcomes[i].shard =
@@ -381,9 +404,12 @@
 	}
 }
 
-/* Fill in the outcomes not told yet; of unsettled tasks only if `last`. */
+/*
+ * Fill in the outcomes not sent yet; those of unfinished tasks only if
+ * `is_final`.
+ */
 static void fill_outcomes(const struct rr_core *core, struct rr_query *query,
-			  struct rr_relay_reply *reply, bool last)
+			  struct rr_relay_reply *reply, bool is_final)
 {
 	size_t n = 0;
 
@@ -391,37 +417,40 @@
 		struct rr_task *task = &query->tasks[i];
 
 		if (task->outcome_sent ||
-		    (!last && task->status != RR_TASK_COVERED))
+		    (!is_final && task->status != RR_TASK_COVERED))
 			continue;
 		fill_outcome(core, query, task, &reply->outcomes[n++]);
 		task->outcome_sent = true;
 	}
-	if (last) {
-		fill_unknown(query, &reply->outcomes[n]);
+	if (is_final) {
+		fill_unknown_shards(query, &reply->outcomes[n]);
 		n += query->unknown_shards->len;
 	}
 	reply->n_outcomes = n;
 }
 
 static struct rr_peer_message *make_reply(const struct rr_core *core,
-					  struct rr_query *query, bool last)
+					  struct rr_query *query, bool is_final)
 {
-	struct rr_peer_message *message = start_reply(
+	struct rr_peer_message *message = new_relay_reply(
 		core, query->origin_incarnation, query->origin_query_id,
 		query->n_tasks + query->unknown_shards->len);
 	struct rr_relay_reply *reply = message->relay_reply;
 
 	reply->version = query->kind == RR_RESERVE ? query->result_version :
 						     query->pin_version;
-	reply->rows = merged_rows(query);
+	reply->rows = build_merged_rows(query);
 	reply->result = g_strdup(query->result);
 	reply->retry_after_ms = query->retry_after_ms;
-	fill_outcomes(core, query, reply, last);
+	fill_outcomes(core, query, reply, is_final);
 	return message;
 }
 
-/* Rows of a task with a hole can't go before its outcome does. */
-static bool has_part_rows(const struct rr_query *query)
+/*
+ * Return whether there are rows of a partly covered task; they must not be sent
+ * before the outcome of the task.
+ */
+static bool has_partial_rows(const struct rr_query *query)
 {
 	for (size_t i = 0; i < query->n_tasks; i++) {
 		if (query->tasks[i].status != RR_TASK_COVERED &&
@@ -432,9 +461,9 @@
 }
 
 /*
- * Some shard is slow: tell what is covered so far, be it nothing.  Guards
- * against one straggler holding back all the rest, and against the peer
- * taking a busy owner for a dead one and sending all of it elsewhere.
+ * Report what is covered so far, even if nothing, when a shard is slow. Guards
+ * against one slow shard delaying all others, and against the peer considering
+ * a busy owner dead and sending all of its shards elsewhere.
  */
 void rr_send_relay_progress(struct rr_context *ctx, struct rr_core *core,
 			    struct rr_query *query)
@@ -443,9 +472,9 @@
 
 	if (query->stage != RR_QUERY_RUNNING || !query->origin)
 		return;
-	if (has_part_rows(query)) {
-		message = start_reply(core, query->origin_incarnation,
-				      query->origin_query_id, 0);
+	if (has_partial_rows(query)) {
+		message = new_relay_reply(core, query->origin_incarnation,
+					  query->origin_query_id, 0);
 	} else {
 		message = make_reply(core, query, false);
 		rr_clear_row_blocks(query);
