--- a/tests/support/member-net.c
+++ b/tests/support/member-net.c
@@ -1,5 +1,5 @@
 /*
- * member-net.c - the message queue and the clock of memberships under test.
+ * member-net.c - event queue and virtual clock for memberships under test.
  */
 #include "member-net.h"
 
@@ -8,7 +8,7 @@
 #include "ragwort/invariant.h"
 #include "ragwort/wire.h"
 
-/* A tick of a node or a message on its way. */
+/* A tick of a node or a message in transit. */
 struct net_event {
 	int64_t at_us;
 	guint node;
@@ -87,8 +87,8 @@
 	return net->nodes->pdata[index];
 }
 
-static struct net_node *find_by_address(struct member_net *net,
-					const char *address)
+static struct net_node *find_node_by_address(struct member_net *net,
+					     const char *address)
 {
 	guint zone;
 	guint high;
@@ -99,15 +99,16 @@
 	return node_at(net, high * 256 + low);
 }
 
-static bool is_cut(const struct member_net *net, const struct net_node *node)
+static bool is_isolated(const struct member_net *net,
+			const struct net_node *node)
 {
 	return node->index < 32 && (net->isolated_nodes >> node->index & 1);
 }
 
-static bool reaches(const struct member_net *net, const struct net_node *from,
-		    const struct net_node *to)
+static bool can_reach(const struct member_net *net, const struct net_node *from,
+		      const struct net_node *to)
 {
-	if (is_cut(net, from) || is_cut(net, to))
+	if (is_isolated(net, from) || is_isolated(net, to))
 		return false;
 	if (net->blocked_to && from == net->blocked_from &&
 	    to == net->blocked_to)
@@ -121,10 +122,11 @@
 static void send_copy(struct member_net *net, const struct net_node *from,
 		      const struct net_node *to, GBytes *bytes)
 {
-	int64_t spread = net->max_delay_us - net->min_delay_us;
+	int64_t delay_range_us = net->max_delay_us - net->min_delay_us;
 	struct net_event event = {
 		.at_us = net->now_us + net->min_delay_us +
-			 (int64_t)(g_rand_double(net->random) * (double)spread),
+			 (int64_t)(g_rand_double(net->random) *
+				   (double)delay_range_us),
 		.node = to->index,
 		.from = from->index,
 	};
@@ -140,7 +142,7 @@
 {
 	struct net_node *from = data;
 	struct member_net *net = from->net;
-	struct net_node *to = find_by_address(net, address);
+	struct net_node *to = find_node_by_address(net, address);
 	GBytes *bytes = rr_encode_peer_message(message);
 
 	(void)instance;
@@ -155,7 +157,7 @@
 			MAX(net->max_sync_updates, message->n_updates);
 	else
 		net->max_updates = MAX(net->max_updates, message->n_updates);
-	if (to && reaches(net, from, to)) {
+	if (to && can_reach(net, from, to)) {
 		send_copy(net, from, to, bytes);
 		if (g_rand_double(net->random) < net->duplicate_rate)
 			send_copy(net, from, to, bytes);
@@ -230,9 +232,9 @@
 	node->members = NULL;
 }
 
-void pause_node(struct net_node *node, int64_t for_us)
+void pause_node(struct net_node *node, int64_t duration_us)
 {
-	node->paused_until_us = node->net->now_us + for_us;
+	node->paused_until_us = node->net->now_us + duration_us;
 }
 
 static void deliver(struct net_node *node, const struct net_event *event)
@@ -245,8 +247,9 @@
 
 	message = rr_decode_peer_message(bytes, length, &error);
 	if (!message)
-		g_error("a member's message is refused: %s", error->message);
-	if (reaches(net, node_at(net, event->from), node))
+		g_error("message of a member cannot be decoded: %s",
+			error->message);
+	if (can_reach(net, node_at(net, event->from), node))
 		rr_handle_member_message(net->ctx, node->members, net->now_us,
 					 message);
 	rr_drop_peer_message(message);
@@ -259,7 +262,7 @@
 	struct net_node *node = node_at(net, event->node);
 
 	if (node->members && node->paused_until_us > net->now_us) {
-		/* It lies in the socket until the process runs again. */
+		/* The event stays in the socket until the process resumes. */
 		event->at_us = node->paused_until_us;
 		push_event(net->events, event->at_us, run_event, event);
 		return;
@@ -276,22 +279,22 @@
 		schedule(node);
 }
 
-void run_net(struct member_net *net, int64_t for_us)
+void run_net(struct member_net *net, int64_t duration_us)
 {
-	int64_t until_us = net->now_us + for_us;
+	int64_t until_us = net->now_us + duration_us;
 
 	while (next_event_us(net->events) <= until_us)
 		run_next_event(net->events, &net->now_us, net);
 	net->now_us = until_us;
 }
 
-static bool is_expected(const struct net_node *node)
+static bool is_live(const struct net_node *node)
 {
 	return node->members && !node->leaving;
 }
 
-static bool node_agrees(const struct member_net *net,
-			const struct net_node *node)
+static bool has_node_converged(const struct member_net *net,
+			       const struct net_node *node)
 {
 	size_t n;
 	const struct rr_member_ref *refs = rr_usable_members(node->members, &n);
@@ -303,7 +306,7 @@
 		const char *address;
 		uint64_t incarnation;
 
-		if (!is_expected(other))
+		if (!is_live(other))
 			continue;
 		expected++;
 		if (!rr_find_member(node->members, other->instance, &address,
@@ -319,24 +322,24 @@
 	for (guint i = 0; i < net->nodes->len; i++) {
 		const struct net_node *node = node_at(net, i);
 
-		if (is_expected(node) && !node_agrees(net, node))
+		if (is_live(node) && !has_node_converged(net, node))
 			return false;
 	}
 	return true;
 }
 
-int64_t run_until_converged(struct member_net *net, int64_t limit_us)
+int64_t run_until_converged(struct member_net *net, int64_t timeout_us)
 {
 	int64_t start_us = net->now_us;
 
 	for (;;) {
-		clock_t before_check = clock();
-		bool agreed = net_has_converged(net);
+		clock_t check_start = clock();
+		bool converged = net_has_converged(net);
 
-		net->check_cpu += clock() - before_check;
-		if (agreed)
+		net->check_cpu += clock() - check_start;
+		if (converged)
 			return net->now_us - start_us;
-		if (net->now_us - start_us >= limit_us)
+		if (net->now_us - start_us >= timeout_us)
 			return -1;
 		run_net(net, NET_SECOND / 4);
 	}
--- a/tests/test-ledger-random.c
+++ b/tests/test-ledger-random.c
@@ -1,9 +1,10 @@
 /*
  * test-ledger-random.c - two ledgers on one store in virtual time, with
- * crashes, freezes, clock steps and every fate of a store call.
+ * crashes, pauses, clock steps and all outcomes of a store call.
  *
- * The checks look at what the fake upstream ran and at what the store holds,
- * never at the ledgers' own word.  `--seed N --steps N` repeats one run.
+ * The checks compare the executions at the fake upstream with the contents of
+ * the store and do not rely on the ledgers' own state. `--seed N --steps N`
+ * repeats one run.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -22,19 +23,21 @@
 #define INSTANCES 2
 #define BUCKETS 2
 #define RETENTION_S 600
-/* All keys take their turn within 24 minutes, just past what is kept. */
+/*
+ * All keys are used within 24 minutes, slightly longer than entries are kept.
+ */
 #define SLICE_S 1
 #define SLICES 1440
 #define TIMEOUT_MS 200
 #define RECENT_IDS 12
-#define MAX_FREEZE_US 30000000
+#define MAX_PAUSE_US 30000000
 #define WALL_START_US (1700000000 * (int64_t)G_USEC_PER_SEC)
 
-/* What the fake upstream and the test know of one request id. */
+/* State of one request id at the fake upstream and in the test. */
 struct request {
 	char *id;
 	uint32_t runs;
-	uint32_t holders; /* told "ours" and not released */
+	uint32_t holders; /* claims acquired and not released */
 	bool recorded;
 };
 
@@ -42,55 +45,55 @@
 	uint64_t claim;
 	struct request *request;
 	uint64_t fingerprint;
-	bool told;
+	bool reported;
 	enum rr_claim_status status;
 	const char *reason; /* static */
 };
 
-struct held_reply {
+struct queued_reply {
 	struct rr_store_reply reply;
 	char *value;
 };
 
 struct instance {
-	struct world *world;
+	struct simulation *simulation;
 	char name[8];
 	struct rr_context *ctx;
 	struct rr_ledger *ledger;
 	struct fake_client *client;
 	uint64_t incarnation;
 	uint64_t next_call_id;
-	int64_t frozen_until_us;
+	int64_t paused_until_us;
 	int64_t clock_error_us;
-	GHashTable *submissions; /* claim to struct submission */
-	GQueue running;		 /* submissions told "ours" */
-	GQueue replies;		 /* struct held_reply, while frozen */
+	GHashTable *submissions; /* claim id to struct submission */
+	GQueue acquired;	 /* struct submission, acquired */
+	GQueue replies;		 /* struct queued_reply, while paused */
 };
 
-struct world {
+struct simulation {
 	GRand *random;
 	struct fake_store *store;
 	struct instance instances[INSTANCES];
 	GPtrArray *requests;
 	GPtrArray *clients;
-	uint64_t told[RR_CLAIM_UNRESOLVED + 1];
+	uint64_t outcomes[RR_CLAIM_UNRESOLVED + 1];
 	uint64_t crashes;
-	uint64_t freezes;
+	uint64_t pauses;
 	uint64_t late_effects;
 };
 
-static int draw(struct world *world, int limit)
+static int random_below(struct simulation *simulation, int limit)
 {
-	return g_rand_int_range(world->random, 0, limit);
+	return g_rand_int_range(simulation->random, 0, limit);
 }
 
 static int64_t wall_us(const struct instance *instance)
 {
-	return WALL_START_US + instance->world->store->now_us +
+	return WALL_START_US + instance->simulation->store->now_us +
 	       instance->clock_error_us;
 }
 
-static void take_claimed(void *data, const struct rr_claim_result *result)
+static void handle_claimed(void *data, const struct rr_claim_result *result)
 {
 	struct instance *instance = data;
 	struct submission *submission;
@@ -99,16 +102,16 @@
 	submission =
 		g_hash_table_lookup(instance->submissions, &result->claim_id);
 	assert_non_null(submission);
-	assert_false(submission->told);
-	submission->told = true;
+	assert_false(submission->reported);
+	submission->reported = true;
 	submission->status = result->status;
 	submission->reason = result->reason;
-	instance->world->told[result->status]++;
+	instance->simulation->outcomes[result->status]++;
 	if (result->status == RR_CLAIM_ACQUIRED) {
 		assert_int_equal(submission->request->holders, 0);
 		assert_int_equal(submission->request->runs, 0);
 		submission->request->holders++;
-		g_queue_push_tail(&instance->running, submission);
+		g_queue_push_tail(&instance->acquired, submission);
 	} else if (result->status == RR_CLAIM_DONE) {
 		expected = g_strdup_printf("\"%s\"", submission->request->id);
 		assert_int_equal(submission->request->runs, 1);
@@ -118,31 +121,32 @@
 	}
 }
 
-static bool is_frozen(const struct instance *instance)
+static bool is_paused(const struct instance *instance)
 {
-	return instance->frozen_until_us > instance->world->store->now_us;
+	return instance->paused_until_us > instance->simulation->store->now_us;
 }
 
-static void take_reply(void *data, const struct rr_store_reply *reply)
+static void handle_store_reply(void *data, const struct rr_store_reply *reply)
 {
 	struct instance *instance = data;
-	struct held_reply *held;
+	struct queued_reply *queued;
 
-	if (!is_frozen(instance) && !instance->replies.length) {
+	if (!is_paused(instance) && !instance->replies.length) {
 		rr_handle_ledger_reply(instance->ctx, instance->ledger,
-				       instance->world->store->now_us, reply);
+				       instance->simulation->store->now_us,
+				       reply);
 		return;
 	}
-	held = g_new(struct held_reply, 1);
-	held->reply = *reply;
-	held->value = g_memdup2(reply->value, reply->length);
-	held->reply.value = held->value;
-	g_queue_push_tail(&instance->replies, held);
+	queued = g_new(struct queued_reply, 1);
+	queued->reply = *reply;
+	queued->value = g_memdup2(reply->value, reply->length);
+	queued->reply.value = queued->value;
+	g_queue_push_tail(&instance->replies, queued);
 }
 
 static void start_instance(struct instance *instance)
 {
-	struct world *world = instance->world;
+	struct simulation *simulation = instance->simulation;
 	struct fake_client *client = g_new0(struct fake_client, 1);
 	struct rr_ledger_options options = {
 		.instance = instance->name,
@@ -151,15 +155,15 @@
 		.time_slice_s = SLICE_S,
 		.retention_s = RETENTION_S,
 		.call_timeout_ms = TIMEOUT_MS,
-		.claimed = take_claimed,
+		.claimed = handle_claimed,
 		.data = instance,
 		.next_call_id = &instance->next_call_id,
 	};
 
-	client->store = world->store;
-	client->reply = take_reply;
+	client->store = simulation->store;
+	client->reply = handle_store_reply;
 	client->data = instance;
-	g_ptr_array_add(world->clients, client);
+	g_ptr_array_add(simulation->clients, client);
 	instance->client = client;
 	options.store = fake_client_port(client);
 	instance->ledger = rr_new_ledger(instance->ctx, &options);
@@ -167,22 +171,22 @@
 		g_int64_hash, g_int64_equal, NULL, g_free);
 }
 
-static void free_held(gpointer data)
+static void free_queued_reply(gpointer data)
 {
-	struct held_reply *held = data;
+	struct queued_reply *queued = data;
 
-	g_free(held->value);
-	g_free(held);
+	g_free(queued->value);
+	g_free(queued);
 }
 
 static void stop_instance(struct instance *instance)
 {
 	instance->client->reply = NULL;
-	instance->frozen_until_us = 0;
+	instance->paused_until_us = 0;
 	rr_drop_ledger(instance->ledger);
 	g_hash_table_destroy(instance->submissions);
-	g_queue_clear(&instance->running);
-	g_queue_clear_full(&instance->replies, free_held);
+	g_queue_clear(&instance->acquired);
+	g_queue_clear_full(&instance->replies, free_queued_reply);
 }
 
 static void free_request(gpointer data)
@@ -193,246 +197,262 @@
 	g_free(request);
 }
 
-static struct world *new_world(uint32_t seed)
+static struct simulation *new_simulation(uint32_t seed)
 {
-	struct world *world = g_new0(struct world, 1);
+	struct simulation *simulation = g_new0(struct simulation, 1);
 
-	world->random = g_rand_new_with_seed(seed);
-	world->store = new_fake_store(seed + 1);
-	world->store->max_late_us = 3000000;
-	world->requests = g_ptr_array_new_with_free_func(free_request);
-	world->clients = g_ptr_array_new_with_free_func(g_free);
+	simulation->random = g_rand_new_with_seed(seed);
+	simulation->store = new_fake_store(seed + 1);
+	simulation->store->max_late_us = 3000000;
+	simulation->requests = g_ptr_array_new_with_free_func(free_request);
+	simulation->clients = g_ptr_array_new_with_free_func(g_free);
 	for (int i = 0; i < INSTANCES; i++) {
-		struct instance *instance = &world->instances[i];
+		struct instance *instance = &simulation->instances[i];
 		struct rr_context_options options = { .seed = seed + 2 + i };
 
-		instance->world = world;
+		instance->simulation = simulation;
 		g_snprintf(instance->name, sizeof(instance->name), "i-%d", i);
 		instance->ctx = rr_new_context(&options);
 		instance->next_call_id = 1;
 		start_instance(instance);
 	}
-	return world;
+	return simulation;
 }
 
-static void drop_world(struct world *world)
+static void drop_simulation(struct simulation *simulation)
 {
 	for (int i = 0; i < INSTANCES; i++) {
-		stop_instance(&world->instances[i]);
-		rr_drop_context(world->instances[i].ctx);
+		stop_instance(&simulation->instances[i]);
+		rr_drop_context(simulation->instances[i].ctx);
 	}
-	drop_fake_store(world->store);
-	g_ptr_array_unref(world->requests);
-	g_ptr_array_unref(world->clients);
-	g_rand_free(world->random);
-	g_free(world);
+	drop_fake_store(simulation->store);
+	g_ptr_array_unref(simulation->requests);
+	g_ptr_array_unref(simulation->clients);
+	g_rand_free(simulation->random);
+	g_free(simulation);
 }
 
-static void thaw_instance(struct instance *instance)
+static void resume_instance(struct instance *instance)
 {
-	struct held_reply *held;
-	int64_t now_us = instance->world->store->now_us;
+	struct queued_reply *queued;
+	int64_t now_us = instance->simulation->store->now_us;
 
-	/* A process that wakes up sees its timers and replies in any order. */
-	if (draw(instance->world, 2))
+	/* A process that resumes sees its timers and replies in any order. */
+	if (random_below(instance->simulation, 2))
 		rr_tick_ledger(instance->ctx, instance->ledger, now_us);
-	while ((held = g_queue_pop_head(&instance->replies))) {
+	while ((queued = g_queue_pop_head(&instance->replies))) {
 		rr_handle_ledger_reply(instance->ctx, instance->ledger, now_us,
-				       &held->reply);
-		free_held(held);
+				       &queued->reply);
+		free_queued_reply(queued);
 	}
 }
 
 static void tick_instance(struct instance *instance)
 {
-	int64_t now_us = instance->world->store->now_us;
+	int64_t now_us = instance->simulation->store->now_us;
 
-	if (is_frozen(instance))
+	if (is_paused(instance))
 		return;
 	if (instance->replies.length)
-		thaw_instance(instance);
+		resume_instance(instance);
 	if (rr_ledger_wake_us(instance->ledger) <= now_us)
 		rr_tick_ledger(instance->ctx, instance->ledger, now_us);
 }
 
-static int64_t next_due_us(struct world *world)
+static int64_t next_due_us(struct simulation *simulation)
 {
-	int64_t due_us = fake_store_due_us(world->store);
+	int64_t due_us = fake_store_due_us(simulation->store);
 
 	for (int i = 0; i < INSTANCES; i++) {
-		struct instance *instance = &world->instances[i];
+		struct instance *instance = &simulation->instances[i];
 		int64_t wake_us = rr_ledger_wake_us(instance->ledger);
 
-		wake_us = MAX(wake_us, instance->frozen_until_us);
+		wake_us = MAX(wake_us, instance->paused_until_us);
 		if (instance->replies.length)
-			wake_us = instance->frozen_until_us;
+			wake_us = instance->paused_until_us;
 		due_us = MIN(due_us, wake_us);
 	}
 	return due_us;
 }
 
-static void advance(struct world *world, int64_t until_us)
+static void advance(struct simulation *simulation, int64_t until_us)
 {
-	while (next_due_us(world) <= until_us) {
-		int64_t due_us = next_due_us(world);
+	while (next_due_us(simulation) <= until_us) {
+		int64_t due_us = next_due_us(simulation);
 
-		if (fake_store_due_us(world->store) <= due_us)
-			run_fake_store_event(world->store);
-		world->store->now_us = MAX(world->store->now_us, due_us);
+		if (fake_store_due_us(simulation->store) <= due_us)
+			run_fake_store_event(simulation->store);
+		simulation->store->now_us =
+			MAX(simulation->store->now_us, due_us);
 		for (int i = 0; i < INSTANCES; i++)
-			tick_instance(&world->instances[i]);
+			tick_instance(&simulation->instances[i]);
 	}
-	world->store->now_us = MAX(world->store->now_us, until_us);
+	simulation->store->now_us = MAX(simulation->store->now_us, until_us);
 	for (int i = 0; i < INSTANCES; i++)
-		tick_instance(&world->instances[i]);
+		tick_instance(&simulation->instances[i]);
 }
 
-static struct request *pick_request(struct world *world)
+static struct request *pick_request(struct simulation *simulation)
 {
 	struct request *request;
-	GPtrArray *requests = world->requests;
-	int64_t made_s =
-		(WALL_START_US + world->store->now_us) / G_USEC_PER_SEC;
+	GPtrArray *requests = simulation->requests;
+	int64_t created_s =
+		(WALL_START_US + simulation->store->now_us) / G_USEC_PER_SEC;
 
-	/* Mostly a recent id, at times an old one, long pruned. */
-	if (requests->len && draw(world, 3)) {
+	/* Usually a recent id, sometimes an old one whose entry was pruned. */
+	if (requests->len && random_below(simulation, 3)) {
 		int recent = (int)MIN(requests->len, RECENT_IDS);
-		int back = draw(world,
-				draw(world, 8) ? recent : (int)requests->len);
+		int age = random_below(simulation, random_below(simulation, 8) ?
+							   recent :
+							   (int)requests->len);
 
-		return requests->pdata[requests->len - 1 - back];
+		return requests->pdata[requests->len - 1 - age];
 	}
 	request = g_new0(struct request, 1);
 	request->id = g_strdup_printf("%" G_GINT64_FORMAT "-request-%u",
-				      made_s - draw(world, 60), requests->len);
+				      created_s - random_below(simulation, 60),
+				      requests->len);
 	g_ptr_array_add(requests, request);
 	return request;
 }
 
-static void submit(struct world *world, struct instance *instance)
+static void submit(struct simulation *simulation, struct instance *instance)
 {
 	struct submission *submission = g_new0(struct submission, 1);
 
-	submission->request = pick_request(world);
-	submission->fingerprint = draw(world, 50) ? 1 : 2;
+	submission->request = pick_request(simulation);
+	submission->fingerprint = random_below(simulation, 50) ? 1 : 2;
 	submission->claim = rr_claim_request_id(
-		instance->ctx, instance->ledger, world->store->now_us,
+		instance->ctx, instance->ledger, simulation->store->now_us,
 		wall_us(instance), "invoicing", submission->request->id,
 		submission->fingerprint);
 	g_hash_table_insert(instance->submissions, &submission->claim,
 			    submission);
 }
 
-/* The holder of a claim acts on it: it ran, was refused, or nobody knows. */
-static void act(struct world *world, struct instance *instance)
+/*
+ * Finish an acquired claim: the request ran, was rejected, or its outcome is
+ * unknown.
+ */
+static void finish_claim(struct simulation *simulation,
+			 struct instance *instance)
 {
-	struct submission *submission = g_queue_pop_head(&instance->running);
+	struct submission *submission = g_queue_pop_head(&instance->acquired);
 	struct request *request;
 	char *result;
 
 	if (!submission)
 		return;
 	request = submission->request;
-	if (!draw(world, 4)) {
+	if (!random_below(simulation, 4)) {
 		request->holders--;
 		rr_release_claim(instance->ctx, instance->ledger,
-				 world->store->now_us, submission->claim);
+				 simulation->store->now_us, submission->claim);
 		return;
 	}
-	if (draw(world, 8)) {
+	if (random_below(simulation, 8)) {
 		request->runs++;
 		assert_int_equal(request->runs, 1);
 	}
-	if (!request->runs || !draw(world, 5)) {
+	if (!request->runs || !random_below(simulation, 5)) {
 		rr_abandon_claim(instance->ctx, instance->ledger,
 				 submission->claim);
 		return;
 	}
 	result = g_strdup_printf("\"%s\"", request->id);
 	rr_record_claim_result(instance->ctx, instance->ledger,
-			       world->store->now_us, submission->claim, result,
-			       strlen(result));
+			       simulation->store->now_us, submission->claim,
+			       result, strlen(result));
 	request->recorded = true;
 	g_free(result);
 }
 
-static void change_weather(struct world *world)
+static void set_store_faults(struct simulation *simulation)
 {
-	struct fake_store *store = world->store;
-	int weather = draw(world, 10);
+	struct fake_store *store = simulation->store;
+	int fault_kind = random_below(simulation, 10);
 
 	memset(store->per_mille, 0, sizeof(store->per_mille));
 	store->max_delay_us = 2500;
-	if (weather == 1)
+	if (fault_kind == 1)
 		store->per_mille[FAKE_UNAVAILABLE] = 1000;
-	if (weather == 2)
+	if (fault_kind == 2)
 		store->max_delay_us = 300000;
-	if (weather < 6)
+	if (fault_kind < 6)
 		return;
-	store->per_mille[FAKE_UNAVAILABLE] = draw(world, 200);
-	store->per_mille[FAKE_LOST_AFTER_EFFECT] = draw(world, 300);
-	store->per_mille[FAKE_LOST_WITHOUT_EFFECT] = draw(world, 200);
-	store->per_mille[FAKE_LATE_EFFECT] = draw(world, 300);
+	store->per_mille[FAKE_UNAVAILABLE] = random_below(simulation, 200);
+	store->per_mille[FAKE_LOST_AFTER_EFFECT] =
+		random_below(simulation, 300);
+	store->per_mille[FAKE_LOST_WITHOUT_EFFECT] =
+		random_below(simulation, 200);
+	store->per_mille[FAKE_LATE_EFFECT] = random_below(simulation, 300);
 }
 
-static void disturb(struct world *world, struct instance *instance)
+static void inject_fault(struct simulation *simulation,
+			 struct instance *instance)
 {
-	switch (draw(world, 14)) {
+	switch (random_below(simulation, 14)) {
 	case 0:
 		stop_instance(instance);
 		start_instance(instance);
-		world->crashes++;
+		simulation->crashes++;
 		break;
 	case 1:
-		instance->frozen_until_us =
-			world->store->now_us + draw(world, MAX_FREEZE_US);
-		world->freezes++;
+		instance->paused_until_us =
+			simulation->store->now_us +
+			random_below(simulation, MAX_PAUSE_US);
+		simulation->pauses++;
 		break;
 	case 2:
-		instance->clock_error_us = (draw(world, 7200) - 3600) *
-					   (int64_t)G_USEC_PER_SEC /
-					   (1 + draw(world, 10));
+		instance->clock_error_us =
+			(random_below(simulation, 7200) - 3600) *
+			(int64_t)G_USEC_PER_SEC /
+			(1 + random_below(simulation, 10));
 		break;
 	case 3:
 	case 6:
 		instance->clock_error_us = 0;
 		break;
 	case 5:
-		advance(world,
-			world->store->now_us +
-				(int64_t)draw(world, 1000) * G_USEC_PER_SEC);
+		advance(simulation,
+			simulation->store->now_us +
+				(int64_t)random_below(simulation, 1000) *
+					G_USEC_PER_SEC);
 		break;
 	default:
-		change_weather(world);
+		set_store_faults(simulation);
 	}
 }
 
-static void step(struct world *world)
+static void step(struct simulation *simulation)
 {
-	struct instance *instance = &world->instances[draw(world, INSTANCES)];
-	int choice = draw(world, 100);
+	struct instance *instance =
+		&simulation->instances[random_below(simulation, INSTANCES)];
+	int choice = random_below(simulation, 100);
 
-	if (!is_frozen(instance)) {
+	if (!is_paused(instance)) {
 		if (choice < 45)
-			submit(world, instance);
+			submit(simulation, instance);
 		else if (choice < 70)
-			act(world, instance);
+			finish_claim(simulation, instance);
 	}
 	if (choice == 99)
-		disturb(world, instance);
+		inject_fault(simulation, instance);
 	if (choice >= 30)
-		advance(world, world->store->now_us + draw(world, 6000));
+		advance(simulation, simulation->store->now_us +
+					    random_below(simulation, 6000));
 }
 
 /*
- * An entry that a live instance has let go (refused, unsettled, released)
- * would hold its id for ever although nothing runs for it.
+ * Check an entry against the claim it belongs to. The entry of a claim that a
+ * live instance no longer holds (rejected, unresolved or released) would block
+ * its id for ever although nothing runs for it.
  */
-static void check_entry(struct world *world,
+static void check_entry(struct simulation *simulation,
 			const struct rr_ledger_entry *entry)
 {
 	for (int i = 0; i < INSTANCES; i++) {
-		struct instance *instance = &world->instances[i];
+		struct instance *instance = &simulation->instances[i];
 		struct submission *submission;
 
 		if (strcmp(instance->name, entry->instance) != 0 ||
@@ -442,7 +462,7 @@
 						 &entry->sequence);
 		assert_non_null(submission);
 		if (submission->status != RR_CLAIM_ACQUIRED)
-			fail_msg("%s is held by %s which was told %d (%s)",
+			fail_msg("entry %s of %s remains; claim status %d (%s)",
 				 entry->name, entry->instance,
 				 submission->status, submission->reason);
 		assert_int_equal(submission->request->holders, 1);
@@ -450,15 +470,15 @@
 	}
 }
 
-static void check_store(struct world *world)
+static void check_store(struct simulation *simulation)
 {
 	for (int i = 0; i < BUCKETS * SLICES; i++) {
 		char *key =
 			g_strdup_printf("ledger/%d/%d", i / SLICES, i % SLICES);
 		uint64_t revision;
 		size_t length;
-		const char *bytes =
-			peek_fake_value(world->store, key, &length, &revision);
+		const char *bytes = peek_fake_value(simulation->store, key,
+						    &length, &revision);
 		struct rr_ledger_value *value;
 		GHashTableIter iter;
 		gpointer entry;
@@ -470,15 +490,15 @@
 		assert_non_null(value);
 		g_hash_table_iter_init(&iter, value->entries);
 		while (g_hash_table_iter_next(&iter, NULL, &entry))
-			check_entry(world, entry);
+			check_entry(simulation, entry);
 		rr_drop_ledger_value(value);
 	}
 }
 
-static void check_told(struct world *world)
+static void check_all_reported(struct simulation *simulation)
 {
 	for (int i = 0; i < INSTANCES; i++) {
-		struct instance *instance = &world->instances[i];
+		struct instance *instance = &simulation->instances[i];
 		GHashTableIter iter;
 		gpointer data;
 
@@ -487,54 +507,62 @@
 		while (g_hash_table_iter_next(&iter, NULL, &data)) {
 			struct submission *submission = data;
 
-			assert_true(submission->told);
+			assert_true(submission->reported);
 		}
 	}
 }
 
-/* With a store that answers, everything is settled within seconds. */
-static void settle(struct world *world)
+/*
+ * Run without store faults, which resolves all claims within seconds, and
+ * check.
+ */
+static void settle_and_check(struct simulation *simulation)
 {
-	memset(world->store->per_mille, 0, sizeof(world->store->per_mille));
-	world->store->max_delay_us = 2500;
-	advance(world, world->store->now_us + MAX_FREEZE_US + 20000000);
-	check_told(world);
-	check_store(world);
+	memset(simulation->store->per_mille, 0,
+	       sizeof(simulation->store->per_mille));
+	simulation->store->max_delay_us = 2500;
+	advance(simulation,
+		simulation->store->now_us + MAX_PAUSE_US + 20000000);
+	check_all_reported(simulation);
+	check_store(simulation);
 }
 
 static void run_random(uint32_t seed, uint64_t steps)
 {
-	struct world *world = new_world(seed);
+	struct simulation *simulation = new_simulation(seed);
 
 	for (uint64_t i = 0; i < steps; i++) {
-		step(world);
+		step(simulation);
 		if (i % 5000 == 4999)
-			settle(world);
+			settle_and_check(simulation);
 	}
-	settle(world);
+	settle_and_check(simulation);
 	printf("ledger: ok seed=%u steps=%" G_GUINT64_FORMAT
 	       " ours=%" G_GUINT64_FORMAT " done=%" G_GUINT64_FORMAT
 	       " held=%" G_GUINT64_FORMAT " refused=%" G_GUINT64_FORMAT
 	       " unsettled=%" G_GUINT64_FORMAT " crashes=%" G_GUINT64_FORMAT
 	       " freezes=%" G_GUINT64_FORMAT " store_writes=%" G_GUINT64_FORMAT
 	       " conflicts=%" G_GUINT64_FORMAT "\n",
-	       seed, steps, world->told[RR_CLAIM_ACQUIRED],
-	       world->told[RR_CLAIM_DONE], world->told[RR_CLAIM_HELD],
-	       world->told[RR_CLAIM_REJECTED], world->told[RR_CLAIM_UNRESOLVED],
-	       world->crashes, world->freezes, world->store->writes,
-	       world->store->conflicts);
-	assert_true(world->told[RR_CLAIM_ACQUIRED] > steps / 1000);
-	drop_world(world);
+	       seed, steps, simulation->outcomes[RR_CLAIM_ACQUIRED],
+	       simulation->outcomes[RR_CLAIM_DONE],
+	       simulation->outcomes[RR_CLAIM_HELD],
+	       simulation->outcomes[RR_CLAIM_REJECTED],
+	       simulation->outcomes[RR_CLAIM_UNRESOLVED], simulation->crashes,
+	       simulation->pauses, simulation->store->writes,
+	       simulation->store->conflicts);
+	assert_true(simulation->outcomes[RR_CLAIM_ACQUIRED] > steps / 1000);
+	drop_simulation(simulation);
 }
 
 static uint32_t only_seed;
 static uint64_t only_steps;
 
 /*
- * Story: a customer was billed twice for one reservation.  The first try's
- * claim took effect but its reply was lost, or the claimant was paused past
- * every timeout, crashed, or had a wrong clock; the second try then went to
- * another instance.  Cause: somebody took the first claim for absent or dead.
+ * Guards against running one reservation twice, for example billing a customer
+ * twice. The first attempt's claim took effect but its reply was lost, or the
+ * claimant was paused beyond every time-out, crashed, or had a wrong clock; the
+ * second attempt then goes to another instance, which must not consider the
+ * first claim absent or abandoned.
  */
 static void test_random_faults(void **state)
 {
--- a/tests/test-member.c
+++ b/tests/test-member.c
@@ -1,6 +1,6 @@
 /*
- * test-member.c - membership under loss, churn, pauses and partitions, in
- * virtual time.
+ * test-member.c - membership with message loss, churn, pauses and partitions,
+ * in virtual time.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,7 +16,7 @@
 
 #define ZONES 3
 
-static struct member_net *start_agreed(uint32_t seed, guint n)
+static struct member_net *new_converged_net(uint32_t seed, guint n)
 {
 	struct member_net *net = new_member_net(seed);
 
@@ -41,15 +41,16 @@
 }
 
 /*
- * Story: an instance dies without a word; for a while searches are relayed to
- * it and lack its shards.  It has to be out of everyone's view within a
- * bound, and it must not be kept alive by news that goes round.
+ * Guards against a crashed instance that stays in member lists: searches would
+ * be relayed to it and lack its shards. It has to be removed from all member
+ * lists within a time limit, and updates still in circulation must not keep it
+ * alive.
  */
-static void test_dead_go_within_bound(void **state)
+static void test_dead_member_is_removed_in_time(void **state)
 {
 	(void)state;
 	for (uint32_t seed = 1; seed <= 5; seed++) {
-		struct member_net *net = start_agreed(seed, 30);
+		struct member_net *net = new_converged_net(seed, 30);
 
 		net->loss_rate = 0.05;
 		kill_node(node_at(net, 7));
@@ -62,15 +63,15 @@
 }
 
 /*
- * Story: acks of one instance are lost for two seconds; others suspect it.
- * It lives, and a shard's owner must not move for that.  Cause: a lost
- * message looks like a death until the suspect has been heard.
+ * Guards against declaring a live instance dead because its acks are lost for
+ * two seconds, which would move the owners of shards. A lost message looks like
+ * a crash until the suspect had the chance to refute.
  */
 static void test_suspect_refutes(void **state)
 {
 	(void)state;
 	for (uint32_t seed = 1; seed <= 5; seed++) {
-		struct member_net *net = start_agreed(seed, 30);
+		struct member_net *net = new_converged_net(seed, 30);
 		uint64_t changes = net->changes;
 
 		net->isolated_nodes = 1u << 4;
@@ -83,8 +84,8 @@
 	}
 }
 
-/* How often an instance had to refute what others held of it. */
-static uint32_t refutations(const struct net_node *node)
+/* Return how often an instance had to refute the state reported for it. */
+static uint32_t refutation_count(const struct net_node *node)
 {
 	size_t n;
 	struct rr_member_update *list = rr_list_members(node->members, &n);
@@ -95,39 +96,39 @@
 }
 
 /*
- * Story: a switch drops what goes from one instance to another, and only
- * that; the two hold each other dead and alive by turns, and owners move with
- * each turn.  Others can reach both and have to be asked, so that there is
- * not even a suspicion to refute.
+ * Guards against flapping when a switch drops only the messages from one
+ * instance to another: the two would alternately consider each other dead and
+ * alive, and owners would move each time. Other members can reach both and have
+ * to be asked to ping, so that not even a suspicion arises.
  */
-static void test_one_way_loss_is_no_death(void **state)
+static void test_one_way_loss_is_tolerated(void **state)
 {
 	(void)state;
 	for (uint32_t seed = 1; seed <= 5; seed++) {
-		struct member_net *net = start_agreed(seed, 12);
+		struct member_net *net = new_converged_net(seed, 12);
 		uint64_t changes = net->changes;
 
 		net->blocked_from = node_at(net, 2);
 		net->blocked_to = node_at(net, 5);
 		run_net(net, 120 * NET_SECOND);
 		assert_int_equal(net->changes, changes);
-		assert_int_equal(refutations(net->blocked_from), 0);
-		assert_int_equal(refutations(net->blocked_to), 0);
+		assert_int_equal(refutation_count(net->blocked_from), 0);
+		assert_int_equal(refutation_count(net->blocked_to), 0);
 		drop_member_net(net);
 	}
 }
 
 /*
- * Story: two zones lose each other for five minutes, the platform is down
- * too.  When the network is back, searches in one zone still lack all of the
- * other's yards, for ever: each side holds the other dead and pings only the
- * living.
+ * Guards against a partition that never heals: two zones are separated for five
+ * minutes while the platform is down too. If each side considers the other dead
+ * and pings only live members, searches in one zone lack all shards of the
+ * other for ever after the network recovers.
  */
 static void test_partition_heals(void **state)
 {
 	(void)state;
 	for (uint32_t seed = 1; seed <= 3; seed++) {
-		struct member_net *net = start_agreed(seed, 30);
+		struct member_net *net = new_converged_net(seed, 30);
 
 		net->isolated_zones = 1u << 1;
 		run_net(net, 300 * NET_SECOND);
@@ -140,16 +141,16 @@
 }
 
 /*
- * Story: an instance whose link was bad for two seconds is stopped for a
- * minute and goes on.  Its first tick finds every suspicion overdue, and it
- * relays nothing to anyone because it holds the fleet dead.  Cause: its own
- * pause, in which nobody could refute.
+ * Guards against an instance that considers all others dead after its own
+ * pause: its link was bad for two seconds, then it is stopped for a minute. At
+ * its first tick every suspicion is overdue, since no member could refute
+ * during the pause, and it would relay nothing.
  */
-static void test_pause_blames_nobody(void **state)
+static void test_paused_member_suspects_nobody(void **state)
 {
 	(void)state;
 	for (uint32_t seed = 1; seed <= 5; seed++) {
-		struct member_net *net = start_agreed(seed, 30);
+		struct member_net *net = new_converged_net(seed, 30);
 		struct net_node *node = node_at(net, 3);
 
 		net->isolated_nodes = 1u << node->index;
@@ -166,12 +167,13 @@
 }
 
 /*
- * Story: an instance that stops as planned is still sent relays by those that
- * have not heard.  All have to know within seconds, while it still runs.
+ * Guards against relays to an instance that stops as planned, from members that
+ * have not received its announcement. All members have to learn of it within
+ * seconds, while it still runs.
  */
-static void test_leaving_get_out(void **state)
+static void test_leaving_member_is_removed(void **state)
 {
-	struct member_net *net = start_agreed(1, 60);
+	struct member_net *net = new_converged_net(1, 60);
 	struct net_node *node = node_at(net, 5);
 	size_t n;
 
@@ -190,13 +192,14 @@
 }
 
 /*
- * Story: an instance is replaced under its old name and is taken for the old
- * process: relays meant for that are run twice or dropped.  A restart has to
- * be seen as a new incarnation, and the old one's late messages as stale.
+ * Guards against confusing a restarted instance with the earlier process of the
+ * same name: relays to the earlier one would run twice or be dropped. A restart
+ * has to be recognised as a new incarnation, and late messages of the earlier
+ * one as stale.
  */
 static void test_restart_same_name(void **state)
 {
-	struct member_net *net = start_agreed(1, 20);
+	struct member_net *net = new_converged_net(1, 20);
 	struct net_node *node = node_at(net, 6);
 	struct net_node *other = node_at(net, 0);
 	struct rr_peer_message *late = rr_new_peer_message(RR_PEER_PING);
@@ -216,12 +219,12 @@
 }
 
 /*
- * Story: the platform gives a dead instance's address to a new one; the
- * dead one's pings are answered by it and it seems to live for ever.
+ * Guards against a dead instance that seems alive for ever because the platform
+ * assigned its address to a new instance, which answers its pings.
  */
-static void test_address_given_again(void **state)
+static void test_address_is_reused(void **state)
 {
-	struct member_net *net = start_agreed(1, 12);
+	struct member_net *net = new_converged_net(1, 12);
 	struct net_node *old = node_at(net, 2);
 
 	(void)state;
@@ -233,9 +236,9 @@
 	drop_member_net(net);
 }
 
-static void test_hint_alone_is_not_live(void **state)
+static void test_unanswered_hint_is_not_usable(void **state)
 {
-	struct member_net *net = start_agreed(1, 3);
+	struct member_net *net = new_converged_net(1, 3);
 	struct net_node *node = node_at(net, 0);
 	const char *address;
 	uint64_t incarnation;
@@ -250,10 +253,10 @@
 	drop_member_net(net);
 }
 
-/* A seed has an address only; its name comes with its answer. */
+/* A seed has only an address; its name is learned from its answer. */
 static void test_join_by_seed(void **state)
 {
-	struct member_net *net = start_agreed(1, 10);
+	struct member_net *net = new_converged_net(1, 10);
 	struct net_node *node = add_node(net, 0);
 
 	(void)state;
@@ -264,7 +267,7 @@
 	drop_member_net(net);
 }
 
-static void do_one_fault(struct member_net *net)
+static void inject_fault(struct member_net *net)
 {
 	struct net_node *node =
 		node_at(net, (guint)g_rand_int_range(net->random, 0, 24));
@@ -302,20 +305,20 @@
 }
 
 /*
- * Story: after a bad night some instance is missing from another's view and
- * stays so, though both run and reach each other.  Any mix of faults, then
- * quiet: all live members have to agree again.  Hints of the dead platform
- * are few, so that the members have to find each other themselves.
+ * Guards against a member that stays missing from another's member list
+ * although both run and reach each other. After any mix of faults and then a
+ * period without faults, all live members have to agree again. Restarted nodes
+ * get only a few hints, so that the members have to find each other.
  */
 static void test_random_churn(void **state)
 {
 	(void)state;
 	for (uint32_t seed = 1; seed <= 8; seed++) {
-		struct member_net *net = start_agreed(seed, 24);
+		struct member_net *net = new_converged_net(seed, 24);
 
 		net->duplicate_rate = 0.05;
 		for (int i = 0; i < 60; i++) {
-			do_one_fault(net);
+			inject_fault(net);
 			run_net(net, g_rand_int_range(net->random, 1, 12) *
 					     NET_SECOND);
 		}
@@ -328,15 +331,18 @@
 				start_node(node_at(net, i), 4);
 		}
 		if (run_until_converged(net, 120 * NET_SECOND) < 0)
-			fail_msg("seed %u: no agreement", seed);
+			fail_msg("seed %u: member lists did not converge",
+				 seed);
 		run_net(net, 60 * NET_SECOND);
 		assert_true(net_has_converged(net));
 		drop_member_net(net);
 	}
 }
 
-/* Whatever the churn, a message has 24 updates at most; only a newcomer's
- * one ack is longer, and it is bounded by what the wire takes. */
+/*
+ * Under any churn a message has at most 24 updates; only the full-sync ack for
+ * a new member is longer, and it is limited by the wire format.
+ */
 static void test_messages_are_bounded(void **state)
 {
 	struct member_net *net = new_member_net(1);
@@ -359,15 +365,15 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_join_with_loss),
-		cmocka_unit_test(test_dead_go_within_bound),
+		cmocka_unit_test(test_dead_member_is_removed_in_time),
 		cmocka_unit_test(test_suspect_refutes),
-		cmocka_unit_test(test_one_way_loss_is_no_death),
+		cmocka_unit_test(test_one_way_loss_is_tolerated),
 		cmocka_unit_test(test_partition_heals),
-		cmocka_unit_test(test_pause_blames_nobody),
-		cmocka_unit_test(test_leaving_get_out),
+		cmocka_unit_test(test_paused_member_suspects_nobody),
+		cmocka_unit_test(test_leaving_member_is_removed),
 		cmocka_unit_test(test_restart_same_name),
-		cmocka_unit_test(test_address_given_again),
-		cmocka_unit_test(test_hint_alone_is_not_live),
+		cmocka_unit_test(test_address_is_reused),
+		cmocka_unit_test(test_unanswered_hint_is_not_usable),
 		cmocka_unit_test(test_join_by_seed),
 		cmocka_unit_test(test_random_churn),
 		cmocka_unit_test(test_messages_are_bounded),
--- a/tests/test-owner.c
+++ b/tests/test-owner.c
@@ -1,5 +1,5 @@
 /*
- * test-owner.c - owners by rendezvous hashing.
+ * test-owner.c - selection of owners by rendezvous hashing.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -46,8 +46,8 @@
 	fleet->n--;
 }
 
-static size_t find(const struct fleet *fleet, int replica, const char *zone,
-		   size_t k, const char **names)
+static size_t find_owner_names(const struct fleet *fleet, int replica,
+			       const char *zone, size_t k, const char **names)
 {
 	size_t owners[RR_MAX_OWNERS];
 	char id[32];
@@ -60,7 +60,7 @@
 	return n;
 }
 
-static void test_only_of_the_zone(void **state)
+static void test_owners_are_in_zone(void **state)
 {
 	struct fleet fleet;
 	const char *names[RR_MAX_OWNERS];
@@ -68,34 +68,36 @@
 	(void)state;
 	make_fleet(&fleet, 9, 3);
 	for (int r = 0; r < REPLICAS; r++) {
-		assert_int_equal(find(&fleet, r, "athi", OWNERS, names), 2);
+		assert_int_equal(
+			find_owner_names(&fleet, r, "athi", OWNERS, names), 2);
 		assert_true(g_str_has_prefix(names[0], "athi-"));
 		assert_true(g_str_has_prefix(names[1], "athi-"));
 		assert_string_not_equal(names[0], names[1]);
 	}
-	/* More asked for than there are. */
-	assert_int_equal(find(&fleet, 1, "athi", 16, names), 3);
-	/* A zone with no instance falls to the others. */
-	assert_int_equal(find(&fleet, 1, "siracusa", OWNERS, names), 2);
-	assert_int_equal(find(&fleet, 1, "athi", 0, names), 0);
+	/* More owners requested than the zone has members. */
+	assert_int_equal(find_owner_names(&fleet, 1, "athi", 16, names), 3);
+	/* For a zone without instances, members of other zones are used. */
+	assert_int_equal(find_owner_names(&fleet, 1, "siracusa", OWNERS, names),
+			 2);
+	assert_int_equal(find_owner_names(&fleet, 1, "athi", 0, names), 0);
 	fleet.n = 0;
-	assert_int_equal(find(&fleet, 1, "athi", OWNERS, names), 0);
+	assert_int_equal(find_owner_names(&fleet, 1, "athi", OWNERS, names), 0);
 }
 
-/* Whoever sees the same members names the same owners, in any order. */
-static void test_order_does_not_matter(void **state)
+/* The same members give the same owners, in any order. */
+static void test_member_order_is_irrelevant(void **state)
 {
 	struct fleet fleet;
 	struct fleet reversed;
 	const char *names[RR_MAX_OWNERS];
-	const char *others[RR_MAX_OWNERS];
+	const char *other_names[RR_MAX_OWNERS];
 
 	(void)state;
 	make_fleet(&fleet, 30, 1);
 	reversed = fleet;
 	for (size_t i = 0; i < fleet.n; i++)
 		reversed.members[i] = fleet.members[fleet.n - 1 - i];
-	/* One side has the hashes stored, the other computes them. */
+	/* One list has precomputed hashes; for the other they are computed. */
 	for (size_t i = 0; i < fleet.n; i++) {
 		struct rr_member_ref *member = &reversed.members[i];
 
@@ -103,20 +105,20 @@
 		member->zone_hash = rr_hash_name(member->zone);
 	}
 	for (int r = 0; r < REPLICAS; r++) {
-		find(&fleet, r, "ruaraka", OWNERS, names);
-		find(&reversed, r, "ruaraka", OWNERS, others);
-		assert_string_equal(names[0], others[0]);
-		assert_string_equal(names[1], others[1]);
+		find_owner_names(&fleet, r, "ruaraka", OWNERS, names);
+		find_owner_names(&reversed, r, "ruaraka", OWNERS, other_names);
+		assert_string_equal(names[0], other_names[0]);
+		assert_string_equal(names[1], other_names[1]);
 	}
 }
 
 /*
- * Story: one instance is replaced and all others close and open connections
- * at 6 ms each, so that every search is late for seconds.  Cause: owners by
- * modulo move nearly all replicas when the number of members changes.  Only
- * the share of the one that went, k/n, may move.
+ * Guards against moving nearly all replicas when the number of members changes,
+ * as owners by modulo would: after the replacement of one instance, all others
+ * would close and open connections at 6 ms each, which delays every search for
+ * seconds. Only the share k/n of the removed instance may move.
  */
-static void test_little_moves(void **state)
+static void test_removal_moves_only_own_share(void **state)
 {
 	static const size_t sizes[] = { 6, 20, 60 };
 
@@ -125,29 +127,30 @@
 		struct fleet before;
 		struct fleet after;
 		const char *names[RR_MAX_OWNERS];
-		const char *others[RR_MAX_OWNERS];
-		const char *gone;
-		int had = 0;
-		int moved = 0;
+		const char *other_names[RR_MAX_OWNERS];
+		const char *removed;
+		int n_owned = 0;
+		int n_moved = 0;
 
 		make_fleet(&before, sizes[s], 1);
-		gone = before.members[sizes[s] / 2].instance;
+		removed = before.members[sizes[s] / 2].instance;
 		after = before;
 		remove_member(&after, sizes[s] / 2);
 		for (int r = 0; r < REPLICAS; r++) {
-			find(&before, r, "ruaraka", OWNERS, names);
-			find(&after, r, "ruaraka", OWNERS, others);
-			had += !strcmp(names[0], gone) ||
-			       !strcmp(names[1], gone);
-			moved += strcmp(names[0], others[0]) ||
-				 strcmp(names[1], others[1]);
+			find_owner_names(&before, r, "ruaraka", OWNERS, names);
+			find_owner_names(&after, r, "ruaraka", OWNERS,
+					 other_names);
+			n_owned += !strcmp(names[0], removed) ||
+				   !strcmp(names[1], removed);
+			n_moved += strcmp(names[0], other_names[0]) ||
+				   strcmp(names[1], other_names[1]);
 		}
 		print_message("%zu members: %d of %d replicas moved, "
 			      "%.1f %% is k/n\n",
-			      sizes[s], moved, REPLICAS,
+			      sizes[s], n_moved, REPLICAS,
 			      100.0 * OWNERS / (double)sizes[s]);
-		assert_int_equal(moved, had);
-		assert_true((double)moved <
+		assert_int_equal(n_moved, n_owned);
+		assert_true((double)n_moved <
 			    1.3 * OWNERS * REPLICAS / (double)sizes[s]);
 	}
 }
@@ -164,13 +167,13 @@
 	(void)state;
 	make_fleet(&fleet, 6, 1);
 	for (int r = 0; r < REPLICAS; r++) {
-		find(&fleet, r, "ruaraka", OWNERS, names);
+		find_owner_names(&fleet, r, "ruaraka", OWNERS, names);
 		for (int i = 0; i < OWNERS; i++) {
-			int had = GPOINTER_TO_INT(
+			int n_owned = GPOINTER_TO_INT(
 				g_hash_table_lookup(shares, names[i]));
 
 			g_hash_table_insert(shares, (gpointer)names[i],
-					    GINT_TO_POINTER(had + 1));
+					    GINT_TO_POINTER(n_owned + 1));
 		}
 	}
 	assert_int_equal(g_hash_table_size(shares), 6);
@@ -185,9 +188,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_only_of_the_zone),
-		cmocka_unit_test(test_order_does_not_matter),
-		cmocka_unit_test(test_little_moves),
+		cmocka_unit_test(test_owners_are_in_zone),
+		cmocka_unit_test(test_member_order_is_irrelevant),
+		cmocka_unit_test(test_removal_moves_only_own_share),
 		cmocka_unit_test(test_shares_are_even),
 	};
 
