--- a/tests/support/member-net.c
+++ b/tests/support/member-net.c
@@ -262,7 +262,10 @@
 	struct net_node *node = node_at(net, event->node);
 
 	if (node->members && node->paused_until_us > net->now_us) {
-		/* The event stays in the socket until the process resumes. */
+		/*
+		 * Events wait, as in a socket buffer, until the process
+		 * resumes.
+		 */
 		event->at_us = node->paused_until_us;
 		push_event(net->events, event->at_us, run_event, event);
 		return;
--- a/tests/test-core-relay.c
+++ b/tests/test-core-relay.c
@@ -287,7 +287,7 @@
 
 /*
  * Guards against treating a relay without a reply as not run: the owner dies
- * after it sent a reservation to a replica, the caller is told "not run" and
+ * after it sent a reservation to a replica, the caller receives "not run" and
  * reserves again, and two reservations are made.
  */
 static void test_owner_dies_after_sending(void **state)
--- a/tests/test-ledger.c
+++ b/tests/test-ledger.c
@@ -230,7 +230,7 @@
 /*
  * Guards against reporting "not run" while the id stays held for a day. The
  * write of a claim gets no reply, a read shows the id absent and "not run" is
- * answered; a second later the delayed write takes effect. A read proves
+ * reported; a second later the delayed write takes effect. A read proves
  * nothing while the key has the revision that the write compares.
  */
 static void test_late_write_is_invalidated(void **state)
@@ -290,8 +290,8 @@
 /*
  * Guards against reporting "not run" for a claim that took effect, whose id
  * then stays held. The reply to its write is lost and a read shows the entry,
- * but another claim of the bucket needs a second read, which fails. The first
- * claim must be resolved before the second read.
+ * but another claim of the bucket needs a second read, which fails. The claim
+ * has to be resolved after the first read.
  */
 static void test_resolved_claim_survives_next_failure(void **state)
 {
