--- a/include/ragwort/config.h
+++ b/include/ragwort/config.h
@@ -1,8 +1,8 @@
 /*
- * config.h - the operators' configuration of one site: what the core runs by.
+ * config.h - the operators' configuration of one site.
  *
- * Immutable once made and counted by reference, so that a query keeps the one
- * it started with.  settings.h makes it from YAML.
+ * Immutable once built and reference-counted, so that a query keeps the
+ * configuration it started with.  settings.h builds it from YAML.
  */
 #ifndef RAGWORT_CONFIG_H
 #define RAGWORT_CONFIG_H
@@ -12,9 +12,12 @@
 #include <stdint.h>
 
 enum rr_answer_mode {
-	/* Wait for every shard that can still come, up to the deadline. */
+	/* Wait for every shard that may still reply, up to the deadline. */
 	RR_ANSWER_COVERAGE,
-	/* Answer when `enough` is covered and `wait_ms` has passed. */
+	/*
+	 * Answer once `min_coverage` is reached and `straggler_wait_ms` has
+	 * passed.
+	 */
 	RR_ANSWER_LATENCY,
 };
 
@@ -26,8 +29,8 @@
 
 struct rr_shard_config {
 	char *name;	   /* unique in the service */
-	char *public_name; /* what callers call the part; may equal name */
-	/* Keys held, [key_from, key_to). */
+	char *public_name; /* name shown to callers; may equal name */
+	/* Range of keys, [key_from, key_to). */
 	uint64_t key_from;
 	uint64_t key_to;
 	struct rr_replica_config *replicas;
@@ -38,33 +41,36 @@
 	char *name;
 	enum rr_answer_mode answer;
 	uint32_t deadline_ms;
-	/* RR_ANSWER_LATENCY: share of shards, 0 to 1, that is enough. */
+	/* RR_ANSWER_LATENCY: sufficient share of shards, 0 to 1. */
 	double min_coverage;
-	/* RR_ANSWER_LATENCY: how long to wait for the rest after that. */
+	/* RR_ANSWER_LATENCY: wait for the remaining shards after that. */
 	uint32_t straggler_wait_ms;
-	/* Attempts may be repeated; false: every request goes by the ledger. */
+	/* Attempts may be repeated; false: every request uses the ledger. */
 	bool idempotent;
-	/* Work costs money: no hedge, and the ledger as for reservations. */
+	/*
+	 * Requests cost money: no hedging, and the ledger is used as for
+	 * reservations.
+	 */
 	bool costs_money;
 	/* Limits of one replica. */
 	uint32_t slots;
 	uint32_t connections;
-	uint32_t connect_ms;	     /* what a new connection costs */
-	uint32_t connection_reserve; /* kept free for other zones and tools */
-	/* Most extra attempts, as a share of needed ones, 0 to 1. */
+	uint32_t connect_ms;	     /* time to set up a connection */
+	uint32_t connection_reserve; /* reserved for other zones and tools */
+	/* Maximum extra attempts, as a share of the required ones, 0 to 1. */
 	double hedge_budget;
 	double retry_budget;
 	uint32_t attempt_timeout_ms;
-	/* Most requests waiting or running in one instance. */
+	/* Maximum number of requests queued or running in one instance. */
 	uint32_t max_open_requests;
-	/* Share of capacity the batch class may use, 0 to 1. */
+	/* Maximum share of capacity for the batch class, 0 to 1. */
 	double batch_share;
-	uint32_t max_rows; /* rows of one answer, and of one list page */
+	uint32_t max_rows; /* maximum rows of an answer, and of a list page */
 	struct rr_shard_config *shards;
 	size_t n_shards;
 };
 
-/* Log settings that replace those of an instance's start file. */
+/* Log settings that override those of an instance's start file. */
 struct rr_log_settings {
 	int level;		  /* enum rr_log_level; -1: not set */
 	int format;		  /* enum rr_log_format; -1: not set */
@@ -73,9 +79,10 @@
 
 struct rr_config {
 	int refs;
-	uint64_t revision; /* of the record it came from */
+	uint64_t revision; /* revision of the source record */
 	char *site;
-	uint32_t owners_per_replica; /* k of the rendezvous hash */
+	/* number of owners of a replica by rendezvous hashing */
+	uint32_t owners_per_replica;
 	uint32_t reservation_retention_s;
 	uint32_t ledger_buckets;
 	struct rr_log_settings log;
@@ -83,16 +90,25 @@
 	size_t n_services;
 };
 
-/* A zeroed configuration with one reference, for its one maker to fill. */
+/*
+ * Create a configuration with default values and one reference, to be filled by
+ * the caller.
+ */
 struct rr_config *rr_new_config(void);
 struct rr_config *rr_keep_config(struct rr_config *config);
-/* Drop a reference; the last frees all strings and arrays. NULL is allowed. */
+/*
+ * Drop a reference; the last one frees all strings and arrays.  NULL is
+ * allowed.
+ */
 void rr_drop_config(struct rr_config *config);
 
-/* Set a service's defaults; strings and shards stay empty. */
+/* Set a service's default values; strings and shards stay empty. */
 void rr_init_service_config(struct rr_service_config *service);
 
-/* The service of that name, owned by the configuration; NULL if none. */
+/*
+ * Return the service of that name, owned by the configuration; NULL if there is
+ * none.
+ */
 const struct rr_service_config *rr_find_service(const struct rr_config *config,
 						const char *name);
 
--- a/source/base/config.c
+++ b/source/base/config.c
@@ -1,5 +1,5 @@
 /*
- * config.c - make, share and drop a site's configuration.
+ * config.c - creation, reference counting and lookup of a site's configuration.
  */
 #include "ragwort/config.h"
 
--- a/source/core/change-log.c
+++ b/source/core/change-log.c
@@ -1,101 +1,106 @@
 /*
- * change-log.c - what the store told, by key, the removed ones too.
+ * change-log.c - the latest change of each key of the store, removals included.
  */
 #include "core/change-log.h"
 
 /*
- * Removed keys that are remembered: several times what a day's replacements
- * leave in the longest time between two questions.
+ * Maximum number of removed keys that are kept: several times as many as a
+ * day's replica replacements produce in the longest time between two reads of a
+ * peer.
  */
-#define MOST_REMOVED 2048
+#define MAX_REMOVED_KEYS 2048
 
-struct kept {
+struct logged_change {
 	char *key;
 	char *value; /* NULL: removed */
-	bool packed;
+	bool compressed;
 	uint64_t revision;
 };
 
 struct rr_change_log {
-	GHashTable *items;  /* key -> struct kept */
-	uint32_t n_removed; /* of them */
-	uint64_t floor;	    /* removals up to here may be forgotten */
+	GHashTable *items;  /* key -> struct logged_change */
+	uint32_t n_removed; /* number of removed keys among them */
+	uint64_t floor;	    /* removals up to this revision may be missing */
 };
 
-static void free_kept(gpointer data)
+static void free_logged_change(gpointer data)
 {
-	struct kept *kept = data;
+	struct logged_change *logged = data;
 
-	g_free(kept->key);
-	g_free(kept->value);
-	g_free(kept);
+	g_free(logged->key);
+	g_free(logged->value);
+	g_free(logged);
 }
 
 struct rr_change_log *rr_new_change_log(void)
 {
-	struct rr_change_log *news = g_new0(struct rr_change_log, 1);
+	struct rr_change_log *change_log = g_new0(struct rr_change_log, 1);
 
-	news->items =
-		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_kept);
-	return news;
+	change_log->items = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+						  free_logged_change);
+	return change_log;
 }
 
-void rr_drop_change_log(struct rr_change_log *news)
+void rr_drop_change_log(struct rr_change_log *change_log)
 {
-	if (!news)
+	if (!change_log)
 		return;
-	g_hash_table_unref(news->items);
-	g_free(news);
+	g_hash_table_unref(change_log->items);
+	g_free(change_log);
 }
 
-/* All removals at once: they are cheap to learn anew, and it is rare. */
-static void forget_removed(struct rr_change_log *news)
+/*
+ * Drop all removals at once: this is rare, and a reader that needs them can
+ * read all items again at little cost.
+ */
+static void drop_removals(struct rr_change_log *change_log)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, news->items);
+	g_hash_table_iter_init(&iter, change_log->items);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct kept *kept = value;
+		const struct logged_change *logged = value;
 
-		if (kept->value)
+		if (logged->value)
 			continue;
 #ifndef RR_MUTANT_NEWS_FORGETS
-		news->floor = MAX(news->floor, kept->revision);
+		change_log->floor = MAX(change_log->floor, logged->revision);
 #endif
 		g_hash_table_iter_remove(&iter);
 	}
-	news->n_removed = 0;
+	change_log->n_removed = 0;
 }
 
-void rr_put_change(struct rr_change_log *news,
+void rr_put_change(struct rr_change_log *change_log,
 		   const struct rr_feed_change *item)
 {
-	struct kept *kept = g_hash_table_lookup(news->items, item->key);
-
-	if (!kept) {
-		kept = g_new0(struct kept, 1);
-		kept->key = g_strdup(item->key);
-		g_hash_table_insert(news->items, kept->key, kept);
-	} else if (!kept->value) {
-		news->n_removed--;
+	struct logged_change *logged =
+		g_hash_table_lookup(change_log->items, item->key);
+
+	if (!logged) {
+		logged = g_new0(struct logged_change, 1);
+		logged->key = g_strdup(item->key);
+		g_hash_table_insert(change_log->items, logged->key, logged);
+	} else if (!logged->value) {
+		change_log->n_removed--;
 	}
-	g_free(kept->value);
-	kept->value = g_strdup(item->value);
-	kept->packed = item->compressed;
-	kept->revision = item->revision;
-	if (!item->value && ++news->n_removed > MOST_REMOVED)
-		forget_removed(news);
+	g_free(logged->value);
+	logged->value = g_strdup(item->value);
+	logged->compressed = item->compressed;
+	logged->revision = item->revision;
+	if (!item->value && ++change_log->n_removed > MAX_REMOVED_KEYS)
+		drop_removals(change_log);
 }
 
 /*
- * Guards against an asker that has an older list than this one began with: it
- * would never hear of a replica that was removed in between.
+ * Guards against a reader whose items are older than those this log started
+ * with: it would never receive the removal of a replica in between.
  */
-void rr_start_change_log(struct rr_change_log *news, uint64_t revision)
+void rr_start_change_log(struct rr_change_log *change_log, uint64_t revision)
 {
 #ifndef RR_MUTANT_NEWS_BEGINS_UNTOLD
-	news->floor = MAX(news->floor, revision);
+	change_log->floor = MAX(change_log->floor, revision);
 #endif
 }
 
@@ -109,37 +114,38 @@
 		       one->revision > other->revision;
 }
 
-GArray *rr_list_changes_after(const struct rr_change_log *news, uint64_t after)
+GArray *rr_list_changes_after(const struct rr_change_log *change_log,
+			      uint64_t after)
 {
 	GArray *items;
 	GHashTableIter iter;
 	gpointer value;
 
-	if (after && after < news->floor)
+	if (after && after < change_log->floor)
 		return NULL;
 	items = g_array_new(FALSE, FALSE, sizeof(struct rr_feed_change));
-	g_hash_table_iter_init(&iter, news->items);
+	g_hash_table_iter_init(&iter, change_log->items);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct kept *kept = value;
+		const struct logged_change *logged = value;
 		struct rr_feed_change item = {
-			.key = kept->key,
-			.value = kept->value,
-			.compressed = kept->packed,
-			.revision = kept->revision,
+			.key = logged->key,
+			.value = logged->value,
+			.compressed = logged->compressed,
+			.revision = logged->revision,
 		};
 
-		if (kept->revision > after && (after || kept->value))
+		if (logged->revision > after && (after || logged->value))
 			g_array_append_val(items, item);
 	}
 	g_array_sort(items, compare_revisions);
 	return items;
 }
 
-uint64_t rr_truncate_changes(GArray *items, guint most)
+uint64_t rr_truncate_changes(GArray *items, guint max_changes)
 {
-	guint n = most;
+	guint n = max_changes;
 
-	if (items->len <= most)
+	if (items->len <= max_changes)
 		return 0;
 	while (n < items->len &&
 	       g_array_index(items, struct rr_feed_change, n).revision ==
--- a/source/core/change-log.h
+++ b/source/core/change-log.h
@@ -1,7 +1,9 @@
 /*
- * change-log.h - the store's items as they were told, to be passed on.
+ * change-log.h - the store's changes in the form in which they are served to
+ * peers.
  *
- * A leaf: it knows no calls and no formats.  Values are kept as they came.
+ * This module makes no calls and knows no formats.  Values are kept as
+ * received.
  */
 #ifndef RAGWORT_CORE_CHANGE_LOG_H
 #define RAGWORT_CORE_CHANGE_LOG_H
@@ -14,25 +16,30 @@
 struct rr_change_log;
 
 struct rr_change_log *rr_new_change_log(void);
-void rr_drop_change_log(struct rr_change_log *news);
-/* An item was written, or removed: its value is NULL.  Strings are copied. */
-void rr_put_change(struct rr_change_log *news,
+void rr_drop_change_log(struct rr_change_log *change_log);
+/*
+ * Record that an item was written, or removed if its value is NULL.  Strings
+ * are copied.
+ */
+void rr_put_change(struct rr_change_log *change_log,
 		   const struct rr_feed_change *item);
 /*
- * All items as they were at a revision have been kept: what was removed before
- * is not known here.
+ * Declare the log complete at `revision`.  Removals up to there are not known.
  */
-void rr_start_change_log(struct rr_change_log *news, uint64_t revision);
+void rr_start_change_log(struct rr_change_log *change_log, uint64_t revision);
 /*
- * Changes behind a revision as struct rr_feed_change, the oldest first; of
- * revision 0 all items there are.  They point into `news` until it changes.
- * NULL: some since then are no longer kept.
+ * List the changes after revision `after` as struct rr_feed_change, oldest
+ * first; for 0, all present items.  They point into `change_log` and are valid
+ * until it changes; release the array with g_array_unref().  Return NULL if
+ * removals since then are no longer kept.
  */
-GArray *rr_list_changes_after(const struct rr_change_log *news, uint64_t after);
+GArray *rr_list_changes_after(const struct rr_change_log *change_log,
+			      uint64_t after);
 /*
- * Leave out what is behind the first so many, but for those of the same
- * revision.  The revision of the last that stays; 0: nothing was left out.
+ * Truncate `items` to the first `max_changes`, and those with the same revision
+ * as the last of these.  Return the revision of the last one that remains; 0:
+ * nothing was dropped.
  */
-uint64_t rr_truncate_changes(GArray *items, guint most);
+uint64_t rr_truncate_changes(GArray *items, guint max_changes);
 
 #endif
--- a/source/core/config-apply.c
+++ b/source/core/config-apply.c
@@ -1,16 +1,16 @@
 /*
- * config-apply.c - the configuration in force: only ever a higher revision.
+ * config-apply.c - applying configurations, always of a higher revision.
  */
 #include "core/core-private.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Extra attempts of a service at once; see set_budgets(). */
-#define SMALLEST_ROOM 10.0
-#define FIRST_HEDGES 3.0
-/* Asks for a record are so far apart, answered or not. */
-#define ASK_PERIOD_US G_USEC_PER_SEC
+/* Token budget capacities of a service; see set_budgets(). */
+#define MIN_TOKEN_CAPACITY 10.0
+#define INITIAL_HEDGE_TOKENS 3.0
+/* Minimum interval between requests for a record, answered or not. */
+#define REQUEST_PERIOD_US G_USEC_PER_SEC
 
 static int compare_shards(const void *a, const void *b)
 {
@@ -24,11 +24,14 @@
 	return strcmp(x->name, y->name);
 }
 
-/* A replica that moved to another address is another process: known anew. */
-static struct rr_replica *take_replica(struct rr_context *ctx,
-				       struct rr_core *core,
-				       struct rr_service *service,
-				       const struct rr_replica_config *config)
+/*
+ * A replica at another address is another process: it is added as a new
+ * replica.
+ */
+static struct rr_replica *
+find_or_add_replica(struct rr_context *ctx, struct rr_core *core,
+		    struct rr_service *service,
+		    const struct rr_replica_config *config)
 {
 	struct rr_replica *replica = rr_find_replica(core, config->id);
 
@@ -42,7 +45,7 @@
 	return rr_add_replica(ctx, core, service, config);
 }
 
-static void fill_shard(struct rr_context *ctx, struct rr_core *core,
+static void init_shard(struct rr_context *ctx, struct rr_core *core,
 		       struct rr_service *service, struct rr_shard_map *shard)
 {
 	shard->owner_key =
@@ -51,18 +54,17 @@
 	shard->replicas =
 		g_new0(struct rr_replica *, MAX(1, shard->n_replicas));
 	for (size_t i = 0; i < shard->n_replicas; i++) {
-		struct rr_replica *replica = take_replica(
+		struct rr_replica *replica = find_or_add_replica(
 			ctx, core, service, &shard->config->replicas[i]);
 
 		shard->replicas[i] = rr_keep_replica(replica);
 	}
 }
 
-static struct rr_service_map *make_map(struct rr_context *ctx,
-				       struct rr_core *core,
-				       struct rr_service *service,
-				       struct rr_config *config,
-				       const struct rr_service_config *entry)
+static struct rr_service_map *
+new_service_map(struct rr_context *ctx, struct rr_core *core,
+		struct rr_service *service, struct rr_config *config,
+		const struct rr_service_config *entry)
 {
 	struct rr_service_map *map = g_new0(struct rr_service_map, 1);
 
@@ -75,11 +77,12 @@
 		map->shards[i].config = &entry->shards[i];
 	qsort(map->shards, map->n_shards, sizeof(*map->shards), compare_shards);
 	for (size_t i = 0; i < map->n_shards; i++)
-		fill_shard(ctx, core, service, &map->shards[i]);
+		init_shard(ctx, core, service, &map->shards[i]);
 	return map;
 }
 
-static struct rr_service *take_service(struct rr_core *core, const char *name)
+static struct rr_service *find_or_add_service(struct rr_core *core,
+					      const char *name)
 {
 	struct rr_service *service = g_hash_table_lookup(core->services, name);
 
@@ -93,7 +96,7 @@
 	return service;
 }
 
-/* Point the replicas of a map at their shard of it, and list them. */
+/* Point the replicas of a map at their shard and add them to the list. */
 static void adopt_replicas(struct rr_core *core, struct rr_service_map *map)
 {
 	for (size_t i = 0; i < map->n_shards; i++) {
@@ -115,38 +118,38 @@
 }
 
 /*
- * Over time extra attempts stay within their share of the needed ones; the
- * caps say how many may come at once.  A lost owner takes many shards of a
- * query with it, so that retries have room for a whole one.
+ * Over time, extra attempts stay within their share of the required ones; the
+ * capacity limits how many may start at once.  A lost owner fails many shards
+ * of a query together, so the retry budget has room for a whole query.
  */
 static void set_budgets(struct rr_service *service,
 			const struct rr_service_config *entry)
 {
-	double room = MAX(SMALLEST_ROOM, (double)entry->n_shards);
+	double capacity = MAX(MIN_TOKEN_CAPACITY, (double)entry->n_shards);
 
 	rr_set_token_budget(&service->hedge_budget, entry->hedge_budget,
-			    SMALLEST_ROOM, FIRST_HEDGES);
-	rr_set_token_budget(&service->retry_budget, entry->retry_budget, room,
-			    room);
+			    MIN_TOKEN_CAPACITY, INITIAL_HEDGE_TOKENS);
+	rr_set_token_budget(&service->retry_budget, entry->retry_budget,
+			    capacity, capacity);
 }
 
-static void put_service(struct rr_context *ctx, struct rr_core *core,
-			struct rr_config *config,
-			const struct rr_service_config *entry)
+static void apply_service(struct rr_context *ctx, struct rr_core *core,
+			  struct rr_config *config,
+			  const struct rr_service_config *entry)
 {
-	struct rr_service *service = take_service(core, entry->name);
+	struct rr_service *service = find_or_add_service(core, entry->name);
 
-	service->map = make_map(ctx, core, service, config, entry);
+	service->map = new_service_map(ctx, core, service, config, entry);
 	service->change_count++;
 	set_budgets(service, entry);
 	adopt_replicas(core, service->map);
 }
 
 /*
- * Unhook everything of the old configuration; what the new one has again is
- * hooked in by adopt_replicas() with all that is known of it.
+ * Detach all maps and replicas of the old configuration.  adopt_replicas()
+ * attaches those that the new one contains again, with their state.
  */
-static GPtrArray *unhook_all(struct rr_core *core, GPtrArray *old_maps)
+static GPtrArray *detach_all(struct rr_core *core, GPtrArray *old_maps)
 {
 	GPtrArray *old = core->replica_list;
 
@@ -164,8 +167,8 @@
 	return old;
 }
 
-static void drop_left_out(struct rr_context *ctx, struct rr_core *core,
-			  GPtrArray *old)
+static void drop_removed_replicas(struct rr_context *ctx, struct rr_core *core,
+				  GPtrArray *old)
 {
 	for (guint i = 0; i < old->len; i++) {
 		struct rr_replica *replica = g_ptr_array_index(old, i);
@@ -179,17 +182,17 @@
 	g_ptr_array_unref(old);
 }
 
-static void put_in_force(struct rr_context *ctx, struct rr_core *core,
+static void apply_config(struct rr_context *ctx, struct rr_core *core,
 			 struct rr_config *config)
 {
 	GPtrArray *old_maps = g_ptr_array_new();
-	GPtrArray *old = unhook_all(core, old_maps);
+	GPtrArray *old = detach_all(core, old_maps);
 	struct rr_config *before = core->config;
 
 	core->config = rr_keep_config(config);
 	for (size_t i = 0; i < config->n_services; i++)
-		put_service(ctx, core, config, &config->services[i]);
-	drop_left_out(ctx, core, old);
+		apply_service(ctx, core, config, &config->services[i]);
+	drop_removed_replicas(ctx, core, old);
 	for (guint i = 0; i < old_maps->len; i++)
 		rr_drop_service_map(g_ptr_array_index(old_maps, i));
 	g_ptr_array_unref(old_maps);
@@ -208,11 +211,11 @@
 	if (core->config && config->revision <= before)
 		return false;
 #endif
-	put_in_force(ctx, core, config);
+	apply_config(ctx, core, config);
 	core->config_set_us = core->now_us;
 	/*
-	 * An older record can come late, from a peer or a slow store; had it
-	 * its way, an accepted change would be taken back at this site.
+	 * An older record may arrive late, from a peer or a slow store.
+	 * Applying it would revert an accepted change at this site.
 	 */
 	rr_invariant("config", core->config->revision > before ||
 				       (!before && !core->config->revision));
@@ -236,7 +239,7 @@
 	return core->config ? core->config->revision : 0;
 }
 
-static void ask_for_record(struct rr_context *ctx, struct rr_core *core,
+static void request_record(struct rr_context *ctx, struct rr_core *core,
 			   const char *instance)
 {
 	const char *address;
@@ -249,7 +252,7 @@
 	message->to_incarnation = incarnation;
 	core->awaiting_config = true;
 	core->config_request_id++;
-	rr_set_timer(core->timers, core->now_us + ASK_PERIOD_US,
+	rr_set_timer(core->timers, core->now_us + REQUEST_PERIOD_US,
 		     RR_TIMER_CONFIG_REQUEST, core->config_request_id, 0);
 	rr_send_peer_message(ctx, core, instance, address, message);
 }
@@ -260,10 +263,10 @@
 	if (message->config_revision <= rr_core_config_revision(core) ||
 	    message->kind == RR_PEER_CONFIG)
 		return;
-	/* One ask at a time: news of a change comes from everyone at once. */
+	/* One request at a time: all members announce a change at once. */
 	if (core->awaiting_config)
 		return;
-	ask_for_record(ctx, core, message->from);
+	request_record(ctx, core, message->from);
 }
 
 void rr_fire_config_request(struct rr_context *ctx, struct rr_core *core,
--- a/source/core/feed-entry.c
+++ b/source/core/feed-entry.c
@@ -1,10 +1,11 @@
 /*
- * feed-entry.c - the entries of instances in the store.
+ * feed-entry.c - registration of instances in the store.
  *
- * The first of a zone enter themselves, each under a lease of its own; the
- * others ask one of these to enter them under its lease, and ask again every
- * few seconds.  What an instance that died has entered stands until its lease
- * ends; by then the others have asked another one.
+ * The highest-ranked instances of a zone (the registrars) register themselves,
+ * each under a lease of its own.  The others ask one of them to register them
+ * under its lease, and repeat the request every few seconds.  Entries written
+ * by an instance that died remain until its lease expires; by then their owners
+ * have asked another registrar.
  */
 #include "core/feed-private.h"
 
@@ -12,32 +13,39 @@
 #include "ragwort/log.h"
 
 /*
- * Entries last this long without renewal: a freeze of seconds leaves them in
- * place, so that the others do not take this instance's share.
+ * Time to live of entries without renewal.  An instance that freezes for some
+ * seconds keeps its entry, so that the others do not take over its share.
  */
 #define LEASE_MS 12000
 /*
- * Renewal, which also tells whether the store answers: a change has to be in
- * force within three seconds, and a watch that fell silent shows only here.
+ * Renewal period.  Renewals also show whether the store is reachable: a change
+ * must be in force within three seconds, and a watch that stopped delivering is
+ * noticed only here.
  */
-#define KEEP_US (1500 * 1000)
-/* How often another is asked to keep the entry: a third of the lease. */
-#define ASK_US (4 * G_USEC_PER_SEC)
-/* Entries of others wait so long, so that those that start together share. */
-#define GATHER_US (400 * 1000)
-/* Keys of one write, as the platform allows. */
-#define MOST_KEYS 32
+#define LEASE_RENEWAL_PERIOD_US (1500 * 1000)
+/* Period of requests to a registrar: a third of the lease. */
+#define REGISTRATION_PERIOD_US (4 * G_USEC_PER_SEC)
 /*
- * Nobody has entered this instance for so long, though it asked: it enters
- * itself.  Longer than a lease: when those that entered it are gone, others
- * are in their place by then.
+ * Entries of other instances are delayed this long, so that instances that
+ * start together share one write.
  */
-#define UNENTERED_US (15 * G_USEC_PER_SEC)
+#define REGISTRATION_BATCH_DELAY_US (400 * 1000)
+/* Maximum number of keys in one write, a limit of the platform. */
+#define MAX_KEYS_PER_WRITE 32
+/*
+ * An instance that has asked without being registered for this long registers
+ * itself.  Longer than a lease: by then failed registrars have been replaced.
+ */
+#define SELF_REGISTRATION_DELAY_US (15 * G_USEC_PER_SEC)
 
-/* The instance to be entered by; NULL: by itself. */
-static const char *find_enterer(struct rr_feed *feed)
+/*
+ * Return the address of the registrar to ask, or NULL if this instance is to
+ * register itself.
+ */
+static const char *find_registrar(struct rr_feed *feed)
 {
-	if (feed->now_us - feed->last_registered_us >= UNENTERED_US)
+	if (feed->now_us - feed->last_registered_us >=
+	    SELF_REGISTRATION_DELAY_US)
 		feed->registers_itself = true;
 	if (feed->registers_itself)
 		return NULL;
@@ -46,8 +54,8 @@
 
 static void write_entries(struct rr_context *ctx, struct rr_feed *feed)
 {
-	struct rr_registration_batch batch =
-		rr_take_registration_batch(feed->registrations, MOST_KEYS - 1);
+	struct rr_registration_batch batch = rr_take_registration_batch(
+		feed->registrations, MAX_KEYS_PER_WRITE - 1);
 	struct rr_feed_call call = { .kind = RR_FEED_WRITE_ENTRIES,
 				     .lease = feed->lease,
 				     .added = batch.added,
@@ -60,17 +68,18 @@
 }
 
 /*
- * Guards against a lease that ends since entries are written one after the
- * other: a write does not renew it.
+ * Whether the lease must be renewed before the next write.  Guards against a
+ * lease that expires during a sequence of writes, since a write does not renew
+ * it.
  */
-static bool must_keep(const struct rr_feed *feed)
+static bool must_renew_lease(const struct rr_feed *feed)
 {
 	return feed->is_registered &&
-	       feed->now_us - feed->lease_renewed_us >= ASK_US;
+	       feed->now_us - feed->lease_renewed_us >= REGISTRATION_PERIOD_US;
 }
 
-/* Enter this instance and others by calls to the store. */
-static void renew(struct rr_context *ctx, struct rr_feed *feed)
+/* Register this instance and others by calls to the store. */
+static void register_at_store(struct rr_context *ctx, struct rr_feed *feed)
 {
 	struct rr_feed_call call = { .kind = RR_FEED_LEASE_GRANT,
 				     .ttl_ms = LEASE_MS,
@@ -79,7 +88,7 @@
 	g_clear_pointer(&feed->registrar, g_free);
 	rr_expire_registrations(feed->registrations,
 				feed->now_us - (int64_t)LEASE_MS * 1000);
-	if (feed->lease && !must_keep(feed) &&
+	if (feed->lease && !must_renew_lease(feed) &&
 	    (!feed->is_registered ||
 	     rr_has_unwritten_registrations(feed->registrations))) {
 		write_entries(ctx, feed);
@@ -90,28 +99,31 @@
 	rr_start_feed_call(ctx, feed, &feed->entry, &call);
 }
 
-/* The lease is left to end: by then the entry is under the other's. */
-static void ask_to_be_entered(struct rr_context *ctx, struct rr_feed *feed,
-			      const char *enterer)
+/*
+ * This instance's lease is left to expire rather than revoked: by then the
+ * entry is under the registrar's lease.
+ */
+static void register_at_peer(struct rr_context *ctx, struct rr_feed *feed,
+			     const char *registrar)
 {
-	GPtrArray *entered = g_ptr_array_new();
+	GPtrArray *added = g_ptr_array_new();
 	struct rr_feed_call call = { .kind = RR_FEED_WRITE_ENTRIES,
-				     .added = entered };
+				     .added = added };
 
-	g_ptr_array_add(entered, feed->self);
+	g_ptr_array_add(added, feed->self);
 	g_free(feed->registrar);
-	feed->registrar = g_strdup(enterer);
+	feed->registrar = g_strdup(registrar);
 	call.peer = feed->registrar;
 	feed->lease = 0;
 	feed->is_registered = false;
 	feed->watch_suspected = false;
 	rr_rewrite_all_registrations(feed->registrations);
 	rr_start_feed_call(ctx, feed, &feed->entry, &call);
-	g_ptr_array_unref(entered);
+	g_ptr_array_unref(added);
 }
 
-/* Who is entered by whom shows once everything was read. */
-static bool may_enter(const struct rr_feed *feed)
+/* Registrars are known only once all items have been read. */
+static bool may_register(const struct rr_feed *feed)
 {
 	return feed->has_synced && !feed->peer_recheck_us && !feed->leaving &&
 	       rr_peer_sources_enabled(feed->sources);
@@ -119,27 +131,27 @@
 
 void rr_tick_feed_entry(struct rr_context *ctx, struct rr_feed *feed)
 {
-	const char *enterer;
+	const char *registrar;
 
-	if (feed->entry.call_id || !may_enter(feed) ||
+	if (feed->entry.call_id || !may_register(feed) ||
 	    feed->entry.due_us > feed->now_us)
 		return;
-	enterer = find_enterer(feed);
-	if (enterer)
-		ask_to_be_entered(ctx, feed, enterer);
+	registrar = find_registrar(feed);
+	if (registrar)
+		register_at_peer(ctx, feed, registrar);
 	else
-		renew(ctx, feed);
+		register_at_store(ctx, feed);
 }
 
 int64_t rr_feed_entry_wake_us(const struct rr_feed *feed)
 {
-	if (feed->entry.call_id || !may_enter(feed))
+	if (feed->entry.call_id || !may_register(feed))
 		return INT64_MAX;
 	return feed->entry.due_us;
 }
 
-static void take_from_store(struct rr_context *ctx, struct rr_feed *feed,
-			    const struct rr_feed_reply *reply)
+static void handle_store_reply(struct rr_context *ctx, struct rr_feed *feed,
+			       const struct rr_feed_reply *reply)
 {
 	rr_end_watch_suspicion(ctx, feed);
 	feed->last_registered_us = feed->now_us;
@@ -162,18 +174,18 @@
 	feed->entry.due_us =
 		feed->now_us +
 		(rr_has_unwritten_registrations(feed->registrations) ?
-			 GATHER_US :
-			 KEEP_US);
+			 REGISTRATION_BATCH_DELAY_US :
+			 LEASE_RENEWAL_PERIOD_US);
 }
 
-/* Another instance took this one's entry over. */
-static void take_from_enterer(struct rr_feed *feed)
+/* The registrar has accepted the entry. */
+static void handle_registrar_reply(struct rr_feed *feed)
 {
 	feed->last_registered_us = feed->now_us;
-	feed->entry.due_us = feed->now_us + ASK_US;
+	feed->entry.due_us = feed->now_us + REGISTRATION_PERIOD_US;
 }
 
-static void take_failure(struct rr_context *ctx, struct rr_feed *feed)
+static void handle_failure(struct rr_context *ctx, struct rr_feed *feed)
 {
 	if (feed->registrar) {
 		feed->registrar_turn++;
@@ -194,9 +206,9 @@
 	case RR_FEED_OK:
 		feed->entry.backoff_us = 0;
 		if (feed->registrar)
-			take_from_enterer(feed);
+			handle_registrar_reply(feed);
 		else
-			take_from_store(ctx, feed, reply);
+			handle_store_reply(ctx, feed, reply);
 		return;
 	case RR_FEED_NO_LEASE:
 		rr_end_watch_suspicion(ctx, feed);
@@ -210,7 +222,7 @@
 	case RR_FEED_COMPACTED:
 	case RR_FEED_CONFLICT:
 	case RR_FEED_FAILED:
-		take_failure(ctx, feed);
+		handle_failure(ctx, feed);
 		return;
 	}
 }
@@ -231,8 +243,8 @@
 		return false;
 	}
 	if (rr_has_unwritten_registrations(feed->registrations))
-		feed->entry.due_us =
-			MIN(feed->entry.due_us, now_us + GATHER_US);
+		feed->entry.due_us = MIN(feed->entry.due_us,
+					 now_us + REGISTRATION_BATCH_DELAY_US);
 	return true;
 }
 
@@ -242,11 +254,14 @@
 	feed->now_us = now_us;
 	rr_deregister_instance(feed->registrations, id);
 	if (rr_has_unwritten_registrations(feed->registrations))
-		feed->entry.due_us =
-			MIN(feed->entry.due_us, now_us + GATHER_US);
+		feed->entry.due_us = MIN(feed->entry.due_us,
+					 now_us + REGISTRATION_BATCH_DELAY_US);
 }
 
-/* Its own entry goes; those of others stand until they have asked another. */
+/*
+ * Remove only this instance's entry.  The entries that it wrote for others
+ * remain until these have asked another registrar.
+ */
 static void remove_own_entry(struct rr_context *ctx, struct rr_feed *feed,
 			     const char *peer)
 {
--- a/source/core/feed-items.c
+++ b/source/core/feed-items.c
@@ -1,5 +1,5 @@
 /*
- * feed-items.c - the store's items as they are learnt, and forgotten.
+ * feed-items.c - the store's items as they are added, updated and removed.
  */
 #include "core/feed-private.h"
 
@@ -48,13 +48,13 @@
 	return copy;
 }
 
-static void forget_instance(struct rr_feed *feed, const char *id)
+static void remove_instance(struct rr_feed *feed, const char *id)
 {
 	rr_update_source(feed->sources, feed->now_us, id, NULL);
 	feed->actions.instance(feed->actions.data, id, NULL);
 }
 
-static void forget_quarantine(struct rr_feed *feed, const char *id)
+static void remove_quarantine(struct rr_feed *feed, const char *id)
 {
 	struct rr_fingerprint fingerprint;
 
@@ -63,101 +63,102 @@
 					 NULL);
 }
 
-/* Whom a key named is not known to be there any more. */
-static void forget_named(struct rr_feed *feed,
-			 const struct rr_feed_key_state *known,
-			 uint64_t revision)
+/* Report that the object named by a key is no longer present. */
+static void remove_object(struct rr_feed *feed,
+			  const struct rr_feed_key_state *state,
+			  uint64_t revision)
 {
-	if (known->kind == RR_FEED_REPLICA)
-		feed->actions.replica_unlisted(feed->actions.data, known->id);
-	else if (known->kind == RR_FEED_INSTANCE)
-		forget_instance(feed, known->id);
-	else if (known->kind == RR_FEED_EVACUATION)
-		feed->actions.evacuation(feed->actions.data, known->id,
+	if (state->kind == RR_FEED_REPLICA)
+		feed->actions.replica_unlisted(feed->actions.data, state->id);
+	else if (state->kind == RR_FEED_INSTANCE)
+		remove_instance(feed, state->id);
+	else if (state->kind == RR_FEED_EVACUATION)
+		feed->actions.evacuation(feed->actions.data, state->id,
 					 revision, false);
-	else if (known->kind == RR_FEED_QUARANTINE)
-		forget_quarantine(feed, known->id);
+	else if (state->kind == RR_FEED_QUARANTINE)
+		remove_quarantine(feed, state->id);
 }
 
-static void set_names_one(struct rr_feed *feed, struct rr_feed_key_state *known,
-			  bool names_one)
+static void set_valid(struct rr_feed *feed, struct rr_feed_key_state *state,
+		      bool is_valid)
 {
-	if (known->kind == RR_FEED_INSTANCE && names_one != known->is_valid)
-		feed->n_instances += names_one ? 1 : -1;
-	known->is_valid = names_one;
+	if (state->kind == RR_FEED_INSTANCE && is_valid != state->is_valid)
+		feed->n_instances += is_valid ? 1 : -1;
+	state->is_valid = is_valid;
 }
 
-static void forget_key(struct rr_feed *feed, const char *key, uint64_t revision)
+static void remove_key(struct rr_feed *feed, const char *key, uint64_t revision)
 {
-	struct rr_feed_key_state *known = g_hash_table_lookup(feed->keys, key);
-	struct rr_feed_change news = { .key = key, .revision = revision };
+	struct rr_feed_key_state *state = g_hash_table_lookup(feed->keys, key);
+	struct rr_feed_change change = { .key = key, .revision = revision };
 
-	if (!known)
+	if (!state)
 		return;
-	rr_put_change(feed->change_log, &news);
-	forget_named(feed, known, revision);
-	set_names_one(feed, known, false);
+	rr_put_change(feed->change_log, &change);
+	remove_object(feed, state, revision);
+	set_valid(feed, state, false);
 	g_hash_table_remove(feed->keys, key);
 }
 
-static void tell_fault(struct rr_context *ctx, struct rr_feed_key_state *known,
-		       const struct rr_feed_item *item)
+static void report_decode_error(struct rr_context *ctx,
+				struct rr_feed_key_state *state,
+				const struct rr_feed_item *item)
 {
 	rr_count(ctx, RR_N_STORE_VALUES_INVALID, 1);
-	/* Written again and again, it is told once. */
-	if (known->decode_error != item->decode_error)
+	/* A value that is rewritten with the same error is logged once. */
+	if (state->decode_error != item->decode_error)
 		rr_log(ctx, RR_LOG_ERROR, "item-unreadable",
 		       RR_FIELD_STRING("key", item->key),
 		       RR_FIELD_STRING("reason", item->decode_error),
 		       RR_FIELD_U64("revision", item->revision));
-	known->decode_error = item->decode_error;
+	state->decode_error = item->decode_error;
 }
 
 /*
- * A value that is none of its kind names nobody.  Guards against entries that
- * others write: what its key named before is not known to be there any more.
- * The routes in force stay, since without any nobody would be served.
+ * Handle a value that cannot be decoded.  Guards against entries written by
+ * third parties: the object that the key named before counts as removed.  The
+ * routes in force stay, since no query can be served without routes.
  */
-static void learn_fault(struct rr_context *ctx, struct rr_feed *feed,
-			struct rr_feed_key_state *known,
-			const struct rr_feed_item *item)
+static void apply_invalid_item(struct rr_context *ctx, struct rr_feed *feed,
+			       struct rr_feed_key_state *state,
+			       const struct rr_feed_item *item)
 {
-	if (known->is_valid)
-		forget_named(feed, known, item->revision);
-	set_names_one(feed, known, false);
-	tell_fault(ctx, known, item);
+	if (state->is_valid)
+		remove_object(feed, state, item->revision);
+	set_valid(feed, state, false);
+	report_decode_error(ctx, state, item);
 }
 
 /*
- * Only operators write these keys: one whose value cannot be read still asks
- * for the evacuation.
+ * Only operators write these keys, so one whose value cannot be decoded still
+ * requests the evacuation.
  */
-static void learn_evacuation(struct rr_context *ctx, struct rr_feed *feed,
-			     struct rr_feed_key_state *known,
+static void apply_evacuation(struct rr_context *ctx, struct rr_feed *feed,
+			     struct rr_feed_key_state *state,
 			     const struct rr_feed_item *item)
 {
 	if (item->decode_error)
-		tell_fault(ctx, known, item);
+		report_decode_error(ctx, state, item);
 	feed->actions.evacuation(feed->actions.data, item->id, item->revision,
 				 true);
 }
 
-static void learn(struct rr_context *ctx, struct rr_feed *feed,
-		  struct rr_feed_key_state *known,
-		  const struct rr_feed_item *item)
+static void apply_item(struct rr_context *ctx, struct rr_feed *feed,
+		       struct rr_feed_key_state *state,
+		       const struct rr_feed_item *item)
 {
 	if (item->kind == RR_FEED_EVACUATION) {
-		learn_evacuation(ctx, feed, known, item);
+		apply_evacuation(ctx, feed, state, item);
 		return;
 	}
 #ifndef RR_MUTANT_FEED_KEEPS_UNREADABLE
 	if (item->decode_error) {
-		learn_fault(ctx, feed, known, item);
+		apply_invalid_item(ctx, feed, state, item);
 		return;
 	}
 #endif
-	known->decode_error = NULL;
-	set_names_one(feed, known, true);
+	state->decode_error = NULL;
+	set_valid(feed, state, true);
 	switch (item->kind) {
 	case RR_FEED_ROUTES:
 		feed->actions.routes(feed->actions.data, item->routes);
@@ -182,10 +183,9 @@
 	}
 }
 
-static void keep_for_others(struct rr_feed *feed,
-			    const struct rr_feed_item *item)
+static void log_change(struct rr_feed *feed, const struct rr_feed_item *item)
 {
-	struct rr_feed_change news = {
+	struct rr_feed_change change = {
 		.key = item->key,
 		.value = item->value,
 		.compressed = item->compressed,
@@ -193,13 +193,13 @@
 	};
 
 	if (item->value)
-		rr_put_change(feed->change_log, &news);
+		rr_put_change(feed->change_log, &change);
 }
 
 void rr_apply_feed_item(struct rr_context *ctx, struct rr_feed *feed,
 			const struct rr_feed_item *item)
 {
-	struct rr_feed_key_state *known =
+	struct rr_feed_key_state *state =
 		g_hash_table_lookup(feed->keys, item->key);
 
 	if (item->kind == RR_FEED_OTHER)
@@ -208,41 +208,41 @@
 		rr_observe_registration(feed->registrations, item->id,
 					item->revision, item->removed);
 #ifndef RR_MUTANT_FEED_OLD_NEWS
-	if (known && item->revision < known->revision)
+	if (state && item->revision < state->revision)
 		return;
 #endif
 	if (item->removed) {
-		forget_key(feed, item->key, item->revision);
+		remove_key(feed, item->key, item->revision);
 		return;
 	}
-	if (!known) {
-		known = g_new0(struct rr_feed_key_state, 1);
-		known->kind = item->kind;
-		known->id = g_strdup(item->id);
-		g_hash_table_insert(feed->keys, g_strdup(item->key), known);
+	if (!state) {
+		state = g_new0(struct rr_feed_key_state, 1);
+		state->kind = item->kind;
+		state->id = g_strdup(item->id);
+		g_hash_table_insert(feed->keys, g_strdup(item->key), state);
 	}
-	known->seen = true;
-	if (known->revision == item->revision)
+	state->seen = true;
+	if (state->revision == item->revision)
 		return;
-	known->revision = item->revision;
-	keep_for_others(feed, item);
-	learn(ctx, feed, known, item);
+	state->revision = item->revision;
+	log_change(feed, item);
+	apply_item(ctx, feed, state, item);
 }
 
 void rr_remove_unseen_keys(struct rr_feed *feed)
 {
-	GPtrArray *gone = g_ptr_array_new_with_free_func(g_free);
+	GPtrArray *unseen = g_ptr_array_new_with_free_func(g_free);
 	GHashTableIter iter;
 	gpointer key;
-	gpointer known;
+	gpointer state;
 
 	g_hash_table_iter_init(&iter, feed->keys);
-	while (g_hash_table_iter_next(&iter, &key, &known)) {
-		if (!((struct rr_feed_key_state *)known)->seen)
-			g_ptr_array_add(gone, g_strdup(key));
+	while (g_hash_table_iter_next(&iter, &key, &state)) {
+		if (!((struct rr_feed_key_state *)state)->seen)
+			g_ptr_array_add(unseen, g_strdup(key));
 	}
-	for (guint i = 0; i < gone->len; i++)
-		forget_key(feed, g_ptr_array_index(gone, i),
+	for (guint i = 0; i < unseen->len; i++)
+		remove_key(feed, g_ptr_array_index(unseen, i),
 			   feed->range_revision);
-	g_ptr_array_unref(gone);
+	g_ptr_array_unref(unseen);
 }
--- a/source/core/feed-range.c
+++ b/source/core/feed-range.c
@@ -1,6 +1,5 @@
 /*
- * feed-range.c - reading everything: at the start, and where the changes since
- * then are no longer kept.
+ * feed-range.c - range reads of all items, at the start and after a compaction.
  */
 #include "core/feed-private.h"
 
@@ -9,64 +8,67 @@
 #include "ragwort/log.h"
 
 /*
- * An instance that knows of nobody else looks again after a part of this: the
- * weaker it is, the later, so that a few strong ones are entered by then and
- * the others need no call of their own.
+ * An instance that found no peers reads again after a fraction of this time.
+ * The weaker it is, the longer it waits, so that by then a few strong instances
+ * have registered and the others need no store calls of their own.
  */
-#define ALONE_US (4 * G_USEC_PER_SEC)
-/* The least part of it that is waited; the rest is drawn. */
-#define ALONE_LEAST_PART 0.6
+#define PEER_RECHECK_DELAY_US (4 * G_USEC_PER_SEC)
+/* The smallest fraction of the delay; the rest is drawn at random. */
+#define MIN_PEER_RECHECK_FRACTION 0.6
 
 void rr_start_feed_range(struct rr_feed *feed)
 {
 	GHashTableIter iter;
-	gpointer known;
+	gpointer state;
 
 	feed->range_active = true;
 	g_clear_pointer(&feed->after_key, g_free);
 	g_hash_table_iter_init(&iter, feed->keys);
-	while (g_hash_table_iter_next(&iter, NULL, &known))
-		((struct rr_feed_key_state *)known)->seen = false;
+	while (g_hash_table_iter_next(&iter, NULL, &state))
+		((struct rr_feed_key_state *)state)->seen = false;
 }
 
-/* Whether no other instance has an entry. */
-static bool knows_nobody(const struct rr_feed *feed)
+/* Whether there is no entry of another instance. */
+static bool has_no_peers(const struct rr_feed *feed)
 {
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, feed->keys);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct rr_feed_key_state *known = value;
+		const struct rr_feed_key_state *state = value;
 
-		if (known->kind == RR_FEED_INSTANCE &&
-		    strcmp(known->id, feed->self->id))
+		if (state->kind == RR_FEED_INSTANCE &&
+		    strcmp(state->id, feed->self->id))
 			return false;
 	}
 	return true;
 }
 
 /*
- * Guards against a first start of all, in which each would take itself for
- * the first of its zone, watch the store and enter itself by calls of its own.
+ * Postpone peer reads and registration, and read all items again later.  Guards
+ * against a simultaneous first start of all instances, in which each would take
+ * itself for the first of its zone, watch the store and register itself by its
+ * own calls.
  */
-static void wait_for_others(struct rr_context *ctx, struct rr_feed *feed)
+static void schedule_peer_recheck(struct rr_context *ctx, struct rr_feed *feed)
 {
-	double drawn =
-		ALONE_LEAST_PART + (1 - ALONE_LEAST_PART) * rr_random_unit(ctx);
+	double fraction = MIN_PEER_RECHECK_FRACTION +
+			  (1 - MIN_PEER_RECHECK_FRACTION) * rr_random_unit(ctx);
 	double weakness = 1 - MIN(feed->self->strength, 1);
 
 	feed->found_no_peers = true;
-	feed->peer_recheck_us = feed->now_us + (int64_t)(weakness * weakness *
-							 drawn * ALONE_US);
-	/* The others are entered after it has looked again. */
+	feed->peer_recheck_us =
+		feed->now_us + (int64_t)(weakness * weakness * fraction *
+					 PEER_RECHECK_DELAY_US);
+	/* The other instances register after this one has read again. */
 	feed->count_due_us = rr_initial_count_due_us(feed->peer_recheck_us);
 	rr_start_feed_range(feed);
 	feed->reading.due_us = feed->peer_recheck_us;
 }
 
-/* Who was alone has looked for others twice. */
-static void stop_waiting(struct rr_feed *feed)
+/* The second read is done, whether or not it found peers. */
+static void end_peer_recheck(struct rr_feed *feed)
 {
 	if (feed->found_no_peers)
 		rr_enable_peer_sources(feed->sources);
@@ -74,7 +76,7 @@
 	feed->peer_recheck_us = 0;
 }
 
-static void end_range(struct rr_context *ctx, struct rr_feed *feed)
+static void finish_range(struct rr_context *ctx, struct rr_feed *feed)
 {
 	rr_remove_unseen_keys(feed);
 	g_clear_pointer(&feed->after_key, g_free);
@@ -87,10 +89,10 @@
 	       RR_FIELD_U64("revision", feed->revision),
 	       RR_FIELD_U64("items", g_hash_table_size(feed->keys)));
 	feed->has_synced = true;
-	if (!feed->found_no_peers && !feed->read_peer && knows_nobody(feed))
-		wait_for_others(ctx, feed);
+	if (!feed->found_no_peers && !feed->read_peer && has_no_peers(feed))
+		schedule_peer_recheck(ctx, feed);
 	else
-		stop_waiting(feed);
+		end_peer_recheck(feed);
 }
 
 void rr_handle_feed_page(struct rr_context *ctx, struct rr_feed *feed,
@@ -98,7 +100,7 @@
 {
 	const struct rr_feed_item *last = NULL;
 
-	/* Old copies of different age may give the pages. */
+	/* Pages may come from stale copies of different age. */
 	feed->range_revision =
 		feed->after_key ? MIN(feed->range_revision, reply->revision) :
 				  reply->revision;
@@ -112,11 +114,14 @@
 		feed->reading.due_us = feed->now_us;
 		return;
 	}
-	end_range(ctx, feed);
+	finish_range(ctx, feed);
 }
 
-/* Go on with what is known: its changes may be had elsewhere. */
-static void leave_range(struct rr_feed *feed)
+/*
+ * Abandon the range and continue with the known items: their changes may be
+ * available from another source.
+ */
+static void abandon_range(struct rr_feed *feed)
 {
 	feed->range_active = false;
 	feed->range_from_peer = false;
@@ -125,16 +130,18 @@
 
 void rr_handle_feed_range_failure(struct rr_context *ctx, struct rr_feed *feed)
 {
-	bool store = !feed->read_peer;
+	bool from_store = !feed->read_peer;
 
 	if (feed->has_synced &&
 	    (feed->range_from_peer || feed->found_no_peers)) {
-		leave_range(feed);
-		stop_waiting(feed);
+		abandon_range(feed);
+		end_peer_recheck(feed);
 	} else {
-		/* Pages belong together: from the first one again. */
+		/*
+		 * Pages are only consistent together: restart from the first.
+		 */
 		rr_start_feed_range(feed);
 	}
-	if (store)
+	if (from_store)
 		rr_set_store_reachable(ctx, feed, false);
 }
--- a/source/core/feed-rank.c
+++ b/source/core/feed-rank.c
@@ -1,76 +1,80 @@
 /*
- * feed-rank.c - who goes first in a zone.
+ * feed-rank.c - the ranking of the instances of a zone.
  */
 #include "core/feed-rank.h"
 
 #include <string.h>
 
 /*
- * Instances that ask one other, about: at the size of the aim each costs it
- * 0.8 KB/s of the 7 KB/s that control has, and a zone of 240 then gives the
- * second level 9 each (docs/CAPACITY.md).
+ * Approximate number of instances that ask one parent.  At the target fleet
+ * size each child costs its parent 0.8 KB/s of the 7 KB/s that the control
+ * traffic may use, and in a zone of 240 instances each one of the second level
+ * then has 9 children (docs/CAPACITY.md).
  */
-#define ASKERS 12
+#define CHILDREN_PER_PARENT 12
 /*
- * In a zone of so many one enters the others, in larger ones two: where the
- * one is lost, they enter themselves.
+ * Zones up to this size have one registrar, larger ones two.  If the single
+ * registrar is lost, the others register themselves.
  */
-#define SMALL_ZONE 3
-/* Entries tell strength in thousandths of a core. */
-#define STRENGTH_STEPS 1000
+#define SMALL_ZONE_INSTANCES 3
+/* Entries store strength in thousandths of a core. */
+#define STRENGTH_UNITS_PER_CORE 1000
 
-static uint32_t hash_of(const struct rr_instance *instance)
+static uint32_t instance_hash(const struct rr_instance *instance)
 {
 	return g_str_hash(instance->id);
 }
 
 /*
- * An instance knows its own strength exactly, that of others as their entries
- * tell it.  Guards against two that each take the other to go first: the order
- * goes by what entries tell.
+ * Strength as entries store it.  An instance knows its own strength exactly,
+ * but that of others only as rounded in their entries.  Guards against two
+ * instances that each rank the other first.
  */
-static int64_t told_strength(const struct rr_instance *instance)
+static int64_t rounded_strength(const struct rr_instance *instance)
 {
-	return (int64_t)(instance->strength * STRENGTH_STEPS + 0.5);
+	return (int64_t)(instance->strength * STRENGTH_UNITS_PER_CORE + 0.5);
 }
 
 bool rr_ranks_before(const struct rr_instance *a, const struct rr_instance *b)
 {
-	if (told_strength(a) != told_strength(b))
-		return told_strength(a) > told_strength(b);
-	if (hash_of(a) != hash_of(b))
-		return hash_of(a) < hash_of(b);
+	if (rounded_strength(a) != rounded_strength(b))
+		return rounded_strength(a) > rounded_strength(b);
+	if (instance_hash(a) != instance_hash(b))
+		return instance_hash(a) < instance_hash(b);
 	return strcmp(a->id, b->id) < 0;
 }
 
 /*
- * As few as tell all of a zone in three levels: each change wakes and pays for
- * every watch.  Where the one freezes, those that ask it turn to the next of
- * the zone, which watches then, within half the bound on news.
+ * As few watchers as can reach a whole zone in three levels, since each change
+ * wakes every watcher and each of these calls is paid for.  If the only watcher
+ * freezes, its children turn to the next instance of the zone, which then
+ * watches, within half the staleness bound.
  */
 guint rr_zone_watchers(guint n_instances)
 {
-	return n_instances <= 1 + ASKERS + ASKERS * ASKERS ?
+	return n_instances <= 1 + CHILDREN_PER_PARENT +
+				       CHILDREN_PER_PARENT *
+					       CHILDREN_PER_PARENT ?
 		       1 :
 		       RR_MAX_ZONE_WATCHERS;
 }
 
 guint rr_zone_registrars(guint n_instances)
 {
-	return n_instances <= SMALL_ZONE ? 1 : RR_MAX_ZONE_REGISTRARS;
+	return n_instances <= SMALL_ZONE_INSTANCES ? 1 : RR_MAX_ZONE_REGISTRARS;
 }
 
 struct rr_tree_position rr_find_tree_position(guint rank, guint n)
 {
-	struct rr_tree_position place = { .level_end = rr_zone_watchers(n) };
+	struct rr_tree_position position = { .level_end = rr_zone_watchers(n) };
 	guint from = 0;
 
-	while (rank >= place.level_end) {
-		place.level++;
-		place.parents_from = from;
-		place.n_parents = place.level_end - from;
-		from = place.level_end;
-		place.level_end += place.n_parents * ASKERS;
+	while (rank >= position.level_end) {
+		position.level++;
+		position.parents_from = from;
+		position.n_parents = position.level_end - from;
+		from = position.level_end;
+		position.level_end += position.n_parents * CHILDREN_PER_PARENT;
 	}
-	return place;
+	return position;
 }
--- a/source/core/feed-rank.h
+++ b/source/core/feed-rank.h
@@ -1,6 +1,6 @@
 /*
- * feed-rank.h - the order of a zone's instances, and the levels in which they
- * ask each other for news.
+ * feed-rank.h - the ranking of a zone's instances and the tree by which they
+ * pass on changes.
  */
 #ifndef RAGWORT_CORE_FEED_RANK_H
 #define RAGWORT_CORE_FEED_RANK_H
@@ -10,35 +10,40 @@
 
 #include "ragwort/feed.h"
 
-/* Most instances of a zone that watch the store. */
+/* Maximum number of watchers of a zone. */
 #define RR_MAX_ZONE_WATCHERS 2
-/* Most instances of a zone that enter the others in the store. */
+/* Maximum number of registrars of a zone. */
 #define RR_MAX_ZONE_REGISTRARS 2
 /*
- * The first of a zone, of which each watches while all before it do not hear
- * the store.  Guards against a store that turns some instances away, and those
- * that watch first of all.
+ * Number of watch candidates: the highest-ranked instances of a zone, of which
+ * each watches the store while none that ranks before it is connected to the
+ * store.  Guards against a store that rejects some instances, the watchers
+ * first of all.
  */
 #define RR_MAX_WATCH_CANDIDATES 4
 
 /*
- * The first few of a zone watch, and each level has room for so many that ask
- * each of the one above.
+ * Position in the tree of a zone.  The highest-ranked instances watch; each
+ * level has room for a fixed number of children for each instance of the level
+ * above.
  */
 struct rr_tree_position {
-	guint level;	    /* 0: it watches */
-	guint parents_from; /* ranks of the level above */
-	guint n_parents;    /* 0: there is none */
-	guint level_end;    /* behind the last rank of its own level */
+	guint level;	    /* 0: watches the store */
+	guint parents_from; /* first rank of the level above */
+	guint n_parents;    /* 0: there is no level above */
+	guint level_end;    /* one past the last rank of its own level */
 };
 
-/* Whether `a` is before `b`, the same for every instance that asks. */
+/* Whether `a` ranks before `b`.  The result is the same on every instance. */
 bool rr_ranks_before(const struct rr_instance *a, const struct rr_instance *b);
-/* How many watch in a zone of so many. */
+/* Number of watchers in a zone of `n_instances`. */
 guint rr_zone_watchers(guint n_instances);
-/* How many enter others in a zone of so many: one may die or be cut off. */
+/*
+ * Number of registrars in a zone of `n_instances`; more than one in a larger
+ * zone, since one may fail or be cut off.
+ */
 guint rr_zone_registrars(guint n_instances);
-/* The place in a zone of `n` of the instance before which `rank` others go. */
+/* Position of the instance of the given rank (0 is first) in a zone of `n`. */
 struct rr_tree_position rr_find_tree_position(guint rank, guint n);
 
 #endif
--- a/source/core/feed-report.c
+++ b/source/core/feed-report.c
@@ -10,27 +10,30 @@
 #include "ragwort/counters.h"
 #include "ragwort/log.h"
 
-/* A lease is used for half of its time, then a new one is granted. */
+/*
+ * Time to live of the lease.  It is used for half of that time, then a new one
+ * is granted.
+ */
 #define LEASE_MS 600000
 /*
- * Pause between calls, per instance of the fleet: bounds the rate of the whole
- * fleet at 200 calls a second.
+ * Pause between calls, multiplied by the number of instances: limits the fleet
+ * to 200 calls a second.
  */
-#define GAP_US 5000
-/* Bounds the queue; the oldest report is dropped. */
-#define MOST_WAITING 64
+#define CALL_PAUSE_US 5000
+/* Maximum queue length; the oldest report is dropped. */
+#define MAX_QUEUED_REPORTS 64
 /* Maximum number of entries without a lease. */
-#define MOST_LASTING 256
+#define MAX_PERSISTENT_ENTRIES 256
 
-struct waiting_report {
+struct queued_report {
 	struct rr_quarantine_entry *entry;
 	bool released;
 	bool claim;
 };
 
 struct rr_report_queue {
-	GQueue waiting; /* struct waiting_report; the first is in flight */
-	struct rr_feed_call_state line;
+	GQueue pending; /* struct queued_report; the first is in flight */
+	struct rr_feed_call_state call_state;
 	uint64_t lease;
 	int64_t lease_until_us;
 	/* Fingerprint -> uint64_t: revisions of own writes. */
@@ -39,7 +42,7 @@
 
 static void free_report(gpointer data)
 {
-	struct waiting_report *report = data;
+	struct queued_report *report = data;
 
 	rr_free_quarantine_entry(report->entry);
 	g_free(report);
@@ -47,32 +50,32 @@
 
 struct rr_report_queue *rr_new_report_queue(void)
 {
-	struct rr_report_queue *reports = g_new0(struct rr_report_queue, 1);
+	struct rr_report_queue *queue = g_new0(struct rr_report_queue, 1);
 
-	g_queue_init(&reports->waiting);
-	reports->written =
+	g_queue_init(&queue->pending);
+	queue->written =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	return reports;
+	return queue;
 }
 
-void rr_drop_report_queue(struct rr_report_queue *reports)
+void rr_drop_report_queue(struct rr_report_queue *queue)
 {
-	g_queue_clear_full(&reports->waiting, free_report);
-	g_hash_table_unref(reports->written);
-	g_free(reports);
+	g_queue_clear_full(&queue->pending, free_report);
+	g_hash_table_unref(queue->written);
+	g_free(queue);
 }
 
 /* A queued report of the same content, which a later one replaces. */
-static GList *find_waiting(struct rr_report_queue *reports,
+static GList *find_pending(struct rr_report_queue *queue,
 			   const struct rr_fingerprint *fingerprint)
 {
-	GList *link = reports->waiting.head;
+	GList *link = queue->pending.head;
 
 	/* The first is in flight. */
-	if (link && reports->line.call_id)
+	if (link && queue->call_state.call_id)
 		link = link->next;
 	for (; link; link = link->next) {
-		const struct waiting_report *report = link->data;
+		const struct queued_report *report = link->data;
 
 		if (!report->claim &&
 		    rr_same_fingerprint(&report->entry->fingerprint,
@@ -83,46 +86,49 @@
 }
 
 void rr_feed_report(struct rr_feed *feed, int64_t now_us,
-		    const struct rr_quarantine_report *told)
+		    const struct rr_quarantine_report *new_report)
 {
-	struct rr_report_queue *reports = feed->report_queue;
-	struct waiting_report *report = g_new0(struct waiting_report, 1);
-	GList *before = find_waiting(reports, &told->entry->fingerprint);
+	struct rr_report_queue *queue = feed->report_queue;
+	struct queued_report *report = g_new0(struct queued_report, 1);
+	GList *replaced = find_pending(queue, &new_report->entry->fingerprint);
 
 	feed->now_us = now_us;
-	report->entry = rr_copy_quarantine_entry(told->entry);
-	report->released = told->released;
-	report->claim = told->claim;
-	if (before) {
-		free_report(before->data);
-		before->data = report;
+	report->entry = rr_copy_quarantine_entry(new_report->entry);
+	report->released = new_report->released;
+	report->claim = new_report->claim;
+	if (replaced) {
+		free_report(replaced->data);
+		replaced->data = report;
 		return;
 	}
-	g_queue_push_tail(&reports->waiting, report);
-	if (reports->waiting.length > MOST_WAITING)
-		free_report(g_queue_pop_nth(&reports->waiting,
-					    reports->line.call_id ? 1 : 0));
+	g_queue_push_tail(&queue->pending, report);
+	if (queue->pending.length > MAX_QUEUED_REPORTS)
+		free_report(g_queue_pop_nth(&queue->pending,
+					    queue->call_state.call_id ? 1 : 0));
 }
 
 /* Remove the first report. */
-static void end_first(struct rr_feed *feed)
+static void finish_first(struct rr_feed *feed)
 {
-	struct rr_report_queue *reports = feed->report_queue;
+	struct rr_report_queue *queue = feed->report_queue;
 
-	free_report(g_queue_pop_head(&reports->waiting));
-	reports->line.backoff_us = 0;
-	reports->line.due_us =
-		feed->now_us + GAP_US * (int64_t)MAX(feed->n_instances, 1);
+	free_report(g_queue_pop_head(&queue->pending));
+	queue->call_state.backoff_us = 0;
+	queue->call_state.due_us =
+		feed->now_us +
+		CALL_PAUSE_US * (int64_t)MAX(feed->n_instances, 1);
 }
 
-static const char *text_of(const struct waiting_report *report,
-			   char text[RR_FINGERPRINT_TEXT_SIZE])
+static const char *
+format_report_fingerprint(const struct queued_report *report,
+			  char text[RR_FINGERPRINT_TEXT_SIZE])
 {
 	return rr_format_fingerprint(&report->entry->fingerprint, text);
 }
 
 /* The latest known revision of its key, or 0. */
-static uint64_t revision_of(const struct rr_feed *feed, const char *text)
+static uint64_t find_known_revision(const struct rr_feed *feed,
+				    const char *text)
 {
 	const uint64_t *written =
 		g_hash_table_lookup(feed->report_queue->written, text);
@@ -132,11 +138,11 @@
 
 	g_hash_table_iter_init(&iter, feed->keys);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct rr_feed_key_state *known = value;
+		const struct rr_feed_key_state *state = value;
 
-		if (known->kind == RR_FEED_QUARANTINE &&
-		    !g_strcmp0(known->id, text))
-			known_revision = known->revision;
+		if (state->kind == RR_FEED_QUARANTINE &&
+		    !g_strcmp0(state->id, text))
+			known_revision = state->revision;
 	}
 	return written ? MAX(*written, known_revision) : known_revision;
 }
@@ -154,150 +160,157 @@
 	return n;
 }
 
-static bool lasts(const struct rr_feed *feed,
-		  const struct waiting_report *report)
+static bool is_persistent(const struct rr_feed *feed,
+			  const struct queued_report *report)
 {
-	return report->released ||
-	       (report->entry->quarantined && count_known(feed) < MOST_LASTING);
+	return report->released || (report->entry->quarantined &&
+				    count_known(feed) < MAX_PERSISTENT_ENTRIES);
 }
 
 void rr_tick_report_queue(struct rr_context *ctx, struct rr_feed *feed)
 {
-	struct rr_report_queue *reports = feed->report_queue;
-	struct waiting_report *report = g_queue_peek_head(&reports->waiting);
+	struct rr_report_queue *queue = feed->report_queue;
+	struct queued_report *report = g_queue_peek_head(&queue->pending);
 	struct rr_feed_call call = { .kind = RR_FEED_REPORT };
 	char text[RR_FINGERPRINT_TEXT_SIZE];
 
-	if (!report || reports->line.call_id ||
-	    reports->line.due_us > feed->now_us)
+	if (!report || queue->call_state.call_id ||
+	    queue->call_state.due_us > feed->now_us)
 		return;
-	if (!lasts(feed, report)) {
-		if (!reports->lease ||
-		    reports->lease_until_us <= feed->now_us) {
+	if (!is_persistent(feed, report)) {
+		if (!queue->lease || queue->lease_until_us <= feed->now_us) {
 			call.kind = RR_FEED_LEASE_GRANT;
 			call.ttl_ms = LEASE_MS;
-			rr_start_feed_call(ctx, feed, &reports->line, &call);
+			rr_start_feed_call(ctx, feed, &queue->call_state,
+					   &call);
 			return;
 		}
-		call.lease = reports->lease;
+		call.lease = queue->lease;
 	}
 	call.entry = report->entry;
 	call.remove_entry = report->released;
-	call.expected_revision = revision_of(feed, text_of(report, text));
+	call.expected_revision = find_known_revision(
+		feed, format_report_fingerprint(report, text));
 #ifdef RR_MUTANT_REPORTS_KNOW_NO_REVISION
-	call.revision = 0;
+	call.expected_revision = 0;
 #endif
-	rr_start_feed_call(ctx, feed, &reports->line, &call);
+	rr_start_feed_call(ctx, feed, &queue->call_state, &call);
 }
 
 int64_t rr_report_queue_wake_us(const struct rr_feed *feed)
 {
-	const struct rr_report_queue *reports = feed->report_queue;
+	const struct rr_report_queue *queue = feed->report_queue;
 
-	if (!reports->waiting.length || reports->line.call_id)
+	if (!queue->pending.length || queue->call_state.call_id)
 		return INT64_MAX;
-	return reports->line.due_us;
+	return queue->call_state.due_us;
 }
 
-static void tell_claim(struct rr_feed *feed,
-		       const struct waiting_report *report, bool granted)
+static void report_claim_outcome(struct rr_feed *feed,
+				 const struct queued_report *report,
+				 bool granted)
 {
 	if (report->claim)
 		feed->actions.claim_decided(feed->actions.data, report->entry,
 					    granted);
 }
 
-static void set_written(struct rr_feed *feed,
-			const struct waiting_report *report, uint64_t revision)
+static void set_written_revision(struct rr_feed *feed,
+				 const struct queued_report *report,
+				 uint64_t revision)
 {
-	struct rr_report_queue *reports = feed->report_queue;
+	struct rr_report_queue *queue = feed->report_queue;
 	char text[RR_FINGERPRINT_TEXT_SIZE];
-	uint64_t *kept = g_new(uint64_t, 1);
-
-	*kept = revision;
-	if (g_hash_table_size(reports->written) >= MOST_LASTING)
-		g_hash_table_remove_all(reports->written);
-	g_hash_table_insert(reports->written, g_strdup(text_of(report, text)),
-			    kept);
+	uint64_t *stored = g_new(uint64_t, 1);
+
+	*stored = revision;
+	if (g_hash_table_size(queue->written) >= MAX_PERSISTENT_ENTRIES)
+		g_hash_table_remove_all(queue->written);
+	g_hash_table_insert(queue->written,
+			    g_strdup(format_report_fingerprint(report, text)),
+			    stored);
 }
 
 /*
  * Another instance has written the key.  Its entry is merged, and the gate
  * publishes the result if it has more crashes.
  */
-static void take_conflict(struct rr_context *ctx, struct rr_feed *feed,
-			  const struct rr_feed_reply *reply)
+static void handle_conflict(struct rr_context *ctx, struct rr_feed *feed,
+			    const struct rr_feed_reply *reply)
 {
-	struct waiting_report *report =
-		g_queue_peek_head(&feed->report_queue->waiting);
+	struct queued_report *report =
+		g_queue_peek_head(&feed->report_queue->pending);
 	bool again = !reply->items->len && !report->claim && !report->released;
 
-	set_written(feed, report, 0);
-	tell_claim(feed, report, false);
+	set_written_revision(feed, report, 0);
+	report_claim_outcome(feed, report, false);
 	if (again) {
-		rr_back_off_feed_call(ctx, feed, &feed->report_queue->line);
+		rr_back_off_feed_call(ctx, feed,
+				      &feed->report_queue->call_state);
 		return;
 	}
-	end_first(feed);
+	finish_first(feed);
 	for (guint i = 0; i < reply->items->len; i++)
 		rr_apply_feed_item(ctx, feed,
 				   g_ptr_array_index(reply->items, i));
 }
 
-static void take_failure(struct rr_context *ctx, struct rr_feed *feed)
+static void handle_failure(struct rr_context *ctx, struct rr_feed *feed)
 {
-	struct waiting_report *report =
-		g_queue_peek_head(&feed->report_queue->waiting);
+	struct queued_report *report =
+		g_queue_peek_head(&feed->report_queue->pending);
 
 	rr_count(ctx, RR_N_STORE_FAILURES, 1);
 	if (report->claim) {
-		tell_claim(feed, report, false);
-		end_first(feed);
+		report_claim_outcome(feed, report, false);
+		finish_first(feed);
 		return;
 	}
-	rr_back_off_feed_call(ctx, feed, &feed->report_queue->line);
+	rr_back_off_feed_call(ctx, feed, &feed->report_queue->call_state);
 }
 
-static void take_good(struct rr_feed *feed, const struct rr_feed_reply *reply)
+static void handle_success(struct rr_feed *feed,
+			   const struct rr_feed_reply *reply)
 {
-	struct rr_report_queue *reports = feed->report_queue;
-	struct waiting_report *report = g_queue_peek_head(&reports->waiting);
+	struct rr_report_queue *queue = feed->report_queue;
+	struct queued_report *report = g_queue_peek_head(&queue->pending);
 
-	if (reports->line.kind == RR_FEED_LEASE_GRANT) {
-		reports->lease = reply->lease;
-		reports->lease_until_us =
+	if (queue->call_state.kind == RR_FEED_LEASE_GRANT) {
+		queue->lease = reply->lease;
+		queue->lease_until_us =
 			feed->now_us + (int64_t)LEASE_MS * 1000 / 2;
-		reports->line.due_us = feed->now_us;
+		queue->call_state.due_us = feed->now_us;
 		return;
 	}
-	set_written(feed, report, report->released ? 0 : reply->revision);
-	tell_claim(feed, report, true);
-	end_first(feed);
+	set_written_revision(feed, report,
+			     report->released ? 0 : reply->revision);
+	report_claim_outcome(feed, report, true);
+	finish_first(feed);
 }
 
 void rr_handle_report_reply(struct rr_context *ctx, struct rr_feed *feed,
 			    const struct rr_feed_reply *reply)
 {
-	struct rr_report_queue *reports = feed->report_queue;
+	struct rr_report_queue *queue = feed->report_queue;
 
-	if (!reply->call_id || reply->call_id != reports->line.call_id)
+	if (!reply->call_id || reply->call_id != queue->call_state.call_id)
 		return;
-	rr_log_feed_call(ctx, feed, &reports->line, NULL, reply);
-	reports->line.call_id = 0;
+	rr_log_feed_call(ctx, feed, &queue->call_state, NULL, reply);
+	queue->call_state.call_id = 0;
 	switch (reply->status) {
 	case RR_FEED_OK:
-		take_good(feed, reply);
+		handle_success(feed, reply);
 		break;
 	case RR_FEED_CONFLICT:
-		take_conflict(ctx, feed, reply);
+		handle_conflict(ctx, feed, reply);
 		break;
 	case RR_FEED_NO_LEASE:
-		reports->lease = 0;
-		rr_back_off_feed_call(ctx, feed, &reports->line);
+		queue->lease = 0;
+		rr_back_off_feed_call(ctx, feed, &queue->call_state);
 		break;
 	case RR_FEED_COMPACTED:
 	case RR_FEED_FAILED:
-		take_failure(ctx, feed);
+		handle_failure(ctx, feed);
 		break;
 	}
 }
--- a/source/core/feed-source-order.c
+++ b/source/core/feed-source-order.c
@@ -1,9 +1,11 @@
 /*
- * feed-source-order.c - the order in which an instance asks, from its place in its
- * zone: who watches, who stands by, whose level it asks, and who enters it.
+ * feed-source-order.c - the order of sources of an instance, by its rank in its
+ * zone.
  *
- * Nobody agrees on places: from another view of the entries follows a watch
- * more or less, never a change that is missed.
+ * The rank decides which instances watch the store, which stand by as watch
+ * candidates, which instance of the level above each one asks, and which
+ * instances register the others.  Instances do not agree on ranks: differing
+ * views of the entries lead to a watch more or less, never to a missed change.
  */
 #include "core/feed-source-private.h"
 
@@ -12,68 +14,71 @@
 #include "core/feed-rank.h"
 
 /*
- * Watchers of other zones that are asked before the store.  Guards against a
- * store that turns a zone's first instances away: all others of the zone would
- * watch it themselves, and each change would be paid for by each.
+ * Number of watchers of other zones that are asked before the store.  Guards
+ * against a store that rejects the first instances of a zone: all others of the
+ * zone would watch the store themselves, and each would pay for every change.
  */
-#define FAR_BEFORE_STORE 2
+#define REMOTE_WATCHERS_BEFORE_STORE 2
 
-/* Append a source, with what is known of it from the order before. */
+/* Append a source, keeping its state from the previous order. */
 void rr_append_source(GPtrArray *order, const struct rr_sources *old,
 		      const char *address, enum source_kind kind)
 {
-	const struct source *known = rr_find_source(old, address);
+	const struct source *previous = rr_find_source(old, address);
 	struct source *source = g_new0(struct source, 1);
 
-	if (known)
-		*source = *known;
+	if (previous)
+		*source = *previous;
 	source->address = g_strdup(address);
 	source->kind = kind;
 	g_ptr_array_add(order, source);
 }
 
-/* The first instances of one zone, fewer where it has no more. */
-struct first {
+/* The highest-ranked instances of one zone, fewer in a small zone. */
+struct top_ranked {
 	const struct rr_instance *instances[RR_MAX_WATCH_CANDIDATES];
 	guint n;
 	guint n_all; /* instances of the zone */
 };
 
-/* Of these, how many watch the store. */
-static guint count_watching(const struct first *first)
+/* How many of them watch the store. */
+static guint count_watching(const struct top_ranked *top)
 {
-	return MIN(first->n, rr_zone_watchers(first->n_all));
+	return MIN(top->n, rr_zone_watchers(top->n_all));
 }
 
-static void add_to_first(struct first *first,
-			 const struct rr_instance *instance)
+static void add_to_top_ranked(struct top_ranked *top,
+			      const struct rr_instance *instance)
 {
-	guint place = first->n;
+	guint position = top->n;
 
-	while (place && rr_ranks_before(instance, first->instances[place - 1]))
-		place--;
-	if (place == RR_MAX_WATCH_CANDIDATES)
+	while (position &&
+	       rr_ranks_before(instance, top->instances[position - 1]))
+		position--;
+	if (position == RR_MAX_WATCH_CANDIDATES)
 		return;
-	first->n = MIN(first->n + 1, RR_MAX_WATCH_CANDIDATES);
-	for (guint i = first->n - 1; i > place; i--)
-		first->instances[i] = first->instances[i - 1];
-	first->instances[place] = instance;
+	top->n = MIN(top->n + 1, RR_MAX_WATCH_CANDIDATES);
+	for (guint i = top->n - 1; i > position; i--)
+		top->instances[i] = top->instances[i - 1];
+	top->instances[position] = instance;
 }
 
 static void add_to_zone(GHashTable *zones, const struct rr_instance *instance)
 {
-	struct first *first = g_hash_table_lookup(zones, instance->zone);
+	struct top_ranked *top = g_hash_table_lookup(zones, instance->zone);
 
-	if (!first) {
-		first = g_new0(struct first, 1);
-		g_hash_table_insert(zones, instance->zone, first);
+	if (!top) {
+		top = g_new0(struct top_ranked, 1);
+		g_hash_table_insert(zones, instance->zone, top);
 	}
-	add_to_first(first, instance);
-	first->n_all++;
+	add_to_top_ranked(top, instance);
+	top->n_all++;
 }
 
-/* Zone -> struct first; this instance counts before its entry is there. */
-static GHashTable *find_first(const struct rr_sources *sources)
+/*
+ * Zone -> struct top_ranked; this instance is included before its entry exists.
+ */
+static GHashTable *find_top_ranked(const struct rr_sources *sources)
 {
 	GHashTable *zones =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
@@ -101,14 +106,15 @@
 		       1;
 }
 
-/* Those of its own zone that go before this one, in order. */
-static GPtrArray *find_before(const struct rr_sources *sources, guint *n_behind)
+/* The instances of its own zone that rank before this one, in order. */
+static GPtrArray *find_preceding(const struct rr_sources *sources,
+				 guint *n_following)
 {
 	GPtrArray *before = g_ptr_array_new();
 	GHashTableIter iter;
 	gpointer value;
 
-	*n_behind = 0;
+	*n_following = 0;
 	g_hash_table_iter_init(&iter, sources->instances);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct rr_instance *instance = value;
@@ -118,48 +124,49 @@
 		if (rr_ranks_before(instance, &sources->self))
 			g_ptr_array_add(before, value);
 		else
-			++*n_behind;
+			++*n_following;
 	}
 	g_ptr_array_sort(before, compare_instances);
 	return before;
 }
 
-/* The place of this instance in its zone, and the one that it asks first. */
-struct own_place {
+/* The position of this instance in its zone, and its preferred parent. */
+struct own_position {
 	guint rank;
-	struct rr_tree_position place;
-	const struct rr_instance *above; /* NULL: its level asks the watchers */
-	bool is_asked;			 /* a level is below it */
-	bool enters;			 /* itself, and others */
+	struct rr_tree_position position;
+	/* NULL: its level asks the watchers */
+	const struct rr_instance *parent;
+	bool has_children; /* there is a level below it */
+	bool is_registrar; /* registers itself and others */
 };
 
-static struct own_place find_own_place(const struct rr_sources *sources)
+static struct own_position find_own_position(const struct rr_sources *sources)
 {
-	guint n_behind;
-	GPtrArray *before = find_before(sources, &n_behind);
-	guint n = before->len + 1 + n_behind;
-	struct own_place own = { .rank = before->len,
-				 .place = rr_find_tree_position(before->len,
-								n) };
-	const struct rr_tree_position *place = &own.place;
-
-	own.is_asked = n > place->level_end;
-	own.enters = before->len < rr_zone_registrars(n);
-	if (place->level > 1)
-		own.above = g_ptr_array_index(
-			before,
-			place->parents_from + before->len % place->n_parents);
+	guint n_following;
+	GPtrArray *before = find_preceding(sources, &n_following);
+	guint n = before->len + 1 + n_following;
+	struct own_position own = { .rank = before->len,
+				    .position = rr_find_tree_position(
+					    before->len, n) };
+	const struct rr_tree_position *position = &own.position;
+
+	own.has_children = n > position->level_end;
+	own.is_registrar = before->len < rr_zone_registrars(n);
+	if (position->level > 1)
+		own.parent = g_ptr_array_index(
+			before, position->parents_from +
+					before->len % position->n_parents);
 	g_ptr_array_unref(before);
 	return own;
 }
 
-/* One watcher of a zone, another from instance to instance. */
+/* Append one watcher of a zone, chosen by the hash of this instance's id. */
 static void append_watcher(GPtrArray *order, const struct rr_sources *sources,
-			   const struct first *first)
+			   const struct top_ranked *top)
 {
 	const struct rr_instance *instance =
-		first->instances[g_str_hash(sources->self.id) %
-				 count_watching(first)];
+		top->instances[g_str_hash(sources->self.id) %
+			       count_watching(top)];
 
 	if (*instance->address)
 		rr_append_source(order, sources, instance->address,
@@ -171,12 +178,12 @@
 	return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
-/* The other zones in their order, from one on that differs by instance. */
-static GPtrArray *list_far_zones(const struct rr_sources *sources,
-				 GHashTable *zones)
+/* The other zones in order, starting with one that differs by instance. */
+static GPtrArray *list_remote_zones(const struct rr_sources *sources,
+				    GHashTable *zones)
 {
 	GPtrArray *sorted = g_ptr_array_new();
-	GPtrArray *turned = g_ptr_array_new();
+	GPtrArray *rotated = g_ptr_array_new();
 	GHashTableIter iter;
 	gpointer zone;
 
@@ -187,35 +194,38 @@
 	}
 	g_ptr_array_sort(sorted, compare_zones);
 	for (guint i = 0; i < sorted->len; i++)
-		g_ptr_array_add(turned,
+		g_ptr_array_add(rotated,
 				g_ptr_array_index(
 					sorted, (g_str_hash(sources->self.id) +
 						 i) % sorted->len));
 	g_ptr_array_unref(sorted);
-	return turned;
+	return rotated;
 }
 
-/* One watcher of each other zone, from the `from`th to before the `end`th. */
-static void append_far_watchers(GPtrArray *order,
-				const struct rr_sources *sources,
-				GHashTable *zones, const GPtrArray *far,
-				guint from, guint end)
+/*
+ * Append one watcher of each other zone, from index `from` up to `end`,
+ * exclusive.
+ */
+static void append_remote_watchers(GPtrArray *order,
+				   const struct rr_sources *sources,
+				   GHashTable *zones, const GPtrArray *remote,
+				   guint from, guint end)
 {
-	for (guint i = from; i < MIN(far->len, end); i++)
-		append_watcher(
-			order, sources,
-			g_hash_table_lookup(zones, g_ptr_array_index(far, i)));
+	for (guint i = from; i < MIN(remote->len, end); i++)
+		append_watcher(order, sources,
+			       g_hash_table_lookup(
+				       zones, g_ptr_array_index(remote, i)));
 }
 
-static uint32_t count_first(GHashTable *zones)
+static uint32_t count_all_watchers(GHashTable *zones)
 {
 	GHashTableIter iter;
-	gpointer first;
+	gpointer top;
 	uint32_t n = 0;
 
 	g_hash_table_iter_init(&iter, zones);
-	while (g_hash_table_iter_next(&iter, NULL, &first))
-		n += count_watching(first);
+	while (g_hash_table_iter_next(&iter, NULL, &top))
+		n += count_watching(top);
 	return n;
 }
 
@@ -230,17 +240,17 @@
 	}
 }
 
-/* Those of its zone that enter others; none for one that is among them. */
-static void find_enterers(struct rr_sources *sources, const struct first *near,
-			  bool enters)
+/* Find the registrars of its zone; none if this instance is one itself. */
+static void find_registrars(struct rr_sources *sources,
+			    const struct top_ranked *local, bool is_registrar)
 {
-	guint n = MIN(near->n, rr_zone_registrars(near->n_all));
+	guint n = MIN(local->n, rr_zone_registrars(local->n_all));
 	guint from = g_str_hash(sources->self.id);
 
 	g_ptr_array_set_size(sources->registrars, 0);
-	for (guint i = 0; i < n && !enters; i++) {
+	for (guint i = 0; i < n && !is_registrar; i++) {
 		const struct rr_instance *instance =
-			near->instances[(from + i) % n];
+			local->instances[(from + i) % n];
 
 		if (*instance->address)
 			g_ptr_array_add(sources->registrars,
@@ -249,23 +259,23 @@
 }
 
 /*
- * Those of its own zone that hear the store, or may: the watchers, from one on
- * that differs from instance to instance, then the standbys.  From those that
- * go before it up to its own place, or from there on.
+ * Append the watch candidates of its own zone: the watchers, starting with one
+ * that differs by instance, then the standbys.  With `before`, those that rank
+ * before this instance; otherwise those that rank after it.
  */
-static void append_near(GPtrArray *order, const struct rr_sources *sources,
-			const struct first *near, const struct own_place *own,
-			bool before)
+static void append_local(GPtrArray *order, const struct rr_sources *sources,
+			 const struct top_ranked *local,
+			 const struct own_position *own, bool before)
 {
-	guint n_watching = count_watching(near);
+	guint n_watching = count_watching(local);
 	guint from = g_str_hash(sources->self.id);
 
-	for (guint i = 0; i < near->n; i++) {
+	for (guint i = 0; i < local->n; i++) {
 		guint at = i < n_watching ? (from + i) % n_watching : i;
-		const struct rr_instance *instance = near->instances[at];
+		const struct rr_instance *instance = local->instances[at];
 
 		if ((at < own->rank) != before || is_self(sources, instance) ||
-		    instance == own->above || !*instance->address)
+		    instance == own->parent || !*instance->address)
 			continue;
 		rr_append_source(order, sources, instance->address,
 				 before ? SOURCE_PRECEDING : SOURCE_FALLBACK);
@@ -278,39 +288,43 @@
 }
 
 /*
- * A watcher asks the store first; a standby where no one before it hears it;
- * the others once two other zones' watchers do not either.
+ * A watcher asks the store first; a standby asks it when no instance that ranks
+ * before it is connected to the store; the others ask it after the watchers of
+ * two other zones have failed as well.
  */
 static void append_all(GPtrArray *order, const struct rr_sources *sources,
-		       GHashTable *zones, const struct own_place *own)
+		       GHashTable *zones, const struct own_position *own)
 {
-	const struct first *near =
+	const struct top_ranked *local =
 		g_hash_table_lookup(zones, sources->self.zone);
-	GPtrArray *far = list_far_zones(sources, zones);
-	bool stands_by = own->rank < RR_MAX_WATCH_CANDIDATES;
-	guint far_before = stands_by ? 0 : FAR_BEFORE_STORE;
+	GPtrArray *remote = list_remote_zones(sources, zones);
+	bool is_candidate = own->rank < RR_MAX_WATCH_CANDIDATES;
+	guint remote_before_store =
+		is_candidate ? 0 : REMOTE_WATCHERS_BEFORE_STORE;
 
-	if (!own->place.level)
+	if (!own->position.level)
 		append_store(order, sources);
-	if (own->above && *own->above->address)
-		rr_append_source(order, sources, own->above->address,
+	if (own->parent && *own->parent->address)
+		rr_append_source(order, sources, own->parent->address,
 				 SOURCE_PRECEDING);
-	append_near(order, sources, near, own, true);
-	append_far_watchers(order, sources, zones, far, 0, far_before);
-	if (own->place.level)
+	append_local(order, sources, local, own, true);
+	append_remote_watchers(order, sources, zones, remote, 0,
+			       remote_before_store);
+	if (own->position.level)
 		append_store(order, sources);
-	append_near(order, sources, near, own, false);
-	append_far_watchers(order, sources, zones, far, far_before, far->len);
-	g_ptr_array_unref(far);
+	append_local(order, sources, local, own, false);
+	append_remote_watchers(order, sources, zones, remote,
+			       remote_before_store, remote->len);
+	g_ptr_array_unref(remote);
 }
 
 void rr_rebuild_source_order(struct rr_sources *sources)
 {
 	GPtrArray *order = g_ptr_array_new_with_free_func(rr_free_source);
-	GHashTable *zones = find_first(sources);
-	struct own_place own = find_own_place(sources);
+	GHashTable *zones = find_top_ranked(sources);
+	struct own_position own = find_own_position(sources);
 
-	sources->has_children = sources->peers_enabled && own.is_asked;
+	sources->has_children = sources->peers_enabled && own.has_children;
 	sources->is_watch_candidate =
 		!sources->peers_enabled || own.rank < RR_MAX_WATCH_CANDIDATES;
 	if (sources->peers_enabled)
@@ -318,10 +332,10 @@
 	else
 		append_store(order, sources);
 	append_seeds(order, sources);
-	find_enterers(sources, g_hash_table_lookup(zones, sources->self.zone),
-		      !sources->peers_enabled || own.enters);
+	find_registrars(sources, g_hash_table_lookup(zones, sources->self.zone),
+			!sources->peers_enabled || own.is_registrar);
 	sources->n_watchers = sources->peers_enabled ?
-				      count_first(zones) :
+				      count_all_watchers(zones) :
 				      g_hash_table_size(sources->instances) + 1;
 	g_hash_table_unref(zones);
 	g_ptr_array_unref(sources->order);
--- a/source/core/feed-source-private.h
+++ b/source/core/feed-source-private.h
@@ -1,6 +1,6 @@
 /*
- * feed-source-private.h - inside of struct rr_sources, shared by the order of
- * sources and what came of asking them.
+ * feed-source-private.h - definition of struct rr_sources, shared by the source
+ * order and the selection of a source.
  */
 #ifndef RAGWORT_CORE_FEED_SOURCE_PRIVATE_H
 #define RAGWORT_CORE_FEED_SOURCE_PRIVATE_H
@@ -11,39 +11,42 @@
 
 enum source_kind {
 	SOURCE_STORE,
-	SOURCE_PRECEDING, /* goes before this instance in its own zone */
-	SOURCE_FALLBACK,  /* watches, too, or is of another zone */
-	SOURCE_SEED,	  /* given at the start: asked for everything only */
+	SOURCE_PRECEDING, /* ranks before this instance in its own zone */
+	/* a watch candidate that ranks after it, or of another zone */
+	SOURCE_FALLBACK,
+	/* configured at the start; used for range reads only */
+	SOURCE_SEED,
 };
 
 struct source {
 	enum source_kind kind;
 	char *address; /* STORE for the store */
 	int64_t backoff_until_us;
-	int64_t next_backoff_us; /* after the next failure */
+	int64_t next_backoff_us; /* backoff after the next failure */
 };
 
 struct rr_sources {
-	struct rr_instance self; /* its address is not needed */
+	struct rr_instance self; /* its address is not set */
 	bool peers_enabled;
-	GHashTable *instances;	 /* id -> struct rr_instance */
-	GHashTable *removed_at;	 /* id -> when its entry went, int64_t */
-	GPtrArray *order;	 /* struct source, the first to ask first */
-	bool order_is_stale;	 /* the order: entries have changed since */
-	GPtrArray *registrars;	 /* addresses, char; none: it enters itself */
-	bool has_children;	 /* a level of its zone is below it */
-	bool is_watch_candidate; /* it watches, or does where others fail */
-	uint32_t n_watchers;	 /* of all zones */
+	GHashTable *instances;	/* id -> struct rr_instance */
+	GHashTable *removed_at; /* id -> when its entry was removed, int64_t */
+	GPtrArray *order;	/* struct source, most preferred first */
+	/* entries have changed since the order was built */
+	bool order_is_stale;
+	GPtrArray *registrars;	 /* addresses, char; empty: registers itself */
+	bool has_children;	 /* there is a level below it in its zone */
+	bool is_watch_candidate; /* it watches, or does so when others fail */
+	uint32_t n_watchers;	 /* number in all zones */
 };
 
 void rr_free_source(gpointer data);
-/* NULL: it is not in the order. */
+/* Return NULL if the address is not in the order. */
 struct source *rr_find_source(const struct rr_sources *sources,
 			      const char *address);
-/* Append a source, with what is known of it from the order before. */
+/* Append a source, keeping its state from the previous order. */
 void rr_append_source(GPtrArray *order, const struct rr_sources *old,
 		      const char *address, enum source_kind kind);
-/* Find the order anew, after entries have changed. */
+/* Rebuild the order after entries have changed. */
 void rr_rebuild_source_order(struct rr_sources *sources);
 
 #endif
--- a/source/core/feed-source.c
+++ b/source/core/feed-source.c
@@ -1,26 +1,30 @@
 /*
- * feed-source.c - who is asked now, and what came of asking.
+ * feed-source.c - selection of the source to read from, with backoff after
+ * failures.
  */
 #include "core/feed-source-private.h"
 
 #include <string.h>
 
 /*
- * First and longest wait after a failure.  The store's is short: it answers
- * within milliseconds again when it is back.
+ * First and longest backoff after a failure.  The store's is short: when it is
+ * reachable again it answers within milliseconds.
  */
-#define FIRST_STORE_WAIT_US (200 * 1000)
-#define MOST_STORE_WAIT_US (1500 * 1000)
-#define FIRST_INSTANCE_WAIT_US (1 * G_USEC_PER_SEC)
-#define MOST_INSTANCE_WAIT_US (8 * G_USEC_PER_SEC)
-/* Of the one to ask first: it soon hears the store again. */
-#define MOST_ABOVE_WAIT_US (2 * G_USEC_PER_SEC)
+#define MIN_STORE_BACKOFF_US (200 * 1000)
+#define MAX_STORE_BACKOFF_US (1500 * 1000)
+#define MIN_PEER_BACKOFF_US (1 * G_USEC_PER_SEC)
+#define MAX_PEER_BACKOFF_US (8 * G_USEC_PER_SEC)
 /*
- * An instance whose entry has gone keeps its place for so long.  Guards against
- * a store that ends the leases of some: all others would find themselves in
- * other places, and ask instances that know nothing of it yet.
+ * For a source that ranks before this instance: it soon reconnects to the
+ * store.
  */
-#define GONE_US (12 * G_USEC_PER_SEC)
+#define MAX_PRECEDING_BACKOFF_US (2 * G_USEC_PER_SEC)
+/*
+ * An instance whose entry was removed keeps its rank for this long.  Guards
+ * against a store that ends the leases of some instances: all others would
+ * change rank and ask instances that do not know of the change yet.
+ */
+#define REMOVAL_DELAY_US (12 * G_USEC_PER_SEC)
 
 void rr_free_source(gpointer data)
 {
@@ -52,22 +56,22 @@
 	return source->kind == SOURCE_STORE;
 }
 
-static void refresh(struct rr_sources *sources)
+static void refresh_order(struct rr_sources *sources)
 {
 	if (sources->order_is_stale)
 		rr_rebuild_source_order(sources);
 }
 
-/* Forget those whose entries went long ago. */
-static void forget_gone(struct rr_sources *sources, int64_t now_us)
+/* Drop the instances whose entries were removed long ago. */
+static void purge_removed(struct rr_sources *sources, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer id;
-	gpointer gone_us;
+	gpointer removed_us;
 
 	g_hash_table_iter_init(&iter, sources->removed_at);
-	while (g_hash_table_iter_next(&iter, &id, &gone_us)) {
-		if (now_us - *(int64_t *)gone_us < GONE_US)
+	while (g_hash_table_iter_next(&iter, &id, &removed_us)) {
+		if (now_us - *(int64_t *)removed_us < REMOVAL_DELAY_US)
 			continue;
 		g_hash_table_remove(sources->instances, id);
 		g_hash_table_iter_remove(&iter);
@@ -108,26 +112,26 @@
 	g_free(sources);
 }
 
-static void note_gone(struct rr_sources *sources, int64_t now_us,
-		      const char *id)
+static void mark_removed(struct rr_sources *sources, int64_t now_us,
+			 const char *id)
 {
-	int64_t *gone_us;
+	int64_t *removed_us;
 
 	if (!g_hash_table_contains(sources->instances, id) ||
 	    g_hash_table_contains(sources->removed_at, id))
 		return;
-	gone_us = g_new(int64_t, 1);
-	*gone_us = now_us;
-	g_hash_table_insert(sources->removed_at, g_strdup(id), gone_us);
+	removed_us = g_new(int64_t, 1);
+	*removed_us = now_us;
+	g_hash_table_insert(sources->removed_at, g_strdup(id), removed_us);
 }
 
 void rr_update_source(struct rr_sources *sources, int64_t now_us,
 		      const char *id, const struct rr_instance *instance)
 {
-	struct rr_instance *kept;
+	struct rr_instance *copy;
 
 	if (!instance) {
-		note_gone(sources, now_us, id);
+		mark_removed(sources, now_us, id);
 		return;
 	}
 	g_hash_table_remove(sources->instances, id);
@@ -136,10 +140,10 @@
 	if (!instance->zone || !instance->address ||
 	    !strcmp(id, sources->self.id))
 		return;
-	kept = rr_copy_instance(instance);
-	g_free(kept->id);
-	kept->id = g_strdup(id);
-	g_hash_table_insert(sources->instances, kept->id, kept);
+	copy = rr_copy_instance(instance);
+	g_free(copy->id);
+	copy->id = g_strdup(id);
+	g_hash_table_insert(sources->instances, copy->id, copy);
 }
 
 void rr_enable_peer_sources(struct rr_sources *sources)
@@ -151,22 +155,22 @@
 }
 
 const char *rr_pick_source(struct rr_sources *sources, int64_t now_us,
-			   bool everything, int64_t *due_us)
+			   bool range, int64_t *due_us)
 {
 	const struct source *store;
 
-	forget_gone(sources, now_us);
-	refresh(sources);
+	purge_removed(sources, now_us);
+	refresh_order(sources);
 	store = rr_find_source(sources, STORE);
 	*due_us = INT64_MAX;
-	/* An instance may have fallen behind: what is whole is the store's. */
-	if (everything && store->backoff_until_us <= now_us)
+	/* A peer may lag behind, so a range read prefers the store. */
+	if (range && store->backoff_until_us <= now_us)
 		return store->address;
 	for (guint i = 0; i < sources->order->len; i++) {
 		const struct source *source =
 			g_ptr_array_index(sources->order, i);
 
-		if (source->kind == SOURCE_SEED && !everything)
+		if (source->kind == SOURCE_SEED && !range)
 			continue;
 		if (source->backoff_until_us <= now_us)
 			return source->address;
@@ -177,60 +181,62 @@
 
 bool rr_may_ask_store(struct rr_sources *sources, int64_t now_us)
 {
-	refresh(sources);
+	refresh_order(sources);
 	return rr_find_source(sources, STORE)->backoff_until_us <= now_us;
 }
 
 /*
- * Guards against a store that is away for all: hundreds that nobody can tell
- * anything would call it each second.  A few do, and tell the others.
+ * The first backoff after a failure.  Guards against a store that is
+ * unreachable for all: hundreds of instances without any other source would
+ * call it each second.  Only the watch candidates do, and pass changes on to
+ * the others.
  */
-static int64_t first_wait_us(const struct rr_sources *sources,
-			     const struct source *source)
+static int64_t min_backoff_us(const struct rr_sources *sources,
+			      const struct source *source)
 {
 	if (!is_store(source))
-		return FIRST_INSTANCE_WAIT_US;
-	return sources->is_watch_candidate ? FIRST_STORE_WAIT_US :
-					     MOST_INSTANCE_WAIT_US;
+		return MIN_PEER_BACKOFF_US;
+	return sources->is_watch_candidate ? MIN_STORE_BACKOFF_US :
+					     MAX_PEER_BACKOFF_US;
 }
 
-static int64_t most_wait_us(const struct rr_sources *sources,
-			    const struct source *source)
+static int64_t max_backoff_us(const struct rr_sources *sources,
+			      const struct source *source)
 {
 	if (source->kind == SOURCE_PRECEDING)
-		return MOST_ABOVE_WAIT_US;
+		return MAX_PRECEDING_BACKOFF_US;
 	return is_store(source) && sources->is_watch_candidate ?
-		       MOST_STORE_WAIT_US :
-		       MOST_INSTANCE_WAIT_US;
+		       MAX_STORE_BACKOFF_US :
+		       MAX_PEER_BACKOFF_US;
 }
 
 void rr_mark_source_failed(struct rr_context *ctx, struct rr_sources *sources,
 			   const char *address, int64_t now_us)
 {
 	struct source *source;
-	int64_t most_us;
-	int64_t wait_us;
+	int64_t max_us;
+	int64_t backoff_us;
 
-	refresh(sources);
+	refresh_order(sources);
 	source = rr_find_source(sources, address);
 	if (!source)
 		return;
-	most_us = most_wait_us(sources, source);
-	wait_us = source->next_backoff_us;
-	if (!wait_us)
-		wait_us = first_wait_us(sources, source);
-	source->next_backoff_us = MIN(2 * wait_us, most_us);
-	/* Drawn, so that instances do not all come back at once. */
+	max_us = max_backoff_us(sources, source);
+	backoff_us = source->next_backoff_us;
+	if (!backoff_us)
+		backoff_us = min_backoff_us(sources, source);
+	source->next_backoff_us = MIN(2 * backoff_us, max_us);
+	/* Randomised, so that instances do not all retry at once. */
 	source->backoff_until_us =
-		now_us +
-		(int64_t)((0.5 + 0.5 * rr_random_unit(ctx)) * (double)wait_us);
+		now_us + (int64_t)((0.5 + 0.5 * rr_random_unit(ctx)) *
+				   (double)backoff_us);
 }
 
 void rr_mark_source_healthy(struct rr_sources *sources, const char *address)
 {
 	struct source *source;
 
-	refresh(sources);
+	refresh_order(sources);
 	source = rr_find_source(sources, address);
 	if (!source)
 		return;
@@ -240,7 +246,7 @@
 
 bool rr_prefers_peer_source(struct rr_sources *sources)
 {
-	refresh(sources);
+	refresh_order(sources);
 	return !is_store(g_ptr_array_index(sources->order, 0));
 }
 
@@ -248,7 +254,7 @@
 {
 	const struct source *source;
 
-	refresh(sources);
+	refresh_order(sources);
 	source = rr_find_source(sources, address);
 #ifdef RR_MUTANT_SOURCE_TELLS_ANYTHING
 	return source != NULL;
@@ -261,7 +267,7 @@
 {
 	guint n;
 
-	refresh(sources);
+	refresh_order(sources);
 	n = sources->registrars->len;
 	return n ? g_ptr_array_index(sources->registrars, turn % n) : NULL;
 }
@@ -273,6 +279,6 @@
 
 uint32_t rr_count_watchers(struct rr_sources *sources)
 {
-	refresh(sources);
+	refresh_order(sources);
 	return sources->n_watchers;
 }
--- a/source/core/feed.c
+++ b/source/core/feed.c
@@ -1,9 +1,9 @@
 /*
  * feed.c - following the platform's store.
  *
- * Three things go on side by side: reading (a range, feed-range.c, then
- * watches), entries (feed-entry.c), and the count of instances (feed-count.c).
- * A store that is away changes nothing of what is known.
+ * Three activities run side by side: reads (a range, see feed-range.c, then
+ * watches), registration (feed-entry.c) and the instance count (feed-count.c).
+ * An unreachable store changes none of the known items.
  */
 #include "core/feed-private.h"
 
@@ -13,49 +13,63 @@
 #include "ragwort/log.h"
 
 /*
- * A watch waits as long as the platform allows less a little: each one is
- * paid for.
+ * Wait time of a watch: slightly less than the platform's maximum, since each
+ * watch is paid for.
  */
 #define WATCH_MS 25000
 /*
- * The first watch after a failed reading: the span in which a store that
- * drops its history tells watches nothing.
+ * Wait time of the first watch after a failed read: the period during which a
+ * store that compacts its history may leave watches without any reply.
  */
-#define DOUBTED_WATCH_MS 1000
-/* Beyond what a slow store (60 times its usual 4 ms) needs. */
+#define SHORT_WATCH_MS 1000
+/* More than a slow store needs (60 times its usual 4 ms). */
 #define CALL_TIMEOUT_MS 1500
 /*
- * Another instance answers after a part of the bound on news at the latest,
- * and is given up after another part: the rest is left for the store.
+ * Divisors of the staleness bound: a peer answers within the first part, and
+ * its call times out after the additional second part, which leaves the rest
+ * for the store.
  */
-#define PEER_WAIT_PART 4
-#define PEER_TIMEOUT_PART 8
-/* Nobody was heard for such a part of it: the store is next. */
-#define SILENCE_PART 2
-/* Those who ask this instance wait for so long while it asks anew. */
-#define SOON_PART 16
+#define PEER_WAIT_DIVISOR 4
+#define PEER_TIMEOUT_DIVISOR 8
+/* After this fraction without a reply from any source, the store is asked. */
+#define STORE_FALLBACK_DIVISOR 2
 /*
- * After news, so that a burst of changes costs one watch, not one each: a part
- * of the bound on news.  Each change wakes every watch: the more there are, the
- * longer they wait, up to a larger part.
+ * Peers that read from this instance are kept waiting for this fraction while
+ * it reconnects.
  */
-#define MERGE_PART 8
-#define MERGE_WATCHERS 9
-#define MERGE_MOST_PART 3
-/* Far more than a merge brings on a calm day, far less than a cut answer. */
-#define MANY_CHANGES 64
-/* Told at once: a weak instance takes a few milliseconds for them. */
-#define SOME_CHANGES 64
-/* First and longest wait after a failure; drawn between half and all. */
-#define FIRST_BACKOFF_US (200 * 1000)
-#define MOST_BACKOFF_US (1500 * 1000)
-
-static void free_known(gpointer data)
+#define SERVE_GRACE_DIVISOR 16
+/*
+ * Delay of the next watch after changes, as a fraction of the staleness bound,
+ * so that a burst of changes costs one watch instead of one each.  Each change
+ * wakes every watch, so the delay grows with the number of watchers, up to a
+ * larger fraction.
+ */
+#define MERGE_DIVISOR 8
+#define WATCHERS_PER_MERGE_STEP 9
+#define MAX_MERGE_DIVISOR 3
+/*
+ * Far more than one delay collects in normal operation, far fewer than a
+ * truncated reply has.
+ */
+#define BACKLOG_CHANGES 64
+/*
+ * Maximum number of changes in one reply to a peer: a weak instance takes a few
+ * milliseconds to apply them.
+ */
+#define MAX_SERVED_CHANGES 64
+/*
+ * First and longest backoff after a failure; randomised between half of it and
+ * all of it.
+ */
+#define MIN_BACKOFF_US (200 * 1000)
+#define MAX_BACKOFF_US (1500 * 1000)
+
+static void free_key_state(gpointer data)
 {
-	struct rr_feed_key_state *known = data;
+	struct rr_feed_key_state *state = data;
 
-	g_free(known->id);
-	g_free(known);
+	g_free(state->id);
+	g_free(state);
 }
 
 struct rr_feed *rr_new_feed(struct rr_context *ctx,
@@ -73,7 +87,7 @@
 	feed->change_log = rr_new_change_log();
 	feed->now_us = now_us;
 	feed->keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-					   free_known);
+					   free_key_state);
 	feed->range_active = true;
 	feed->reading.due_us = now_us;
 	feed->last_read_us = now_us;
@@ -125,38 +139,38 @@
 };
 
 /*
- * One line for each call that is paid for in full or came to nothing: what a
- * renewal or another instance answers is told by counters.
+ * Log each call that is paid for in full or failed.  Successful renewals and
+ * replies of peers are covered by counters.
  */
 void rr_log_feed_call(struct rr_context *ctx, const struct rr_feed *feed,
-		      const struct rr_feed_call_state *line, const char *peer,
+		      const struct rr_feed_call_state *state, const char *peer,
 		      const struct rr_feed_reply *reply)
 {
-	bool good = reply->status == RR_FEED_OK;
+	bool ok = reply->status == RR_FEED_OK;
 
-	if (good && (peer || line->kind == RR_FEED_LEASE_RENEW))
+	if (ok && (peer || state->kind == RR_FEED_LEASE_RENEW))
 		return;
 	rr_log(ctx, RR_LOG_INFO, "store-call",
-	       RR_FIELD_STRING("kind", call_names[line->kind]),
+	       RR_FIELD_STRING("kind", call_names[state->kind]),
 	       RR_FIELD_STRING("from", peer ? peer : "store"),
 	       RR_FIELD_STRING("outcome", status_names[reply->status]),
 	       RR_FIELD_U64("code", reply->http_status),
-	       RR_FIELD_I64("took_us", feed->now_us - line->started_us),
+	       RR_FIELD_I64("took_us", feed->now_us - state->started_us),
 	       RR_FIELD_U64("items", reply->items ? reply->items->len : 0),
 	       RR_FIELD_U64("revision", reply->revision),
 	       RR_FIELD_U64("known", feed->revision));
 }
 
 void rr_start_feed_call(struct rr_context *ctx, struct rr_feed *feed,
-			struct rr_feed_call_state *line,
+			struct rr_feed_call_state *state,
 			struct rr_feed_call *call)
 {
-	call->id = line->call_id = ++feed->last_call_id;
-	line->kind = call->kind;
-	line->started_us = feed->now_us;
+	call->id = state->call_id = ++feed->last_call_id;
+	state->kind = call->kind;
+	state->started_us = feed->now_us;
 	call->timeout_ms =
 		call->wait_ms +
-		(call->peer ? feed->max_staleness_ms / PEER_TIMEOUT_PART :
+		(call->peer ? feed->max_staleness_ms / PEER_TIMEOUT_DIVISOR :
 			      CALL_TIMEOUT_MS);
 	if (call->peer) {
 		rr_count(ctx, RR_N_PEER_FEED_CALLS, 1);
@@ -168,53 +182,60 @@
 }
 
 /*
- * A store that drops its history may leave a watch deaf that is opened just
- * then: it hears nothing until its end, while renewals are answered.  A first
- * watch that soon ends shows it, and the next one may be long.
+ * The wait time of the next watch.  A watch that is opened while the store
+ * compacts its history may receive nothing until it ends, although renewals are
+ * answered.  Hence the first watch after a failure is short, and a long one
+ * follows once it has been answered.
  */
-static uint32_t watch_ms(struct rr_feed *feed, bool peer)
+static uint32_t next_watch_ms(struct rr_feed *feed, bool peer)
 {
-	/* After a silent one the next is to say at once whether it hears. */
+	/*
+	 * After a failed read, the next peer must answer at once whether it can
+	 * serve changes.
+	 */
 	if (peer && !feed->last_read_ok)
 		return 0;
-	/* One that others tell would not notice that its own watch is deaf. */
+	/*
+	 * An instance that normally reads from peers would not notice that its
+	 * own watch receives nothing, so the watch is short.
+	 */
 	if (peer || rr_prefers_peer_source(feed->sources))
-		return feed->max_staleness_ms / PEER_WAIT_PART;
+		return feed->max_staleness_ms / PEER_WAIT_DIVISOR;
 #ifndef RR_MUTANT_FEED_LONG_WATCH
 	if (feed->needs_short_watch)
-		return DOUBTED_WATCH_MS;
+		return SHORT_WATCH_MS;
 #endif
 	return WATCH_MS;
 }
 
-static int64_t news_bound_us(const struct rr_feed *feed)
+static int64_t max_staleness_us(const struct rr_feed *feed)
 {
 	return (int64_t)feed->max_staleness_ms * 1000;
 }
 
-/* Nobody was heard for so long: the store is next. */
-static int64_t silence_us(const struct rr_feed *feed)
+/* Time without any reply after which the store is asked. */
+static int64_t store_fallback_us(const struct rr_feed *feed)
 {
-	return news_bound_us(feed) / SILENCE_PART;
+	return max_staleness_us(feed) / STORE_FALLBACK_DIVISOR;
 }
 
-/* Whom to ask next; NULL: nobody now, until *due_us. */
+/* Return the source to read from next; NULL: none now, until *due_us. */
 static const char *pick_source(struct rr_feed *feed, int64_t *due_us)
 {
 	if (feed->range_active && feed->range_from_peer)
 		return feed->read_peer;
 	/*
-	 * Guards against several before the store that are frozen: each is
-	 * waited for, and the bound on news would be over.
+	 * Guards against several frozen peers that come before the store:
+	 * waiting for each of them would exceed the staleness bound.
 	 */
-	if (feed->now_us - feed->last_read_us >= silence_us(feed) &&
+	if (feed->now_us - feed->last_read_us >= store_fallback_us(feed) &&
 	    rr_may_ask_store(feed->sources, feed->now_us))
 		return "";
 	return rr_pick_source(feed->sources, feed->now_us, feed->range_active,
 			      due_us);
 }
 
-static void read_on(struct rr_context *ctx, struct rr_feed *feed)
+static void start_read(struct rr_context *ctx, struct rr_feed *feed)
 {
 	struct rr_feed_call call = { .kind = RR_FEED_WATCH };
 	char *source = g_strdup(pick_source(feed, &feed->reading.due_us));
@@ -228,73 +249,75 @@
 		call.kind = RR_FEED_RANGE;
 		call.after_key = feed->after_key;
 		/*
-		 * What an old copy lacks is told by the first watch.  Later on
-		 * it would unlist what came after it.
+		 * The first watch reports what a stale copy lacks.  A later
+		 * range from a stale copy would remove the items added since.
 		 */
 		call.allow_stale = !feed->has_synced || feed->found_no_peers;
 	} else {
 		call.after_revision = feed->revision;
-		call.wait_ms = watch_ms(feed, call.peer != NULL);
+		call.wait_ms = next_watch_ms(feed, call.peer != NULL);
 	}
 	rr_start_feed_call(ctx, feed, &feed->reading, &call);
 }
 
 void rr_back_off_feed_call(struct rr_context *ctx, struct rr_feed *feed,
-			   struct rr_feed_call_state *line)
+			   struct rr_feed_call_state *state)
 {
-	line->backoff_us = line->backoff_us ?
-				   MIN(2 * line->backoff_us, MOST_BACKOFF_US) :
-				   FIRST_BACKOFF_US;
-	line->due_us =
+	state->backoff_us = state->backoff_us ?
+				    MIN(2 * state->backoff_us, MAX_BACKOFF_US) :
+				    MIN_BACKOFF_US;
+	state->due_us =
 		feed->now_us + (int64_t)((0.5 + 0.5 * rr_random_unit(ctx)) *
-					 (double)line->backoff_us);
+					 (double)state->backoff_us);
 }
 
 void rr_set_store_reachable(struct rr_context *ctx, struct rr_feed *feed,
-			    bool reached)
+			    bool reachable)
 {
-	if (feed->store_reachable == reached)
+	if (feed->store_reachable == reachable)
 		return;
-	if (!reached && rr_feed_can_serve_changes(feed))
+	if (!reachable && rr_feed_can_serve_changes(feed))
 		feed->last_serving_us = feed->now_us;
-	feed->store_reachable = reached;
-	rr_log(ctx, RR_LOG_WARNING, reached ? "store-regained" : "store-lost",
+	feed->store_reachable = reachable;
+	rr_log(ctx, RR_LOG_WARNING, reachable ? "store-regained" : "store-lost",
 	       RR_FIELD_U64("revision", feed->revision));
 }
 
 /*
- * How long the next watch waits after `n` changes.  The store cuts long
- * answers: many changes may be a part only, and what is behind them is old
- * news already.
+ * Delay before the next watch, after a reply of `n` changes.  The store
+ * truncates long replies: many changes may be only a part, and those that
+ * follow are already late.
  */
-static int64_t merge_us(const struct rr_feed *feed, guint n)
+static int64_t merge_delay_us(const struct rr_feed *feed, guint n)
 {
-	int64_t many =
-		MAX(1, rr_count_watchers(feed->sources) / MERGE_WATCHERS);
-	int64_t bound_us = news_bound_us(feed);
+	int64_t steps = MAX(1, rr_count_watchers(feed->sources) /
+				       WATCHERS_PER_MERGE_STEP);
+	int64_t bound_us = max_staleness_us(feed);
 
-	/* What another instance tells is merged already. */
-	if (n >= MANY_CHANGES || feed->read_peer)
+	/* The peer has already merged its changes. */
+	if (n >= BACKLOG_CHANGES || feed->read_peer)
 		return 0;
-	return MIN(many * bound_us / MERGE_PART, bound_us / MERGE_MOST_PART);
+	return MIN(steps * bound_us / MERGE_DIVISOR,
+		   bound_us / MAX_MERGE_DIVISOR);
 }
 
-static void take_changes(struct rr_context *ctx, struct rr_feed *feed,
-			 const struct rr_feed_reply *reply)
+static void apply_changes(struct rr_context *ctx, struct rr_feed *feed,
+			  const struct rr_feed_reply *reply)
 {
-	bool news = reply->items && reply->items->len;
+	bool has_changes = reply->items && reply->items->len;
 
-	for (guint i = 0; news && i < reply->items->len; i++)
+	for (guint i = 0; has_changes && i < reply->items->len; i++)
 		rr_apply_feed_item(ctx, feed,
 				   g_ptr_array_index(reply->items, i));
 	feed->revision = MAX(feed->revision, reply->revision);
 	feed->reading.due_us =
-		feed->now_us + (news ? merge_us(feed, reply->items->len) : 0);
+		feed->now_us +
+		(has_changes ? merge_delay_us(feed, reply->items->len) : 0);
 }
 
 /*
- * A range of an instance that has fallen behind, or an old copy of the store,
- * would take things back.
+ * Whether the reply is a range from a lagging peer or a stale copy of the
+ * store, which would revert known changes.
  */
 static bool is_behind(const struct rr_feed *feed,
 		      const struct rr_feed_reply *reply)
@@ -305,8 +328,8 @@
 	return feed->range_active && reply->revision < feed->revision;
 }
 
-static void take_good_reading(struct rr_context *ctx, struct rr_feed *feed,
-			      const struct rr_feed_reply *reply)
+static void handle_read_success(struct rr_context *ctx, struct rr_feed *feed,
+				const struct rr_feed_reply *reply)
 {
 	rr_mark_source_healthy(feed->sources,
 			       feed->read_peer ? feed->read_peer : "");
@@ -319,41 +342,41 @@
 	if (feed->range_active)
 		rr_handle_feed_page(ctx, feed, reply);
 	else
-		take_changes(ctx, feed, reply);
+		apply_changes(ctx, feed, reply);
 	rr_update_instance_count(feed);
 }
 
-static void log_failed_reading(struct rr_context *ctx,
-			       const struct rr_feed *feed, bool forgotten)
+static void log_read_failure(struct rr_context *ctx, const struct rr_feed *feed,
+			     bool compacted)
 {
 	rr_count(ctx, RR_N_STORE_FAILURES, 1);
 	rr_log(ctx, RR_LOG_INFO, "read-failed",
 	       RR_FIELD_STRING("reason",
-			       forgotten ? "history-forgotten" : "no-answer"),
+			       compacted ? "history-forgotten" : "no-answer"),
 	       RR_FIELD_STRING("from",
 			       feed->read_peer ? feed->read_peer : "store"),
 	       RR_FIELD_BOOL("range", feed->range_active),
 	       RR_FIELD_U64("revision", feed->revision));
 }
 
-static void take_reading(struct rr_context *ctx, struct rr_feed *feed,
-			 const struct rr_feed_reply *reply)
+static void handle_read_reply(struct rr_context *ctx, struct rr_feed *feed,
+			      const struct rr_feed_reply *reply)
 {
-	bool forgotten = reply->status == RR_FEED_COMPACTED;
+	bool compacted = reply->status == RR_FEED_COMPACTED;
 
 	feed->reading.call_id = 0;
 	feed->reading.due_us = feed->now_us;
 	if (reply->status == RR_FEED_OK && !is_behind(feed, reply)) {
-		take_good_reading(ctx, feed, reply);
+		handle_read_success(ctx, feed, reply);
 		return;
 	}
 	if (rr_feed_can_serve_changes(feed))
 		feed->last_serving_us = feed->now_us;
 	feed->last_read_ok = false;
 	feed->needs_short_watch = true;
-	log_failed_reading(ctx, feed, forgotten);
-	/* Who no longer has the changes has the whole. */
-	if (forgotten) {
+	log_read_failure(ctx, feed, compacted);
+	/* A source that has compacted the changes still has all items. */
+	if (compacted) {
 		rr_start_feed_range(feed);
 		feed->range_from_peer = feed->read_peer != NULL;
 		return;
@@ -365,7 +388,7 @@
 		rr_handle_feed_range_failure(ctx, feed);
 }
 
-static void ask_anew(struct rr_feed *feed)
+static void restart_read(struct rr_feed *feed)
 {
 	if (feed->reading.call_id)
 		feed->actions.cancel(feed->actions.data, feed->reading.call_id);
@@ -374,23 +397,24 @@
 }
 
 /*
- * One to ask before the one that is asked has come, or is well again: an
- * instance in place of the store, or the store in place of an instance.
+ * Cancel the current watch when a preferred source has appeared or recovered: a
+ * peer instead of the store, or the store instead of a peer.
  */
-static void turn_to_better(struct rr_feed *feed)
+static void switch_to_preferred(struct rr_feed *feed)
 {
 	int64_t due_us;
-	const char *better;
+	const char *preferred;
 
 	if (!feed->reading.call_id || feed->reading.kind != RR_FEED_WATCH)
 		return;
-	/* One that has just begun is not worth breaking off. */
+	/* A watch that has just started is not worth cancelling. */
 	if (feed->now_us - feed->reading.started_us <
-	    news_bound_us(feed) / PEER_WAIT_PART)
+	    max_staleness_us(feed) / PEER_WAIT_DIVISOR)
 		return;
-	better = rr_pick_source(feed->sources, feed->now_us, false, &due_us);
-	if (better && strcmp(better, feed->read_peer ? feed->read_peer : ""))
-		ask_anew(feed);
+	preferred = rr_pick_source(feed->sources, feed->now_us, false, &due_us);
+	if (preferred &&
+	    strcmp(preferred, feed->read_peer ? feed->read_peer : ""))
+		restart_read(feed);
 }
 
 void rr_end_watch_suspicion(struct rr_context *ctx, struct rr_feed *feed)
@@ -400,14 +424,16 @@
 	if (!feed->watch_suspected)
 		return;
 	feed->watch_suspected = false;
-	/* What it did meanwhile is not known: see watch_ms(). */
+	/*
+	 * What the store did in the meantime is not known: see next_watch_ms().
+	 */
 	feed->needs_short_watch = true;
 #ifdef RR_MUTANT_FEED_TRUSTS_WATCH
 	return;
 #endif
 	if (!feed->read_peer &&
 	    (!feed->reading.call_id || feed->reading.kind == RR_FEED_WATCH))
-		ask_anew(feed);
+		restart_read(feed);
 }
 
 void rr_feed_reply(struct rr_context *ctx, struct rr_feed *feed, int64_t now_us,
@@ -417,7 +443,7 @@
 	if (reply->call_id && reply->call_id == feed->reading.call_id) {
 		rr_log_feed_call(ctx, feed, &feed->reading, feed->read_peer,
 				 reply);
-		take_reading(ctx, feed, reply);
+		handle_read_reply(ctx, feed, reply);
 	} else if (reply->call_id && reply->call_id == feed->entry.call_id) {
 		rr_log_feed_call(ctx, feed, &feed->entry, feed->registrar,
 				 reply);
@@ -430,9 +456,9 @@
 void rr_feed_tick(struct rr_context *ctx, struct rr_feed *feed, int64_t now_us)
 {
 	feed->now_us = now_us;
-	turn_to_better(feed);
+	switch_to_preferred(feed);
 	if (!feed->reading.call_id && feed->reading.due_us <= now_us)
-		read_on(ctx, feed);
+		start_read(ctx, feed);
 	rr_update_instance_count(feed);
 	rr_tick_feed_entry(ctx, feed);
 	rr_tick_report_queue(ctx, feed);
@@ -467,7 +493,7 @@
 bool rr_feed_can_serve_changes(const struct rr_feed *feed)
 {
 #ifdef RR_MUTANT_FEED_PASSES_ON_HEARSAY
-	return feed->has_read;
+	return feed->has_synced;
 #endif
 	if (!feed->has_synced || feed->range_active || feed->leaving)
 		return false;
@@ -480,17 +506,17 @@
 }
 
 /*
- * Guards against a store that turns an instance away: all that ask it, those
- * that ask these, and the standbys that are about to take its place, would be
- * refused at the same moment, and each would go to the store.
+ * Guards against a store that rejects this instance: its children, their
+ * children, and the standbys that are about to replace it would all be rejected
+ * at the same moment, and each would call the store.
  */
 int64_t rr_feed_serve_grace_end_us(const struct rr_feed *feed)
 {
-	int64_t soon_us = news_bound_us(feed) / SOON_PART;
+	int64_t grace_us = max_staleness_us(feed) / SERVE_GRACE_DIVISOR;
 
 	if (!feed->last_serving_us || rr_feed_can_serve_changes(feed))
 		return INT64_MAX;
-	return feed->last_serving_us + soon_us;
+	return feed->last_serving_us + grace_us;
 }
 
 bool rr_feed_is_in_serve_grace(const struct rr_feed *feed, int64_t now_us)
@@ -512,9 +538,11 @@
 			uint64_t *revision)
 {
 	GArray *items = rr_list_changes_after(feed->change_log, after);
-	uint64_t cut =
-		items && after ? rr_truncate_changes(items, SOME_CHANGES) : 0;
+	uint64_t last_revision =
+		items && after ?
+			rr_truncate_changes(items, MAX_SERVED_CHANGES) :
+			0;
 
-	*revision = cut ? cut : feed->revision;
+	*revision = last_revision ? last_revision : feed->revision;
 	return items;
 }
--- a/source/core/health-poll.c
+++ b/source/core/health-poll.c
@@ -1,17 +1,18 @@
 /*
- * health-poll.c - owners ask their replicas for their health, about each second.
+ * health-poll.c - health polls of the replicas that this instance owns, about
+ * once a second.
  *
- * Only owners poll, so the load on a replica is bounded by the number of
- * owners and not by the number of instances.
+ * Only owners poll, so the load on a replica is bounded by the number of owners
+ * and not by the number of instances.
  */
 #include "core/core-private.h"
 
 #define POLL_PERIOD_US G_USEC_PER_SEC
-/* Half a period of spread, so that owners don't poll in step. */
+/* Random spread of the poll period, so that owners do not poll in step. */
 #define POLL_SPREAD_US (POLL_PERIOD_US / 5)
 #define POLL_TIMEOUT_US (3 * G_USEC_PER_SEC / 2)
-/* One poll lost is chance; two in a row are a sign. */
-#define POLLS_UNTIL_DOWN 2
+/* One lost poll may be chance; two in a row indicate a failure. */
+#define MAX_POLL_FAILURES 2
 
 void rr_schedule_poll(struct rr_context *ctx, struct rr_core *core,
 		      struct rr_replica *replica, bool at_once)
@@ -49,14 +50,14 @@
 static void count_failure(struct rr_context *ctx, struct rr_core *core,
 			  struct rr_replica *replica, const char *source)
 {
-	if (++replica->poll_failures >= POLLS_UNTIL_DOWN)
+	if (++replica->poll_failures >= MAX_POLL_FAILURES)
 		rr_update_replica_state(ctx, core, replica, RR_UPSTREAM_DOWN,
 					source);
 }
 
 /*
- * A poll that never comes back must not stop the polling for good: the
- * replica would be thought as it was then, for ever.
+ * A poll without a reply must not stop the polling: the replica would keep its
+ * last known state forever.
  */
 void rr_handle_poll_timeout(struct rr_context *ctx, struct rr_core *core,
 			    struct rr_replica *replica)
--- a/source/core/snapshot.c
+++ b/source/core/snapshot.c
@@ -1,14 +1,20 @@
 /*
- * snapshot.c - which index version a query is pinned to.
+ * snapshot.c - the index version to which a query is pinned.
  */
 #include "core/core-private.h"
 
-/* Versions weighed against each other; more than this never are about. */
+/* Maximum number of versions compared; more are never in use at once. */
 #define MAX_CANDIDATES 16
-/* A latency-first pin follows the fast replicas: it is looked at again. */
-/* Of replicas that hold a version, against the most widely held one. */
-#define NEARLY 0.95
-#define FAST_PIN_US (100 * 1000)
+/*
+ * Minimum number of replicas that hold a version, relative to the most widely
+ * held one.
+ */
+#define MIN_REPLICA_SHARE 0.95
+/*
+ * Lifetime of a pin; a latency-first pin follows the fastest replicas and has
+ * to be refreshed.
+ */
+#define PIN_LIFETIME_US (100 * 1000)
 
 struct candidates {
 	uint64_t versions[MAX_CANDIDATES]; /* newest first */
@@ -18,21 +24,21 @@
 	size_t n;
 };
 
-static void add_candidate(struct candidates *all, uint64_t version)
+static void add_candidate(struct candidates *candidates, uint64_t version)
 {
 	size_t at = 0;
 
-	while (at < all->n && all->versions[at] > version)
+	while (at < candidates->n && candidates->versions[at] > version)
 		at++;
-	if (at < all->n && all->versions[at] == version)
+	if (at < candidates->n && candidates->versions[at] == version)
 		return;
 	if (at == MAX_CANDIDATES)
 		return;
-	if (all->n < MAX_CANDIDATES)
-		all->n++;
-	for (size_t i = all->n - 1; i > at; i--)
-		all->versions[i] = all->versions[i - 1];
-	all->versions[at] = version;
+	if (candidates->n < MAX_CANDIDATES)
+		candidates->n++;
+	for (size_t i = candidates->n - 1; i > at; i--)
+		candidates->versions[i] = candidates->versions[i - 1];
+	candidates->versions[at] = version;
 }
 
 static bool knows_versions(const struct rr_core *core,
@@ -47,7 +53,7 @@
 	       version <= replica->newest_version;
 }
 
-/* Latency first looks at the fastest replica of each shard only. */
+/* In latency mode, only the fastest replica of each shard counts. */
 static const struct rr_replica *
 fastest_replica(const struct rr_core *core, const struct rr_shard_map *shard)
 {
@@ -65,35 +71,35 @@
 }
 
 static void count_shard(const struct rr_core *core,
-			const struct rr_shard_map *shard, bool fast,
-			struct candidates *all)
+			const struct rr_shard_map *shard, bool latency_first,
+			struct candidates *candidates)
 {
 	const struct rr_replica *only =
-		fast ? fastest_replica(core, shard) : NULL;
+		latency_first ? fastest_replica(core, shard) : NULL;
 
-	for (size_t c = 0; c < all->n; c++) {
+	for (size_t c = 0; c < candidates->n; c++) {
 		size_t holders = 0;
 
 		for (size_t i = 0; i < shard->n_replicas; i++) {
 			const struct rr_replica *replica = shard->replicas[i];
 
-			if (fast && replica != only)
+			if (latency_first && replica != only)
 				continue;
 			if (!knows_versions(core, replica) ||
-			    !holds(replica, all->versions[c]))
+			    !holds(replica, candidates->versions[c]))
 				continue;
 			holders++;
-			all->epochs[c] =
-				MAX(all->epochs[c], replica->map_epoch);
+			candidates->epochs[c] =
+				MAX(candidates->epochs[c], replica->map_epoch);
 		}
-		all->replicas[c] += holders;
-		all->shards[c] += holders > 0;
+		candidates->replicas[c] += holders;
+		candidates->shards[c] += holders > 0;
 	}
 }
 
 static void count_candidates(const struct rr_core *core,
-			     const struct rr_service_map *map, bool fast,
-			     struct candidates *all)
+			     const struct rr_service_map *map,
+			     bool latency_first, struct candidates *candidates)
 {
 	for (size_t i = 0; i < map->n_shards; i++) {
 		const struct rr_shard_map *shard = &map->shards[i];
@@ -101,69 +107,71 @@
 		for (size_t j = 0; j < shard->n_replicas; j++) {
 			if (knows_versions(core, shard->replicas[j]))
 				add_candidate(
-					all,
+					candidates,
 					shard->replicas[j]->newest_version);
 		}
 	}
 	for (size_t i = 0; i < map->n_shards; i++)
-		count_shard(core, &map->shards[i], fast, all);
+		count_shard(core, &map->shards[i], latency_first, candidates);
 }
 
-/* Shards that must hold a version for it to be pinned. */
+/* Number of shards that must hold a version for it to be pinned. */
 static size_t shards_needed(const struct rr_service_config *config,
-			    const struct candidates *all)
+			    const struct candidates *candidates)
 {
-	size_t most = 0;
+	size_t max_shards = 0;
 
-	for (size_t c = 0; c < all->n; c++)
-		most = MAX(most, all->shards[c]);
+	for (size_t c = 0; c < candidates->n; c++)
+		max_shards = MAX(max_shards, candidates->shards[c]);
 	if (config->answer == RR_ANSWER_LATENCY)
-		most = (size_t)(config->min_coverage * (double)most);
-	return MAX(1, most);
+		max_shards =
+			(size_t)(config->min_coverage * (double)max_shards);
+	return MAX(1, max_shards);
 }
 
 /*
- * The newest that enough shards hold, and on nearly as many replicas as any
- * other.  Guards against one copy of each shard taking all the load for as
- * long as a new version is on its way to the other copies.
+ * Pick the newest version that enough shards hold, on nearly as many replicas
+ * as any other version.  Guards against one replica of each shard taking all
+ * the load while a new version is being distributed to the other replicas.
  */
 static size_t pick_candidate(const struct rr_service_config *config,
-			     const struct candidates *all)
+			     const struct candidates *candidates)
 {
-	size_t needed = shards_needed(config, all);
+	size_t needed = shards_needed(config, candidates);
 	size_t widest = 0;
 
-	for (size_t c = 0; c < all->n; c++) {
-		if (all->shards[c] >= needed)
-			widest = MAX(widest, all->replicas[c]);
+	for (size_t c = 0; c < candidates->n; c++) {
+		if (candidates->shards[c] >= needed)
+			widest = MAX(widest, candidates->replicas[c]);
 	}
-	for (size_t c = 0; c < all->n; c++) {
-		if (all->shards[c] >= needed &&
-		    (double)all->replicas[c] >= NEARLY * (double)widest)
+	for (size_t c = 0; c < candidates->n; c++) {
+		if (candidates->shards[c] >= needed &&
+		    (double)candidates->replicas[c] >=
+			    MIN_REPLICA_SHARE * (double)widest)
 			return c;
 	}
-	return all->n;
+	return candidates->n;
 }
 
 static void refresh_pin(struct rr_core *core, struct rr_service *service)
 {
 	const struct rr_service_config *config = service->map->service;
-	bool fast = config->answer == RR_ANSWER_LATENCY;
-	struct candidates all = { .n = 0 };
+	bool latency_first = config->answer == RR_ANSWER_LATENCY;
+	struct candidates candidates = { .n = 0 };
 	size_t chosen;
 
-	count_candidates(core, service->map, fast, &all);
-	chosen = pick_candidate(config, &all);
+	count_candidates(core, service->map, latency_first, &candidates);
+	chosen = pick_candidate(config, &candidates);
 	service->pin_change_count = service->change_count;
-	service->pin_until_us = core->now_us + FAST_PIN_US;
+	service->pin_until_us = core->now_us + PIN_LIFETIME_US;
 	service->pin_version = 0;
 	service->pin_epoch = 0;
 	service->pin_shards = 0;
-	if (chosen == all.n)
+	if (chosen == candidates.n)
 		return;
-	service->pin_version = all.versions[chosen];
-	service->pin_epoch = all.epochs[chosen];
-	service->pin_shards = all.shards[chosen];
+	service->pin_version = candidates.versions[chosen];
+	service->pin_epoch = candidates.epochs[chosen];
+	service->pin_shards = candidates.shards[chosen];
 }
 
 uint64_t rr_choose_pin(struct rr_context *ctx, struct rr_core *core,
