--- a/tests/support/feed-fixture.c
+++ b/tests/support/feed-fixture.c
@@ -1,5 +1,5 @@
 /*
- * feed-fixture.c - calls, answers and news of a feed under test.
+ * feed-fixture.c - recorded calls, replies and events of a feed under test.
  */
 #include "support/feed-fixture.h"
 
@@ -23,23 +23,24 @@
 	g_free(call);
 }
 
-static void note_entries(struct recorded_call *kept,
-			 const struct rr_feed_call *call)
+static void record_entries(struct recorded_call *recorded,
+			   const struct rr_feed_call *call)
 {
-	kept->entries = g_string_new(NULL);
+	recorded->entries = g_string_new(NULL);
 	for (guint i = 0; call->added && i < call->added->len; i++) {
 		const struct rr_instance *instance =
 			g_ptr_array_index(call->added, i);
 
-		g_string_append_printf(kept->entries, "+%s ", instance->id);
+		g_string_append_printf(recorded->entries, "+%s ", instance->id);
 	}
 	for (guint i = 0; call->removed && i < call->removed->len; i++)
 		g_string_append_printf(
-			kept->entries, "-%s ",
+			recorded->entries, "-%s ",
 			(const char *)g_ptr_array_index(call->removed, i));
 }
 
-static char *name_entry(const struct rr_quarantine_entry *entry, bool released)
+static char *format_entry(const struct rr_quarantine_entry *entry,
+			  bool released)
 {
 	return g_strdup_printf("%s %" G_GUINT64_FORMAT,
 			       released		  ? "released" :
@@ -48,126 +49,128 @@
 			       entry->fingerprint.low);
 }
 
-static void note_call(void *data, const struct rr_feed_call *call)
+static void record_call(void *data, const struct rr_feed_call *call)
 {
-	struct feed_fixture *scene = data;
-	struct recorded_call *kept = g_new0(struct recorded_call, 1);
+	struct feed_fixture *fixture = data;
+	struct recorded_call *recorded = g_new0(struct recorded_call, 1);
 
-	kept->id = call->id;
-	kept->kind = call->kind;
-	kept->peer = g_strdup(call->peer);
-	kept->after_key = g_strdup(call->after_key);
-	kept->after_revision = call->after_revision;
-	kept->wait_ms = call->wait_ms;
-	kept->lease = call->lease;
-	kept->allow_stale = call->allow_stale;
+	recorded->id = call->id;
+	recorded->kind = call->kind;
+	recorded->peer = g_strdup(call->peer);
+	recorded->after_key = g_strdup(call->after_key);
+	recorded->after_revision = call->after_revision;
+	recorded->wait_ms = call->wait_ms;
+	recorded->lease = call->lease;
+	recorded->allow_stale = call->allow_stale;
 	if (call->entry)
-		kept->report = name_entry(call->entry, call->remove_entry);
-	kept->expected_revision = call->expected_revision;
-	note_entries(kept, call);
-	g_ptr_array_add(scene->calls, kept);
+		recorded->report =
+			format_entry(call->entry, call->remove_entry);
+	recorded->expected_revision = call->expected_revision;
+	record_entries(recorded, call);
+	g_ptr_array_add(fixture->calls, recorded);
 }
 
-static void note_cancel(void *data, uint64_t id)
+static void record_cancel(void *data, uint64_t id)
 {
-	struct feed_fixture *scene = data;
+	struct feed_fixture *fixture = data;
 
-	for (guint i = 0; i < scene->calls->len; i++) {
-		struct recorded_call *call = g_ptr_array_index(scene->calls, i);
+	for (guint i = 0; i < fixture->calls->len; i++) {
+		struct recorded_call *call =
+			g_ptr_array_index(fixture->calls, i);
 
 		if (call->id == id)
 			call->done = true;
 	}
 }
 
-static void note_routes(void *data, struct rr_route_table *table)
+static void record_routes(void *data, struct rr_route_table *table)
 {
-	struct feed_fixture *scene = data;
+	struct feed_fixture *fixture = data;
 
-	g_string_append_printf(scene->events, "routes %u ",
+	g_string_append_printf(fixture->events, "routes %u ",
 			       (unsigned)rr_route_table_version(table));
 }
 
-static void note_listed(void *data, const struct rr_endpoint_info *listing)
+static void record_listed(void *data, const struct rr_endpoint_info *listing)
 {
-	struct feed_fixture *scene = data;
+	struct feed_fixture *fixture = data;
 
-	g_string_append_printf(scene->events, "+%s ", listing->id);
+	g_string_append_printf(fixture->events, "+%s ", listing->id);
 }
 
-static void note_unlisted(void *data, const char *id)
+static void record_unlisted(void *data, const char *id)
 {
-	struct feed_fixture *scene = data;
+	struct feed_fixture *fixture = data;
 
-	g_string_append_printf(scene->events, "-%s ", id);
+	g_string_append_printf(fixture->events, "-%s ", id);
 }
 
-static void note_instances(void *data, uint32_t instances)
+static void record_instance_count(void *data, uint32_t instances)
 {
-	struct feed_fixture *scene = data;
+	struct feed_fixture *fixture = data;
 
-	g_string_append_printf(scene->events, "instances %u ", instances);
+	g_string_append_printf(fixture->events, "instances %u ", instances);
 }
 
-static void note_instance(void *data, const char *id,
-			  const struct rr_instance *instance)
+static void record_instance(void *data, const char *id,
+			    const struct rr_instance *instance)
 {
-	struct feed_fixture *scene = data;
+	struct feed_fixture *fixture = data;
 
-	g_string_append_printf(scene->instance_events, "%c%s ",
+	g_string_append_printf(fixture->instance_events, "%c%s ",
 			       instance ? '+' : '-', id);
 }
 
-static void note_evacuation(void *data, const char *zone, uint64_t revision,
-			    bool in_force)
+static void record_evacuation(void *data, const char *zone, uint64_t revision,
+			      bool in_force)
 {
-	struct feed_fixture *scene = data;
+	struct feed_fixture *fixture = data;
 
-	g_string_append_printf(scene->events, "%s %s %u ",
+	g_string_append_printf(fixture->events, "%s %s %u ",
 			       in_force ? "evacuate" : "take-back", zone,
 			       (unsigned)revision);
 }
 
-static void note_quarantine(void *data,
-			    const struct rr_fingerprint *fingerprint,
-			    const struct rr_quarantine_entry *entry)
+static void record_quarantine(void *data,
+			      const struct rr_fingerprint *fingerprint,
+			      const struct rr_quarantine_entry *entry)
 {
-	struct feed_fixture *scene = data;
-	char *name = entry ? name_entry(entry, false) :
+	struct feed_fixture *fixture = data;
+	char *name = entry ? format_entry(entry, false) :
 			     g_strdup_printf("released %" G_GUINT64_FORMAT,
 					     fingerprint->low);
 
-	g_string_append_printf(scene->events, "%s ", name);
+	g_string_append_printf(fixture->events, "%s ", name);
 	g_free(name);
 }
 
-static void note_claimed(void *data, const struct rr_quarantine_entry *entry,
+static void record_claim(void *data, const struct rr_quarantine_entry *entry,
 			 bool granted)
 {
-	struct feed_fixture *scene = data;
+	struct feed_fixture *fixture = data;
 
-	g_string_append_printf(scene->events, "%s %" G_GUINT64_FORMAT " ",
+	g_string_append_printf(fixture->events, "%s %" G_GUINT64_FORMAT " ",
 			       granted ? "granted" : "not-granted",
 			       entry->fingerprint.low);
 }
 
-static struct feed_fixture *make_scene(const char *const *seeds,
-				       double strength)
+static struct feed_fixture *new_fixture(const char *const *seeds,
+					double strength)
 {
-	struct feed_fixture *scene = g_new0(struct feed_fixture, 1);
+	struct feed_fixture *fixture = g_new0(struct feed_fixture, 1);
 	struct rr_feed_options options = {
 		.actions = {
-			.call = note_call,
-			.cancel = note_cancel,
-			.routes = note_routes,
-			.replica_listed = note_listed,
-			.replica_unlisted = note_unlisted,
-			.instance_count = note_instances,
-			.instance = note_instance,
-			.evacuation = note_evacuation,
-			.quarantine = note_quarantine,
-			.claim_decided = note_claimed,
-			.data = scene,
+			.call = record_call,
+			.cancel = record_cancel,
+			.routes = record_routes,
+			.replica_listed = record_listed,
+			.replica_unlisted = record_unlisted,
+			.instance_count = record_instance_count,
+			.instance = record_instance,
+			.evacuation = record_evacuation,
+			.quarantine = record_quarantine,
+			.claim_decided = record_claim,
+			.data = fixture,
 		},
 		.self = { .id = (char *)"inst0",
 			  .zone = (char *)"z",
@@ -176,24 +179,24 @@
 		.max_staleness_ms = 3000,
 	};
 
-	scene->now_us = 50000 * MS;
-	scene->ctx = rr_new_context(NULL);
-	scene->calls = g_ptr_array_new_with_free_func(free_call);
-	scene->events = g_string_new(NULL);
-	scene->instance_events = g_string_new(NULL);
-	scene->feed = rr_new_feed(scene->ctx, &options, scene->now_us);
-	rr_feed_tick(scene->ctx, scene->feed, scene->now_us);
-	return scene;
+	fixture->now_us = 50000 * MS;
+	fixture->ctx = rr_new_context(NULL);
+	fixture->calls = g_ptr_array_new_with_free_func(free_call);
+	fixture->events = g_string_new(NULL);
+	fixture->instance_events = g_string_new(NULL);
+	fixture->feed = rr_new_feed(fixture->ctx, &options, fixture->now_us);
+	rr_feed_tick(fixture->ctx, fixture->feed, fixture->now_us);
+	return fixture;
 }
 
 struct feed_fixture *feed_new_fixture_with_seeds(const char *const *seeds)
 {
-	return make_scene(seeds, 0);
+	return new_fixture(seeds, 0);
 }
 
 struct feed_fixture *feed_new_fixture_with_strength(double strength)
 {
-	return make_scene(NULL, strength);
+	return new_fixture(NULL, strength);
 }
 
 struct feed_fixture *feed_new_fixture(void)
@@ -201,33 +204,34 @@
 	return feed_new_fixture_with_seeds(NULL);
 }
 
-void feed_drop_fixture(struct feed_fixture *scene)
+void feed_drop_fixture(struct feed_fixture *fixture)
 {
-	rr_drop_feed(scene->feed);
-	rr_drop_context(scene->ctx);
-	g_ptr_array_unref(scene->calls);
-	g_string_free(scene->events, TRUE);
-	g_string_free(scene->instance_events, TRUE);
-	g_free(scene);
+	rr_drop_feed(fixture->feed);
+	rr_drop_context(fixture->ctx);
+	g_ptr_array_unref(fixture->calls);
+	g_string_free(fixture->events, TRUE);
+	g_string_free(fixture->instance_events, TRUE);
+	g_free(fixture);
 }
 
-void feed_advance(struct feed_fixture *scene, int64_t us)
+void feed_advance(struct feed_fixture *fixture, int64_t us)
 {
-	int64_t end_us = scene->now_us + us;
+	int64_t end_us = fixture->now_us + us;
 
-	while (rr_feed_wake_us(scene->feed) <= end_us) {
-		scene->now_us =
-			MAX(scene->now_us, rr_feed_wake_us(scene->feed));
-		rr_feed_tick(scene->ctx, scene->feed, scene->now_us);
+	while (rr_feed_wake_us(fixture->feed) <= end_us) {
+		fixture->now_us =
+			MAX(fixture->now_us, rr_feed_wake_us(fixture->feed));
+		rr_feed_tick(fixture->ctx, fixture->feed, fixture->now_us);
 	}
-	scene->now_us = end_us;
+	fixture->now_us = end_us;
 }
 
-struct recorded_call *feed_find_call(struct feed_fixture *scene,
+struct recorded_call *feed_find_call(struct feed_fixture *fixture,
 				     enum rr_feed_call_kind kind)
 {
-	for (guint i = 0; i < scene->calls->len; i++) {
-		struct recorded_call *call = g_ptr_array_index(scene->calls, i);
+	for (guint i = 0; i < fixture->calls->len; i++) {
+		struct recorded_call *call =
+			g_ptr_array_index(fixture->calls, i);
 
 		if (!call->done && call->kind == kind)
 			return call;
@@ -235,24 +239,27 @@
 	return NULL;
 }
 
-guint feed_count_store_calls(struct feed_fixture *scene)
+guint feed_count_store_calls(struct feed_fixture *fixture)
 {
 	guint n = 0;
 
-	for (guint i = 0; i < scene->calls->len; i++) {
-		struct recorded_call *call = g_ptr_array_index(scene->calls, i);
+	for (guint i = 0; i < fixture->calls->len; i++) {
+		struct recorded_call *call =
+			g_ptr_array_index(fixture->calls, i);
 
 		n += !call->peer;
 	}
 	return n;
 }
 
-guint feed_count_calls(struct feed_fixture *scene, enum rr_feed_call_kind kind)
+guint feed_count_calls(struct feed_fixture *fixture,
+		       enum rr_feed_call_kind kind)
 {
 	guint n = 0;
 
-	for (guint i = 0; i < scene->calls->len; i++) {
-		struct recorded_call *call = g_ptr_array_index(scene->calls, i);
+	for (guint i = 0; i < fixture->calls->len; i++) {
+		struct recorded_call *call =
+			g_ptr_array_index(fixture->calls, i);
 
 		n += call->kind == kind;
 	}
@@ -264,12 +271,12 @@
 {
 	struct rr_instance *instance = g_new0(struct rr_instance, 1);
 	char **words = g_strsplit(what, "/", 3);
-	bool placed = g_strv_length(words) == 3;
+	bool has_zone = g_strv_length(words) == 3;
 
 	instance->id = g_strdup(what);
-	instance->zone = g_strdup(placed ? words[1] : what);
+	instance->zone = g_strdup(has_zone ? words[1] : what);
 	instance->address = g_strconcat(what, ":1", NULL);
-	instance->strength = placed ? g_ascii_strtod(words[2], NULL) : 1;
+	instance->strength = has_zone ? g_ascii_strtod(words[2], NULL) : 1;
 	g_strfreev(words);
 	return instance;
 }
@@ -285,8 +292,8 @@
 	};
 }
 
-static void tell(struct feed_fixture *scene, uint64_t n, bool in_force,
-		 bool released, bool claim)
+static void send_report(struct feed_fixture *fixture, uint64_t n, bool in_force,
+			bool released, bool claim)
 {
 	struct rr_quarantine_entry entry = make_quarantine(n, in_force);
 	struct rr_quarantine_report report = {
@@ -295,27 +302,27 @@
 		.claim = claim,
 	};
 
-	rr_feed_report(scene->feed, scene->now_us, &report);
-	rr_feed_tick(scene->ctx, scene->feed, scene->now_us);
+	rr_feed_report(fixture->feed, fixture->now_us, &report);
+	rr_feed_tick(fixture->ctx, fixture->feed, fixture->now_us);
 }
 
-void feed_report(struct feed_fixture *scene, uint64_t n, bool in_force)
+void feed_report(struct feed_fixture *fixture, uint64_t n, bool in_force)
 {
-	tell(scene, n, in_force, false, false);
+	send_report(fixture, n, in_force, false, false);
 }
 
-void feed_claim(struct feed_fixture *scene, uint64_t n)
+void feed_claim(struct feed_fixture *fixture, uint64_t n)
 {
-	tell(scene, n, true, false, true);
+	send_report(fixture, n, true, false, true);
 }
 
-void feed_release(struct feed_fixture *scene, uint64_t n)
+void feed_release(struct feed_fixture *fixture, uint64_t n)
 {
-	tell(scene, n, true, true, false);
+	send_report(fixture, n, true, true, false);
 }
 
 /* "suspected/5" or "quarantined/5". */
-static void name_quarantine(struct rr_feed_item *item, const char *what)
+static void set_quarantine_item(struct rr_feed_item *item, const char *what)
 {
 	uint64_t n = g_ascii_strtoull(strchr(what, '/') + 1, NULL, 10);
 	struct rr_quarantine_entry entry = make_quarantine(n, *what == 'q');
@@ -353,7 +360,7 @@
 			item->instance = make_instance(what);
 	} else if (g_str_has_prefix(what, "suspected/") ||
 		   g_str_has_prefix(what, "quarantined/")) {
-		name_quarantine(item, what);
+		set_quarantine_item(item, what);
 	} else if (g_str_has_prefix(what, "evacuate/")) {
 		item->kind = RR_FEED_EVACUATION;
 		item->id = g_strdup(what + strlen("evacuate/"));
@@ -371,7 +378,7 @@
 	return item;
 }
 
-void feed_answer(struct feed_fixture *scene, struct recorded_call *call,
+void feed_answer(struct feed_fixture *fixture, struct recorded_call *call,
 		 enum rr_feed_status status, const char *items,
 		 uint64_t revision, bool more)
 {
@@ -397,35 +404,35 @@
 				       g_ascii_strtoull(at + 1, NULL, 10)));
 	}
 	call->done = true;
-	rr_feed_reply(scene->ctx, scene->feed, scene->now_us, &reply);
-	rr_feed_tick(scene->ctx, scene->feed, scene->now_us);
+	rr_feed_reply(fixture->ctx, fixture->feed, fixture->now_us, &reply);
+	rr_feed_tick(fixture->ctx, fixture->feed, fixture->now_us);
 	g_ptr_array_unref(reply.items);
 	g_strfreev(words);
 }
 
-void feed_answer_ok(struct feed_fixture *scene, enum rr_feed_call_kind kind,
+void feed_answer_ok(struct feed_fixture *fixture, enum rr_feed_call_kind kind,
 		    const char *items, uint64_t revision)
 {
-	struct recorded_call *call = feed_find_call(scene, kind);
+	struct recorded_call *call = feed_find_call(fixture, kind);
 
 	assert_non_null(call);
-	feed_answer(scene, call, RR_FEED_OK, items, revision, false);
+	feed_answer(fixture, call, RR_FEED_OK, items, revision, false);
 }
 
-void feed_assert_events(struct feed_fixture *scene, const char *news)
+void feed_assert_events(struct feed_fixture *fixture, const char *expected)
 {
-	assert_string_equal(scene->events->str, news);
-	g_string_truncate(scene->events, 0);
+	assert_string_equal(fixture->events->str, expected);
+	g_string_truncate(fixture->events, 0);
 }
 
 struct feed_fixture *feed_new_synced_fixture(void)
 {
-	struct feed_fixture *scene = feed_new_fixture();
+	struct feed_fixture *fixture = feed_new_fixture();
 
-	feed_answer_ok(scene, RR_FEED_RANGE,
+	feed_answer_ok(fixture, RR_FEED_RANGE,
 		       "routes3@10 r1@11 r2@12 inst1@13 inst2@14 inst3@15", 20);
-	feed_answer_ok(scene, RR_FEED_LEASE_GRANT, NULL, 0);
-	feed_answer_ok(scene, RR_FEED_WRITE_ENTRIES, NULL, 0);
-	feed_assert_events(scene, "routes 3 +r1 +r2 instances 3 ");
-	return scene;
+	feed_answer_ok(fixture, RR_FEED_LEASE_GRANT, NULL, 0);
+	feed_answer_ok(fixture, RR_FEED_WRITE_ENTRIES, NULL, 0);
+	feed_assert_events(fixture, "routes 3 +r1 +r2 instances 3 ");
+	return fixture;
 }
--- a/tests/support/feed-fixture.h
+++ b/tests/support/feed-fixture.h
@@ -1,5 +1,5 @@
 /*
- * feed-fixture.h - a feed with its calls written down, driven by hand.
+ * feed-fixture.h - a feed with recorded calls, driven step by step.
  */
 #ifndef TESTS_SUPPORT_FEED_FIXTURE_H
 #define TESTS_SUPPORT_FEED_FIXTURE_H
@@ -17,8 +17,11 @@
 	uint32_t wait_ms;
 	uint64_t lease;
 	bool allow_stale;
-	GString *entries; /* "+entered" and "-removed" instances */
-	/* Of a report, as in the news; revision that its key is to have. */
+	GString *entries; /* "+added" and "-removed" instances */
+	/*
+	 * Content of a report, in the form used for events, and the expected
+	 * revision of its key.
+	 */
 	char *report;
 	uint64_t expected_revision;
 	bool done;
@@ -39,36 +42,40 @@
 };
 
 struct feed_fixture *feed_new_fixture_with_seeds(const char *const *seeds);
-/* An instance of that strength. */
+/* Create a fixture with an instance of that strength. */
 struct feed_fixture *feed_new_fixture_with_strength(double strength);
 struct feed_fixture *feed_new_fixture(void);
-void feed_drop_fixture(struct feed_fixture *scene);
-void feed_advance(struct feed_fixture *scene, int64_t us);
-/* The open call of a kind; NULL if there is none. */
-struct recorded_call *feed_find_call(struct feed_fixture *scene,
+void feed_drop_fixture(struct feed_fixture *fixture);
+void feed_advance(struct feed_fixture *fixture, int64_t us);
+/* Return the first open call of a kind; NULL if there is none. */
+struct recorded_call *feed_find_call(struct feed_fixture *fixture,
 				     enum rr_feed_call_kind kind);
-/* How many calls the store has had. */
-guint feed_count_store_calls(struct feed_fixture *scene);
-guint feed_count_calls(struct feed_fixture *scene, enum rr_feed_call_kind kind);
+/* Number of calls to the store. */
+guint feed_count_store_calls(struct feed_fixture *fixture);
+guint feed_count_calls(struct feed_fixture *fixture,
+		       enum rr_feed_call_kind kind);
 struct rr_feed_item *feed_make_item(const char *what, uint64_t revision);
-/* Publish a record of request N with one crashed replica. */
-void feed_report(struct feed_fixture *scene, uint64_t n, bool in_force);
-/* Claim a trial of it. */
-void feed_claim(struct feed_fixture *scene, uint64_t n);
-/* Publish that it completed. */
-void feed_release(struct feed_fixture *scene, uint64_t n);
+/* Publish an entry of request N with one crashed replica. */
+void feed_report(struct feed_fixture *fixture, uint64_t n, bool in_force);
+/* Claim a trial of request N. */
+void feed_claim(struct feed_fixture *fixture, uint64_t n);
+/* Publish that request N completed. */
+void feed_release(struct feed_fixture *fixture, uint64_t n);
 /*
- * `items` is "name@revision" separated by blanks; "suspected/N" and
- * "quarantined/N" are of requests that crash replicas; "-name" is removed, "?name"
- * has a value that is none of its kind.
+ * Answer a call.  `items` is "name@revision" separated by blanks; "suspected/N"
+ * and "quarantined/N" are of requests that crash replicas; "-name" is removed;
+ * "?name" has a value that cannot be decoded.
  */
-void feed_answer(struct feed_fixture *scene, struct recorded_call *call,
+void feed_answer(struct feed_fixture *fixture, struct recorded_call *call,
 		 enum rr_feed_status status, const char *items,
 		 uint64_t revision, bool more);
-void feed_answer_ok(struct feed_fixture *scene, enum rr_feed_call_kind kind,
+void feed_answer_ok(struct feed_fixture *fixture, enum rr_feed_call_kind kind,
 		    const char *items, uint64_t revision);
-void feed_assert_events(struct feed_fixture *scene, const char *news);
-/* Read everything and enter; a watch is open afterwards. */
+void feed_assert_events(struct feed_fixture *fixture, const char *expected);
+/*
+ * Create a fixture that has read all items and registered; a watch is open
+ * afterwards.
+ */
 struct feed_fixture *feed_new_synced_fixture(void);
 
 #endif
--- a/tests/support/feed-fleet-private.h
+++ b/tests/support/feed-fleet-private.h
@@ -1,14 +1,15 @@
 /*
- * feed-fleet-private.h - calls of a fleet's feeds on their way, and the store.
+ * feed-fleet-private.h - calls in flight of the simulated fleet, and the
+ * simulated store.
  */
 #ifndef TESTS_SUPPORT_FEED_FLEET_PRIVATE_H
 #define TESTS_SUPPORT_FEED_FLEET_PRIVATE_H
 
 #include "support/feed-fleet.h"
 
-/* One way, to the store and among instances. */
+/* One-way delay to the store and between instances. */
 #define ONE_WAY_DELAY_US (2 * FLEET_MS)
-/* How old a copy is that may be old. */
+/* Age of a stale copy. */
 #define STALE_COPY_AGE_US (1 * FLEET_S)
 #define PAGE_ITEMS 500
 #define MAX_STALENESS_MS 6000
@@ -22,7 +23,7 @@
 	uint64_t lease;
 };
 
-/* A call on its way, at the store or at another instance. */
+/* A call in flight, or waiting at the store or at a peer. */
 struct fleet_call {
 	struct fleet_node *node;
 	struct fleet_node *peer; /* NULL: the store */
@@ -41,12 +42,12 @@
 	struct rr_feed_reply reply;
 };
 
-/* feed-fleet.c: calls and answers on their way */
+/* feed-fleet.c: calls and replies in flight */
 void fleet_drop_call(gpointer data);
 struct fleet_call *fleet_keep_call(struct fleet_call *call);
 struct delivery *fleet_new_delivery(struct fleet_call *call,
 				    enum rr_feed_status status);
-/* Send an answer; it is the carrier's from then on. */
+/* Send a reply and take ownership of it. */
 void fleet_answer(struct fleet *fleet, struct delivery *delivery);
 void fleet_fail(struct fleet *fleet, struct fleet_call *call);
 
@@ -55,9 +56,12 @@
 struct rr_feed_item *fleet_make_item(const char *key, const char *value,
 				     uint64_t revision);
 void fleet_handle_at_store(struct fleet *fleet, struct fleet_call *call);
-/* Answer those that wait, where there is something to tell or time is over. */
+/*
+ * Answer the waiting watches that have changes to report or whose wait time is
+ * over.
+ */
 void fleet_answer_watches(struct fleet *fleet);
-/* End leases, again and again. */
+/* Expire leases, periodically. */
 void fleet_tick_store(void *context, void *data);
 
 #endif
--- a/tests/support/feed-fleet-store.c
+++ b/tests/support/feed-fleet-store.c
@@ -1,6 +1,6 @@
 /*
- * feed-fleet-store.c - a store in virtual time: items, leases, watches, old
- * copies, and what it is asked.
+ * feed-fleet-store.c - a simulated store in virtual time: items, leases,
+ * watches, stale copies and call counts.
  */
 #include "support/feed-fleet-private.h"
 
@@ -15,7 +15,9 @@
 	g_free(change);
 }
 
-/* Values are "zone|address|strength|born" of an instance, or a version. */
+/*
+ * Values are "zone|address|strength|started_ms" of an instance, or a version.
+ */
 static char *encode_instance(const struct rr_instance *instance)
 {
 	return g_strdup_printf("%s|%s|%.3f|%" G_GINT64_FORMAT, instance->zone,
@@ -77,9 +79,9 @@
 	g_hash_table_replace(fleet->items, change->key, change);
 }
 
-static void end_leases(struct fleet *fleet)
+static void expire_leases(struct fleet *fleet)
 {
-	GPtrArray *gone = g_ptr_array_new();
+	GPtrArray *expired = g_ptr_array_new();
 	GHashTableIter iter;
 	gpointer key;
 	gpointer value;
@@ -92,14 +94,14 @@
 
 		if (change->value && change->lease &&
 		    (!until_us || *until_us <= fleet->now_us))
-			g_ptr_array_add(gone, key);
+			g_ptr_array_add(expired, key);
 	}
-	for (guint i = 0; i < gone->len; i++)
-		write_key(fleet, g_ptr_array_index(gone, i), NULL, 0,
+	for (guint i = 0; i < expired->len; i++)
+		write_key(fleet, g_ptr_array_index(expired, i), NULL, 0,
 			  ++fleet->revision);
-	if (gone->len)
+	if (expired->len)
 		fleet_answer_watches(fleet);
-	g_ptr_array_unref(gone);
+	g_ptr_array_unref(expired);
 }
 
 static gint compare_keys(gconstpointer a, gconstpointer b)
@@ -108,7 +110,9 @@
 		      (*(const struct fleet_change *const *)b)->key);
 }
 
-/* What stood at a moment, by key; *revision: of then. */
+/*
+ * List the items as of `at_us`, by key; *revision is the store's at that time.
+ */
 static GPtrArray *items_at(const struct fleet *fleet, int64_t at_us,
 			   uint64_t *revision)
 {
@@ -137,8 +141,8 @@
 	return sorted;
 }
 
-static void answer_range(struct fleet *fleet, const struct fleet_call *call,
-			 struct rr_feed_reply *reply)
+static void reply_range(struct fleet *fleet, const struct fleet_call *call,
+			struct rr_feed_reply *reply)
 {
 	int64_t at_us = fleet->now_us -
 			(call->call.allow_stale ? STALE_COPY_AGE_US : 0);
@@ -161,9 +165,9 @@
 	g_ptr_array_unref(items);
 }
 
-static void answer_changes(const struct fleet *fleet,
-			   const struct fleet_call *call,
-			   struct rr_feed_reply *reply)
+static void reply_changes(const struct fleet *fleet,
+			  const struct fleet_call *call,
+			  struct rr_feed_reply *reply)
 {
 	reply->revision = fleet->revision;
 	for (guint i = 0; i < fleet->history->len; i++) {
@@ -208,8 +212,8 @@
 	fleet_answer_watches(fleet);
 }
 
-static void grant(struct fleet *fleet, const struct fleet_call *call,
-		  struct rr_feed_reply *reply)
+static void grant_lease(struct fleet *fleet, const struct fleet_call *call,
+			struct rr_feed_reply *reply)
 {
 	uint64_t *id = g_new(uint64_t, 1);
 	int64_t *until_us = g_new(int64_t, 1);
@@ -219,8 +223,8 @@
 	g_hash_table_insert(fleet->leases, id, until_us);
 }
 
-static void keep_lease(struct fleet *fleet, const struct fleet_call *call,
-		       struct rr_feed_reply *reply)
+static void renew_lease(struct fleet *fleet, const struct fleet_call *call,
+			struct rr_feed_reply *reply)
 {
 	int64_t *until_us =
 		g_hash_table_lookup(fleet->leases, &call->call.lease);
@@ -250,7 +254,7 @@
 {
 	struct delivery *delivery = fleet_new_delivery(call, RR_FEED_OK);
 
-	answer_changes(fleet, call, &delivery->reply);
+	reply_changes(fleet, call, &delivery->reply);
 	fleet_answer(fleet, delivery);
 }
 
@@ -292,11 +296,11 @@
 	}
 	delivery = fleet_new_delivery(call, RR_FEED_OK);
 	if (call->call.kind == RR_FEED_RANGE)
-		answer_range(fleet, call, &delivery->reply);
+		reply_range(fleet, call, &delivery->reply);
 	else if (call->call.kind == RR_FEED_LEASE_GRANT)
-		grant(fleet, call, &delivery->reply);
+		grant_lease(fleet, call, &delivery->reply);
 	else if (call->call.kind == RR_FEED_LEASE_RENEW)
-		keep_lease(fleet, call, &delivery->reply);
+		renew_lease(fleet, call, &delivery->reply);
 	else if (call->call.kind == RR_FEED_WRITE_ENTRIES)
 		write_entries(fleet, call, &delivery->reply);
 	fleet_answer(fleet, delivery);
@@ -308,7 +312,7 @@
 
 	if (fleet->stopping)
 		return;
-	end_leases(fleet);
+	expire_leases(fleet);
 	fleet_answer_watches(fleet);
 	push_event(fleet->events, fleet->now_us + 100 * FLEET_MS,
 		   fleet_tick_store, NULL);
--- a/tests/support/feed-fleet.c
+++ b/tests/support/feed-fleet.c
@@ -1,5 +1,6 @@
 /*
- * feed-fleet.c - feeds, and their calls to the store and to each other.
+ * feed-fleet.c - simulated feeds, and their calls to the store and to each
+ * other.
  */
 #include "support/feed-fleet-private.h"
 
@@ -23,7 +24,7 @@
 	return call;
 }
 
-/* Answers. */
+/* Replies. */
 
 static void run_node(struct fleet_node *node);
 
@@ -74,15 +75,14 @@
 	fleet_answer(fleet, fleet_new_delivery(call, RR_FEED_FAILED));
 }
 
-/* At another instance. */
+/* Calls to a peer. */
 
-static void tell(struct fleet_node *peer, struct fleet_call *call)
+static void serve_items(struct fleet_node *peer, struct fleet_call *call)
 {
-	bool everything = call->call.kind == RR_FEED_RANGE;
+	bool range = call->call.kind == RR_FEED_RANGE;
 	uint64_t revision;
 	GArray *items = rr_feed_changes(
-		peer->feed, everything ? 0 : call->call.after_revision,
-		&revision);
+		peer->feed, range ? 0 : call->call.after_revision, &revision);
 	struct delivery *delivery = fleet_new_delivery(
 		call, items ? RR_FEED_OK : RR_FEED_COMPACTED);
 
@@ -100,8 +100,9 @@
 	fleet_answer(peer->fleet, delivery);
 }
 
-/* As the gateway answers those who ask; false: it waits on. */
-static bool answer_asker(struct fleet_node *peer, struct fleet_call *call)
+/* Answer a waiting call as the gateway does; false: it continues to wait. */
+static bool answer_waiting_call(struct fleet_node *peer,
+				struct fleet_call *call)
 {
 	int64_t now_us = peer->fleet->now_us;
 
@@ -114,48 +115,48 @@
 	if (call->deadline_us > now_us &&
 	    rr_feed_revision(peer->feed) <= call->call.after_revision)
 		return false;
-	tell(peer, call);
+	serve_items(peer, call);
 	return true;
 }
 
-static void answer_askers(struct fleet_node *node)
+static void answer_waiting_calls(struct fleet_node *node)
 {
 	guint i = 0;
 
 	while (i < node->waiting_calls->len) {
-		if (answer_asker(node,
-				 g_ptr_array_index(node->waiting_calls, i)))
+		if (answer_waiting_call(
+			    node, g_ptr_array_index(node->waiting_calls, i)))
 			g_ptr_array_remove_index(node->waiting_calls, i);
 		else
 			i++;
 	}
 }
 
-static void enter_for(struct fleet_node *peer, struct fleet_call *call)
+static void register_for(struct fleet_node *peer, struct fleet_call *call)
 {
-	bool taken = true;
+	bool accepted = true;
 
 	for (guint i = 0; i < call->removed->len; i++)
 		rr_feed_deregister_instance(
 			peer->feed, peer->fleet->now_us,
 			g_ptr_array_index(call->removed, i));
-	for (guint i = 0; i < call->entered->len && taken; i++)
-		taken = rr_feed_register_instance(
+	for (guint i = 0; i < call->entered->len && accepted; i++)
+		accepted = rr_feed_register_instance(
 			peer->ctx, peer->feed, peer->fleet->now_us,
 			g_ptr_array_index(call->entered, i));
-	fleet_answer(
-		peer->fleet,
-		fleet_new_delivery(call, taken ? RR_FEED_OK : RR_FEED_FAILED));
+	fleet_answer(peer->fleet,
+		     fleet_new_delivery(call, accepted ? RR_FEED_OK :
+							 RR_FEED_FAILED));
 }
 
-static void take_at_peer(struct fleet_node *peer, struct fleet_call *call)
+static void handle_at_peer(struct fleet_node *peer, struct fleet_call *call)
 {
 	if (!peer->feed)
 		fleet_fail(peer->fleet, call);
 	else if (call->call.kind == RR_FEED_WRITE_ENTRIES)
-		enter_for(peer, call);
+		register_for(peer, call);
 	else if (call->call.kind == RR_FEED_RANGE)
-		tell(peer, call);
+		serve_items(peer, call);
 	else
 		g_ptr_array_add(peer->waiting_calls, fleet_keep_call(call));
 	if (peer->feed)
@@ -171,7 +172,7 @@
 	if (fleet->stopping)
 		call->done = true;
 	else if (call->peer)
-		take_at_peer(call->peer, call);
+		handle_at_peer(call->peer, call);
 	else
 		fleet_handle_at_store(fleet, call);
 	fleet_drop_call(call);
@@ -200,7 +201,7 @@
 	rr_free_instance(data);
 }
 
-static void make_call(void *data, const struct rr_feed_call *made)
+static void make_call(void *data, const struct rr_feed_call *feed_call)
 {
 	struct fleet_node *node = data;
 	struct fleet *fleet = node->fleet;
@@ -209,31 +210,32 @@
 	call->refs = 2;
 	call->node = node;
 	call->incarnation = node->incarnation;
-	call->call = *made;
-	call->peer = made->peer ? find_peer(fleet, made->peer) : NULL;
-	call->after_key = g_strdup(made->after_key);
+	call->call = *feed_call;
+	call->peer = feed_call->peer ? find_peer(fleet, feed_call->peer) : NULL;
+	call->after_key = g_strdup(feed_call->after_key);
 	call->entered = g_ptr_array_new_with_free_func(free_instance);
 	call->removed = g_ptr_array_new_with_free_func(g_free);
-	for (guint i = 0; made->added && i < made->added->len; i++)
-		g_ptr_array_add(
-			call->entered,
-			rr_copy_instance(g_ptr_array_index(made->added, i)));
-	for (guint i = 0; made->removed && i < made->removed->len; i++)
-		g_ptr_array_add(call->removed,
-				g_strdup(g_ptr_array_index(made->removed, i)));
+	for (guint i = 0; feed_call->added && i < feed_call->added->len; i++)
+		g_ptr_array_add(call->entered,
+				rr_copy_instance(g_ptr_array_index(
+					feed_call->added, i)));
+	for (guint i = 0; feed_call->removed && i < feed_call->removed->len;
+	     i++)
+		g_ptr_array_add(call->removed, g_strdup(g_ptr_array_index(
+						       feed_call->removed, i)));
 	push_event(fleet->events, fleet->now_us + ONE_WAY_DELAY_US, arrive,
 		   call);
 	push_event(fleet->events,
-		   fleet->now_us + (int64_t)made->timeout_ms * 1000, time_out,
-		   call);
+		   fleet->now_us + (int64_t)feed_call->timeout_ms * 1000,
+		   time_out, call);
 }
 
-/* What is cancelled is answered to nobody: its id is not known any more. */
+/* Replies to cancelled calls are still sent; the feed ignores their ids. */
 static void ignore_cancel(void *data, uint64_t call)
 {
 }
 
-static void take_routes(void *data, struct rr_route_table *table)
+static void apply_routes(void *data, struct rr_route_table *table)
 {
 	struct fleet_node *node = data;
 
@@ -277,7 +279,7 @@
 	int64_t wake_us;
 
 	rr_feed_tick(node->ctx, node->feed, fleet->now_us);
-	answer_askers(node);
+	answer_waiting_calls(node);
 	if (!node->synced_us && rr_feed_has_synced(node->feed))
 		node->synced_us = fleet->now_us;
 	wake_us = rr_feed_wake_us(node->feed);
@@ -303,7 +305,7 @@
 		.actions = {
 			.call = make_call,
 			.cancel = ignore_cancel,
-			.routes = take_routes,
+			.routes = apply_routes,
 			.replica_listed = ignore_listed,
 			.replica_unlisted = ignore_unlisted,
 			.instance_count = ignore_instances,
--- a/tests/support/feed-fleet.h
+++ b/tests/support/feed-fleet.h
@@ -1,6 +1,7 @@
 /*
- * feed-fleet.h - many feeds in virtual time, on one store that counts what it
- * is asked: for tests of how a fleet starts, and of what an outage costs.
+ * feed-fleet.h - many feeds in virtual time, with one store that counts calls.
+ *
+ * For tests of the start of a fleet and of the cost of an outage.
  */
 #ifndef TESTS_SUPPORT_FEED_FLEET_H
 #define TESTS_SUPPORT_FEED_FLEET_H
@@ -18,16 +19,15 @@
 	guint index;
 	struct rr_instance self;
 	struct rr_context *ctx;
-	struct rr_feed *feed;	/* NULL: it does not run */
-	uint32_t incarnation;	/* answers to an earlier one are dropped */
-	bool rejected_by_store; /* by the store, at once */
+	struct rr_feed *feed;	/* NULL: not running */
+	uint32_t incarnation;	/* replies to an earlier one are dropped */
+	bool rejected_by_store; /* the store rejects its calls at once */
 	int64_t started_us;
-	int64_t synced_us;    /* when everything was first read; 0: not yet */
-	int64_t next_tick_us; /* the next one in the queue */
+	int64_t synced_us;    /* when all items were first read; 0: not yet */
+	int64_t next_tick_us; /* time of the next queued tick */
 	uint64_t routes_version; /* version in force */
 	int64_t routes_applied_us;
-	GPtrArray *
-		waiting_calls; /* struct fleet_call that wait here for changes */
+	GPtrArray *waiting_calls; /* struct fleet_call, waiting for changes */
 };
 
 struct fleet {
@@ -36,35 +36,44 @@
 	GPtrArray *nodes;   /* struct fleet_node */
 	GPtrArray *history; /* struct fleet_change of the store */
 	GHashTable *items;  /* key -> latest struct fleet_change */
-	GHashTable *leases; /* id -> when it ends, int64_t */
+	GHashTable *leases; /* id -> expiry time, int64_t */
 	GPtrArray *watches; /* struct fleet_call that wait at the store */
 	uint64_t revision;
 	uint64_t next_lease;
 	bool store_down;
-	bool stopping; /* events on their way are let go */
-	/* Calls as they are paid for: old copies and renewals a tenth. */
+	bool stopping; /* queued events are dropped */
+	/* Calls as billed: stale range reads and renewals count as a tenth. */
 	double billed_calls;
-	uint32_t
-		peak_calls_per_s; /* calls in a second that count toward its rates */
+	/* peak of the calls that count toward the rate limit */
+	uint32_t peak_calls_per_s;
 	uint32_t calls_this_second;
 	int64_t current_second;
 };
 
-/* `n` instances in `zones` zones, the first few of each four times as strong. */
+/*
+ * Create `n` instances in `zones` zones, the first three of each about four
+ * times as strong as the others.
+ */
 struct fleet *fleet_new(guint n, guint zones, guint replicas);
 void fleet_drop(struct fleet *fleet);
-/* Within the next so many microseconds. */
+/* Start all within the next `within_us` microseconds. */
 void fleet_start_all(struct fleet *fleet, int64_t within_us);
 void fleet_kill_all(struct fleet *fleet);
 void fleet_run(struct fleet *fleet, int64_t us);
-/* The operators' next version; what other instances write is their own. */
+/*
+ * Write the next version of the routes, as the operators do.  What instances
+ * write is separate.
+ */
 void fleet_write_routes(struct fleet *fleet, uint64_t version);
 void fleet_write_replica(struct fleet *fleet, guint number);
-/* How many instances have an entry. */
+/* Number of instances with an entry. */
 guint fleet_count_entries(struct fleet *fleet);
-/* The longest that it took one from its start to have read everything. */
+/*
+ * The longest time from the start of an instance to its first complete read;
+ * INT64_MAX: some have not completed it.
+ */
 int64_t fleet_slowest_sync_us(const struct fleet *fleet);
-/* When the last one had a version in force; INT64_MAX: not all have it. */
+/* When the last instance applied `version`; INT64_MAX: not all have done so. */
 int64_t fleet_applied_us(const struct fleet *fleet, uint64_t version);
 
 #endif
--- a/tests/test-feed.c
+++ b/tests/test-feed.c
@@ -1,6 +1,6 @@
 /*
- * test-feed.c - following the store in virtual time: outages, lost answers,
- * forgotten history, silent connections.
+ * test-feed.c - following the store in virtual time: outages, lost replies,
+ * compacted history, dead connections.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,466 +14,486 @@
 #include "ragwort/counters.h"
 #include "support/feed-fixture.h"
 
-static void test_first_reading(void **state)
+static void test_first_range(void **state)
 {
-	struct feed_fixture *scene = feed_new_fixture();
+	struct feed_fixture *fixture = feed_new_fixture();
 
-	assert_false(rr_feed_has_synced(scene->feed));
-	feed_answer(scene, feed_find_call(scene, RR_FEED_RANGE), RR_FEED_OK,
+	assert_false(rr_feed_has_synced(fixture->feed));
+	feed_answer(fixture, feed_find_call(fixture, RR_FEED_RANGE), RR_FEED_OK,
 		    "routes3@10 inst1@9 r1@11", 20, true);
-	assert_false(rr_feed_has_synced(scene->feed));
-	assert_string_equal(feed_find_call(scene, RR_FEED_RANGE)->after_key,
+	assert_false(rr_feed_has_synced(fixture->feed));
+	assert_string_equal(feed_find_call(fixture, RR_FEED_RANGE)->after_key,
 			    "r1");
-	assert_true(feed_find_call(scene, RR_FEED_RANGE)->allow_stale);
-	/* The second page is read later, but changes count from the first. */
-	feed_answer_ok(scene, RR_FEED_RANGE, "r2@25", 26);
-	assert_true(rr_feed_has_synced(scene->feed));
-	assert_int_equal(feed_find_call(scene, RR_FEED_WATCH)->after_revision,
+	assert_true(feed_find_call(fixture, RR_FEED_RANGE)->allow_stale);
+	/*
+	 * The second page is read later, but changes are read from the revision
+	 * of the first.
+	 */
+	feed_answer_ok(fixture, RR_FEED_RANGE, "r2@25", 26);
+	assert_true(rr_feed_has_synced(fixture->feed));
+	assert_int_equal(feed_find_call(fixture, RR_FEED_WATCH)->after_revision,
 			 20);
-	feed_assert_events(scene, "routes 3 +r1 +r2 ");
-	feed_drop_fixture(scene);
+	feed_assert_events(fixture, "routes 3 +r1 +r2 ");
+	feed_drop_fixture(fixture);
 }
 
 /*
- * Story: pages are read of copies that lag, the second of one that lags more.
- * What the second lacks is told by the first watch, if it asks from there.
+ * The pages come from stale copies, the second from an older one.  The first
+ * watch reports what the second page lacks, if it starts from the older
+ * revision.
  */
 static void test_pages_of_different_age(void **state)
 {
-	struct feed_fixture *scene = feed_new_fixture();
+	struct feed_fixture *fixture = feed_new_fixture();
 
 	(void)state;
-	feed_answer(scene, feed_find_call(scene, RR_FEED_RANGE), RR_FEED_OK,
+	feed_answer(fixture, feed_find_call(fixture, RR_FEED_RANGE), RR_FEED_OK,
 		    "inst1@9 r1@11", 20, true);
-	feed_answer_ok(scene, RR_FEED_RANGE, "r2@12", 15);
-	assert_int_equal(feed_find_call(scene, RR_FEED_WATCH)->after_revision,
+	feed_answer_ok(fixture, RR_FEED_RANGE, "r2@12", 15);
+	assert_int_equal(feed_find_call(fixture, RR_FEED_WATCH)->after_revision,
 			 15);
-	feed_drop_fixture(scene);
+	feed_drop_fixture(fixture);
 }
 
 /*
- * Story: all instances start at once, and the store has no entry yet.  Were
- * each to watch and enter itself, that would be three calls for each of
- * hundreds.  Each looks again a little later, the strong ones first, and the
- * others then find somebody to ask.  It serves meanwhile.
+ * Guards against a simultaneous first start, when the store has no entries yet
+ * and each of hundreds of instances would watch and register itself by three
+ * calls.  Each reads again a little later, the strong ones first, and the
+ * others then find peers.  It serves meanwhile.
  */
-static void test_alone_it_looks_again(void **state)
+static void test_peer_recheck_finds_peers(void **state)
 {
-	struct feed_fixture *scene = feed_new_fixture_with_strength(0.25);
+	struct feed_fixture *fixture = feed_new_fixture_with_strength(0.25);
 	guint calls;
 
 	(void)state;
-	feed_answer_ok(scene, RR_FEED_RANGE, "routes3@10 r1@11", 20);
-	assert_true(rr_feed_has_synced(scene->feed));
-	feed_advance(scene, 1200 * MS);
-	assert_null(feed_find_call(scene, RR_FEED_RANGE));
-	feed_advance(scene, 1100 * MS);
-	assert_true(feed_find_call(scene, RR_FEED_RANGE)->allow_stale);
-	feed_answer_ok(scene, RR_FEED_RANGE,
+	feed_answer_ok(fixture, RR_FEED_RANGE, "routes3@10 r1@11", 20);
+	assert_true(rr_feed_has_synced(fixture->feed));
+	feed_advance(fixture, 1200 * MS);
+	assert_null(feed_find_call(fixture, RR_FEED_RANGE));
+	feed_advance(fixture, 1100 * MS);
+	assert_true(feed_find_call(fixture, RR_FEED_RANGE)->allow_stale);
+	feed_answer_ok(fixture, RR_FEED_RANGE,
 		       "routes3@10 r1@11 inst1/z/4@21 inst2/z/4@21", 22);
-	calls = feed_count_store_calls(scene);
+	calls = feed_count_store_calls(fixture);
 	assert_int_equal(calls, 2);
-	assert_non_null(feed_find_call(scene, RR_FEED_WATCH)->peer);
-	assert_non_null(feed_find_call(scene, RR_FEED_WRITE_ENTRIES)->peer);
-	feed_drop_fixture(scene);
+	assert_non_null(feed_find_call(fixture, RR_FEED_WATCH)->peer);
+	assert_non_null(feed_find_call(fixture, RR_FEED_WRITE_ENTRIES)->peer);
+	feed_drop_fixture(fixture);
 }
 
-/* The first of all finds nobody the second time either, and goes ahead. */
-static void test_alone_it_goes_ahead(void **state)
+/*
+ * The first instance finds no peers the second time either, and continues
+ * alone.
+ */
+static void test_peer_recheck_finds_none(void **state)
 {
-	struct feed_fixture *scene = feed_new_fixture_with_strength(0.5);
+	struct feed_fixture *fixture = feed_new_fixture_with_strength(0.5);
 
 	(void)state;
-	feed_answer_ok(scene, RR_FEED_RANGE, "routes3@10 r1@11", 20);
-	feed_advance(scene, 1500 * MS);
-	/* A copy that is older still takes nothing back. */
-	feed_answer_ok(scene, RR_FEED_RANGE, "routes3@10", 15);
-	feed_advance(scene, 600 * MS);
-	assert_int_equal(feed_find_call(scene, RR_FEED_WATCH)->after_revision,
+	feed_answer_ok(fixture, RR_FEED_RANGE, "routes3@10 r1@11", 20);
+	feed_advance(fixture, 1500 * MS);
+	/* An older copy does not revert known items. */
+	feed_answer_ok(fixture, RR_FEED_RANGE, "routes3@10", 15);
+	feed_advance(fixture, 600 * MS);
+	assert_int_equal(feed_find_call(fixture, RR_FEED_WATCH)->after_revision,
 			 20);
-	assert_non_null(feed_find_call(scene, RR_FEED_LEASE_GRANT));
+	assert_non_null(feed_find_call(fixture, RR_FEED_LEASE_GRANT));
 	/*
-	 * The others have not entered by now: taken for the only one it would
-	 * spend what all of them may.
+	 * The others have not registered yet: counted as the only one, this
+	 * instance would use the budgets of all.
 	 */
-	feed_assert_events(scene, "routes 3 +r1 ");
-	feed_advance(scene, 1500 * MS);
-	feed_assert_events(scene, "instances 1 ");
-	feed_drop_fixture(scene);
+	feed_assert_events(fixture, "routes 3 +r1 ");
+	feed_advance(fixture, 1500 * MS);
+	feed_assert_events(fixture, "instances 1 ");
+	feed_drop_fixture(fixture);
 }
 
 static void test_changes(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
+	struct feed_fixture *fixture = feed_new_synced_fixture();
 
-	feed_answer_ok(scene, RR_FEED_WATCH, "r3@21 -r1@22 routes4@23", 23);
-	feed_assert_events(scene, "+r3 -r1 routes 4 ");
-	feed_advance(scene, 1000 * MS);
-	assert_int_equal(feed_find_call(scene, RR_FEED_WATCH)->after_revision,
+	feed_answer_ok(fixture, RR_FEED_WATCH, "r3@21 -r1@22 routes4@23", 23);
+	feed_assert_events(fixture, "+r3 -r1 routes 4 ");
+	feed_advance(fixture, 1000 * MS);
+	assert_int_equal(feed_find_call(fixture, RR_FEED_WATCH)->after_revision,
 			 23);
-	feed_drop_fixture(scene);
+	feed_drop_fixture(fixture);
 }
 
 /*
- * Story: somebody writes nonsense under the keys of a replica, of an instance
- * and of the configuration.  The replica is not known to be there any more and
- * gets no work, the instance does not count, and the routes stay in force, for
- * without any nobody would be served.  What is written anew is taken.
+ * Invalid values are written under the keys of a replica, of an instance and of
+ * the routes.  The replica counts as removed and gets no requests, the instance
+ * is not counted, and the routes stay in force, since no query can be served
+ * without routes.  Values written later are applied.
  */
-static void test_values_that_are_none_of_their_kind(void **state)
+static void test_invalid_values(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
+	struct feed_fixture *fixture = feed_new_synced_fixture();
 
-	feed_advance(scene, 2500 * MS);
-	feed_answer_ok(scene, RR_FEED_WATCH,
+	feed_advance(fixture, 2500 * MS);
+	feed_answer_ok(fixture, RR_FEED_WATCH,
 		       "?r1@21 ?routes4@22 ?inst3@23 r2@24", 24);
-	feed_assert_events(scene, "-r1 +r2 ");
-	assert_non_null(strstr(scene->instance_events->str, "-inst3 "));
-	feed_advance(scene, 21000 * MS);
-	feed_assert_events(scene, "instances 2 ");
-	feed_answer_ok(scene, RR_FEED_WATCH, "r1@25 routes4@26 inst3@27", 27);
-	feed_assert_events(scene, "+r1 routes 4 instances 3 ");
-	feed_drop_fixture(scene);
+	feed_assert_events(fixture, "-r1 +r2 ");
+	assert_non_null(strstr(fixture->instance_events->str, "-inst3 "));
+	feed_advance(fixture, 21000 * MS);
+	feed_assert_events(fixture, "instances 2 ");
+	feed_answer_ok(fixture, RR_FEED_WATCH, "r1@25 routes4@26 inst3@27", 27);
+	feed_assert_events(fixture, "+r1 routes 4 instances 3 ");
+	feed_drop_fixture(fixture);
 }
 
 /*
- * Story: the store drops its history and cuts all watches, with a new
- * configuration just written.  A watch that is opened anew in that moment
- * hears nothing until its end, 25 s later, and the old routes are in force
- * for so long, while each renewal is answered.  So the first watch after a cut
- * is short; it ends with word that the history is gone, and all is read anew.
+ * Guards against a watch that receives nothing.  The store compacts its history
+ * and cuts all watches, just after a new configuration was written.  A watch
+ * opened at that moment receives nothing until its end, 25 s later, and the old
+ * routes stay in force, while each renewal is answered.  So the first watch
+ * after a failure is short; its reply reports the compaction, and all items are
+ * read again.
  */
-static void test_watch_after_a_cut_is_short(void **state)
+static void test_watch_after_failure_is_short(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
+	struct feed_fixture *fixture = feed_new_synced_fixture();
 
 	(void)state;
-	assert_int_equal(feed_find_call(scene, RR_FEED_WATCH)->wait_ms, 25000);
-	while (feed_find_call(scene, RR_FEED_WATCH))
-		feed_answer(scene, feed_find_call(scene, RR_FEED_WATCH),
+	assert_int_equal(feed_find_call(fixture, RR_FEED_WATCH)->wait_ms,
+			 25000);
+	while (feed_find_call(fixture, RR_FEED_WATCH))
+		feed_answer(fixture, feed_find_call(fixture, RR_FEED_WATCH),
 			    RR_FEED_FAILED, NULL, 0, false);
-	feed_advance(scene, 200 * MS);
-	assert_null(feed_find_call(scene, RR_FEED_WATCH)->peer);
-	assert_int_equal(feed_find_call(scene, RR_FEED_WATCH)->wait_ms, 1000);
-	feed_advance(scene, 1000 * MS);
-	feed_answer(scene, feed_find_call(scene, RR_FEED_WATCH),
+	feed_advance(fixture, 200 * MS);
+	assert_null(feed_find_call(fixture, RR_FEED_WATCH)->peer);
+	assert_int_equal(feed_find_call(fixture, RR_FEED_WATCH)->wait_ms, 1000);
+	feed_advance(fixture, 1000 * MS);
+	feed_answer(fixture, feed_find_call(fixture, RR_FEED_WATCH),
 		    RR_FEED_COMPACTED, NULL, 0, false);
-	assert_false(feed_find_call(scene, RR_FEED_RANGE)->allow_stale);
-	feed_answer_ok(scene, RR_FEED_RANGE, "routes4@23 r1@11 inst1@13", 23);
-	feed_assert_events(scene, "routes 4 -r2 ");
-	assert_int_equal(feed_find_call(scene, RR_FEED_WATCH)->wait_ms, 25000);
-	feed_drop_fixture(scene);
+	assert_false(feed_find_call(fixture, RR_FEED_RANGE)->allow_stale);
+	feed_answer_ok(fixture, RR_FEED_RANGE, "routes4@23 r1@11 inst1@13", 23);
+	feed_assert_events(fixture, "routes 4 -r2 ");
+	assert_int_equal(feed_find_call(fixture, RR_FEED_WATCH)->wait_ms,
+			 25000);
+	feed_drop_fixture(fixture);
 }
 
-/* A watch tells again what the second page of the range had already. */
-static void test_old_news_counts_for_nothing(void **state)
+/* A watch repeats what the second page of the range contained. */
+static void test_older_changes_are_ignored(void **state)
 {
-	struct feed_fixture *scene = feed_new_fixture();
+	struct feed_fixture *fixture = feed_new_fixture();
 
-	feed_answer(scene, feed_find_call(scene, RR_FEED_RANGE), RR_FEED_OK,
+	feed_answer(fixture, feed_find_call(fixture, RR_FEED_RANGE), RR_FEED_OK,
 		    "inst1@9 r1@11", 20, true);
-	feed_answer_ok(scene, RR_FEED_RANGE, "r2@25", 26);
-	feed_assert_events(scene, "+r1 +r2 ");
-	feed_answer_ok(scene, RR_FEED_WATCH, "r2@21 -r2@23 r2@25", 26);
-	feed_assert_events(scene, "");
-	feed_drop_fixture(scene);
+	feed_answer_ok(fixture, RR_FEED_RANGE, "r2@25", 26);
+	feed_assert_events(fixture, "+r1 +r2 ");
+	feed_answer_ok(fixture, RR_FEED_WATCH, "r2@21 -r2@23 r2@25", 26);
+	feed_assert_events(fixture, "");
+	feed_drop_fixture(fixture);
 }
 
-/* The count of paid calls: a burst of changes is one watch, not one each. */
+/* A burst of changes costs one watch, not one for each change. */
 static void test_bursts_are_merged(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
-	guint before = feed_count_calls(scene, RR_FEED_WATCH);
-
-	feed_answer_ok(scene, RR_FEED_WATCH, "r3@21", 21);
-	feed_advance(scene, 300 * MS);
-	assert_null(feed_find_call(scene, RR_FEED_WATCH));
-	feed_advance(scene, 200 * MS);
-	assert_non_null(feed_find_call(scene, RR_FEED_WATCH));
-	assert_int_equal(feed_count_calls(scene, RR_FEED_WATCH), before + 1);
-	feed_drop_fixture(scene);
+	struct feed_fixture *fixture = feed_new_synced_fixture();
+	guint before = feed_count_calls(fixture, RR_FEED_WATCH);
+
+	feed_answer_ok(fixture, RR_FEED_WATCH, "r3@21", 21);
+	feed_advance(fixture, 300 * MS);
+	assert_null(feed_find_call(fixture, RR_FEED_WATCH));
+	feed_advance(fixture, 200 * MS);
+	assert_non_null(feed_find_call(fixture, RR_FEED_WATCH));
+	assert_int_equal(feed_count_calls(fixture, RR_FEED_WATCH), before + 1);
+	feed_drop_fixture(fixture);
 }
 
-/* Each change wakes all watches: the more there are, the longer they wait,
- * but never for more than a third of the bound. */
+/*
+ * Each change wakes all watches: the more there are, the longer the delay, but
+ * never more than a third of the bound.
+ */
 static void test_many_instances_merge_more(void **state)
 {
-	struct feed_fixture *scene = feed_new_fixture();
+	struct feed_fixture *fixture = feed_new_fixture();
 	GString *items = g_string_new(NULL);
 
 	for (int i = 0; i < 100; i++)
 		g_string_append_printf(items, "inst%d@%d ", i, i + 1);
-	feed_answer_ok(scene, RR_FEED_RANGE, items->str, 200);
-	feed_answer_ok(scene, RR_FEED_WATCH, "r3@201", 201);
-	feed_advance(scene, 990 * MS);
-	assert_null(feed_find_call(scene, RR_FEED_WATCH));
-	feed_advance(scene, 20 * MS);
-	assert_non_null(feed_find_call(scene, RR_FEED_WATCH));
+	feed_answer_ok(fixture, RR_FEED_RANGE, items->str, 200);
+	feed_answer_ok(fixture, RR_FEED_WATCH, "r3@201", 201);
+	feed_advance(fixture, 990 * MS);
+	assert_null(feed_find_call(fixture, RR_FEED_WATCH));
+	feed_advance(fixture, 20 * MS);
+	assert_non_null(feed_find_call(fixture, RR_FEED_WATCH));
 	g_string_free(items, TRUE);
-	feed_drop_fixture(scene);
+	feed_drop_fixture(fixture);
 }
 
 /*
- * Story: an instance is turned away by the store for nine seconds of a
- * reshard.  What it missed comes in answers of some hundred changes, the
- * configuration in the last of them; with a pause after each it is in force
- * too late.
+ * The store rejects an instance for nine seconds during a reshard.  The missed
+ * changes come in replies of some hundred, the routes in the last of them; with
+ * a delay after each reply they would be in force too late.
  */
 static void test_backlog_is_read_without_pauses(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
+	struct feed_fixture *fixture = feed_new_synced_fixture();
 	GString *items = g_string_new(NULL);
 
 	for (int i = 0; i < 100; i++)
 		g_string_append_printf(items, "x%d@%d ", i, 30 + i);
-	feed_answer_ok(scene, RR_FEED_WATCH, items->str, 129);
-	assert_int_equal(feed_find_call(scene, RR_FEED_WATCH)->after_revision,
+	feed_answer_ok(fixture, RR_FEED_WATCH, items->str, 129);
+	assert_int_equal(feed_find_call(fixture, RR_FEED_WATCH)->after_revision,
 			 129);
-	feed_answer_ok(scene, RR_FEED_WATCH, "routes9@130", 130);
-	assert_null(feed_find_call(scene, RR_FEED_WATCH));
+	feed_answer_ok(fixture, RR_FEED_WATCH, "routes9@130", 130);
+	assert_null(feed_find_call(fixture, RR_FEED_WATCH));
 	g_string_free(items, TRUE);
-	feed_drop_fixture(scene);
+	feed_drop_fixture(fixture);
 }
 
-/* Guards against an evacuation that is lost with the store or told twice. */
+/*
+ * Guards against an evacuation that is lost during a store outage or reported
+ * twice.
+ */
 static void test_evacuations(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
-	GArray *news;
+	struct feed_fixture *fixture = feed_new_synced_fixture();
+	GArray *changes;
 	uint64_t revision;
 
 	(void)state;
-	feed_answer_ok(scene, RR_FEED_WATCH, "evacuate/z1@21", 21);
-	feed_assert_events(scene, "evacuate z1 21 ");
-	/* For those who ask this instance. */
-	news = rr_feed_changes(scene->feed, 20, &revision);
-	assert_int_equal(news->len, 1);
-	g_array_unref(news);
-	feed_advance(scene, 2000 * MS);
-	feed_answer(scene, feed_find_call(scene, RR_FEED_WATCH), RR_FEED_FAILED,
-		    NULL, 0, false);
-	feed_advance(scene, 5000 * MS);
-	feed_assert_events(scene, "");
-	feed_answer_ok(scene, RR_FEED_WATCH, "-evacuate/z1@30", 30);
-	feed_assert_events(scene, "take-back z1 30 ");
-	feed_drop_fixture(scene);
+	feed_answer_ok(fixture, RR_FEED_WATCH, "evacuate/z1@21", 21);
+	feed_assert_events(fixture, "evacuate z1 21 ");
+	/* Served to peers. */
+	changes = rr_feed_changes(fixture->feed, 20, &revision);
+	assert_int_equal(changes->len, 1);
+	g_array_unref(changes);
+	feed_advance(fixture, 2000 * MS);
+	feed_answer(fixture, feed_find_call(fixture, RR_FEED_WATCH),
+		    RR_FEED_FAILED, NULL, 0, false);
+	feed_advance(fixture, 5000 * MS);
+	feed_assert_events(fixture, "");
+	feed_answer_ok(fixture, RR_FEED_WATCH, "-evacuate/z1@30", 30);
+	feed_assert_events(fixture, "take-back z1 30 ");
+	feed_drop_fixture(fixture);
 }
 
-/* Guards against an operator's request that is dropped for its value. */
-static void test_an_evacuation_whose_value_cannot_be_read(void **state)
+/* Guards against an evacuation that is ignored because of its value. */
+static void test_evacuation_with_invalid_value(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
+	struct feed_fixture *fixture = feed_new_synced_fixture();
 
 	(void)state;
-	feed_answer_ok(scene, RR_FEED_WATCH, "?evacuate/z1@21", 21);
-	feed_assert_events(scene, "evacuate z1 21 ");
+	feed_answer_ok(fixture, RR_FEED_WATCH, "?evacuate/z1@21", 21);
+	feed_assert_events(fixture, "evacuate z1 21 ");
 	assert_int_equal(
-		rr_counter_value(scene->ctx, RR_N_STORE_VALUES_INVALID), 1);
-	feed_drop_fixture(scene);
+		rr_counter_value(fixture->ctx, RR_N_STORE_VALUES_INVALID), 1);
+	feed_drop_fixture(fixture);
 }
 
-/* Guards against an evacuation that ended where no change is told of it. */
-static void test_an_evacuation_that_is_not_in_the_range(void **state)
+/* Guards against an evacuation that ended without a change being reported. */
+static void test_evacuation_absent_from_range(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
+	struct feed_fixture *fixture = feed_new_synced_fixture();
 
 	(void)state;
-	feed_answer_ok(scene, RR_FEED_WATCH, "evacuate/z1@21", 21);
-	feed_advance(scene, 2000 * MS);
-	feed_answer(scene, feed_find_call(scene, RR_FEED_WATCH),
+	feed_answer_ok(fixture, RR_FEED_WATCH, "evacuate/z1@21", 21);
+	feed_advance(fixture, 2000 * MS);
+	feed_answer(fixture, feed_find_call(fixture, RR_FEED_WATCH),
 		    RR_FEED_COMPACTED, NULL, 0, false);
-	feed_answer_ok(scene, RR_FEED_RANGE, "routes3@10 r1@11 r2@12 inst1@13",
-		       40);
-	assert_non_null(strstr(scene->events->str, "take-back z1 40 "));
-	feed_drop_fixture(scene);
+	feed_answer_ok(fixture, RR_FEED_RANGE,
+		       "routes3@10 r1@11 r2@12 inst1@13", 40);
+	assert_non_null(strstr(fixture->events->str, "take-back z1 40 "));
+	feed_drop_fixture(fixture);
 }
 
-/* Nothing new for minutes: a long watch each time, nothing else is read. */
-static void test_quiet_minutes(void **state)
+/* Minutes without changes cost only long watches and renewals. */
+static void test_minutes_without_changes(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
+	struct feed_fixture *fixture = feed_new_synced_fixture();
 
 	for (int i = 0; i < 240; i++) {
-		struct recorded_call *keep;
+		struct recorded_call *renewal;
 
-		feed_advance(scene, 1000 * MS);
-		keep = feed_find_call(scene, RR_FEED_LEASE_RENEW);
-		if (keep)
-			feed_answer(scene, keep, RR_FEED_OK, NULL, 0, false);
+		feed_advance(fixture, 1000 * MS);
+		renewal = feed_find_call(fixture, RR_FEED_LEASE_RENEW);
+		if (renewal)
+			feed_answer(fixture, renewal, RR_FEED_OK, NULL, 0,
+				    false);
 		if (i % 25 == 24)
-			feed_answer_ok(scene, RR_FEED_WATCH, NULL, 30);
+			feed_answer_ok(fixture, RR_FEED_WATCH, NULL, 30);
 	}
-	assert_true(feed_count_calls(scene, RR_FEED_WATCH) <= 11);
-	assert_int_equal(feed_count_calls(scene, RR_FEED_RANGE), 1);
-	assert_in_range(feed_count_calls(scene, RR_FEED_LEASE_RENEW), 100, 170);
-	feed_drop_fixture(scene);
+	assert_true(feed_count_calls(fixture, RR_FEED_WATCH) <= 11);
+	assert_int_equal(feed_count_calls(fixture, RR_FEED_RANGE), 1);
+	assert_in_range(feed_count_calls(fixture, RR_FEED_LEASE_RENEW), 100,
+			170);
+	feed_drop_fixture(fixture);
 }
 
 /*
- * Story: the store drops its history while a watch is cut.  What changed in
- * the gap is found by reading everything again: a replica that left is gone.
+ * The store compacts its history while a watch is cut.  The changes in between
+ * are found by reading all items again: a removed replica is gone.
  */
-static void test_forgotten_history(void **state)
+static void test_compacted_history(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
-	struct recorded_call *watch = feed_find_call(scene, RR_FEED_WATCH);
-
-	feed_answer(scene, watch, RR_FEED_COMPACTED, NULL, 0, false);
-	feed_answer_ok(scene, RR_FEED_RANGE, "routes5@40 r2@12 r4@41 inst1@13",
-		       50);
-	feed_assert_events(scene, "routes 5 +r4 -r1 ");
-	assert_int_equal(feed_find_call(scene, RR_FEED_WATCH)->after_revision,
+	struct feed_fixture *fixture = feed_new_synced_fixture();
+	struct recorded_call *watch = feed_find_call(fixture, RR_FEED_WATCH);
+
+	feed_answer(fixture, watch, RR_FEED_COMPACTED, NULL, 0, false);
+	feed_answer_ok(fixture, RR_FEED_RANGE,
+		       "routes5@40 r2@12 r4@41 inst1@13", 50);
+	feed_assert_events(fixture, "routes 5 +r4 -r1 ");
+	assert_int_equal(feed_find_call(fixture, RR_FEED_WATCH)->after_revision,
 			 50);
-	feed_drop_fixture(scene);
+	feed_drop_fixture(fixture);
 }
 
-/* A range that breaks off between its pages begins anew, losing nobody. */
-static void test_range_breaks_off(void **state)
+/* A range that fails between its pages restarts, and removes no items. */
+static void test_range_failure(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
+	struct feed_fixture *fixture = feed_new_synced_fixture();
 
-	feed_answer(scene, feed_find_call(scene, RR_FEED_WATCH),
+	feed_answer(fixture, feed_find_call(fixture, RR_FEED_WATCH),
 		    RR_FEED_COMPACTED, NULL, 0, false);
-	feed_answer(scene, feed_find_call(scene, RR_FEED_RANGE), RR_FEED_OK,
+	feed_answer(fixture, feed_find_call(fixture, RR_FEED_RANGE), RR_FEED_OK,
 		    "r1@11", 50, true);
-	feed_answer(scene, feed_find_call(scene, RR_FEED_RANGE), RR_FEED_FAILED,
-		    NULL, 0, false);
-	feed_assert_events(scene, "");
-	feed_advance(scene, 3000 * MS);
-	assert_null(feed_find_call(scene, RR_FEED_RANGE)->after_key);
-	feed_answer_ok(scene, RR_FEED_RANGE, "routes3@10 r1@11 r2@12", 60);
-	feed_assert_events(scene, "");
-	feed_drop_fixture(scene);
+	feed_answer(fixture, feed_find_call(fixture, RR_FEED_RANGE),
+		    RR_FEED_FAILED, NULL, 0, false);
+	feed_assert_events(fixture, "");
+	feed_advance(fixture, 3000 * MS);
+	assert_null(feed_find_call(fixture, RR_FEED_RANGE)->after_key);
+	feed_answer_ok(fixture, RR_FEED_RANGE, "routes3@10 r1@11 r2@12", 60);
+	feed_assert_events(fixture, "");
+	feed_drop_fixture(fixture);
 }
 
 /*
- * Story: the store turns this machine away for some seconds, in silence.  The
- * watch that was asked meanwhile will never be answered, though the store is
- * back.  The renewal shows both the loss and the return; a change is in force
- * within three seconds of the return.
+ * The store drops this instance's connections for some seconds without a reply.
+ * The watch sent meanwhile is never answered, although the store is back.  The
+ * renewal shows both the loss and the recovery; a change is in force within
+ * three seconds of the recovery.
  */
-static void test_a_watch_that_will_not_be_answered(void **state)
+static void test_watch_without_reply(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
-	struct recorded_call *watch = feed_find_call(scene, RR_FEED_WATCH);
+	struct feed_fixture *fixture = feed_new_synced_fixture();
+	struct recorded_call *watch = feed_find_call(fixture, RR_FEED_WATCH);
 
-	feed_advance(scene, 1600 * MS);
-	feed_answer(scene, feed_find_call(scene, RR_FEED_LEASE_RENEW),
+	feed_advance(fixture, 1600 * MS);
+	feed_answer(fixture, feed_find_call(fixture, RR_FEED_LEASE_RENEW),
 		    RR_FEED_FAILED, NULL, 0, false);
-	assert_false(rr_feed_is_store_reachable(scene->feed));
+	assert_false(rr_feed_is_store_reachable(fixture->feed));
 	assert_false(watch->done);
-	feed_advance(scene, 2000 * MS);
-	feed_answer_ok(scene, RR_FEED_LEASE_RENEW, NULL, 0);
-	assert_true(rr_feed_is_store_reachable(scene->feed));
+	feed_advance(fixture, 2000 * MS);
+	feed_answer_ok(fixture, RR_FEED_LEASE_RENEW, NULL, 0);
+	assert_true(rr_feed_is_store_reachable(fixture->feed));
 	assert_true(watch->done);
-	/* The store may drop its history as it comes back: a short one first. */
-	assert_int_equal(feed_find_call(scene, RR_FEED_WATCH)->wait_ms, 1000);
-	feed_answer_ok(scene, RR_FEED_WATCH, "routes9@70", 70);
-	feed_assert_events(scene, "routes 9 ");
-	feed_drop_fixture(scene);
+	/*
+	 * The store may compact its history as it recovers: the first watch is
+	 * short.
+	 */
+	assert_int_equal(feed_find_call(fixture, RR_FEED_WATCH)->wait_ms, 1000);
+	feed_answer_ok(fixture, RR_FEED_WATCH, "routes9@70", 70);
+	feed_assert_events(fixture, "routes 9 ");
+	feed_drop_fixture(fixture);
 }
 
-/* While it is away, calls are few, and never at the same moments. */
+/* While the store is unreachable, calls are few and randomised. */
 static void test_backoff(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
+	struct feed_fixture *fixture = feed_new_synced_fixture();
 	guint before;
 
-	feed_answer(scene, feed_find_call(scene, RR_FEED_WATCH), RR_FEED_FAILED,
-		    NULL, 0, false);
-	before = scene->calls->len;
+	feed_answer(fixture, feed_find_call(fixture, RR_FEED_WATCH),
+		    RR_FEED_FAILED, NULL, 0, false);
+	before = fixture->calls->len;
 	for (int i = 0; i < 600; i++) {
-		feed_advance(scene, 100 * MS);
-		for (guint j = 0; j < scene->calls->len; j++) {
+		feed_advance(fixture, 100 * MS);
+		for (guint j = 0; j < fixture->calls->len; j++) {
 			struct recorded_call *call =
-				g_ptr_array_index(scene->calls, j);
+				g_ptr_array_index(fixture->calls, j);
 
 			if (!call->done)
-				feed_answer(scene, call, RR_FEED_FAILED, NULL,
+				feed_answer(fixture, call, RR_FEED_FAILED, NULL,
 					    0, false);
 		}
 	}
-	assert_in_range(scene->calls->len - before, 60, 140);
-	assert_true(rr_feed_has_synced(scene->feed));
-	feed_assert_events(scene, "");
-	feed_drop_fixture(scene);
+	assert_in_range(fixture->calls->len - before, 60, 140);
+	assert_true(rr_feed_has_synced(fixture->feed));
+	feed_assert_events(fixture, "");
+	feed_drop_fixture(fixture);
 }
 
-/* Leases may lapse with the store: the entry is made anew. */
-static void test_entry_is_made_anew(void **state)
+/* Leases may expire during an outage: the entry is written again. */
+static void test_lapsed_entry_is_rewritten(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
+	struct feed_fixture *fixture = feed_new_synced_fixture();
 
-	feed_advance(scene, 1600 * MS);
-	feed_answer(scene, feed_find_call(scene, RR_FEED_LEASE_RENEW),
+	feed_advance(fixture, 1600 * MS);
+	feed_answer(fixture, feed_find_call(fixture, RR_FEED_LEASE_RENEW),
 		    RR_FEED_NO_LEASE, NULL, 0, false);
-	feed_advance(scene, 1600 * MS);
-	feed_answer_ok(scene, RR_FEED_LEASE_GRANT, NULL, 0);
-	feed_answer_ok(scene, RR_FEED_WRITE_ENTRIES, NULL, 0);
-	feed_advance(scene, 1600 * MS);
-	assert_int_equal(feed_find_call(scene, RR_FEED_LEASE_RENEW)->lease, 77);
-	feed_drop_fixture(scene);
+	feed_advance(fixture, 1600 * MS);
+	feed_answer_ok(fixture, RR_FEED_LEASE_GRANT, NULL, 0);
+	feed_answer_ok(fixture, RR_FEED_WRITE_ENTRIES, NULL, 0);
+	feed_advance(fixture, 1600 * MS);
+	assert_int_equal(feed_find_call(fixture, RR_FEED_LEASE_RENEW)->lease,
+			 77);
+	feed_drop_fixture(fixture);
 }
 
 /*
- * Budgets and connections are shared by the count: it grows at once and
- * shrinks only when a window has passed, or a restart of many would let the
- * others spend what these have spent already.
+ * Budgets and connections are divided by the instance count.  It grows at once
+ * and shrinks only after a budget window: during a restart of many the others
+ * would otherwise use what these have used already.
  */
 static void test_count_of_instances(void **state)
 {
-	struct feed_fixture *scene = feed_new_fixture();
-
-	feed_answer_ok(scene, RR_FEED_RANGE, "inst1@1 inst2@2 inst3@3 inst4@4",
-		       9);
-	feed_assert_events(scene, "instances 4 ");
-	feed_answer_ok(scene, RR_FEED_WATCH, "inst5@10", 10);
-	feed_assert_events(scene, "instances 5 ");
-	feed_advance(scene, 1000 * MS);
-	feed_answer_ok(scene, RR_FEED_WATCH, "-inst1@11 -inst2@12", 12);
-	feed_advance(scene, 18000 * MS);
-	feed_assert_events(scene, "");
-	feed_answer_ok(scene, RR_FEED_WATCH, "inst1@13", 13);
-	feed_advance(scene, 21000 * MS);
-	feed_assert_events(scene, "instances 4 ");
-	assert_string_equal(scene->instance_events->str,
+	struct feed_fixture *fixture = feed_new_fixture();
+
+	feed_answer_ok(fixture, RR_FEED_RANGE,
+		       "inst1@1 inst2@2 inst3@3 inst4@4", 9);
+	feed_assert_events(fixture, "instances 4 ");
+	feed_answer_ok(fixture, RR_FEED_WATCH, "inst5@10", 10);
+	feed_assert_events(fixture, "instances 5 ");
+	feed_advance(fixture, 1000 * MS);
+	feed_answer_ok(fixture, RR_FEED_WATCH, "-inst1@11 -inst2@12", 12);
+	feed_advance(fixture, 18000 * MS);
+	feed_assert_events(fixture, "");
+	feed_answer_ok(fixture, RR_FEED_WATCH, "inst1@13", 13);
+	feed_advance(fixture, 21000 * MS);
+	feed_assert_events(fixture, "instances 4 ");
+	assert_string_equal(fixture->instance_events->str,
 			    "+inst1 +inst2 +inst3 +inst4 +inst5 -inst1 "
 			    "-inst2 +inst1 ");
-	feed_drop_fixture(scene);
+	feed_drop_fixture(fixture);
 }
 
-static void test_first_of_all_waits_for_others(void **state)
+static void test_first_instance_waits_for_others(void **state)
 {
-	struct feed_fixture *scene = feed_new_fixture();
-
-	feed_answer_ok(scene, RR_FEED_RANGE, "inst1@1", 9);
-	feed_assert_events(scene, "");
-	feed_answer_ok(scene, RR_FEED_WATCH, "inst2@10", 10);
-	feed_assert_events(scene, "");
-	feed_advance(scene, 2100 * MS);
-	feed_assert_events(scene, "instances 2 ");
-	feed_drop_fixture(scene);
+	struct feed_fixture *fixture = feed_new_fixture();
+
+	feed_answer_ok(fixture, RR_FEED_RANGE, "inst1@1", 9);
+	feed_assert_events(fixture, "");
+	feed_answer_ok(fixture, RR_FEED_WATCH, "inst2@10", 10);
+	feed_assert_events(fixture, "");
+	feed_advance(fixture, 2100 * MS);
+	feed_assert_events(fixture, "instances 2 ");
+	feed_drop_fixture(fixture);
 }
 
 static void test_leaving(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
+	struct feed_fixture *fixture = feed_new_synced_fixture();
 
-	rr_feed_leave(scene->ctx, scene->feed, scene->now_us);
-	assert_int_equal(feed_find_call(scene, RR_FEED_LEASE_REVOKE)->lease,
+	rr_feed_leave(fixture->ctx, fixture->feed, fixture->now_us);
+	assert_int_equal(feed_find_call(fixture, RR_FEED_LEASE_REVOKE)->lease,
 			 77);
-	feed_advance(scene, 5000 * MS);
-	assert_int_equal(feed_count_calls(scene, RR_FEED_LEASE_RENEW), 0);
-	/* Changes are still followed while the last requests are served. */
-	feed_answer_ok(scene, RR_FEED_WATCH, "-r1@30", 30);
-	feed_assert_events(scene, "-r1 ");
-	feed_drop_fixture(scene);
+	feed_advance(fixture, 5000 * MS);
+	assert_int_equal(feed_count_calls(fixture, RR_FEED_LEASE_RENEW), 0);
+	/* Changes are still applied while the last requests are served. */
+	feed_answer_ok(fixture, RR_FEED_WATCH, "-r1@30", 30);
+	feed_assert_events(fixture, "-r1 ");
+	feed_drop_fixture(fixture);
 }
 
-static void test_unreadable_items_change_nothing(void **state)
+static void test_undecodable_items_change_nothing(void **state)
 {
-	struct feed_fixture *scene = feed_new_synced_fixture();
-	struct recorded_call *watch = feed_find_call(scene, RR_FEED_WATCH);
+	struct feed_fixture *fixture = feed_new_synced_fixture();
+	struct recorded_call *watch = feed_find_call(fixture, RR_FEED_WATCH);
 	struct rr_feed_item *item = feed_make_item("-r9", 31);
 	struct rr_feed_reply reply = {
 		.call_id = watch->id,
@@ -484,39 +504,39 @@
 	item->removed = false;
 	item->decode_error = "no JSON";
 	g_ptr_array_add(reply.items, item);
-	rr_feed_reply(scene->ctx, scene->feed, scene->now_us, &reply);
-	feed_assert_events(scene, "");
+	rr_feed_reply(fixture->ctx, fixture->feed, fixture->now_us, &reply);
+	feed_assert_events(fixture, "");
 	g_ptr_array_unref(reply.items);
-	feed_drop_fixture(scene);
+	feed_drop_fixture(fixture);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_first_reading),
+		cmocka_unit_test(test_first_range),
 		cmocka_unit_test(test_pages_of_different_age),
-		cmocka_unit_test(test_alone_it_looks_again),
-		cmocka_unit_test(test_alone_it_goes_ahead),
+		cmocka_unit_test(test_peer_recheck_finds_peers),
+		cmocka_unit_test(test_peer_recheck_finds_none),
 		cmocka_unit_test(test_changes),
-		cmocka_unit_test(test_values_that_are_none_of_their_kind),
-		cmocka_unit_test(test_watch_after_a_cut_is_short),
-		cmocka_unit_test(test_old_news_counts_for_nothing),
+		cmocka_unit_test(test_invalid_values),
+		cmocka_unit_test(test_watch_after_failure_is_short),
+		cmocka_unit_test(test_older_changes_are_ignored),
 		cmocka_unit_test(test_bursts_are_merged),
 		cmocka_unit_test(test_many_instances_merge_more),
 		cmocka_unit_test(test_backlog_is_read_without_pauses),
 		cmocka_unit_test(test_evacuations),
-		cmocka_unit_test(test_an_evacuation_whose_value_cannot_be_read),
-		cmocka_unit_test(test_an_evacuation_that_is_not_in_the_range),
-		cmocka_unit_test(test_quiet_minutes),
-		cmocka_unit_test(test_forgotten_history),
-		cmocka_unit_test(test_range_breaks_off),
-		cmocka_unit_test(test_a_watch_that_will_not_be_answered),
+		cmocka_unit_test(test_evacuation_with_invalid_value),
+		cmocka_unit_test(test_evacuation_absent_from_range),
+		cmocka_unit_test(test_minutes_without_changes),
+		cmocka_unit_test(test_compacted_history),
+		cmocka_unit_test(test_range_failure),
+		cmocka_unit_test(test_watch_without_reply),
 		cmocka_unit_test(test_backoff),
-		cmocka_unit_test(test_entry_is_made_anew),
+		cmocka_unit_test(test_lapsed_entry_is_rewritten),
 		cmocka_unit_test(test_count_of_instances),
-		cmocka_unit_test(test_first_of_all_waits_for_others),
+		cmocka_unit_test(test_first_instance_waits_for_others),
 		cmocka_unit_test(test_leaving),
-		cmocka_unit_test(test_unreadable_items_change_nothing),
+		cmocka_unit_test(test_undecodable_items_change_nothing),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-record.c
+++ b/tests/test-record.c
@@ -92,11 +92,11 @@
 	rr_drop_config_record(record);
 }
 
-static void test_malformed_is_refused(void **state)
+static void test_malformed_record_is_rejected(void **state)
 {
 	static const struct {
 		const char *text;
-		const char *says;
+		const char *expected;
 	} bad[] = {
 		{ "", "not a JSON object" },
 		{ "[]", "not a JSON object" },
@@ -138,16 +138,16 @@
 		assert_null(rr_decode_config_record(
 			bad[i].text, strlen(bad[i].text), &error));
 		assert_non_null(error);
-		assert_non_null(strstr(error->message, bad[i].says));
+		assert_non_null(strstr(error->message, bad[i].expected));
 		g_error_free(error);
 	}
 }
 
 /*
- * Story: an instance died each time it read the store.  Somebody had put a
- * megabyte of brackets there, and the parser went one call deeper for each.
+ * Guards against a crash on each read of the store: a megabyte of brackets
+ * stored there made the parser recurse once for each.
  */
-static void test_deep_nesting_is_refused(void **state)
+static void test_deep_nesting_is_rejected(void **state)
 {
 	static const char *const starts[] = { "{\"x\":", "/*\"*/", "#\"\n" };
 
@@ -166,12 +166,12 @@
 	}
 }
 
-/* Whatever a byte is changed to, the record is decoded or refused. */
+/* Whichever bytes are changed, the record is decoded or rejected. */
 static void test_random_damage(void **state)
 {
 	struct rr_config_record *record = make_record();
 	GRand *random = g_rand_new_with_seed(5);
-	int refused = 0;
+	int n_rejected = 0;
 	size_t length;
 	char *text = rr_encode_config_record(record, &length);
 
@@ -188,13 +188,13 @@
 				(char)g_rand_int(random);
 		decoded = rr_decode_config_record(damaged, i % 2 ? cut : length,
 						  &error);
-		refused += !decoded;
+		n_rejected += !decoded;
 		assert_true(!decoded == !!error);
 		rr_drop_config_record(decoded);
 		g_clear_error(&error);
 		g_free(damaged);
 	}
-	assert_true(refused > 10000);
+	assert_true(n_rejected > 10000);
 	g_free(text);
 	g_rand_free(random);
 	rr_drop_config_record(record);
@@ -253,8 +253,8 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_encode_and_decode),
 		cmocka_unit_test(test_last_changes_are_kept),
-		cmocka_unit_test(test_malformed_is_refused),
-		cmocka_unit_test(test_deep_nesting_is_refused),
+		cmocka_unit_test(test_malformed_record_is_rejected),
+		cmocka_unit_test(test_deep_nesting_is_rejected),
 		cmocka_unit_test(test_random_damage),
 		cmocka_unit_test(test_every_site_is_checked),
 	};
