--- a/include/ragwort/feed.h
+++ b/include/ragwort/feed.h
@@ -54,7 +54,8 @@
 	const GPtrArray *added; /* write: const struct rr_instance */
 	const GPtrArray *removed;		 /* write: const char, ids */
 	const struct rr_quarantine_entry *entry; /* report */
-	bool remove_entry;			 /* report: remove it */
+	/* report: remove the entry instead of writing it */
+	bool remove_entry;
 	/* report: expected revision of the key, 0 if absent */
 	uint64_t expected_revision;
 	uint32_t timeout_ms; /* time after which the call has failed */
@@ -78,7 +79,7 @@
 	uint64_t revision;
 	bool removed;
 	char *value;	 /* as text, to be served to peers; NULL: removed */
-	bool compressed; /* it is compressed */
+	bool compressed; /* whether the value is compressed */
 	/* why decoding the value failed; NULL: it did not */
 	const char *decode_error;
 	/* Decoded value; NULL if removed or not decodable. */
@@ -144,7 +145,7 @@
 struct rr_feed_change {
 	const char *key;
 	const char *value; /* NULL: removed */
-	bool compressed;   /* it is compressed */
+	bool compressed;   /* whether the value is compressed */
 	uint64_t revision;
 };
 
@@ -176,11 +177,11 @@
 void rr_feed_leave(struct rr_context *ctx, struct rr_feed *feed,
 		   int64_t now_us);
 /*
- * Publish an entry.  Retried until the store accepts it, except for a claim,
- * which is sent once.
+ * Publish the entry of `new_report`.  Retried until the store accepts it,
+ * except for a claim, which is sent once.
  */
 void rr_feed_report(struct rr_feed *feed, int64_t now_us,
-		    const struct rr_quarantine_report *report);
+		    const struct rr_quarantine_report *new_report);
 /* Whether all items have been read at least once. */
 bool rr_feed_has_synced(const struct rr_feed *feed);
 /* Whether the store answered the last call. */
--- a/source/core/config-watch.c
+++ b/source/core/config-watch.c
@@ -1,5 +1,6 @@
 /*
- * config-watch.c - which instances watch the configuration record.
+ * config-watch.c - selection of the instances that watch the configuration
+ * record.
  */
 #include "core/core-private.h"
 #include "ragwort/owner.h"
--- a/source/core/feed-range.c
+++ b/source/core/feed-range.c
@@ -46,10 +46,10 @@
 }
 
 /*
- * Postpone peer reads and registration, and read all items again later.  Guards
- * against a simultaneous first start of all instances, in which each would take
- * itself for the first of its zone, watch the store and register itself by its
- * own calls.
+ * Postpone peer reads and registration, and schedule another read of all items.
+ * Guards against a simultaneous first start of all instances, in which each
+ * would take itself for the first of its zone, watch the store and register
+ * itself by its own calls.
  */
 static void schedule_peer_recheck(struct rr_context *ctx, struct rr_feed *feed)
 {
--- a/source/core/feed-source-private.h
+++ b/source/core/feed-source-private.h
@@ -20,7 +20,7 @@
 
 struct source {
 	enum source_kind kind;
-	char *address; /* STORE for the store */
+	char *address; /* IP:PORT; STORE for the store */
 	int64_t backoff_until_us;
 	int64_t next_backoff_us; /* backoff after the next failure */
 };
