--- a/include/ragwort/gate-policy.h
+++ b/include/ragwort/gate-policy.h
@@ -1,9 +1,9 @@
 /*
- * gate-policy.h - what the gate decides by, in one place.
+ * gate-policy.h - parameters of the gate's decisions.
  *
- * Each mechanism can be varied or switched off here, by tests, emulator and
- * experiments; a deployment needs none of it: what differs between
- * deployments is observed.
+ * Tests, the emulator and experiments can vary or switch off each mechanism
+ * here.  Deployments do not set any of it: differences between deployments are
+ * measured at run time.
  */
 #ifndef RAGWORT_GATE_POLICY_H
 #define RAGWORT_GATE_POLICY_H
@@ -12,7 +12,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* By type, the widest first: in the table they stand by what they are for. */
+/* Ordered by type, the widest first; gate-policy-list.h orders by purpose. */
 struct rr_gate_policy {
 #define RR_POLICY_TIME(name, value, help) int64_t name;
 #define RR_POLICY_NUMBER(name, value, unit, help) double name;
@@ -41,14 +41,14 @@
 
 void rr_init_gate_policy(struct rr_gate_policy *policy);
 /*
- * Set one of it by name; a switch is "on" or "off".  False if there is none
- * of that name, or the text is no value of its type.
+ * Set a parameter by name; a switch is "on" or "off".  Returns false if the name
+ * is unknown or the text is not a valid value of its type.
  */
 bool rr_set_gate_policy(struct rr_gate_policy *policy, const char *name,
 			const char *text);
-/* The names of its switches, in order, ending with NULL; static. */
+/* Return the names of the switches in order, a static NULL-terminated array. */
 const char *const *rr_gate_policy_switches(void);
-/* Append the reference page of all of it, in Markdown, made from the table. */
+/* Append a reference page of all parameters in Markdown. */
 void rr_format_policy_reference(GString *out);
 
 #endif
--- a/include/ragwort/route.h
+++ b/include/ragwort/route.h
@@ -1,9 +1,9 @@
 /*
- * route.h - the gateway's routes: one immutable version of the operators'
+ * route.h - the gateway's routes, as one immutable version of the operators'
  * configuration.
  *
- * A table is built once, then only read; requests keep the one they began
- * with, so that a change in the middle never mixes two versions.
+ * A table is built once, then only read.  A request references the table that it
+ * started with, so a change of routes never mixes two versions in one request.
  */
 #ifndef RAGWORT_ROUTE_H
 #define RAGWORT_ROUTE_H
@@ -15,12 +15,12 @@
 /* One service of a route. */
 struct rr_route_part {
 	char *service;
-	double weight; /* of a split; 1 elsewhere */
+	double weight; /* for a weighted split; otherwise 1 */
 };
 
 enum rr_route_mode {
-	RR_ROUTE_PROXY,	 /* to a replica of one of the parts, by weight */
-	RR_ROUTE_GATHER, /* to a replica of each part, merged */
+	RR_ROUTE_PROXY,	 /* one part, chosen by weight */
+	RR_ROUTE_GATHER, /* all parts; their answers are merged */
 };
 
 struct rr_route {
@@ -30,31 +30,32 @@
 	enum rr_route_mode mode;
 	bool idempotent;
 	uint32_t timeout_ms;
-	uint32_t objective_ms; /* latency objective; 0: none is told */
+	uint32_t objective_ms; /* latency objective; 0 if none */
 	uint32_t priority;     /* 0 is the highest */
-	uint32_t max_attempts; /* replicas a part may be sent to; at least 1 */
+	uint32_t
+		max_attempts; /* per part, each at another replica; at least 1 */
 	struct rr_route_part *parts;
 	size_t n_parts;
-	uint32_t top_k;	  /* records of a gathered answer */
-	double min_share; /* of the parts that an answer must have */
-	/* Only replicas and instances of these; NULL: of any region. */
+	uint32_t top_k;	  /* number of records in a merged answer */
+	double min_share; /* minimum fraction of the parts in an answer */
+	/* Allowed regions of replicas and instances; NULL allows any. */
 	char **regions;
 };
 
-/* Whether a request of a route may be sent to a region; NULL: not known. */
+/* Whether a request of a route may be sent to a region (NULL if unknown). */
 bool rr_route_allows_region(const struct rr_route *route, const char *region);
 
-/* What is said of a service that routes name. */
+/* Settings of a service that routes name. */
 struct rr_route_service {
 	char *name;
 	uint32_t
-		max_connections; /* of a replica, from all callers; 0: unknown */
-	uint32_t cold_ms;	 /* a replica is cold that long; 0: not told */
-	/* Requests a second that a cold replica bears; 0: no bound is told. */
+		max_connections; /* per replica, from all callers; 0 if unknown */
+	uint32_t cold_ms;	 /* warm-up time of a replica; 0 if not set */
+	/* Requests per second that a cold replica can handle; 0 if not set. */
 	double cold_per_s;
 };
 
-/* What a caller may send and how long it may take; 0: no bound. */
+/* Limits on the size and duration of a caller's request; 0 for no limit. */
 struct rr_caller_limits {
 	uint32_t max_header_bytes;
 	uint32_t max_body_bytes;
@@ -64,15 +65,16 @@
 
 struct rr_route_table;
 
-/* A new table with one reference, empty until routes are added. */
+/* Create an empty table with one reference. */
 struct rr_route_table *rr_new_route_table(uint64_t version);
 struct rr_route_table *rr_keep_route_table(struct rr_route_table *table);
 void rr_drop_route_table(struct rr_route_table *table);
 
 /*
- * Add to a table that nobody else has yet.  The route's or service's strings
- * and parts are taken over, also when it is refused: false if a route lacks
- * its name, host, prefix or parts, or another has the same host and prefix.
+ * Add to a table that is not yet shared.  The table takes ownership of the route
+ * or service and its strings and parts, also on failure.  Returns false if a
+ * route lacks its name, host or parts, has an invalid prefix or weight, or has
+ * the same host and prefix as another.
  */
 bool rr_add_route(struct rr_route_table *table, struct rr_route *route);
 void rr_add_route_service(struct rr_route_table *table,
@@ -88,14 +90,14 @@
 				   size_t index);
 
 /*
- * The route of a host (a port behind it counts for nothing) whose prefix is
- * the longest that begins the path; a query behind the path counts for
- * nothing.  NULL if there is none.
+ * Find the route of a host with the longest prefix that matches the path.  A
+ * port after the host and a query after the path are ignored.  Returns NULL if
+ * there is none.
  */
 const struct rr_route *rr_find_route(const struct rr_route_table *table,
 				     const char *host, const char *path,
 				     size_t path_length);
-/* NULL if the service is not listed. */
+/* Find a service's settings; returns NULL if there are none. */
 const struct rr_route_service *
 rr_find_route_service(const struct rr_route_table *table, const char *name);
 
--- a/source/core/gate-admit.c
+++ b/source/core/gate-admit.c
@@ -1,64 +1,64 @@
 /*
- * gate-admit.c - whether a request is taken, by the load on the services that
- * it needs.
+ * gate-admit.c - admission control of requests by the load on their services.
  *
- * Load it answers: more comes than the replicas of some services can do, as
- * in a burst, or after many of them went.  What is taken then waits, misses
- * its objective and uses room that others need; what is refused at once can
- * come back, or go elsewhere, while it still has time.
+ * During a burst, or after the loss of many replicas, the load may exceed the
+ * capacity of some services.  A request admitted then waits, misses its
+ * objective and uses capacity that others need.  One that is rejected at once
+ * can be retried, here or elsewhere, while it still has time.
  */
 #include "core/gate-private.h"
 
 /*
- * Whether more work comes for a service than its replicas can do: some has
- * waited too long, or one more would.
+ * Whether the load on a service exceeds the capacity of its replicas: queued
+ * parts have waited too long, or one more would.
  */
-static bool is_overrun(const struct rr_gate *gate,
-		       const struct rr_gate_request *run,
-		       const struct rr_gate_service *service)
+static bool is_overloaded(const struct rr_gate *gate,
+			  const struct rr_gate_request *req,
+			  const struct rr_gate_service *service)
 {
-	struct rr_overload_inputs outlook = {
+	struct rr_overload_inputs inputs = {
 		.now_us = gate->now_us,
-		.answer_by_us = run->answer_by_us,
+		.answer_by_us = req->answer_by_us,
 		.typical_us = service->typical_us,
 	};
 
 	if (rr_service_has_capacity(gate, service))
 		return false;
-	outlook.capacity = rr_service_capacity(gate, service);
-	return rr_would_overload(&service->wait_queue, &outlook);
+	inputs.capacity = rr_service_capacity(gate, service);
+	return rr_would_overload(&service->wait_queue, &inputs);
 }
 
 enum rr_admission rr_admit_request(const struct rr_gate *gate,
-				   const struct rr_gate_request *run)
+				   const struct rr_gate_request *req)
 {
-	size_t reachable = 0;
-	size_t evacuated = 0;
-	size_t overrun = 0;
+	size_t n_reachable = 0;
+	size_t n_evacuated = 0;
+	size_t n_overloaded = 0;
 
-	for (size_t i = 0; i < run->n_parts; i++) {
-		const struct rr_gate_service *service = run->parts[i].service;
+	for (size_t i = 0; i < req->n_parts; i++) {
+		const struct rr_gate_service *service = req->parts[i].service;
 
 		if (!rr_is_service_reachable(gate, service)) {
-			evacuated += rr_is_service_evacuated(service);
+			n_evacuated += rr_is_service_evacuated(service);
 			continue;
 		}
-		reachable++;
+		n_reachable++;
 		if (gate->policy.admit_by_wait &&
-		    is_overrun(gate, run, service))
-			overrun++;
+		    is_overloaded(gate, req, service))
+			n_overloaded++;
 	}
-	if (reachable < run->n_required)
-		return reachable + evacuated < run->n_required ?
+	if (n_reachable < req->n_required)
+		return n_reachable + n_evacuated < req->n_required ?
 			       RR_ADMIT_NO_REPLICA :
 			       RR_ADMIT_EVACUATED;
-	return reachable - overrun < run->n_required ? RR_ADMIT_OVERLOADED :
-						       RR_ADMITTED;
+	return n_reachable - n_overloaded < req->n_required ?
+		       RR_ADMIT_OVERLOADED :
+		       RR_ADMITTED;
 }
 
-void rr_earn_retry_budget(struct rr_gate *gate, struct rr_gate_request *run)
+void rr_earn_retry_budget(struct rr_gate *gate, struct rr_gate_request *req)
 {
-	for (size_t i = 0; i < run->n_parts; i++)
-		rr_earn_extra(&run->parts[i].service->retry_budget,
+	for (size_t i = 0; i < req->n_parts; i++)
+		rr_earn_extra(&req->parts[i].service->retry_budget,
 			      gate->now_us);
 }
--- a/source/core/gate-attempt.c
+++ b/source/core/gate-attempt.c
@@ -1,6 +1,6 @@
 /*
- * gate-attempt.c - one request at one replica: sent, repeated, hedged, left
- * to run out or withdrawn.
+ * gate-attempt.c - attempts: sending a request to a replica, retries, hedges
+ * and cancellation.
  */
 #include "core/gate-private.h"
 
@@ -23,13 +23,13 @@
 	attempt->request->parts[attempt->part].n_in_flight--;
 }
 
-void rr_trace_attempt(const struct rr_gate *gate, struct rr_gate_request *run,
+void rr_trace_attempt(const struct rr_gate *gate, struct rr_gate_request *req,
 		      const struct rr_gate_attempt *attempt,
 		      enum rr_trace_event_kind kind, const char *reason,
 		      uint32_t status)
 {
 	const struct rr_endpoint *endpoint = attempt->endpoint;
-	struct rr_trace_event step = {
+	struct rr_trace_event event = {
 		.at_us = gate->now_us,
 		.kind = kind,
 		.reason = reason,
@@ -44,14 +44,14 @@
 					      gate->now_us),
 	};
 
-	rr_add_trace_event(&run->trace, &step);
+	rr_add_trace_event(&req->trace, &event);
 }
 
-static void note_part(const struct rr_gate *gate, struct rr_gate_request *run,
-		      const struct rr_gate_part *part,
-		      enum rr_trace_event_kind kind, const char *reason)
+static void trace_part(const struct rr_gate *gate, struct rr_gate_request *req,
+		       const struct rr_gate_part *part,
+		       enum rr_trace_event_kind kind, const char *reason)
 {
-	struct rr_trace_event step = {
+	struct rr_trace_event event = {
 		.at_us = gate->now_us,
 		.kind = kind,
 		.reason = reason,
@@ -60,11 +60,11 @@
 					      gate->now_us),
 	};
 
-	rr_add_trace_event(&run->trace, &step);
+	rr_add_trace_event(&req->trace, &event);
 }
 
-static void withdraw(struct rr_context *ctx, struct rr_gate *gate,
-		     struct rr_gate_attempt *attempt, const char *reason)
+static void cancel_attempt(struct rr_context *ctx, struct rr_gate *gate,
+			   struct rr_gate_attempt *attempt, const char *reason)
 {
 	if (attempt->request)
 		rr_trace_attempt(gate, attempt->request, attempt,
@@ -82,47 +82,48 @@
 	rr_set_timer(gate->timers, due_us, kind, id, 0);
 }
 
-/* The time after which an attempt is hedged, by what is left of the budget. */
-static int64_t hedge_after_us(const struct rr_gate *gate,
-			      const struct rr_gate_request *run,
+/* Return the time after which to hedge an attempt, by the retry budget left. */
+static int64_t hedge_delay_us(const struct rr_gate *gate,
+			      const struct rr_gate_request *req,
 			      const struct rr_gate_part *part)
 {
 	const struct rr_gate_policy *policy = &gate->policy;
 	int64_t typical_us =
-		rr_typical_attempt_us(gate, run->stats, run->route);
-	int64_t cheap_us = rr_sketch_quantile_us(&run->stats->attempt_times,
-						 policy->hedge_quantile);
-	double dear_us = policy->hedge_dear_factor * (double)typical_us;
-	int64_t last_us;
-
-	if (!cheap_us)
-		cheap_us = (int64_t)(policy->hedge_guess_factor *
-				     (double)typical_us);
-	cheap_us = MAX(cheap_us, policy->hedge_least_us);
-	/* A hedge that could not answer in time any more is worth little. */
-	last_us = run->answer_by_us - 2 * typical_us - part->last_sent_us;
+		rr_typical_attempt_us(gate, req->stats, req->route);
+	int64_t min_delay_us = rr_sketch_quantile_us(&req->stats->attempt_times,
+						     policy->hedge_quantile);
+	double max_delay_us = policy->hedge_dear_factor * (double)typical_us;
+	int64_t latest_delay_us;
+
+	if (!min_delay_us)
+		min_delay_us = (int64_t)(policy->hedge_guess_factor *
+					 (double)typical_us);
+	min_delay_us = MAX(min_delay_us, policy->hedge_least_us);
+	/* A hedge sent later could hardly answer in time. */
+	latest_delay_us =
+		req->answer_by_us - 2 * typical_us - part->last_sent_us;
 	return rr_hedge_threshold_us(
 		rr_extras_used_fraction(&part->service->retry_budget,
 					gate->now_us),
-		cheap_us, MIN((int64_t)dear_us, last_us));
+		min_delay_us, MIN((int64_t)max_delay_us, latest_delay_us));
 }
 
 static void send_attempt(struct rr_context *ctx, struct rr_gate *gate,
-			 struct rr_gate_request *run, size_t index,
+			 struct rr_gate_request *req, size_t index,
 			 struct rr_endpoint *endpoint, const char *why)
 {
-	struct rr_gate_part *part = &run->parts[index];
+	struct rr_gate_part *part = &req->parts[index];
 	struct rr_gate_attempt *attempt = g_new0(struct rr_gate_attempt, 1);
 	struct rr_gate_attempt_info send = { 0 };
 
 	attempt->id = ++gate->next_id;
-	attempt->request = run;
+	attempt->request = req;
 	attempt->part = index;
 	attempt->endpoint = rr_keep_endpoint(endpoint);
-	attempt->stats = run->stats;
-	attempt->fingerprint = run->fingerprint;
+	attempt->stats = req->stats;
+	attempt->fingerprint = req->fingerprint;
 	attempt->sent_us = gate->now_us;
-	attempt->idempotent = run->route->idempotent;
+	attempt->idempotent = req->route->idempotent;
 	attempt->in_flight_at_send = endpoint->in_flight.length + 1;
 	attempt->uses_budget = part->n_reached > 0;
 	attempt->endpoint_link.data = attempt;
@@ -131,86 +132,86 @@
 	rr_note_attempt_started(gate, endpoint);
 	rr_charge_cold_quota(gate, endpoint);
 	g_queue_push_tail_link(&endpoint->in_flight, &attempt->endpoint_link);
-	g_queue_push_tail_link(&run->in_flight, &attempt->request_link);
+	g_queue_push_tail_link(&req->in_flight, &attempt->request_link);
 	part->tried[part->n_tried++] = endpoint->number;
 	part->n_reached++;
 	part->n_may_have_run++;
 	part->n_in_flight++;
 	part->last_sent_us = gate->now_us;
-	run->n_may_have_run++;
+	req->n_may_have_run++;
 	rr_count(ctx, RR_N_ATTEMPTS, 1);
-	rr_trace_attempt(gate, run, attempt, RR_TRACE_SENT, why, 0);
+	rr_trace_attempt(gate, req, attempt, RR_TRACE_SENT, why, 0);
 	send.attempt = attempt->id;
-	send.request = run->id;
+	send.request = req->id;
 	send.endpoint = endpoint->id;
 	send.incarnation = endpoint->incarnation;
 	send.address = endpoint->address;
 	send.idempotent = attempt->idempotent;
 	send.max_idle_connections =
 		rr_max_idle_connections(gate, endpoint->service->name);
-	send.forwarded = run->forwarded;
-	send.forward_deadline_us = MAX(run->answer_by_us - gate->now_us, 0);
+	send.forwarded = req->forwarded;
+	send.forward_deadline_us = MAX(req->answer_by_us - gate->now_us, 0);
 	send.deadline_ms =
-		run->deadline_us ?
-			MAX(run->deadline_us - gate->now_us, 0) / 1000 :
+		req->deadline_us ?
+			MAX(req->deadline_us - gate->now_us, 0) / 1000 :
 			-1;
-	if (run->route->idempotent && !run->forwarded &&
+	if (req->route->idempotent && !req->forwarded &&
 	    gate->policy.hedge_slow)
-		set_timer(gate, gate->now_us + hedge_after_us(gate, run, part),
+		set_timer(gate, gate->now_us + hedge_delay_us(gate, req, part),
 			  RR_TIMER_GATE_HEDGE, attempt->id);
 	gate->actions.send(gate->actions.data, &send);
 }
 
-static void wait_for_room(const struct rr_gate *gate,
-			  struct rr_gate_request *run, size_t index)
+static void enqueue_part(const struct rr_gate *gate,
+			 struct rr_gate_request *req, size_t index)
 {
-	struct rr_gate_part *part = &run->parts[index];
+	struct rr_gate_part *part = &req->parts[index];
 	struct rr_waiter waiter = {
-		.request = run->id,
+		.request = req->id,
 		.part = (uint32_t)index,
-		.priority = run->route->priority,
+		.priority = req->route->priority,
 		.since_us = gate->now_us,
-		.answer_by_us = run->answer_by_us,
+		.answer_by_us = req->answer_by_us,
 	};
 
 	if (part->queued)
 		return;
-	note_part(gate, run, part, RR_TRACE_QUEUED, "no-room");
+	trace_part(gate, req, part, RR_TRACE_QUEUED, "no-room");
 	part->queued = true;
 	rr_push_waiter(&part->service->wait_queue, &waiter);
 }
 
-static bool may_try(const struct rr_gate_request *run,
-		    const struct rr_gate_part *part)
+static bool may_send(const struct rr_gate_request *req,
+		     const struct rr_gate_part *part)
 {
-	if (run->caller_closed || part->status != RR_PART_PENDING)
+	if (req->caller_closed || part->status != RR_PART_PENDING)
 		return false;
 	if (part->n_tried >= RR_MAX_TRIED)
 		return false;
-	if (run->canary && run->in_flight.length)
+	if (req->canary && req->in_flight.length)
 		return false;
 #ifndef RR_MUTANT_GATE_REPEAT_ONCE
-	if (!run->route->idempotent && part->n_may_have_run)
+	if (!req->route->idempotent && part->n_may_have_run)
 		return false;
 #endif
 	/* Crashed replicas do not count against max_attempts. */
 	return part->n_may_have_run <
-	       run->route->max_attempts + part->n_crashed;
+	       req->route->max_attempts + part->n_crashed;
 }
 
-/* Once a part: a hedge that waits for a token is looked at often. */
-static void note_refusal(const struct rr_gate *gate,
-			 struct rr_gate_request *run, struct rr_gate_part *part,
-			 const char *reason)
+/* Trace a reason once per part: a hedge waiting for budget is retried often. */
+static void trace_not_sent(const struct rr_gate *gate,
+			   struct rr_gate_request *req,
+			   struct rr_gate_part *part, const char *reason)
 {
 	if (part->not_sent_reason == reason)
 		return;
 	part->not_sent_reason = reason;
-	note_part(gate, run, part, RR_TRACE_NOT_SENT, reason);
+	trace_part(gate, req, part, RR_TRACE_NOT_SENT, reason);
 }
 
-static const char *name_choice(const struct rr_gate_part *part,
-			       enum rr_choice choice)
+static const char *choice_reason(const struct rr_gate_part *part,
+				 enum rr_choice choice)
 {
 	if (choice == RR_CHOICE_FULL)
 		return "no-room";
@@ -221,68 +222,68 @@
 }
 
 bool rr_try_send_part(struct rr_context *ctx, struct rr_gate *gate,
-		      struct rr_gate_request *run, size_t index,
+		      struct rr_gate_request *req, size_t index,
 		      const char *why)
 {
-	struct rr_gate_part *part = &run->parts[index];
+	struct rr_gate_part *part = &req->parts[index];
 	bool extra = part->n_reached > 0;
 	struct rr_endpoint *endpoint;
 	enum rr_choice choice;
 
-	if (!may_try(run, part))
+	if (!may_send(req, part))
 		return false;
 #ifndef RR_MUTANT_GATE_NO_BUDGET
 	if (extra &&
 	    rr_extras_left(&part->service->retry_budget, gate->now_us) < 1) {
-		note_refusal(gate, run, part, RR_REASON_NO_RETRY_BUDGET);
+		trace_not_sent(gate, req, part, RR_REASON_NO_RETRY_BUDGET);
 		return false;
 	}
 #endif
-	choice = rr_choose_endpoint(ctx, gate, run, part, &endpoint);
+	choice = rr_choose_endpoint(ctx, gate, req, part, &endpoint);
 	if (choice == RR_CHOICE_FULL && !part->n_in_flight)
-		wait_for_room(gate, run, index);
+		enqueue_part(gate, req, index);
 	if (choice != RR_CHOSEN) {
-		note_refusal(gate, run, part, name_choice(part, choice));
+		trace_not_sent(gate, req, part, choice_reason(part, choice));
 		return false;
 	}
 	if (extra)
 		rr_take_extra(&part->service->retry_budget, gate->now_us);
-	send_attempt(ctx, gate, run, index, endpoint, why);
+	send_attempt(ctx, gate, req, index, endpoint, why);
 	return true;
 }
 
-static void end_wait(struct rr_context *ctx, struct rr_gate *gate,
-		     struct rr_gate_request *run, size_t index)
+static void retry_queued_part(struct rr_context *ctx, struct rr_gate *gate,
+			      struct rr_gate_request *req, size_t index)
 {
-	struct rr_gate_part *part = &run->parts[index];
+	struct rr_gate_part *part = &req->parts[index];
 
 	part->queued = false;
-	if (rr_try_send_part(ctx, gate, run, index, "room") || part->queued)
+	if (rr_try_send_part(ctx, gate, req, index, "room") || part->queued)
 		return;
 	/* A canary has one attempt in flight. */
-	if (run->canary) {
-		if (!run->in_flight.length && !run->n_unresolved)
-			rr_send_canary(ctx, gate, run);
+	if (req->canary) {
+		if (!req->in_flight.length && !req->n_unresolved)
+			rr_send_canary(ctx, gate, req);
 		return;
 	}
 	if (part->status == RR_PART_PENDING && !part->n_in_flight)
-		rr_fail_part(run, part);
-	rr_advance_request(ctx, gate, run);
+		rr_fail_part(req, part);
+	rr_advance_request(ctx, gate, req);
 }
 
-/* False if nothing waits there. */
-static bool try_first_waiter(struct rr_context *ctx, struct rr_gate *gate,
-			     struct rr_gate_service *service)
+/* Returns false if no part is queued. */
+static bool retry_first_queued(struct rr_context *ctx, struct rr_gate *gate,
+			       struct rr_gate_service *service)
 {
-	struct rr_gate_request *run;
+	struct rr_gate_request *req;
 	struct rr_waiter waiter;
 
 	if (!rr_pop_waiter(&service->wait_queue, gate->now_us,
 			   service->typical_us, &waiter))
 		return false;
-	run = rr_find_request(gate, waiter.request);
-	if (run)
-		end_wait(ctx, gate, run, waiter.part);
+	req = rr_find_request(gate, waiter.request);
+	if (req)
+		retry_queued_part(ctx, gate, req, waiter.part);
 	return true;
 }
 
@@ -292,7 +293,7 @@
 	guint n = service->wait_queue.waiters->len;
 
 	while (n-- && rr_service_has_capacity(gate, service) &&
-	       try_first_waiter(ctx, gate, service))
+	       retry_first_queued(ctx, gate, service))
 		;
 }
 
@@ -301,7 +302,7 @@
 {
 	guint n = service->wait_queue.waiters->len;
 
-	while (n-- && try_first_waiter(ctx, gate, service))
+	while (n-- && retry_first_queued(ctx, gate, service))
 		;
 }
 
@@ -310,44 +311,44 @@
 {
 	struct rr_gate_attempt *attempt =
 		g_hash_table_lookup(gate->attempts, &id);
-	struct rr_gate_request *run = attempt ? attempt->request : NULL;
+	struct rr_gate_request *req = attempt ? attempt->request : NULL;
 	struct rr_gate_part *part;
 	int64_t due_us;
 
-	if (!run || run->canary)
+	if (!req || req->canary)
 		return;
-	part = &run->parts[attempt->part];
-	if (part->last_sent_us != attempt->sent_us || !may_try(run, part))
+	part = &req->parts[attempt->part];
+	if (part->last_sent_us != attempt->sent_us || !may_send(req, part))
 		return;
-	due_us = part->last_sent_us + hedge_after_us(gate, run, part);
+	due_us = part->last_sent_us + hedge_delay_us(gate, req, part);
 	if (gate->now_us < due_us) {
 		set_timer(gate, due_us, RR_TIMER_GATE_HEDGE, id);
 		return;
 	}
 	rr_observe_overdue(&attempt->endpoint->track, gate->now_us,
 			   gate->now_us - attempt->sent_us,
-			   rr_typical_attempt_us(gate, run->stats, run->route));
+			   rr_typical_attempt_us(gate, req->stats, req->route));
 	rr_note_attempt_overdue(ctx, gate, attempt->endpoint);
-	if (rr_try_send_part(ctx, gate, run, attempt->part, "hedge")) {
+	if (rr_try_send_part(ctx, gate, req, attempt->part, "hedge")) {
 		rr_count(ctx, RR_N_HEDGES, 1);
 		return;
 	}
-	if (gate->now_us + gate->policy.hedge_check_us < run->expires_us)
+	if (gate->now_us + gate->policy.hedge_check_us < req->expires_us)
 		set_timer(gate, gate->now_us + gate->policy.hedge_check_us,
 			  RR_TIMER_GATE_HEDGE, id);
 }
 
 /*
- * The part has its answer: attempts still under way for it are ended.
- * Guards against replicas that work off, after a pause or a slow spell, what
- * nobody waits for any more, while what somebody waits for queues behind it.
+ * Cancels the attempts of a part that was answered by another one.  Guards
+ * against replicas that, after a pause or while slow, process attempts whose
+ * result is no longer needed while needed ones queue behind them.
  */
 void rr_cancel_losers(struct rr_context *ctx, struct rr_gate *gate,
-		      struct rr_gate_request *run, size_t index)
+		      struct rr_gate_request *req, size_t index)
 {
 	GList *next;
 
-	for (GList *l = run->in_flight.head; l; l = next) {
+	for (GList *l = req->in_flight.head; l; l = next) {
 		struct rr_gate_attempt *attempt = l->data;
 
 		next = l->next;
@@ -356,13 +357,13 @@
 		rr_observe_overdue(
 			&attempt->endpoint->track, gate->now_us,
 			gate->now_us - attempt->sent_us,
-			rr_typical_attempt_us(gate, run->stats, run->route));
-		withdraw(ctx, gate, attempt, "lost-to-another");
+			rr_typical_attempt_us(gate, req->stats, req->route));
+		cancel_attempt(ctx, gate, attempt, "lost-to-another");
 	}
 }
 
-/* Allow another attempt at a replica that an attempt was withdrawn from. */
-static void forget_tried(struct rr_gate_part *part, uint64_t number)
+/* Allow another attempt at a replica whose attempt was cancelled. */
+static void remove_tried(struct rr_gate_part *part, uint64_t number)
 {
 	for (uint8_t i = 0; i < part->n_tried; i++) {
 		if (part->tried[i] == number) {
@@ -373,41 +374,41 @@
 }
 
 void rr_cancel_other_attempts(struct rr_context *ctx, struct rr_gate *gate,
-			      struct rr_gate_request *run,
+			      struct rr_gate_request *req,
 			      const struct rr_gate_attempt *kept,
 			      const char *reason)
 {
 	GList *next;
 
-	for (GList *l = run->in_flight.head; l; l = next) {
+	for (GList *l = req->in_flight.head; l; l = next) {
 		struct rr_gate_attempt *attempt = l->data;
 
 		next = l->next;
 		if (attempt == kept || !attempt->idempotent)
 			continue;
-		forget_tried(&run->parts[attempt->part],
+		remove_tried(&req->parts[attempt->part],
 			     attempt->endpoint->number);
-		withdraw(ctx, gate, attempt, reason);
+		cancel_attempt(ctx, gate, attempt, reason);
 	}
 }
 
 void rr_cancel_unsent(struct rr_context *ctx, struct rr_gate *gate,
-		      struct rr_gate_request *run)
+		      struct rr_gate_request *req)
 {
 	GList *next;
 
-	for (GList *l = run->in_flight.head; l; l = next) {
+	for (GList *l = req->in_flight.head; l; l = next) {
 		struct rr_gate_attempt *attempt = l->data;
 
 		next = l->next;
 		if (!gate->actions.cancel_unsent(gate->actions.data,
 						 attempt->id))
 			continue;
-		rr_trace_attempt(gate, run, attempt, RR_TRACE_CANCELLED,
+		rr_trace_attempt(gate, req, attempt, RR_TRACE_CANCELLED,
 				 "not-sent-yet", 0);
-		run->parts[attempt->part].n_may_have_run--;
-		run->parts[attempt->part].n_reached--;
-		run->n_may_have_run--;
+		req->parts[attempt->part].n_may_have_run--;
+		req->parts[attempt->part].n_reached--;
+		req->n_may_have_run--;
 		rr_remove_attempt(gate, attempt);
 		rr_note_attempt_lost(ctx, gate, attempt->endpoint,
 				     RR_LOSS_UNREACHABLE);
@@ -416,20 +417,21 @@
 }
 
 void rr_detach_attempts(struct rr_context *ctx, struct rr_gate *gate,
-			struct rr_gate_request *run)
+			struct rr_gate_request *req)
 {
 	GList *link;
 
-	while ((link = g_queue_pop_head_link(&run->in_flight))) {
+	while ((link = g_queue_pop_head_link(&req->in_flight))) {
 		struct rr_gate_attempt *attempt = link->data;
 
-		run->parts[attempt->part].n_in_flight--;
+		req->parts[attempt->part].n_in_flight--;
 		attempt->request = NULL;
 		/*
-		 * What may run once at most is never broken off: its end is
-		 * worth knowing, and the replica stops at its deadline.
+		 * An attempt that may run at most once is never cancelled: its
+		 * outcome is worth knowing, and the replica stops it at its
+		 * deadline.
 		 */
 		if (attempt->idempotent)
-			withdraw(ctx, gate, attempt, "request-over");
+			cancel_attempt(ctx, gate, attempt, "request-over");
 	}
 }
--- a/source/core/gate-choose.c
+++ b/source/core/gate-choose.c
@@ -1,27 +1,28 @@
 /*
- * gate-choose.c - which replica of a service takes one more attempt.
+ * gate-choose.c - choice of the replica of a service for an attempt.
  *
- * Replicas of one service answer equally well.  They are put in tiers; of
- * the best tier a few are drawn and the one with least expected wait nearly
- * always wins.  Expected wait is the usual time of the work, times how slow
- * this instance has found the replica, times its own open work there.
+ * All replicas of a service give equivalent answers.  They are grouped into
+ * tiers; a few of the best tier are n_drawn at random, and the one with the
+ * lowest expected wait is nearly always chosen.  The expected wait is the
+ * typical attempt time, multiplied by the replica's slowness as measured by
+ * this instance and by a factor for this instance's attempts in flight there.
  */
 #include "core/gate-private.h"
 #include "core/weighted-choice.h"
 
 enum tier {
-	TIER_GOOD,
-	TIER_AWAY,	/* an instance of another zone */
-	TIER_HELD_BACK, /* its zone returns from an evacuation */
-	TIER_UNLISTED,	/* its entry has just gone */
+	TIER_PREFERRED,
+	TIER_REMOTE_COORDINATOR, /* a coordinator of another zone */
+	TIER_SLOW_START,	 /* the evacuation of its zone ended recently */
+	TIER_UNLISTED,		 /* its entry was removed recently */
 	N_TIERS,
 };
 
 int64_t rr_typical_attempt_us(const struct rr_gate *gate,
-			      const struct rr_route_stats *record,
+			      const struct rr_route_stats *stats,
 			      const struct rr_route *route)
 {
-	int64_t typical_us = rr_sketch_quantile_us(&record->attempt_times, 0.5);
+	int64_t typical_us = rr_sketch_quantile_us(&stats->attempt_times, 0.5);
 
 	if (typical_us)
 		return typical_us;
@@ -42,11 +43,11 @@
 }
 
 /*
- * Whether no other replica of its service may be there, and no probe has found
- * that it is not there either.
+ * Whether no other replica of its service may be usable, and no probe has failed
+ * at this one.
  */
-static bool is_last_hope(const struct rr_gate *gate,
-			 const struct rr_endpoint *endpoint)
+static bool is_last_candidate(const struct rr_gate *gate,
+			      const struct rr_endpoint *endpoint)
 {
 	const GPtrArray *endpoints = endpoint->service->endpoints;
 
@@ -80,13 +81,14 @@
 	    !rr_is_suspected(&endpoint->track, gate->now_us))
 		return true;
 		/*
-	 * Guards against a shard of one replica that was slow or unreachable
-	 * for a moment and is given up for seconds: there is no other to ask.
+	 * Guards against excluding the only replica of a shard for seconds
+	 * after it was slow or unreachable for a moment: there is no
+	 * alternative.
 	 */
 #ifdef RR_MUTANT_GATE_SPARES_THE_ONLY_ONE
 	return false;
 #endif
-	return is_last_hope(gate, endpoint);
+	return is_last_candidate(gate, endpoint);
 }
 
 bool rr_is_service_reachable(const struct rr_gate *gate,
@@ -100,55 +102,59 @@
 	return false;
 }
 
-static enum tier tier_of(struct rr_context *ctx, const struct rr_gate *gate,
-			 const struct rr_endpoint *endpoint)
+static enum tier endpoint_tier(struct rr_context *ctx,
+			       const struct rr_gate *gate,
+			       const struct rr_endpoint *endpoint)
 {
 	if (!endpoint->listed)
 		return TIER_UNLISTED;
 	if (rr_skip_in_slow_start(ctx, gate, endpoint))
-		return TIER_HELD_BACK;
-	return endpoint->remote_coordinator ? TIER_AWAY : TIER_GOOD;
+		return TIER_SLOW_START;
+	return endpoint->remote_coordinator ? TIER_REMOTE_COORDINATOR :
+					      TIER_PREFERRED;
 }
 
-/* What waits are reckoned from, for one attempt. */
-struct reckoning {
+/* Inputs of the expected waits, for one attempt. */
+struct wait_inputs {
 	int64_t typical_us;
-	double left_us; /* that the caller still waits */
+	double left_us; /* until the response is due */
 };
 
 static double expected_wait_us(const struct rr_gate *gate,
 			       const struct rr_endpoint *endpoint,
-			       const struct reckoning *reckoning)
+			       const struct wait_inputs *wait_inputs)
 {
 	const struct rr_gate_policy *policy = &gate->policy;
-	double wait_us = (double)reckoning->typical_us;
-	double losses = 0;
+	double wait_us = (double)wait_inputs->typical_us;
+	double loss_rate = 0;
 	double far_us;
 
 	if (policy->choose_by_losses)
-		losses = rr_decayed_loss_rate(&endpoint->track, gate->now_us);
+		loss_rate =
+			rr_decayed_loss_rate(&endpoint->track, gate->now_us);
 	if (policy->choose_by_slowness)
 		wait_us *= rr_decayed_slowness(&endpoint->track, gate->now_us);
 	wait_us *= 1 + policy->choose_busy_weight * endpoint->in_flight.length;
 	if (rr_is_cold(gate, endpoint))
 		wait_us *= policy->choose_cold_factor;
-	wait_us += losses * (policy->choose_loss_price * wait_us +
-			     policy->choose_loss_part * reckoning->left_us);
+	wait_us +=
+		loss_rate * (policy->choose_loss_price * wait_us +
+			     policy->choose_loss_part * wait_inputs->left_us);
 	if (endpoint->zone->is_local)
 		return wait_us;
-	far_us = policy->choose_far_part * reckoning->left_us;
+	far_us = policy->choose_far_part * wait_inputs->left_us;
 	return wait_us + MAX((double)policy->choose_far_us, far_us);
 }
 
-/* The better of the best tier so far and one more of it. */
-static struct rr_endpoint *better_of(struct rr_context *ctx,
-				     const struct rr_gate *gate,
-				     struct rr_endpoint *a,
-				     struct rr_endpoint *b,
-				     const struct reckoning *reckoning)
+/* Choose between two replicas of one tier, nearly always the shorter wait. */
+static struct rr_endpoint *choose_of_two(struct rr_context *ctx,
+					 const struct rr_gate *gate,
+					 struct rr_endpoint *a,
+					 struct rr_endpoint *b,
+					 const struct wait_inputs *wait_inputs)
 {
-	double wait_a = expected_wait_us(gate, a, reckoning);
-	double wait_b = expected_wait_us(gate, b, reckoning);
+	double wait_a = expected_wait_us(gate, a, wait_inputs);
+	double wait_b = expected_wait_us(gate, b, wait_inputs);
 
 	return rr_choose_by_wait(ctx, wait_a, wait_b,
 				 gate->policy.choose_wait_power) ?
@@ -156,21 +162,22 @@
 		       b;
 }
 
-/* Draw some of an array at random, whose order changes, and pick of these. */
-static struct rr_endpoint *pick_of(struct rr_context *ctx,
-				   const struct rr_gate *gate, GPtrArray *array,
-				   const struct reckoning *reckoning)
+/* Draw some replicas of an array, which it reorders, and choose one of them. */
+static struct rr_endpoint *
+choose_of_array(struct rr_context *ctx, const struct rr_gate *gate,
+		GPtrArray *array, const struct wait_inputs *wait_inputs)
 {
-	guint drawn = MIN(array->len, gate->policy.choose_draws);
+	guint n_drawn = MIN(array->len, gate->policy.choose_draws);
 	struct rr_endpoint *best = NULL;
 
-	for (guint i = 0; i < drawn; i++) {
+	for (guint i = 0; i < n_drawn; i++) {
 		guint at = i + rr_random_below(ctx, array->len - i);
 		struct rr_endpoint *endpoint = g_ptr_array_index(array, at);
 
 		array->pdata[at] = array->pdata[i];
 		array->pdata[i] = endpoint;
-		best = best ? better_of(ctx, gate, best, endpoint, reckoning) :
+		best = best ? choose_of_two(ctx, gate, best, endpoint,
+					    wait_inputs) :
 			      endpoint;
 	}
 	return best;
@@ -181,10 +188,11 @@
 {
 	uint32_t connections =
 		rr_gate_connection_share(gate, endpoint->service->name);
-	uint32_t holders = rr_count_coordinators(gate);
+	uint32_t n_coordinators = rr_count_coordinators(gate);
 	struct rr_limit_bounds bounds = {
-		.share =
-			holders ? (endpoint->slots + holders - 1) / holders : 1,
+		.share = n_coordinators ? (endpoint->slots + n_coordinators -
+					   1) / n_coordinators :
+					  1,
 		.highest = MIN(connections, endpoint->slots),
 	};
 
@@ -193,8 +201,8 @@
 	return bounds;
 }
 
-static uint32_t capacity_of(const struct rr_gate *gate,
-			    const struct rr_endpoint *endpoint)
+static uint32_t endpoint_capacity(const struct rr_gate *gate,
+				  const struct rr_endpoint *endpoint)
 {
 	struct rr_limit_bounds bounds = rr_endpoint_bounds(gate, endpoint);
 
@@ -203,10 +211,10 @@
 	return rr_current_limit(&endpoint->limit, bounds.highest);
 }
 
-static bool has_room(const struct rr_gate *gate,
-		     const struct rr_endpoint *endpoint)
+static bool has_capacity(const struct rr_gate *gate,
+			 const struct rr_endpoint *endpoint)
 {
-	return endpoint->in_flight.length < capacity_of(gate, endpoint);
+	return endpoint->in_flight.length < endpoint_capacity(gate, endpoint);
 }
 
 uint32_t rr_service_capacity(const struct rr_gate *gate,
@@ -219,7 +227,7 @@
 			g_ptr_array_index(service->endpoints, i);
 
 		if (rr_is_endpoint_eligible(gate, endpoint))
-			capacity += capacity_of(gate, endpoint);
+			capacity += endpoint_capacity(gate, endpoint);
 	}
 	return capacity;
 }
@@ -232,23 +240,23 @@
 			g_ptr_array_index(service->endpoints, i);
 
 		if (rr_is_endpoint_eligible(gate, endpoint) &&
-		    has_room(gate, endpoint))
+		    has_capacity(gate, endpoint))
 			return true;
 	}
 	return false;
 }
 
 enum rr_choice rr_choose_endpoint(struct rr_context *ctx, struct rr_gate *gate,
-				  const struct rr_gate_request *run,
+				  const struct rr_gate_request *req,
 				  const struct rr_gate_part *part,
 				  struct rr_endpoint **chosen)
 {
 	const struct rr_gate_service *service = part->service;
 	int64_t typical_us =
-		rr_typical_attempt_us(gate, run->stats, run->route);
-	struct reckoning reckoning = {
+		rr_typical_attempt_us(gate, req->stats, req->route);
+	struct wait_inputs wait_inputs = {
 		.typical_us = typical_us,
-		.left_us = MAX(run->answer_by_us - gate->now_us, 0),
+		.left_us = MAX(req->answer_by_us - gate->now_us, 0),
 	};
 	GPtrArray *candidates = g_ptr_array_new();
 	enum tier best = N_TIERS;
@@ -263,9 +271,9 @@
 		if (!rr_is_endpoint_eligible(gate, endpoint) ||
 		    was_tried(part, endpoint))
 			continue;
-		if (!rr_route_allows_region(run->route, endpoint->region))
+		if (!rr_route_allows_region(req->route, endpoint->region))
 			continue;
-		if (!has_room(gate, endpoint)) {
+		if (!has_capacity(gate, endpoint)) {
 			full = true;
 			continue;
 		}
@@ -273,7 +281,7 @@
 			cold = true;
 			continue;
 		}
-		tier = tier_of(ctx, gate, endpoint);
+		tier = endpoint_tier(ctx, gate, endpoint);
 		if (tier > best)
 			continue;
 		if (tier < best)
@@ -281,8 +289,9 @@
 		best = tier;
 		g_ptr_array_add(candidates, endpoint);
 	}
-	*chosen = candidates->len ? pick_of(ctx, gate, candidates, &reckoning) :
-				    NULL;
+	*chosen = candidates->len ?
+			  choose_of_array(ctx, gate, candidates, &wait_inputs) :
+			  NULL;
 	g_ptr_array_unref(candidates);
 	if (*chosen)
 		return RR_CHOSEN;
--- a/source/core/gate-endpoint.c
+++ b/source/core/gate-endpoint.c
@@ -1,9 +1,10 @@
 /*
- * gate-endpoint.c - the replicas that are there, by lifetime.
+ * gate-endpoint.c - the known replicas, by incarnation.
  *
- * The list is one source, what attempts see another: a lifetime that answers
- * 421 for another replica, or that the list calls draining, takes nothing new
- * any more; a later lifetime does (gate-incarnation.c).
+ * Their state comes from the replica list and from the outcome of attempts.  An
+ * incarnation whose address answers 421 because another replica runs there, or
+ * that is listed as draining, gets no new attempts; a later incarnation does
+ * (gate-incarnation.c).
  */
 #include "core/gate-private.h"
 
@@ -28,8 +29,8 @@
 	g_free(endpoint);
 }
 
-/* Whether a replica gets a line of its own now; else it is counted. */
-static bool is_told(struct rr_gate *gate)
+/* Whether to log a change of a replica now; otherwise it is only counted. */
+static bool take_log_line(struct rr_gate *gate)
 {
 	if (rr_take_log_lines(&gate->list_log_budget, gate->now_us, 1, false))
 		return true;
@@ -57,19 +58,20 @@
 	g_free(service);
 }
 
-static void set_extras(const struct rr_gate *gate,
-		       struct rr_gate_service *service)
+static void set_retry_budget(const struct rr_gate *gate,
+			     struct rr_gate_service *service)
 {
 	double slack = gate->extra_slack * gate->policy.share_slack_part;
-	uint32_t holders = rr_count_coordinators(gate);
+	uint32_t n_coordinators = rr_count_coordinators(gate);
 	double part = gate->n_instances ? 1.0 / gate->n_instances : 0;
 
-	/* Where some hand searches over, the others have the extra attempts. */
-	if (service->is_shard && holders < gate->n_instances)
+	/* Where some forward searches, coordinators get most extra attempts. */
+	if (service->is_shard && n_coordinators < gate->n_instances)
 		part = gate->forwards_searches ?
 			       gate->policy.share_weak_part /
-				       (gate->n_instances - holders) :
-			       (1 - gate->policy.share_weak_part) / holders;
+				       (gate->n_instances - n_coordinators) :
+			       (1 - gate->policy.share_weak_part) /
+				       n_coordinators;
 	rr_set_retry_budget(&service->retry_budget, gate->extra_ratio,
 			    slack * part);
 }
@@ -88,7 +90,7 @@
 	rr_init_wait_queue(&service->wait_queue);
 	rr_init_retry_budget(&service->retry_budget, gate->extra_window_us,
 			     gate->process_started_us);
-	set_extras(gate, service);
+	set_retry_budget(gate, service);
 	g_hash_table_insert(gate->services, service->name, service);
 	return service;
 }
@@ -112,7 +114,7 @@
 
 	g_hash_table_iter_init(&iter, gate->services);
 	while (g_hash_table_iter_next(&iter, NULL, &service))
-		set_extras(gate, service);
+		set_retry_budget(gate, service);
 }
 
 void rr_mark_shards(struct rr_gate *gate)
@@ -144,9 +146,9 @@
 		       NULL;
 }
 
-/* This instance's part of a replica's connections, times `part`. */
-static uint32_t share_of_connections(const struct rr_gate *gate,
-				     const char *name, double part)
+/* Return this instance's share of the fraction `part` of the connections. */
+static uint32_t connection_share(const struct rr_gate *gate, const char *name,
+				 double part)
 {
 	const struct rr_route_service *service =
 		rr_find_service_config(gate, name);
@@ -162,18 +164,17 @@
 
 uint32_t rr_max_idle_connections(const struct rr_gate *gate, const char *name)
 {
-	return share_of_connections(gate, name, gate->policy.share_kept_part);
+	return connection_share(gate, name, gate->policy.share_kept_part);
 }
 
 uint32_t rr_gate_connection_share(const struct rr_gate *gate, const char *name)
 {
-	return share_of_connections(gate, name,
-				    gate->policy.share_connection_part);
+	return connection_share(gate, name, gate->policy.share_connection_part);
 }
 
 static struct rr_endpoint *add_endpoint(struct rr_gate *gate,
 					const struct rr_endpoint_info *listing,
-					const char *before)
+					const char *previous)
 {
 	struct rr_endpoint *endpoint = g_new0(struct rr_endpoint, 1);
 
@@ -182,7 +183,7 @@
 	endpoint->id = g_strdup(listing->id);
 	endpoint->started_ms = listing->started_ms;
 	endpoint->incarnation =
-		rr_format_incarnation(listing, endpoint->number, before);
+		rr_format_incarnation(listing, endpoint->number, previous);
 	endpoint->address = g_strdup(listing->address);
 	endpoint->zone = rr_get_gate_zone(gate, listing->zone);
 	endpoint->region = g_hash_table_lookup(gate->regions, listing->zone);
@@ -203,7 +204,7 @@
 	if (endpoint->draining)
 		return;
 	endpoint->draining = true;
-	if (is_told(gate))
+	if (take_log_line(gate))
 		rr_log(ctx, RR_LOG_INFO, "endpoint-retired",
 		       RR_FIELD_STRING("endpoint", endpoint->id),
 		       RR_FIELD_I64("born_ms", endpoint->started_ms),
@@ -221,9 +222,9 @@
 	rr_drop_endpoint(endpoint);
 }
 
-/* Its lifetime is over: attempts in flight keep it until they end. */
-static void end_endpoint(struct rr_context *ctx, struct rr_gate *gate,
-			 struct rr_endpoint *endpoint, const char *reason)
+/* Remove an incarnation; its attempts in flight reference it until they end. */
+static void retire_and_remove(struct rr_context *ctx, struct rr_gate *gate,
+			      struct rr_endpoint *endpoint, const char *reason)
 {
 	rr_retire_endpoint(ctx, gate, endpoint, reason);
 	rr_resolve_closed_attempts(ctx, gate, endpoint, false);
@@ -231,12 +232,12 @@
 }
 
 /*
- * Whether a connection is made before it is needed: not by those that hand
- * searches over, nor where there is not one for everybody, nor while it is not
- * known how many they are.
+ * Whether to open a connection before it is needed: not if this instance
+ * forwards its searches, if the replica does not accept one connection from
+ * each instance, or while the number of instances is unknown.
  */
-static bool may_open(const struct rr_gate *gate,
-		     const struct rr_endpoint *endpoint)
+static bool may_preconnect(const struct rr_gate *gate,
+			   const struct rr_endpoint *endpoint)
 {
 	const struct rr_route_service *service =
 		rr_find_service_config(gate, endpoint->service->name);
@@ -251,36 +252,37 @@
 }
 
 /*
- * Another lifetime takes the place of the one that is known, with nothing of
- * it.  Attempts in flight keep the earlier one until they end: what comes back
- * tells of that one only.
+ * Replaces the known incarnation by a new one, which inherits no state.
+ * Attempts in flight reference the earlier one until they end: their outcome
+ * says nothing about the new one.
  */
 static struct rr_endpoint *
 replace_endpoint(struct rr_context *ctx, struct rr_gate *gate,
-		 struct rr_endpoint *before,
+		 struct rr_endpoint *previous,
 		 const struct rr_endpoint_info *listing)
 {
 	struct rr_endpoint *endpoint;
 	char *name;
-	bool drained;
+	bool was_draining;
 
-	if (!before)
+	if (!previous)
 		return add_endpoint(gate, listing, NULL);
-	/* Within a lifetime a drain is for good, wherever it is listed. */
-	drained = before->draining && before->started_ms == listing->started_ms;
-	name = g_strdup(before->incarnation);
-	end_endpoint(ctx, gate, before, "replaced");
+	/* An incarnation that drains never resumes, at any address. */
+	was_draining = previous->draining &&
+		       previous->started_ms == listing->started_ms;
+	name = g_strdup(previous->incarnation);
+	retire_and_remove(ctx, gate, previous, "replaced");
 	endpoint = add_endpoint(gate, listing, name);
-	endpoint->draining = drained;
+	endpoint->draining = was_draining;
 	g_free(name);
 	return endpoint;
 }
 
-static void log_listed(struct rr_context *ctx, struct rr_gate *gate,
-		       const struct rr_endpoint_info *listing,
-		       const char *event, const char *reason)
+static void log_list_entry(struct rr_context *ctx, struct rr_gate *gate,
+			   const struct rr_endpoint_info *listing,
+			   const char *event, const char *reason)
 {
-	if (!is_told(gate))
+	if (!take_log_line(gate))
 		return;
 	rr_log(ctx, RR_LOG_INFO, event,
 	       RR_FIELD_STRING("endpoint", listing->id),
@@ -293,7 +295,7 @@
 	       RR_FIELD_U64("cold_ms", listing->cold_ms));
 }
 
-/* What is told of the lifetime that is known by now. */
+/* Apply a list entry to the known incarnation. */
 static void update_endpoint(struct rr_context *ctx, struct rr_gate *gate,
 			    struct rr_endpoint *endpoint,
 			    const struct rr_endpoint_info *listing)
@@ -307,13 +309,13 @@
 	if (is_new) {
 		rr_reset_limit(&endpoint->limit,
 			       rr_endpoint_bounds(gate, endpoint).share);
-		log_listed(ctx, gate, listing, "endpoint-listed", "new");
+		log_list_entry(ctx, gate, listing, "endpoint-listed", "new");
 	}
 	if (listing->draining) {
 		rr_retire_endpoint(ctx, gate, endpoint, "draining");
 		return;
 	}
-	/* Seen by its own sign of life: it is worth a try. */
+	/* Its entry shows that it is running: allow attempts. */
 	rr_note_contact(ctx, gate, endpoint);
 	if (is_new)
 		g_queue_push_tail(&gate->to_preconnect,
@@ -322,10 +324,11 @@
 }
 
 /*
- * Guards against a start of all: the list of replicas comes together with that
- * of instances, and who does not wait for the latter opens connections to
- * replicas that another instance is to ask.  They reset those over their cap,
- * which are the others' as well.
+ * Guards against excess connections when all instances start at once.  The
+ * replica list arrives together with the list of instances; an instance that
+ * does not wait for the latter opens connections to replicas that other
+ * instances are responsible for.  Replicas reset connections over their limit,
+ * including those of other instances.
  */
 void rr_preconnect_listed(struct rr_gate *gate)
 {
@@ -335,7 +338,7 @@
 		return;
 	while ((endpoint = g_queue_pop_head(&gate->to_preconnect))) {
 		if (endpoint->listed && !endpoint->draining &&
-		    may_open(gate, endpoint))
+		    may_preconnect(gate, endpoint))
 			gate->actions.preconnect(gate->actions.data,
 						 endpoint->incarnation,
 						 endpoint->address);
@@ -353,12 +356,12 @@
 	gate->now_us = now_us;
 	switch (rr_match_incarnation(gate, endpoint, listing)) {
 	case RR_INCARNATION_EARLIER:
-		log_listed(ctx, gate, listing, "endpoint-left-out",
-			   "earlier-lifetime");
+		log_list_entry(ctx, gate, listing, "endpoint-left-out",
+			       "earlier-lifetime");
 		return;
 	case RR_INCARNATION_UNKNOWN:
-		log_listed(ctx, gate, listing, "endpoint-left-out",
-			   "start-not-told");
+		log_list_entry(ctx, gate, listing, "endpoint-left-out",
+			       "start-not-told");
 		rr_gate_unlist_endpoint(ctx, gate, now_us, listing->id);
 		return;
 	case RR_INCARNATION_REPLACED:
@@ -380,7 +383,7 @@
 		return;
 	endpoint->listed = false;
 	endpoint->unlisted_us = now_us;
-	if (is_told(gate))
+	if (take_log_line(gate))
 		rr_log(ctx, RR_LOG_INFO, "endpoint-unlisted",
 		       RR_FIELD_STRING("endpoint", endpoint->id),
 		       RR_FIELD_I64("born_ms", endpoint->started_ms),
@@ -407,7 +410,7 @@
 		    gate->now_us - endpoint->unlisted_us <
 			    gate->policy.list_unlisted_grace_us)
 			continue;
-		end_endpoint(ctx, gate, endpoint, "unlisted");
+		retire_and_remove(ctx, gate, endpoint, "unlisted");
 		return;
 	}
 }
@@ -418,7 +421,7 @@
 	struct rr_endpoint *endpoint = g_hash_table_lookup(gate->endpoints, id);
 
 	if (endpoint)
-		end_endpoint(ctx, gate, endpoint, reason);
+		retire_and_remove(ctx, gate, endpoint, reason);
 }
 
 static bool has_endpoint(const struct rr_gate *gate, const char *name)
--- a/source/core/gate-forward.c
+++ b/source/core/gate-forward.c
@@ -1,13 +1,14 @@
 /*
- * gate-forward.c - weak instances hand searches over to a strong one of their
- * zone, or of another while none there is well.
+ * gate-forward.c - forwarding of searches from weak instances to coordinators.
  *
- * A search goes to a replica of every shard.  Replicas take few connections,
- * so that not every instance can hold one to each, and a weak instance needs
- * longer to send ninety requests than callers want to wait.  The strong ones
- * hold the connections, kept warm by everybody's searches; a weak one hands a
- * search over whole, and gets one answer.  Strong instances are endpoints
- * like replicas: chosen, suspected and probed in the same way.
+ * A search goes to a replica of every shard.  Replicas accept few connections,
+ * so not every instance can hold one to each replica, and a weak instance needs
+ * longer to send ninety requests than callers want to wait.  Coordinators, the
+ * strong instances, hold the connections, which the searches of all instances
+ * keep in use.  A weak instance forwards a whole search to a coordinator of its
+ * zone, or of another zone while no local one is usable, and receives one
+ * response.  Coordinators are endpoints like replicas: they are chosen,
+ * suspected and probed in the same way.
  */
 #include "core/gate-private.h"
 
@@ -23,7 +24,7 @@
 	g_free(peer);
 }
 
-/* Zone -> the greatest strength of an instance there, as double. */
+/* Return a table of zone -> greatest strength of its instances (double). */
 static GHashTable *find_strongest(const struct rr_gate *gate)
 {
 	GHashTable *strongest =
@@ -34,33 +35,35 @@
 	g_hash_table_iter_init(&iter, gate->peers);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct rr_gate_peer *peer = value;
-		double *most = g_hash_table_lookup(strongest, peer->zone);
+		double *max_strength =
+			g_hash_table_lookup(strongest, peer->zone);
 
-		if (!most) {
-			most = g_new0(double, 1);
-			g_hash_table_insert(strongest, peer->zone, most);
+		if (!max_strength) {
+			max_strength = g_new0(double, 1);
+			g_hash_table_insert(strongest, peer->zone,
+					    max_strength);
 		}
-		*most = MAX(*most, peer->strength);
+		*max_strength = MAX(*max_strength, peer->strength);
 	}
 	return strongest;
 }
 
-static double strongest_of(GHashTable *strongest, const char *zone)
+static double zone_strength(GHashTable *strongest, const char *zone)
 {
-	const double *most = g_hash_table_lookup(strongest, zone);
+	const double *max_strength = g_hash_table_lookup(strongest, zone);
 
-	return most ? *most : 0;
+	return max_strength ? *max_strength : 0;
 }
 
 static bool is_weak(const struct rr_gate *gate, GHashTable *strongest,
 		    const char *zone, double strength)
 {
 	return gate->policy.peer_hands_over &&
-	       strongest_of(strongest, zone) >=
+	       zone_strength(strongest, zone) >=
 		       gate->policy.peer_much_stronger * strength;
 }
 
-static void count_holders(struct rr_gate *gate, GHashTable *strongest)
+static void count_coordinators(struct rr_gate *gate, GHashTable *strongest)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -86,28 +89,28 @@
 	return some_are_weak ? gate->n_coordinators : gate->n_instances;
 }
 
-/* List or unlist a peer as one that searches are handed to. */
-static void judge_peer(struct rr_context *ctx, struct rr_gate *gate,
-		       struct rr_gate_peer *peer)
+/* Add or remove a peer as a coordinator that this instance forwards to. */
+static void update_forward_target(struct rr_context *ctx, struct rr_gate *gate,
+				  struct rr_gate_peer *peer)
 {
-	bool wanted = gate->forwards_searches &&
-		      peer->strength >= gate->policy.peer_much_stronger *
-						gate->strength &&
-		      *peer->address;
+	bool is_target = gate->forwards_searches &&
+			 peer->strength >= gate->policy.peer_much_stronger *
+						   gate->strength &&
+			 *peer->address;
 	struct rr_endpoint *endpoint;
 	struct rr_endpoint_info listing = {
 		.id = peer->id,
 		.service = RR_COORDINATOR_SERVICE,
 		.address = peer->address,
-		/* Not the zone of replicas: its silence tells nothing of them. */
+		/* Not a zone of replicas: its silence says nothing about them. */
 		.zone = RR_COORDINATOR_SERVICE,
 		.slots = gate->policy.peer_slots,
 	};
 
-	if (wanted == peer->is_forward_target)
+	if (is_target == peer->is_forward_target)
 		return;
-	peer->is_forward_target = wanted;
-	if (!wanted) {
+	peer->is_forward_target = is_target;
+	if (!is_target) {
 		rr_gate_unlist_endpoint(ctx, gate, gate->now_us, peer->id);
 		return;
 	}
@@ -117,8 +120,8 @@
 	endpoint->region = g_hash_table_lookup(gate->regions, peer->zone);
 }
 
-static void judge_weakness(struct rr_context *ctx, struct rr_gate *gate,
-			   GHashTable *strongest)
+static void update_forwarding(struct rr_context *ctx, struct rr_gate *gate,
+			      GHashTable *strongest)
 {
 	bool weak = is_weak(gate, strongest, gate->zone, gate->strength);
 
@@ -126,16 +129,16 @@
 		rr_log(ctx, RR_LOG_INFO, weak ? "hands-over" : "serves-itself",
 		       RR_FIELD_DOUBLE("strength", gate->strength),
 		       RR_FIELD_DOUBLE("strongest",
-				       strongest_of(strongest, gate->zone)),
+				       zone_strength(strongest, gate->zone)),
 		       RR_FIELD_U64("holders", gate->n_coordinators));
 	gate->forwards_searches = weak;
 }
 
 /*
- * Guards against hundreds of instances that are told of one by one, as after
- * a start of all: with a look at all of them for each, one instance's reading
- * of the list takes as many looks as the cube of their number, and callers
- * wait for seconds.
+ * Guards against hundreds of instances that are reported one by one, as after
+ * all of them start: if each report re-evaluated all peers, reading the list
+ * would take an instance a number of steps in the cube of their number, and
+ * callers would wait for seconds.
  */
 void rr_update_peers(struct rr_context *ctx, struct rr_gate *gate)
 {
@@ -148,43 +151,42 @@
 	gate->peers_changed = false;
 	gate->peers_version++;
 	strongest = find_strongest(gate);
-	count_holders(gate, strongest);
-	judge_weakness(ctx, gate, strongest);
+	count_coordinators(gate, strongest);
+	update_forwarding(ctx, gate, strongest);
 	g_hash_table_unref(strongest);
 	g_hash_table_iter_init(&iter, gate->peers);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		judge_peer(ctx, gate, value);
+		update_forward_target(ctx, gate, value);
 	rr_update_retry_budgets(gate);
 }
 
-static void set_text(char **place, const char *text)
+static void replace_string(char **string, const char *text)
 {
-	g_free(*place);
-	*place = g_strdup(text ? text : "");
+	g_free(*string);
+	*string = g_strdup(text ? text : "");
 }
 
 /*
- * An instance that started again is another lifetime: what was seen of the one
- * before counts no more.  Starts are compared for being the same only, since
- * an instance's time of day may have been set back in between.
+ * Whether an instance was restarted: it is then a new incarnation, and what was
+ * observed of the previous one is discarded.  Start times are compared only for
+ * equality, since the instance's clock may have been set back in between.
  */
-static bool has_started_anew(const struct rr_gate_peer *peer,
-			     const struct rr_gate_instance *told)
+static bool was_restarted(const struct rr_gate_peer *peer,
+			  const struct rr_gate_instance *info)
 {
-	return peer->started_ms != told->started_ms ||
-	       strcmp(peer->address, told->address ? told->address : "");
+	return peer->started_ms != info->started_ms ||
+	       strcmp(peer->address, info->address ? info->address : "");
 }
 
-static bool is_same(const struct rr_gate_peer *peer,
-		    const struct rr_gate_instance *told)
+static bool is_unchanged(const struct rr_gate_peer *peer,
+			 const struct rr_gate_instance *info)
 {
-	return !has_started_anew(peer, told) &&
-	       peer->strength == told->strength &&
-	       !g_strcmp0(peer->zone, told->zone);
+	return !was_restarted(peer, info) && peer->strength == info->strength &&
+	       !g_strcmp0(peer->zone, info->zone);
 }
 
-static void forget_peer(struct rr_context *ctx, struct rr_gate *gate,
-			struct rr_gate_peer *peer)
+static void remove_peer_endpoint(struct rr_context *ctx, struct rr_gate *gate,
+				 struct rr_gate_peer *peer)
 {
 	if (peer->is_forward_target)
 		rr_remove_endpoint(ctx, gate, peer->id, "instance-ended");
@@ -193,23 +195,23 @@
 
 static void update_peer(struct rr_context *ctx, struct rr_gate *gate,
 			struct rr_gate_peer *peer,
-			const struct rr_gate_instance *told)
+			const struct rr_gate_instance *info)
 {
-	if (is_same(peer, told))
+	if (is_unchanged(peer, info))
 		return;
-	if (has_started_anew(peer, told))
-		forget_peer(ctx, gate, peer);
-	/* It may be listed in another way. */
+	if (was_restarted(peer, info))
+		remove_peer_endpoint(ctx, gate, peer);
+	/* Its new state may change whether and how it is listed. */
 	if (peer->is_forward_target)
 		rr_gate_unlist_endpoint(ctx, gate, gate->now_us, peer->id);
 	peer->is_forward_target = false;
-	set_text(&peer->zone, told->zone);
-	set_text(&peer->address, told->address);
-	peer->strength = told->strength;
-	peer->started_ms = told->started_ms;
+	replace_string(&peer->zone, info->zone);
+	replace_string(&peer->address, info->address);
+	peer->strength = info->strength;
+	peer->started_ms = info->started_ms;
 }
 
-static struct rr_gate_peer *peer_of(struct rr_gate *gate, const char *id)
+static struct rr_gate_peer *get_peer(struct rr_gate *gate, const char *id)
 {
 	struct rr_gate_peer *peer = g_hash_table_lookup(gate->peers, id);
 
@@ -217,38 +219,38 @@
 		return peer;
 	peer = g_new0(struct rr_gate_peer, 1);
 	peer->id = g_strdup(id);
-	set_text(&peer->address, NULL);
+	replace_string(&peer->address, NULL);
 	g_hash_table_insert(gate->peers, peer->id, peer);
 	return peer;
 }
 
 void rr_gate_update_instance(struct rr_context *ctx, struct rr_gate *gate,
 			     int64_t now_us,
-			     const struct rr_gate_instance *told)
+			     const struct rr_gate_instance *info)
 {
-	struct rr_gate_peer *peer = g_hash_table_lookup(gate->peers, told->id);
+	struct rr_gate_peer *peer = g_hash_table_lookup(gate->peers, info->id);
 
 	gate->now_us = now_us;
-	if (told->zone) {
-		update_peer(ctx, gate, peer_of(gate, told->id), told);
+	if (info->zone) {
+		update_peer(ctx, gate, get_peer(gate, info->id), info);
 	} else if (peer) {
 		if (peer->is_forward_target)
-			rr_gate_unlist_endpoint(ctx, gate, now_us, told->id);
-		g_hash_table_remove(gate->peers, told->id);
+			rr_gate_unlist_endpoint(ctx, gate, now_us, info->id);
+		g_hash_table_remove(gate->peers, info->id);
 	}
 	gate->peers_changed = true;
 }
 
-bool rr_prepare_forward(struct rr_gate *gate, struct rr_gate_request *run)
+bool rr_prepare_forward(struct rr_gate *gate, struct rr_gate_request *req)
 {
-	if (!gate->forwards_searches || run->route->mode != RR_ROUTE_GATHER)
+	if (!gate->forwards_searches || req->route->mode != RR_ROUTE_GATHER)
 		return false;
 	if (!rr_is_service_reachable(gate, gate->coordinators))
 		return false;
-	run->forwarded = true;
-	run->parts = g_new0(struct rr_gate_part, 1);
-	run->parts[0].service = gate->coordinators;
-	run->n_parts = 1;
-	run->n_required = 1;
+	req->forwarded = true;
+	req->parts = g_new0(struct rr_gate_part, 1);
+	req->parts[0].service = gate->coordinators;
+	req->n_parts = 1;
+	req->n_required = 1;
 	return true;
 }
--- a/source/core/gate-policy.c
+++ b/source/core/gate-policy.c
@@ -1,5 +1,5 @@
 /*
- * gate-policy.c - the table of the gate's policy, by name.
+ * gate-policy.c - the gate's policy parameters, set and listed by name.
  */
 #include "ragwort/gate-policy.h"
 
@@ -8,7 +8,7 @@
 
 enum policy_type {
 	POLICY_TIME,
-	POLICY_FIGURE,
+	POLICY_NUMBER,
 	POLICY_COUNT,
 	POLICY_SWITCH,
 };
@@ -17,7 +17,7 @@
 	const char *name;
 	enum policy_type type;
 	size_t offset;
-	double value; /* its default */
+	double value; /* default */
 	const char *unit;
 	const char *help;
 };
@@ -32,7 +32,7 @@
 #define RR_POLICY_TIME(name, value, help) \
 	ENTRY(name, POLICY_TIME, value, "us", help)
 #define RR_POLICY_NUMBER(name, value, unit, help) \
-	ENTRY(name, POLICY_FIGURE, value, unit, help)
+	ENTRY(name, POLICY_NUMBER, value, unit, help)
 #define RR_POLICY_COUNT(name, value, unit, help) \
 	ENTRY(name, POLICY_COUNT, value, unit, help)
 #define RR_POLICY_SWITCH(name, value, help) \
@@ -40,8 +40,8 @@
 #include "ragwort/gate-policy-list.h"
 };
 
-static void store(struct rr_gate_policy *policy,
-		  const struct policy_entry *entry, double value)
+static void set_parameter(struct rr_gate_policy *policy,
+			  const struct policy_entry *entry, double value)
 {
 	void *place = (char *)policy + entry->offset;
 
@@ -49,7 +49,7 @@
 	case POLICY_TIME:
 		*(int64_t *)place = (int64_t)value;
 		break;
-	case POLICY_FIGURE:
+	case POLICY_NUMBER:
 		*(double *)place = value;
 		break;
 	case POLICY_COUNT:
@@ -64,22 +64,22 @@
 void rr_init_gate_policy(struct rr_gate_policy *policy)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(entries); i++)
-		store(policy, &entries[i], entries[i].value);
+		set_parameter(policy, &entries[i], entries[i].value);
 }
 
-static bool read_switch(const char *text, double *value)
+static bool parse_switch(const char *text, double *value)
 {
 	*value = !strcmp(text, "on");
 	return *value != 0 || !strcmp(text, "off");
 }
 
-static bool read_value(const struct policy_entry *entry, const char *text,
-		       double *value)
+static bool parse_value(const struct policy_entry *entry, const char *text,
+			double *value)
 {
 	char *end;
 
 	if (entry->type == POLICY_SWITCH)
-		return read_switch(text, value);
+		return parse_switch(text, value);
 	*value = g_ascii_strtod(text, &end);
 	return end != text && !*end && *value >= 0 && *value <= G_MAXUINT32;
 }
@@ -92,9 +92,9 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(entries); i++) {
 		if (strcmp(entries[i].name, name))
 			continue;
-		if (!read_value(&entries[i], text, &value))
+		if (!parse_value(&entries[i], text, &value))
 			return false;
-		store(policy, &entries[i], value);
+		set_parameter(policy, &entries[i], value);
 		return true;
 	}
 	return false;
@@ -127,9 +127,9 @@
 		out,
 		"# Policy of the gateway\n\n"
 		"Made from include/ragwort/gate-policy-list.h by "
-		"`make reference`. None of it is a setting:\n"
-		"what differs between deployments is observed. "
-		"`build/bench/gate` varies it.\n\n"
+		"`make reference`. These parameters are not settings:\n"
+		"differences between deployments are measured at run time. "
+		"`build/bench/gate` varies them.\n\n"
 		"| name | default | unit | what it does |\n| --- | --- | --- | --- |\n");
 	for (size_t i = 0; i < G_N_ELEMENTS(entries); i++) {
 		g_string_append_printf(out, "| `%s` | ", entries[i].name);
--- a/source/core/gate-reply.c
+++ b/source/core/gate-reply.c
@@ -1,41 +1,44 @@
 /*
- * gate-reply.c - what comes back of an attempt: what it tells of the replica,
- * and what it is to the request.
+ * gate-reply.c - handling of replies to attempts.
+ *
+ * A reply updates the health of its replica and then advances its request.
  */
 #include "core/gate-private.h"
 
-/* An answer of a sound replica took so long. */
-static void take_time(struct rr_gate *gate,
-		      const struct rr_gate_attempt *attempt, int64_t took_us)
+/* Record the latency of an answer that is not an error of the replica. */
+static void record_latency(struct rr_gate *gate,
+			   const struct rr_gate_attempt *attempt,
+			   int64_t elapsed_us)
 {
 	struct rr_endpoint *endpoint = attempt->endpoint;
 	struct rr_limit_bounds bounds = rr_endpoint_bounds(gate, endpoint);
 	int64_t typical_us =
 		rr_sketch_quantile_us(&attempt->stats->attempt_times, 0.5);
 
-	rr_observe_answer(&endpoint->track, gate->now_us, took_us, typical_us);
-	rr_add_latency(&attempt->stats->attempt_times, took_us);
+	rr_observe_answer(&endpoint->track, gate->now_us, elapsed_us,
+			  typical_us);
+	rr_add_latency(&attempt->stats->attempt_times, elapsed_us);
 	if (!typical_us)
 		return;
 	attempt->endpoint->service->typical_us = typical_us;
 	rr_adapt_limit(&endpoint->limit, &bounds,
-		       (double)took_us / (double)typical_us, 1,
+		       (double)elapsed_us / (double)typical_us, 1,
 		       attempt->in_flight_at_send);
 }
 
-static void take_shed(struct rr_gate *gate, struct rr_endpoint *endpoint)
+static void record_rejection(struct rr_gate *gate, struct rr_endpoint *endpoint)
 {
 	rr_observe_rejection(&endpoint->track, gate->now_us);
 	rr_shrink_limit(&endpoint->limit, gate->policy.limit_shed_shrink);
 }
 
-/* What a reply tells of the replica. */
+/* Update the health of a replica from a reply. */
 static void track_reply(struct rr_context *ctx, struct rr_gate *gate,
 			const struct rr_gate_attempt *attempt,
 			const struct rr_gate_reply *reply)
 {
 	struct rr_endpoint *endpoint = attempt->endpoint;
-	int64_t took_us = gate->now_us - attempt->sent_us;
+	int64_t elapsed_us = gate->now_us - attempt->sent_us;
 
 	switch (reply->outcome) {
 	case RR_GATE_ANSWERED:
@@ -47,7 +50,7 @@
 			return;
 		}
 		rr_note_contact(ctx, gate, endpoint);
-		take_time(gate, attempt, took_us);
+		record_latency(gate, attempt, elapsed_us);
 		return;
 	case RR_GATE_REJECTED:
 		rr_note_contact(ctx, gate, endpoint);
@@ -55,7 +58,7 @@
 			rr_retire_endpoint(ctx, gate, endpoint,
 					   "other-instance");
 		else
-			take_shed(gate, endpoint);
+			record_rejection(gate, endpoint);
 		return;
 	case RR_GATE_UNSENT:
 	case RR_GATE_BROKEN:
@@ -70,16 +73,16 @@
 	}
 }
 
-/* Proof of "not run" takes an attempt off the counts it went into. */
-static void uncount(struct rr_gate_request *run, struct rr_gate_part *part,
-		    const struct rr_gate_attempt *attempt,
-		    const struct rr_gate_reply *reply, int64_t now_us)
+/* Undo the counts of an attempt that is proven not to have run. */
+static void undo_counts(struct rr_gate_request *req, struct rr_gate_part *part,
+			const struct rr_gate_attempt *attempt,
+			const struct rr_gate_reply *reply, int64_t now_us)
 {
 	if (reply->outcome != RR_GATE_REJECTED &&
 	    reply->outcome != RR_GATE_UNSENT)
 		return;
 	part->n_may_have_run--;
-	run->n_may_have_run--;
+	req->n_may_have_run--;
 	if (reply->outcome != RR_GATE_UNSENT)
 		return;
 	part->n_reached--;
@@ -99,84 +102,85 @@
 }
 
 /*
- * What another instance says of a request that was handed to it: its answer
- * stands, also one that it failed; refused, it is served here, unless that is
- * of no use.
+ * Handles the reply of another instance to a forwarded request.  An answer is
+ * passed on, also if it reports a failure.  A request that was rejected or not
+ * sent is sent to another coordinator or served here, unless the rejection is
+ * final.
  */
-static void take_handed_reply(struct rr_context *ctx, struct rr_gate *gate,
-			      struct rr_gate_request *run,
-			      const struct rr_gate_reply *reply)
+static void handle_forward_reply(struct rr_context *ctx, struct rr_gate *gate,
+				 struct rr_gate_request *req,
+				 const struct rr_gate_reply *reply)
 {
 	switch (reply->outcome) {
 	case RR_GATE_ANSWERED:
-		rr_proxy_reply(ctx, gate, run, reply);
+		rr_proxy_reply(ctx, gate, req, reply);
 		return;
 	case RR_GATE_REJECTED:
 #ifndef RR_MUTANT_GATE_HANDS_ON_OVERRUN
 		if (reply->status == RR_STATUS_FINAL_REJECTION) {
-			rr_answer_locally(ctx, gate, run, 503, "refused-there");
+			rr_answer_locally(ctx, gate, req, 503, "refused-there");
 			return;
 		}
 #endif
 		G_GNUC_FALLTHROUGH;
 	case RR_GATE_UNSENT:
-		if (!rr_try_send_part(ctx, gate, run, 0, "repeat"))
-			rr_serve_locally(ctx, gate, run);
+		if (!rr_try_send_part(ctx, gate, req, 0, "repeat"))
+			rr_serve_locally(ctx, gate, req);
 		return;
 	case RR_GATE_BROKEN:
 	case RR_GATE_NO_REPLY:
 #ifdef RR_MUTANT_GATE_SERVES_LOST_SEARCH
-		rr_serve_locally(ctx, gate, run);
+		rr_serve_locally(ctx, gate, req);
 		return;
 #endif
-		/* It may have used up what each shard may be asked. */
-		rr_fail_part(run, &run->parts[0]);
-		rr_advance_request(ctx, gate, run);
+		/* It may have spent the attempts allowed at each shard. */
+		rr_fail_part(req, &req->parts[0]);
+		rr_advance_request(ctx, gate, req);
 		return;
 	}
 }
 
-static void take_reply(struct rr_context *ctx, struct rr_gate *gate,
-		       struct rr_gate_request *run, size_t index,
-		       const struct rr_gate_reply *reply)
+static void handle_reply(struct rr_context *ctx, struct rr_gate *gate,
+			 struct rr_gate_request *req, size_t index,
+			 const struct rr_gate_reply *reply)
 {
-	struct rr_gate_part *part = &run->parts[index];
+	struct rr_gate_part *part = &req->parts[index];
 	bool good = reply->outcome == RR_GATE_ANSWERED &&
 		    reply->status >= 200 && reply->status < 300;
 
 	if (part->status != RR_PART_PENDING)
 		return;
-	if (run->forwarded) {
-		take_handed_reply(ctx, gate, run, reply);
+	if (req->forwarded) {
+		handle_forward_reply(ctx, gate, req, reply);
 		return;
 	}
 	if (reply->outcome == RR_GATE_ANSWERED)
-		rr_end_canary(ctx, gate, run, index);
-	else if (rr_continue_canary(ctx, gate, run))
+		rr_end_canary(ctx, gate, req, index);
+	else if (rr_continue_canary(ctx, gate, req))
 		return;
 	if (good && gate->policy.hedge_ends_losers)
-		rr_cancel_losers(ctx, gate, run, index);
-	if (good && run->route->mode == RR_ROUTE_GATHER) {
-		rr_merge_part_reply(ctx, gate, run, part, reply);
+		rr_cancel_losers(ctx, gate, req, index);
+	if (good && req->route->mode == RR_ROUTE_GATHER) {
+		rr_merge_part_reply(ctx, gate, req, part, reply);
 		return;
 	}
 	if (good) {
-		rr_proxy_reply(ctx, gate, run, reply);
+		rr_proxy_reply(ctx, gate, req, reply);
 		return;
 	}
-	if (rr_try_send_part(ctx, gate, run, index, "repeat")) {
+	if (rr_try_send_part(ctx, gate, req, index, "repeat")) {
 		rr_count(ctx, RR_N_RETRIES, 1);
 		return;
 	}
 	if (part->n_in_flight || part->queued)
 		return;
-	if (run->route->mode == RR_ROUTE_PROXY &&
+	if (req->route->mode == RR_ROUTE_PROXY &&
 	    reply->outcome == RR_GATE_ANSWERED) {
-		rr_proxy_reply(ctx, gate, run, reply);
+		rr_proxy_reply(ctx, gate, req, reply);
 		return;
 	}
-	rr_fail_part(run, part);
-	rr_advance_request(ctx, gate, run);
+	rr_fail_part(req, part);
+	rr_advance_request(ctx, gate, req);
 }
 
 void rr_gate_reply(struct rr_context *ctx, struct rr_gate *gate, int64_t now_us,
@@ -185,19 +189,19 @@
 	struct rr_gate_attempt *attempt =
 		g_hash_table_lookup(gate->attempts, &reply->attempt);
 	struct rr_gate_service *service;
-	struct rr_gate_request *run;
+	struct rr_gate_request *req;
 
 	gate->now_us = now_us;
 	if (!attempt) {
 		rr_count(ctx, RR_N_LATE_REPLIES, 1);
 		return;
 	}
-	run = attempt->request;
+	req = attempt->request;
 	service = attempt->endpoint->service;
 	if (reply->load.reported)
 		attempt->endpoint->pace_percent = reply->load.pace_percent;
-	if (run)
-		rr_trace_attempt(gate, run, attempt, RR_TRACE_REPLY,
+	if (req)
+		rr_trace_attempt(gate, req, attempt, RR_TRACE_REPLY,
 				 outcome_name(reply), reply->status);
 	if (reply->outcome == RR_GATE_BROKEN)
 		rr_log_broken_attempt(ctx, gate, attempt);
@@ -207,10 +211,10 @@
 		rr_note_attempt_completed(ctx, gate, attempt);
 	track_reply(ctx, gate, attempt, reply);
 	rr_remove_attempt(gate, attempt);
-	if (run) {
-		uncount(run, &run->parts[attempt->part], attempt, reply,
-			now_us);
-		take_reply(ctx, gate, run, attempt->part, reply);
+	if (req) {
+		undo_counts(req, &req->parts[attempt->part], attempt, reply,
+			    now_us);
+		handle_reply(ctx, gate, req, attempt->part, reply);
 	}
 	rr_free_attempt(attempt);
 	rr_send_queued_parts(ctx, gate, service);
@@ -221,16 +225,16 @@
 {
 	const struct rr_gate_reply unsent = { .attempt = attempt->id,
 					      .outcome = RR_GATE_UNSENT };
-	struct rr_gate_request *run = attempt->request;
+	struct rr_gate_request *req = attempt->request;
 
-	if (!run ||
+	if (!req ||
 	    !gate->actions.cancel_unsent(gate->actions.data, attempt->id))
 		return false;
-	rr_trace_attempt(gate, run, attempt, RR_TRACE_CANCELLED, reason, 0);
+	rr_trace_attempt(gate, req, attempt, RR_TRACE_CANCELLED, reason, 0);
 	rr_remove_attempt(gate, attempt);
-	uncount(run, &run->parts[attempt->part], attempt, &unsent,
-		gate->now_us);
-	take_reply(ctx, gate, run, attempt->part, &unsent);
+	undo_counts(req, &req->parts[attempt->part], attempt, &unsent,
+		    gate->now_us);
+	handle_reply(ctx, gate, req, attempt->part, &unsent);
 	rr_free_attempt(attempt);
 	return true;
 }
--- a/source/core/gate.c
+++ b/source/core/gate.c
@@ -1,23 +1,23 @@
 /*
- * gate.c - the gateway's state, its routes and its clock.
+ * gate.c - creation of the gateway's state, its routes and its timers.
  */
 #include "core/gate-private.h"
 
 #include <string.h>
 
 /*
- * Lines a second about replicas that come and go.  Guards against a list of
- * hundreds that is read or replaced at once: its lines take a weak instance
- * longer than its callers wait.
+ * Log lines per second about changes of replicas.  Guards against a list of
+ * hundreds of replicas that is read or replaced at once: logging each change
+ * takes a weak instance longer than its callers wait.
  */
 #define LIST_LINES_PER_S 20
 
-static void free_record(gpointer data)
+static void free_route_stats(gpointer data)
 {
-	struct rr_route_stats *record = data;
+	struct rr_route_stats *stats = data;
 
-	g_free(record->split_credits);
-	g_free(record);
+	g_free(stats->split_credits);
+	g_free(stats);
 }
 
 static void free_endpoint(gpointer data)
@@ -25,19 +25,20 @@
 	rr_drop_endpoint(data);
 }
 
-/* From "ZONE/REGION"; what is none is left out. */
-static GHashTable *read_regions(const char *const *places)
+/* Parse "ZONE/REGION" strings; strings without a slash are ignored. */
+static GHashTable *parse_regions(const char *const *zone_regions)
 {
 	GHashTable *regions =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 
-	for (; places && *places; places++) {
-		const char *slash = strchr(*places, '/');
+	for (; zone_regions && *zone_regions; zone_regions++) {
+		const char *slash = strchr(*zone_regions, '/');
 
 		if (slash)
 			g_hash_table_insert(
 				regions,
-				g_strndup(*places, (gsize)(slash - *places)),
+				g_strndup(*zone_regions,
+					  (gsize)(slash - *zone_regions)),
 				g_strdup(slash + 1));
 	}
 	return regions;
@@ -50,7 +51,7 @@
 
 	gate->instance = g_strdup(options->instance);
 	gate->zone = g_strdup(options->zone);
-	gate->regions = read_regions(options->zone_regions);
+	gate->regions = parse_regions(options->zone_regions);
 	gate->actions = options->actions;
 	rr_init_gate_policy(&gate->policy);
 	if (options->policy)
@@ -79,7 +80,7 @@
 	gate->latest_starts =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	gate->route_stats = g_hash_table_new_full(g_str_hash, g_str_equal,
-						  g_free, free_record);
+						  g_free, free_route_stats);
 	gate->quarantine = rr_new_gate_quarantine(&gate->policy);
 	gate->requests = g_hash_table_new_full(g_int64_hash, g_int64_equal,
 					       NULL, rr_free_request);
@@ -116,19 +117,19 @@
 bool rr_gate_set_routes(struct rr_context *ctx, struct rr_gate *gate,
 			int64_t now_us, struct rr_route_table *table)
 {
-	uint64_t old = gate->route_table ?
-			       rr_route_table_version(gate->route_table) :
-			       0;
-	uint64_t new = rr_route_table_version(table);
+	uint64_t old_version =
+		gate->route_table ? rr_route_table_version(gate->route_table) :
+				    0;
+	uint64_t new_version = rr_route_table_version(table);
 
 	gate->now_us = now_us;
 #ifdef RR_MUTANT_GATE_GOES_BACK
-	old = 0;
+	old_version = 0;
 #endif
-	if (gate->route_table && new <= old) {
+	if (gate->route_table && new_version <= old_version) {
 		rr_log(ctx, RR_LOG_INFO, "routes-left-out",
-		       RR_FIELD_U64("version", new),
-		       RR_FIELD_U64("in_force", old));
+		       RR_FIELD_U64("version", new_version),
+		       RR_FIELD_U64("in_force", old_version));
 		return false;
 	}
 	rr_drop_route_table(gate->route_table);
@@ -137,9 +138,10 @@
 	rr_mark_shards(gate);
 	rr_update_isolation(ctx, gate);
 	rr_count(ctx, RR_N_CONFIG_CHANGES, 1);
-	rr_set_gauge(ctx, RR_G_CONFIG_REVISION, new);
+	rr_set_gauge(ctx, RR_G_CONFIG_REVISION, new_version);
 	rr_log(ctx, RR_LOG_INFO, "routes-in-force",
-	       RR_FIELD_U64("version", new), RR_FIELD_U64("before", old),
+	       RR_FIELD_U64("version", new_version),
+	       RR_FIELD_U64("before", old_version),
 	       RR_FIELD_U64("routes", rr_count_routes(table)));
 	return true;
 }
@@ -149,12 +151,13 @@
 	return gate->route_table;
 }
 
-static void fire_look(struct rr_context *ctx, struct rr_gate *gate, uint64_t id)
+static void handle_advance_timer(struct rr_context *ctx, struct rr_gate *gate,
+				 uint64_t id)
 {
-	struct rr_gate_request *run = rr_find_request(gate, id);
+	struct rr_gate_request *req = rr_find_request(gate, id);
 
-	if (run)
-		rr_advance_request(ctx, gate, run);
+	if (req)
+		rr_advance_request(ctx, gate, req);
 }
 
 void rr_gate_tick(struct rr_context *ctx, struct rr_gate *gate, int64_t now_us)
@@ -168,7 +171,7 @@
 	while (rr_pop_timer(gate->timers, now_us, &timer)) {
 		switch (timer.kind) {
 		case RR_TIMER_GATE_ADVANCE:
-			fire_look(ctx, gate, timer.id);
+			handle_advance_timer(ctx, gate, timer.id);
 			break;
 		case RR_TIMER_GATE_HEDGE:
 			rr_handle_hedge_timer(ctx, gate, timer.id);
--- a/source/core/route.c
+++ b/source/core/route.c
@@ -1,25 +1,25 @@
 /*
- * route.c - one version of the gateway's routes.
+ * route.c - the route table: one version of the gateway's routes.
  *
  * A route is found by hash lookups of host and prefix, one for each slash of
- * the path from its end, as deep as the deepest prefix goes: hundreds of
- * routes cost a request no more than ten do.
+ * the path, from the last slash that any prefix can reach to the first.  A
+ * lookup among hundreds of routes costs no more than among ten.
  */
 #include "ragwort/route.h"
 
 #include <glib.h>
 #include <string.h>
 
-/* A slash more than this deep in a path begins no prefix. */
-#define DEEPEST_PREFIX 32
+/* Maximum number of slashes in a path that are tried as the end of a prefix. */
+#define MAX_PREFIX_DEPTH 32
 
 struct rr_route_table {
 	int refs;
 	uint64_t version;
 	struct rr_caller_limits limits;
-	GPtrArray *routes;    /* struct rr_route */
-	GHashTable *by_place; /* "host" + prefix -> struct rr_route */
-	GHashTable *services; /* name -> struct rr_route_service */
+	GPtrArray *routes;		/* struct rr_route */
+	GHashTable *by_host_and_prefix; /* "host" + prefix -> struct rr_route */
+	GHashTable *services;		/* name -> struct rr_route_service */
 	size_t longest_prefix;
 };
 
@@ -63,7 +63,7 @@
 	table->refs = 1;
 	table->version = version;
 	table->routes = g_ptr_array_new_with_free_func(free_route);
-	table->by_place =
+	table->by_host_and_prefix =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	table->services = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						free_service);
@@ -80,13 +80,13 @@
 {
 	if (!table || --table->refs)
 		return;
-	g_hash_table_unref(table->by_place);
+	g_hash_table_unref(table->by_host_and_prefix);
 	g_hash_table_unref(table->services);
 	g_ptr_array_unref(table->routes);
 	g_free(table);
 }
 
-static bool is_whole(const struct rr_route *route)
+static bool is_valid(const struct rr_route *route)
 {
 	size_t length;
 
@@ -105,20 +105,20 @@
 
 bool rr_add_route(struct rr_route_table *table, struct rr_route *route)
 {
-	char *place;
+	char *key;
 
-	if (!is_whole(route)) {
+	if (!is_valid(route)) {
 		free_route(route);
 		return false;
 	}
-	place = g_strconcat(route->host, route->prefix, NULL);
-	if (g_hash_table_contains(table->by_place, place)) {
-		g_free(place);
+	key = g_strconcat(route->host, route->prefix, NULL);
+	if (g_hash_table_contains(table->by_host_and_prefix, key)) {
+		g_free(key);
 		free_route(route);
 		return false;
 	}
 	route->max_attempts = MAX(route->max_attempts, 1);
-	g_hash_table_insert(table->by_place, place, route);
+	g_hash_table_insert(table->by_host_and_prefix, key, route);
 	g_ptr_array_add(table->routes, route);
 	table->longest_prefix =
 		MAX(table->longest_prefix, strlen(route->prefix));
@@ -159,11 +159,11 @@
 	return g_ptr_array_index(table->routes, index);
 }
 
-/* The host as routes have it: lower case, without a port. */
-static void append_host(GString *place, const char *host)
+/* Append the host in the form used by routes: lower case, without a port. */
+static void append_host(GString *key, const char *host)
 {
 	for (; *host && *host != ':'; host++)
-		g_string_append_c(place, g_ascii_tolower(*host));
+		g_string_append_c(key, g_ascii_tolower(*host));
 }
 
 const struct rr_route *rr_find_route(const struct rr_route_table *table,
@@ -172,27 +172,30 @@
 {
 	const char *query = memchr(path, '?', path_length);
 	const struct rr_route *route = NULL;
-	size_t ends[DEEPEST_PREFIX];
-	size_t n_ends = 0;
+	size_t prefix_ends[MAX_PREFIX_DEPTH];
+	size_t n_prefix_ends = 0;
 	size_t host_length;
-	GString *place;
+	GString *key;
 
 	if (query)
 		path_length = (size_t)(query - path);
 	path_length = MIN(path_length, table->longest_prefix);
-	for (size_t i = 0; i < path_length && n_ends < DEEPEST_PREFIX; i++) {
+	for (size_t i = 0; i < path_length && n_prefix_ends < MAX_PREFIX_DEPTH;
+	     i++) {
 		if (path[i] == '/')
-			ends[n_ends++] = i + 1;
+			prefix_ends[n_prefix_ends++] = i + 1;
 	}
-	place = g_string_sized_new(128);
-	append_host(place, host);
-	host_length = place->len;
-	while (n_ends && !route) {
-		g_string_truncate(place, host_length);
-		g_string_append_len(place, path, (gssize)ends[--n_ends]);
-		route = g_hash_table_lookup(table->by_place, place->str);
+	key = g_string_sized_new(128);
+	append_host(key, host);
+	host_length = key->len;
+	while (n_prefix_ends && !route) {
+		g_string_truncate(key, host_length);
+		g_string_append_len(key, path,
+				    (gssize)prefix_ends[--n_prefix_ends]);
+		route = g_hash_table_lookup(table->by_host_and_prefix,
+					    key->str);
 	}
-	g_string_free(place, TRUE);
+	g_string_free(key, TRUE);
 	return route;
 }
 
