--- a/include/ragwort/gate-policy.h
+++ b/include/ragwort/gate-policy.h
@@ -41,8 +41,8 @@
 
 void rr_init_gate_policy(struct rr_gate_policy *policy);
 /*
- * Set a parameter by name; a switch is "on" or "off".  Returns false if the name
- * is unknown or the text is not a valid value of its type.
+ * Set a parameter by name; a switch is "on" or "off".  Returns false if the
+ * name is unknown or the text is not a valid value of its type.
  */
 bool rr_set_gate_policy(struct rr_gate_policy *policy, const char *name,
 			const char *text);
--- a/include/ragwort/gate.h
+++ b/include/ragwort/gate.h
@@ -2,11 +2,12 @@
  * gate.h - the gateway's decisions: routing, retries, merging, admission.
  *
  * The gate uses no sockets, clocks or threads: an I/O layer passes in events
- * with the current time and executes the actions.  Times are in microseconds of
- * a monotonic clock.
+ * with the current time and executes the actions.  Times are in microseconds
+ * of a monotonic clock.
  *
  * Rules for the I/O layer:
- * - after each event, rr_gate_next_tick_us() returns when rr_gate_tick() is due;
+ * - after each event, rr_gate_next_tick_us() returns when rr_gate_tick() is
+ *   due;
  * - actions may be called during any event; they must not call into the gate,
  *   but pass replies to it afterwards;
  * - each attempt sent gets exactly one rr_gate_reply(), unless it was
@@ -54,7 +55,7 @@
 	struct rr_fingerprint fingerprint;
 	int64_t deadline_ms;   /* time the caller will wait; negative if none */
 	int64_t caller_rtt_us; /* measured on its connection; 0 if unknown */
-	/* The connection was opened for this request; its caller waited for it. */
+	/* Its caller opened the connection for it, and waited for that. */
 	bool new_connection;
 	/*
 	 * Time left in which the forwarding instance has to send the response;
@@ -164,7 +165,7 @@
 	 * passed to rr_gate_handle_probe_result().
 	 */
 	void (*probe)(void *data, const char *incarnation, const char *address);
-	/* A replica gets no new attempts: its idle connections may be closed. */
+	/* Close the idle connections to a replica that gets no new attempts. */
 	void (*close_idle)(void *data, const char *incarnation);
 	/*
 	 * Publish what is known of a query of death.  The outcome of a claim
@@ -292,8 +293,8 @@
 				 bool reached);
 
 /*
- * Apply the store's entry of a query of death.  `entry` is NULL if the entry was
- * removed: the request is then sent as usual again.
+ * Apply the store's entry of a query of death.  `entry` is NULL if the entry
+ * was removed: the request is then sent as usual again.
  */
 void rr_gate_apply_quarantine(struct rr_context *ctx, struct rr_gate *gate,
 			      int64_t now_us,
@@ -315,8 +316,8 @@
 			   int64_t now_us);
 /*
  * Report that this instance stalled for `delay_us`: replies may have arrived
- * that it could not read.  Call this before passing them in, and before the next
- * tick.
+ * that it could not read.  Call this before passing them in, and before the
+ * next tick.
  */
 void rr_gate_report_stall(struct rr_context *ctx, struct rr_gate *gate,
 			  int64_t now_us, int64_t delay_us);
@@ -327,10 +328,10 @@
 /* Return the number of requests that were not answered yet. */
 size_t rr_gate_count_requests(const struct rr_gate *gate);
 /*
- * Whether this instance is ready for callers: routes and replicas are known, and
- * it is not isolated in a way that fails requests which other instances could
- * serve.  Requests that arrive while it is not ready are served as far as
- * possible.  If it is not ready, `*reason` is set to a static string.
+ * Whether this instance is ready for callers: routes and replicas are known,
+ * and it is not isolated in a way that fails requests which other instances
+ * could serve.  Requests that arrive while it is not ready are served as far
+ * as possible.  If it is not ready, `*reason` is set to a static string.
  */
 bool rr_gate_is_ready(const struct rr_gate *gate, const char **reason);
 /* Return this instance's share of the connections to a replica. */
--- a/include/ragwort/route.h
+++ b/include/ragwort/route.h
@@ -2,8 +2,9 @@
  * route.h - the gateway's routes, as one immutable version of the operators'
  * configuration.
  *
- * A table is built once, then only read.  A request references the table that it
- * started with, so a change of routes never mixes two versions in one request.
+ * A table is built once, then only read.  A request references the table that
+ * it started with, so a change of routes never mixes two versions in one
+ * request.
  */
 #ifndef RAGWORT_ROUTE_H
 #define RAGWORT_ROUTE_H
@@ -32,8 +33,8 @@
 	uint32_t timeout_ms;
 	uint32_t objective_ms; /* latency objective; 0 if none */
 	uint32_t priority;     /* 0 is the highest */
-	uint32_t
-		max_attempts; /* per part, each at another replica; at least 1 */
+	/* Attempts per part, each at another replica; at least 1. */
+	uint32_t max_attempts;
 	struct rr_route_part *parts;
 	size_t n_parts;
 	uint32_t top_k;	  /* number of records in a merged answer */
@@ -48,9 +49,9 @@
 /* Settings of a service that routes name. */
 struct rr_route_service {
 	char *name;
-	uint32_t
-		max_connections; /* per replica, from all callers; 0 if unknown */
-	uint32_t cold_ms;	 /* warm-up time of a replica; 0 if not set */
+	/* Connections per replica, from all callers; 0 if unknown. */
+	uint32_t max_connections;
+	uint32_t cold_ms; /* warm-up time of a replica; 0 if not set */
 	/* Requests per second that a cold replica can handle; 0 if not set. */
 	double cold_per_s;
 };
@@ -71,10 +72,10 @@
 void rr_drop_route_table(struct rr_route_table *table);
 
 /*
- * Add to a table that is not yet shared.  The table takes ownership of the route
- * or service and its strings and parts, also on failure.  Returns false if a
- * route lacks its name, host or parts, has an invalid prefix or weight, or has
- * the same host and prefix as another.
+ * Add to a table that is not yet shared.  The table takes ownership of the
+ * route or service and its strings and parts, also on failure.  Returns false
+ * if a route lacks its name, host or parts, has an invalid prefix or weight,
+ * or has the same host and prefix as another.
  */
 bool rr_add_route(struct rr_route_table *table, struct rr_route *route);
 void rr_add_route_service(struct rr_route_table *table,
--- a/source/core/gate-choose.c
+++ b/source/core/gate-choose.c
@@ -43,8 +43,8 @@
 }
 
 /*
- * Whether no other replica of its service may be usable, and no probe has failed
- * at this one.
+ * Whether no other replica of its service may be usable, and no probe has
+ * failed at this one.
  */
 static bool is_last_candidate(const struct rr_gate *gate,
 			      const struct rr_endpoint *endpoint)
@@ -81,9 +81,9 @@
 	    !rr_is_suspected(&endpoint->track, gate->now_us))
 		return true;
 		/*
-	 * Guards against excluding the only replica of a shard for seconds
-	 * after it was slow or unreachable for a moment: there is no
-	 * alternative.
+		 * Guards against excluding the only replica of a shard for
+		 * seconds after it was slow or unreachable for a moment: there
+		 * is no alternative.
 	 */
 #ifdef RR_MUTANT_GATE_SPARES_THE_ONLY_ONE
 	return false;
--- a/source/core/gate-private.h
+++ b/source/core/gate-private.h
@@ -84,7 +84,7 @@
 	uint32_t slots;
 	uint32_t pace_percent; /* last reported by its machine; 0 if never */
 	struct rr_passive_health track;
-	/* On attempts in flight; its times are multiples of the typical time. */
+	/* On attempts in flight; times are multiples of the typical time. */
 	struct rr_concurrency_limit limit;
 	GQueue in_flight; /* struct rr_gate_attempt, oldest first */
 	struct rr_cold_quota
@@ -142,7 +142,7 @@
 	const struct rr_route *route;
 	struct rr_route_stats *stats;
 	int64_t started_us;
-	int64_t expires_us; /* earlier of the deadline and the route's timeout */
+	int64_t expires_us;   /* earlier of deadline and route's timeout */
 	int64_t answer_by_us; /* latest time that meets the objective */
 	int64_t deadline_us;  /* the caller's or the route's; 0 if none */
 	bool caller_closed;   /* no new attempts are sent */
@@ -280,7 +280,7 @@
 	RR_INCARNATION_SAME,	 /* the known incarnation */
 	RR_INCARNATION_REPLACED, /* a new incarnation replaces the known one */
 	RR_INCARNATION_EARLIER,	 /* an incarnation that has ended */
-	RR_INCARNATION_UNKNOWN, /* no start time, though its id had one before */
+	RR_INCARNATION_UNKNOWN,	 /* no start time, but its id had one */
 };
 
 /*
--- a/source/core/gate-request.c
+++ b/source/core/gate-request.c
@@ -55,7 +55,7 @@
 	    answer->kind == RR_GATE_LOCAL_ANSWER)
 		rr_invariant("not-run", req->n_may_have_run == 0);
 	gate->actions.answer(gate->actions.data, answer);
-	/* Logged after the answer, since logging can take longer than answering. */
+	/* Log after answering: logging can take longer than the answer. */
 	rr_log_request(ctx, gate, req, answer);
 	end_request(ctx, gate, req);
 }
--- a/tests/support/gate-fixture.c
+++ b/tests/support/gate-fixture.c
@@ -1,5 +1,5 @@
 /*
- * gate-fixture.c - a gate driven by hand.
+ * gate-fixture.c - a gate that records its actions, driven by tests.
  */
 #include "support/gate-fixture.h"
 
@@ -55,9 +55,9 @@
 	g_free(answer);
 }
 
-static void note_send(void *data, const struct rr_gate_attempt_info *send)
+static void record_send(void *data, const struct rr_gate_attempt_info *send)
 {
-	struct gate_fixture *scene = data;
+	struct gate_fixture *fixture = data;
 	struct test_sent_attempt *sent = g_new0(struct test_sent_attempt, 1);
 
 	sent->attempt = send->attempt;
@@ -66,67 +66,69 @@
 	sent->incarnation = g_strdup(send->incarnation);
 	sent->address = g_strdup(send->address);
 	sent->deadline_ms = send->deadline_ms;
-	sent->at_us = scene->now_us;
-	g_ptr_array_add(scene->attempts, sent);
+	sent->at_us = fixture->now_us;
+	g_ptr_array_add(fixture->attempts, sent);
 }
 
-static void note_withdraw(void *data, uint64_t attempt)
+static void record_cancel(void *data, uint64_t attempt)
 {
-	struct gate_fixture *scene = data;
+	struct gate_fixture *fixture = data;
 
-	for (guint i = 0; i < scene->attempts->len; i++) {
-		if (test_attempt_at(scene, i)->attempt == attempt)
-			test_attempt_at(scene, i)->cancelled = true;
+	for (guint i = 0; i < fixture->attempts->len; i++) {
+		if (test_attempt_at(fixture, i)->attempt == attempt)
+			test_attempt_at(fixture, i)->cancelled = true;
 	}
 }
 
-static bool note_recall(void *data, uint64_t attempt)
+static bool record_cancel_unsent(void *data, uint64_t attempt)
 {
-	struct gate_fixture *scene = data;
+	struct gate_fixture *fixture = data;
 
-	if (!scene->nothing_sent)
+	if (!fixture->nothing_sent)
 		return false;
-	note_withdraw(data, attempt);
+	record_cancel(data, attempt);
 	return true;
 }
 
-static void note_answer(void *data, const struct rr_gate_answer *answer)
+static void record_answer(void *data, const struct rr_gate_answer *answer)
 {
-	struct gate_fixture *scene = data;
-	struct test_answer *kept = g_new0(struct test_answer, 1);
+	struct gate_fixture *fixture = data;
+	struct test_answer *copy = g_new0(struct test_answer, 1);
 
-	kept->request = answer->request;
-	kept->kind = answer->kind;
-	kept->status = answer->status;
-	kept->reason = g_strdup(answer->reason);
-	kept->retry_after_ms = answer->retry_after_ms;
-	kept->close_connection = answer->close_connection;
-	kept->signatures = g_strdup(answer->signatures);
-	kept->missing = answer->missing;
-	kept->length = answer->length;
-	kept->at_us = scene->now_us;
-	g_ptr_array_add(scene->answers, kept);
+	copy->request = answer->request;
+	copy->kind = answer->kind;
+	copy->status = answer->status;
+	copy->reason = g_strdup(answer->reason);
+	copy->retry_after_ms = answer->retry_after_ms;
+	copy->close_connection = answer->close_connection;
+	copy->signatures = g_strdup(answer->signatures);
+	copy->missing = answer->missing;
+	copy->length = answer->length;
+	copy->at_us = fixture->now_us;
+	g_ptr_array_add(fixture->answers, copy);
 }
 
-static void note_open(void *data, const char *lifetime, const char *address)
+static void record_preconnect(void *data, const char *incarnation,
+			      const char *address)
 {
-	struct gate_fixture *scene = data;
+	struct gate_fixture *fixture = data;
 
-	g_ptr_array_add(scene->preconnected, g_strdup(lifetime));
+	g_ptr_array_add(fixture->preconnected, g_strdup(incarnation));
 }
 
-static void note_probe(void *data, const char *lifetime, const char *address)
+static void record_probe(void *data, const char *incarnation,
+			 const char *address)
 {
-	struct gate_fixture *scene = data;
+	struct gate_fixture *fixture = data;
 
-	g_ptr_array_add(scene->probes, g_strdup(lifetime));
+	g_ptr_array_add(fixture->probes, g_strdup(incarnation));
 }
 
-static void note_forget(void *data, const char *lifetime)
+static void record_close_idle(void *data, const char *incarnation)
 {
-	struct gate_fixture *scene = data;
+	struct gate_fixture *fixture = data;
 
-	g_ptr_array_add(scene->idle_closed, g_strdup(lifetime));
+	g_ptr_array_add(fixture->idle_closed, g_strdup(incarnation));
 }
 
 static void free_report(gpointer data)
@@ -137,51 +139,52 @@
 	g_free(report);
 }
 
-static void note_report(void *data, const struct rr_quarantine_report *told)
+static void record_report(void *data, const struct rr_quarantine_report *source)
 {
-	struct gate_fixture *scene = data;
+	struct gate_fixture *fixture = data;
 	struct test_report *report = g_new0(struct test_report, 1);
 
-	report->entry = rr_copy_quarantine_entry(told->entry);
-	report->released = told->released;
-	report->claim = told->claim;
-	g_ptr_array_add(scene->reports, report);
+	report->entry = rr_copy_quarantine_entry(source->entry);
+	report->released = source->released;
+	report->claim = source->claim;
+	g_ptr_array_add(fixture->reports, report);
 }
 
-static void keep_line(void *data, enum rr_log_level level, const char *line)
+static void append_log_line(void *data, enum rr_log_level level,
+			    const char *line)
 {
-	struct gate_fixture *scene = data;
+	struct gate_fixture *fixture = data;
 
-	g_string_append(scene->log, line);
-	g_string_append_c(scene->log, '\n');
+	g_string_append(fixture->log, line);
+	g_string_append_c(fixture->log, '\n');
 }
 
-static struct gate_fixture *new_scene_by(uint32_t seed,
-					 const struct rr_gate_policy *policy)
+static struct gate_fixture *new_fixture(uint32_t seed,
+					const struct rr_gate_policy *policy)
 {
-	struct gate_fixture *scene = g_new0(struct gate_fixture, 1);
+	struct gate_fixture *fixture = g_new0(struct gate_fixture, 1);
 	struct rr_context_options context = {
 		.seed = seed,
-		.log = { .write = keep_line,
-			 .data = scene,
+		.log = { .write = append_log_line,
+			 .data = fixture,
 			 .max_level = RR_LOG_INFO },
 	};
-	static const char *const places[] = { "a/north", "b/north", "c/south",
-					      NULL };
+	static const char *const zone_regions[] = { "a/north", "b/north",
+						    "c/south", NULL };
 	struct rr_gate_options options = {
-		.zone_regions = places,
+		.zone_regions = zone_regions,
 		.instance = "self",
 		.zone = "a",
 		.actions = {
-			.send = note_send,
-			.cancel = note_withdraw,
-			.cancel_unsent = note_recall,
-			.answer = note_answer,
-			.preconnect = note_open,
-			.probe = note_probe,
-			.close_idle = note_forget,
-			.report = note_report,
-			.data = scene,
+			.send = record_send,
+			.cancel = record_cancel,
+			.cancel_unsent = record_cancel_unsent,
+			.answer = record_answer,
+			.preconnect = record_preconnect,
+			.probe = record_probe,
+			.close_idle = record_close_idle,
+			.report = record_report,
+			.data = fixture,
 		},
 		.extra_ratio = 0.2,
 		.extra_slack = 50,
@@ -194,50 +197,50 @@
 		.policy = policy,
 	};
 
-	scene->now_us = 1000 * TEST_MS;
-	scene->attempts = g_ptr_array_new_with_free_func(free_sent);
-	scene->answers = g_ptr_array_new_with_free_func(free_answer);
-	scene->probes = g_ptr_array_new_with_free_func(g_free);
-	scene->preconnected = g_ptr_array_new_with_free_func(g_free);
-	scene->idle_closed = g_ptr_array_new_with_free_func(g_free);
-	scene->reports = g_ptr_array_new_with_free_func(free_report);
-	scene->log = g_string_new(NULL);
-	scene->ctx = rr_new_context(&context);
-	scene->gate = rr_new_gate(scene->ctx, &options);
-	return scene;
+	fixture->now_us = 1000 * TEST_MS;
+	fixture->attempts = g_ptr_array_new_with_free_func(free_sent);
+	fixture->answers = g_ptr_array_new_with_free_func(free_answer);
+	fixture->probes = g_ptr_array_new_with_free_func(g_free);
+	fixture->preconnected = g_ptr_array_new_with_free_func(g_free);
+	fixture->idle_closed = g_ptr_array_new_with_free_func(g_free);
+	fixture->reports = g_ptr_array_new_with_free_func(free_report);
+	fixture->log = g_string_new(NULL);
+	fixture->ctx = rr_new_context(&context);
+	fixture->gate = rr_new_gate(fixture->ctx, &options);
+	return fixture;
 }
 
 struct gate_fixture *test_new_uncounted_gate(uint32_t seed)
 {
-	return new_scene_by(seed, NULL);
+	return new_fixture(seed, NULL);
 }
 
 static struct gate_fixture *
-new_counted_scene(uint32_t seed, const struct rr_gate_policy *policy)
+new_counted_fixture(uint32_t seed, const struct rr_gate_policy *policy)
 {
-	struct gate_fixture *scene = new_scene_by(seed, policy);
+	struct gate_fixture *fixture = new_fixture(seed, policy);
 
-	rr_gate_set_instance_count(scene->ctx, scene->gate, 10);
-	return scene;
+	rr_gate_set_instance_count(fixture->ctx, fixture->gate, 10);
+	return fixture;
 }
 
 struct gate_fixture *test_new_gate(uint32_t seed)
 {
-	return new_counted_scene(seed, NULL);
+	return new_counted_fixture(seed, NULL);
 }
 
-void test_free_gate(struct gate_fixture *scene)
+void test_free_gate(struct gate_fixture *fixture)
 {
-	rr_drop_gate(scene->gate);
-	rr_drop_context(scene->ctx);
-	g_ptr_array_unref(scene->attempts);
-	g_ptr_array_unref(scene->answers);
-	g_ptr_array_unref(scene->probes);
-	g_ptr_array_unref(scene->preconnected);
-	g_ptr_array_unref(scene->idle_closed);
-	g_ptr_array_unref(scene->reports);
-	g_string_free(scene->log, TRUE);
-	g_free(scene);
+	rr_drop_gate(fixture->gate);
+	rr_drop_context(fixture->ctx);
+	g_ptr_array_unref(fixture->attempts);
+	g_ptr_array_unref(fixture->answers);
+	g_ptr_array_unref(fixture->probes);
+	g_ptr_array_unref(fixture->preconnected);
+	g_ptr_array_unref(fixture->idle_closed);
+	g_ptr_array_unref(fixture->reports);
+	g_string_free(fixture->log, TRUE);
+	g_free(fixture);
 }
 
 static void add_service(struct rr_route_table *table, const char *name,
@@ -282,171 +285,173 @@
 	return route;
 }
 
-bool test_set_routes(struct gate_fixture *scene, uint64_t version,
+bool test_set_routes(struct gate_fixture *fixture, uint64_t version,
 		     const struct test_route *routes, size_t n)
 {
 	struct rr_route_table *table = rr_new_route_table(version);
-	bool taken;
+	bool applied;
 
 	for (size_t i = 0; i < n; i++)
 		g_assert_true(
 			rr_add_route(table, make_route(table, &routes[i])));
-	taken = rr_gate_set_routes(scene->ctx, scene->gate, scene->now_us,
-				   table);
+	applied = rr_gate_set_routes(fixture->ctx, fixture->gate,
+				     fixture->now_us, table);
 	rr_drop_route_table(table);
-	return taken;
+	return applied;
 }
 
-void test_list_incarnation(struct gate_fixture *scene,
-			   const struct test_incarnation *lifetime)
+void test_list_incarnation(struct gate_fixture *fixture,
+			   const struct test_incarnation *incarnation)
 {
 	struct rr_endpoint_info listing = {
-		.id = lifetime->id,
-		.started_ms = lifetime->started_ms,
-		.service = lifetime->service,
-		.address =
-			lifetime->address ? lifetime->address : "127.0.0.1:1",
-		.zone = lifetime->zone,
+		.id = incarnation->id,
+		.started_ms = incarnation->started_ms,
+		.service = incarnation->service,
+		.address = incarnation->address ? incarnation->address :
+						  "127.0.0.1:1",
+		.zone = incarnation->zone,
 		.slots = 2,
-		.draining = lifetime->draining,
-		.cold_ms = lifetime->cold_ms,
+		.draining = incarnation->draining,
+		.cold_ms = incarnation->cold_ms,
 	};
 
-	rr_gate_update_endpoint(scene->ctx, scene->gate, scene->now_us,
+	rr_gate_update_endpoint(fixture->ctx, fixture->gate, fixture->now_us,
 				&listing);
 }
 
-void test_list_replica(struct gate_fixture *scene, const char *id,
+void test_list_replica(struct gate_fixture *fixture, const char *id,
 		       const char *service, const char *zone)
 {
-	struct test_incarnation lifetime = { .id = id,
-					     .service = service,
-					     .zone = zone };
+	struct test_incarnation incarnation = { .id = id,
+						.service = service,
+						.zone = zone };
 
-	test_list_incarnation(scene, &lifetime);
+	test_list_incarnation(fixture, &incarnation);
 }
 
-void test_list_draining_replica(struct gate_fixture *scene, const char *id,
+void test_list_draining_replica(struct gate_fixture *fixture, const char *id,
 				const char *service, const char *zone)
 {
-	struct test_incarnation lifetime = {
+	struct test_incarnation incarnation = {
 		.id = id, .service = service, .zone = zone, .draining = true
 	};
 
-	test_list_incarnation(scene, &lifetime);
+	test_list_incarnation(fixture, &incarnation);
 }
 
-void test_update_instance(struct gate_fixture *scene, const char *id,
-			  const char *zone, double strength, int64_t born_ms)
+void test_update_instance(struct gate_fixture *fixture, const char *id,
+			  const char *zone, double strength, int64_t started_ms)
 {
 	struct rr_gate_instance instance = {
 		.id = id,
 		.zone = zone,
 		.address = "127.0.0.1:4",
 		.strength = strength,
-		.started_ms = born_ms,
+		.started_ms = started_ms,
 	};
 
-	rr_gate_update_instance(scene->ctx, scene->gate, scene->now_us,
+	rr_gate_update_instance(fixture->ctx, fixture->gate, fixture->now_us,
 				&instance);
 }
 
-uint64_t test_submit(struct gate_fixture *scene, const char *path,
+uint64_t test_submit(struct gate_fixture *fixture, const char *path,
 		     int64_t deadline_ms)
 {
-	struct rr_gate_request_info ask = {
+	struct rr_gate_request_info info = {
 		.host = "h",
 		.path = path,
 		.path_length = strlen(path),
 		.request_id = "id",
-		.fingerprint = scene->fingerprint,
+		.fingerprint = fixture->fingerprint,
 		.deadline_ms = deadline_ms,
 		.caller_rtt_us = 2000,
-		.new_connection = scene->new_connection,
+		.new_connection = fixture->new_connection,
 		.forward_deadline_us = -1,
 	};
 
-	return rr_gate_submit(scene->ctx, scene->gate, scene->now_us, &ask);
+	return rr_gate_submit(fixture->ctx, fixture->gate, fixture->now_us,
+			      &info);
 }
 
-void test_advance_time(struct gate_fixture *scene, int64_t us)
+void test_advance_time(struct gate_fixture *fixture, int64_t us)
 {
-	int64_t end_us = scene->now_us + us;
+	int64_t end_us = fixture->now_us + us;
 
-	while (rr_gate_next_tick_us(scene->gate) <= end_us) {
-		scene->now_us =
-			MAX(scene->now_us, rr_gate_next_tick_us(scene->gate));
-		rr_gate_tick(scene->ctx, scene->gate, scene->now_us);
+	while (rr_gate_next_tick_us(fixture->gate) <= end_us) {
+		fixture->now_us = MAX(fixture->now_us,
+				      rr_gate_next_tick_us(fixture->gate));
+		rr_gate_tick(fixture->ctx, fixture->gate, fixture->now_us);
 	}
-	scene->now_us = end_us;
+	fixture->now_us = end_us;
 }
 
-struct test_sent_attempt *test_attempt_at(struct gate_fixture *scene, guint i)
+struct test_sent_attempt *test_attempt_at(struct gate_fixture *fixture, guint i)
 {
-	g_assert_cmpuint(i, <, scene->attempts->len);
-	return g_ptr_array_index(scene->attempts, i);
+	g_assert_cmpuint(i, <, fixture->attempts->len);
+	return g_ptr_array_index(fixture->attempts, i);
 }
 
-static bool is_open(const struct test_sent_attempt *sent)
+static bool is_in_flight(const struct test_sent_attempt *sent)
 {
 	return !sent->cancelled && !sent->replied;
 }
 
-guint test_count_open_attempts(struct gate_fixture *scene)
+guint test_count_open_attempts(struct gate_fixture *fixture)
 {
 	guint n = 0;
 
-	for (guint i = 0; i < scene->attempts->len; i++)
-		n += is_open(test_attempt_at(scene, i));
+	for (guint i = 0; i < fixture->attempts->len; i++)
+		n += is_in_flight(test_attempt_at(fixture, i));
 	return n;
 }
 
-struct test_sent_attempt *test_find_open_attempt(struct gate_fixture *scene,
+struct test_sent_attempt *test_find_open_attempt(struct gate_fixture *fixture,
 						 const char *endpoint)
 {
-	for (guint i = 0; i < scene->attempts->len; i++) {
-		struct test_sent_attempt *sent = test_attempt_at(scene, i);
+	for (guint i = 0; i < fixture->attempts->len; i++) {
+		struct test_sent_attempt *sent = test_attempt_at(fixture, i);
 
-		if (is_open(sent) && !strcmp(sent->endpoint, endpoint))
+		if (is_in_flight(sent) && !strcmp(sent->endpoint, endpoint))
 			return sent;
 	}
 	return NULL;
 }
 
-void test_reply(struct gate_fixture *scene, struct test_sent_attempt *sent,
+void test_reply(struct gate_fixture *fixture, struct test_sent_attempt *sent,
 		enum rr_gate_outcome outcome, uint16_t status)
 {
 	uint8_t body[32];
-	char seal[32];
+	char signature_text[32];
 	struct rr_gate_reply reply = {
 		.attempt = sent->attempt,
 		.outcome = outcome,
 		.status = status,
-		.signature = seal,
+		.signature = signature_text,
 		.body = body,
 		.length = sizeof(body),
 		.wrong_incarnation = status == 421,
 	};
 
 	memset(body, 'r', sizeof(body));
-	g_snprintf(seal, sizeof(seal), "seal-%s", sent->endpoint);
+	g_snprintf(signature_text, sizeof(signature_text), "seal-%s",
+		   sent->endpoint);
 	sent->replied = true;
-	rr_gate_reply(scene->ctx, scene->gate, scene->now_us, &reply);
+	rr_gate_reply(fixture->ctx, fixture->gate, fixture->now_us, &reply);
 }
 
-void test_reply_all(struct gate_fixture *scene)
+void test_reply_all(struct gate_fixture *fixture)
 {
-	for (guint i = 0; i < scene->attempts->len; i++) {
-		if (is_open(test_attempt_at(scene, i)))
-			test_reply(scene, test_attempt_at(scene, i),
+	for (guint i = 0; i < fixture->attempts->len; i++) {
+		if (is_in_flight(test_attempt_at(fixture, i)))
+			test_reply(fixture, test_attempt_at(fixture, i),
 				   RR_GATE_ANSWERED, 200);
 	}
 }
 
-struct test_answer *test_last_answer(struct gate_fixture *scene)
+struct test_answer *test_last_answer(struct gate_fixture *fixture)
 {
-	g_assert_cmpuint(scene->answers->len, >, 0);
-	return g_ptr_array_index(scene->answers, scene->answers->len - 1);
+	g_assert_cmpuint(fixture->answers->len, >, 0);
+	return g_ptr_array_index(fixture->answers, fixture->answers->len - 1);
 }
 
 struct gate_fixture *test_start_gate(const struct test_route *route)
@@ -458,34 +463,34 @@
 test_start_gate_with_policy(const struct test_route *route,
 			    const struct rr_gate_policy *policy)
 {
-	struct gate_fixture *scene = new_counted_scene(7, policy);
+	struct gate_fixture *fixture = new_counted_fixture(7, policy);
 
 	for (size_t i = 0; route->services[i]; i++) {
 		char *near = g_strconcat(route->services[i], ".a", NULL);
 		char *far = g_strconcat(route->services[i], ".b", NULL);
 
-		test_list_replica(scene, near, route->services[i], "a");
-		test_list_replica(scene, far, route->services[i], "b");
+		test_list_replica(fixture, near, route->services[i], "a");
+		test_list_replica(fixture, far, route->services[i], "b");
 		g_free(near);
 		g_free(far);
 	}
-	g_assert_true(test_set_routes(scene, 5, route, 1));
-	return scene;
+	g_assert_true(test_set_routes(fixture, 5, route, 1));
+	return fixture;
 }
 
-void test_earn_retry_budget(struct gate_fixture *scene, const char *path)
+void test_earn_retry_budget(struct gate_fixture *fixture, const char *path)
 {
 	for (int i = 0; i < 60; i++) {
-		test_submit(scene, path, 1000);
-		test_advance_time(scene, 2 * TEST_MS);
-		test_reply_all(scene);
-		test_advance_time(scene, 10 * TEST_MS);
+		test_submit(fixture, path, 1000);
+		test_advance_time(fixture, 2 * TEST_MS);
+		test_reply_all(fixture);
+		test_advance_time(fixture, 10 * TEST_MS);
 	}
-	g_ptr_array_set_size(scene->attempts, 0);
-	g_ptr_array_set_size(scene->answers, 0);
+	g_ptr_array_set_size(fixture->attempts, 0);
+	g_ptr_array_set_size(fixture->answers, 0);
 }
 
-void test_close_attempt(struct gate_fixture *scene,
+void test_close_attempt(struct gate_fixture *fixture,
 			struct test_sent_attempt *sent)
 {
 	struct rr_gate_reply reply = {
@@ -495,27 +500,27 @@
 	};
 
 	sent->replied = true;
-	rr_gate_reply(scene->ctx, scene->gate, scene->now_us, &reply);
+	rr_gate_reply(fixture->ctx, fixture->gate, fixture->now_us, &reply);
 }
 
-void test_report_probe(struct gate_fixture *scene, const char *lifetime,
+void test_report_probe(struct gate_fixture *fixture, const char *incarnation,
 		       bool reached)
 {
-	rr_gate_handle_probe_result(scene->ctx, scene->gate, scene->now_us,
-				    lifetime, reached);
+	rr_gate_handle_probe_result(fixture->ctx, fixture->gate,
+				    fixture->now_us, incarnation, reached);
 }
 
-void test_crash_replica(struct gate_fixture *scene,
+void test_crash_replica(struct gate_fixture *fixture,
 			struct test_sent_attempt *sent)
 {
-	test_close_attempt(scene, sent);
-	test_report_probe(scene, sent->incarnation, false);
+	test_close_attempt(fixture, sent);
+	test_report_probe(fixture, sent->incarnation, false);
 }
 
-struct test_report *test_last_report(struct gate_fixture *scene)
+struct test_report *test_last_report(struct gate_fixture *fixture)
 {
-	return scene->reports->len ?
-		       g_ptr_array_index(scene->reports,
-					 scene->reports->len - 1) :
+	return fixture->reports->len ?
+		       g_ptr_array_index(fixture->reports,
+					 fixture->reports->len - 1) :
 		       NULL;
 }
--- a/tests/support/gate-fixture.h
+++ b/tests/support/gate-fixture.h
@@ -1,8 +1,9 @@
 /*
- * gate-fixture.h - a gate with its actions written down, driven by hand.
+ * gate-fixture.h - a gate that records its actions, driven step by step by a
+ * test.
  */
-#ifndef TESTS_SUPPORT_GATE_SCENE_H
-#define TESTS_SUPPORT_GATE_SCENE_H
+#ifndef TESTS_SUPPORT_GATE_FIXTURE_H
+#define TESTS_SUPPORT_GATE_FIXTURE_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -47,104 +48,112 @@
 	struct rr_context *ctx;
 	struct rr_gate *gate;
 	int64_t now_us;
-	bool nothing_sent;   /* attempts can be recalled */
-	bool new_connection; /* as callers of the next requests are */
+	bool nothing_sent;		   /* cancel_unsent succeeds */
+	bool new_connection;		   /* of the next requests' callers */
 	struct rr_fingerprint fingerprint; /* of the next requests */
 	GPtrArray *attempts;		   /* struct test_sent_attempt */
 	GPtrArray *answers;		   /* struct test_answer */
-	GPtrArray *probes;		   /* char *, lifetimes */
-	GPtrArray *preconnected;
-	GPtrArray *idle_closed;
-	GPtrArray *reports; /* struct test_report */
-	GString *log;	    /* lines, each with its line feed */
+	GPtrArray *probes;		   /* char *, incarnations */
+	GPtrArray *preconnected;	   /* char *, incarnations */
+	GPtrArray *idle_closed;		   /* char *, incarnations */
+	GPtrArray *reports;		   /* struct test_report */
+	GString *log;			   /* lines, each with its line feed */
 };
 
-/* In zone "a" of north, as "b", ten instances, extras 0.2 and 50. */
+/*
+ * Create a gate in zone "a" with ten instances, extra_ratio 0.2 and extra_slack
+ * 50.  Zones "a" and "b" are in region "north", "c" is in "south".
+ */
 struct gate_fixture *test_new_gate(uint32_t seed);
-/* The same, and how many instances there are is not told. */
+/* As above, but the number of instances is unknown. */
 struct gate_fixture *test_new_uncounted_gate(uint32_t seed);
-void test_free_gate(struct gate_fixture *scene);
+void test_free_gate(struct gate_fixture *fixture);
 
-/* A route of one service, or of several. */
+/* A route over one or more services. */
 struct test_route {
 	const char *name;
 	const char *prefix;
 	const char *const *services; /* NULL-terminated */
 	bool gather;
-	bool non_idempotent; /* not idempotent */
+	bool non_idempotent;
 	uint32_t max_attempts;
 	uint32_t objective_ms;
 	uint32_t timeout_ms;
 	double min_share;
-	const double *weights; /* NULL: all the same */
+	const double *weights; /* NULL for equal weights */
 	uint32_t priority;
-	const char *region; /* allowed ones, with commas; NULL: any */
-	double cold_per_s;  /* that a cold replica of its services bears */
+	const char *region; /* comma-separated allowed regions; NULL for any */
+	double cold_per_s;  /* requests per second a cold replica can handle */
 };
 
-/* Of the service "s": may run once, may be repeated. */
+/* Routes to the service "s". */
 extern const struct test_route test_non_idempotent_route;
 extern const struct test_route test_idempotent_route;
-/* Of the four services of test_shards, three of which are enough. */
+/* A search over the four test_shards; three of them are sufficient. */
 extern const char *const test_shards[];
 extern const struct test_route test_search_route;
 
-/* One route, and two replicas of each of its services: S.a near, S.b far. */
+/*
+ * Create a gate with one route and two replicas of each of its services: S.a in
+ * the local zone, S.b in another.
+ */
 struct gate_fixture *test_start_gate(const struct test_route *route);
-/* The same by another policy than the default; NULL: by that one. */
+/* As above with a policy; NULL for the default. */
 struct gate_fixture *
 test_start_gate_with_policy(const struct test_route *route,
 			    const struct rr_gate_policy *policy);
-/* Serve requests well until extra attempts have been earned. */
-void test_earn_retry_budget(struct gate_fixture *scene, const char *path);
-/* Put a table with these routes of host "h" in force; connections 26 each. */
-bool test_set_routes(struct gate_fixture *scene, uint64_t version,
+/* Serve requests until the retry budget allows extra attempts. */
+void test_earn_retry_budget(struct gate_fixture *fixture, const char *path);
+/* Apply routes of host "h" whose services allow 26 connections per replica. */
+bool test_set_routes(struct gate_fixture *fixture, uint64_t version,
 		     const struct test_route *routes, size_t n);
-/* List "SERVICE.ZONE" or any id; ready, warm, two slots. */
-void test_list_replica(struct gate_fixture *scene, const char *id,
+/* List a replica that is ready and warm and has two slots. */
+void test_list_replica(struct gate_fixture *fixture, const char *id,
 		       const char *service, const char *zone);
-void test_list_draining_replica(struct gate_fixture *scene, const char *id,
+void test_list_draining_replica(struct gate_fixture *fixture, const char *id,
 				const char *service, const char *zone);
-/* List a replica that tells when it started, at port 1 unless told. */
+/* List a replica with the given members. */
 struct test_incarnation {
 	const char *id;
 	const char *service;
 	const char *zone;
-	const char *address; /* NULL: 127.0.0.1:1 */
+	const char *address; /* NULL for 127.0.0.1:1 */
 	int64_t started_ms;
 	uint32_t cold_ms;
 	bool draining;
 };
-void test_list_incarnation(struct gate_fixture *scene,
-			   const struct test_incarnation *lifetime);
-/* An instance whose zone is NULL has gone. */
-void test_update_instance(struct gate_fixture *scene, const char *id,
-			  const char *zone, double strength, int64_t born_ms);
-uint64_t test_submit(struct gate_fixture *scene, const char *path,
+void test_list_incarnation(struct gate_fixture *fixture,
+			   const struct test_incarnation *incarnation);
+/* Update an instance's entry; a NULL zone removes it. */
+void test_update_instance(struct gate_fixture *fixture, const char *id,
+			  const char *zone, double strength,
+			  int64_t started_ms);
+uint64_t test_submit(struct gate_fixture *fixture, const char *path,
 		     int64_t deadline_ms);
-/* Let time pass, with ticks when they are due. */
-void test_advance_time(struct gate_fixture *scene, int64_t us);
+/* Advance the time and call rr_gate_tick() whenever it is due. */
+void test_advance_time(struct gate_fixture *fixture, int64_t us);
 
-struct test_sent_attempt *test_attempt_at(struct gate_fixture *scene, guint i);
-/* The open attempts, counted; the first one that is open at an endpoint. */
-guint test_count_open_attempts(struct gate_fixture *scene);
-struct test_sent_attempt *test_find_open_attempt(struct gate_fixture *scene,
+struct test_sent_attempt *test_attempt_at(struct gate_fixture *fixture,
+					  guint i);
+/* Count the attempts in flight; find the first in flight at an endpoint. */
+guint test_count_open_attempts(struct gate_fixture *fixture);
+struct test_sent_attempt *test_find_open_attempt(struct gate_fixture *fixture,
 						 const char *endpoint);
-void test_reply(struct gate_fixture *scene, struct test_sent_attempt *sent,
+void test_reply(struct gate_fixture *fixture, struct test_sent_attempt *sent,
 		enum rr_gate_outcome outcome, uint16_t status);
-/* Its replica closes its connection. */
-void test_close_attempt(struct gate_fixture *scene,
+/* The replica of an attempt closes its connection. */
+void test_close_attempt(struct gate_fixture *fixture,
 			struct test_sent_attempt *sent);
-/* A replica was probed. */
-void test_report_probe(struct gate_fixture *scene, const char *lifetime,
+/* Pass the result of a probe. */
+void test_report_probe(struct gate_fixture *fixture, const char *incarnation,
 		       bool reached);
-/* Both: it is gone then. */
-void test_crash_replica(struct gate_fixture *scene,
+/* Close an attempt, then fail the probe of its replica. */
+void test_crash_replica(struct gate_fixture *fixture,
 			struct test_sent_attempt *sent);
-/* NULL: nothing was reported. */
-struct test_report *test_last_report(struct gate_fixture *scene);
-/* Answer all open attempts well. */
-void test_reply_all(struct gate_fixture *scene);
-struct test_answer *test_last_answer(struct gate_fixture *scene);
+/* Return the last report, or NULL if there is none. */
+struct test_report *test_last_report(struct gate_fixture *fixture);
+/* Answer all attempts in flight with status 200. */
+void test_reply_all(struct gate_fixture *fixture);
+struct test_answer *test_last_answer(struct gate_fixture *fixture);
 
 #endif
--- a/tests/test-gate-choose.c
+++ b/tests/test-gate-choose.c
@@ -1,5 +1,5 @@
 /*
- * test-gate-choose.c - which replica an attempt goes to.
+ * test-gate-choose.c - tests of the choice of replicas for attempts.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,129 +12,130 @@
 
 #include "support/gate-fixture.h"
 
-/* A near replica and two far ones. */
-static struct gate_fixture *three_scene(void)
+/* One replica in the local zone and two in other zones. */
+static struct gate_fixture *new_three_zone_fixture(void)
 {
-	struct gate_fixture *scene = test_start_gate(&test_idempotent_route);
+	struct gate_fixture *fixture = test_start_gate(&test_idempotent_route);
 
-	test_list_replica(scene, "s.c", "s", "c");
-	return scene;
+	test_list_replica(fixture, "s.c", "s", "c");
+	return fixture;
 }
 
-/* One request, served after as long as its replica takes. */
-static void serve(struct gate_fixture *scene, int64_t near_us, int64_t far_us)
+/* Serve one request, with the latency of the chosen replica's zone. */
+static void serve_request(struct gate_fixture *fixture, int64_t local_us,
+			  int64_t remote_us)
 {
-	guint first = scene->attempts->len;
-	bool near;
-
-	test_submit(scene, "/often/1", 900);
-	near = g_str_has_suffix(test_attempt_at(scene, first)->endpoint, ".a");
-	test_advance_time(scene, near ? near_us : far_us);
-	test_reply_all(scene);
-	test_advance_time(scene, 30 * TEST_MS);
+	guint first = fixture->attempts->len;
+	bool is_local;
+
+	test_submit(fixture, "/often/1", 900);
+	is_local = g_str_has_suffix(test_attempt_at(fixture, first)->endpoint,
+				    ".a");
+	test_advance_time(fixture, is_local ? local_us : remote_us);
+	test_reply_all(fixture);
+	test_advance_time(fixture, 30 * TEST_MS);
 }
 
-static guint count_sent_to(struct gate_fixture *scene, const char *endpoint)
+static guint count_sent_to(struct gate_fixture *fixture, const char *endpoint)
 {
 	guint n = 0;
 
-	for (guint i = 0; i < scene->attempts->len; i++)
-		n += !strcmp(test_attempt_at(scene, i)->endpoint, endpoint);
+	for (guint i = 0; i < fixture->attempts->len; i++)
+		n += !strcmp(test_attempt_at(fixture, i)->endpoint, endpoint);
 	return n;
 }
 
 /*
- * Story: the replica of an instance's own zone is a third slower than those of
- * the others, and callers wait up to thirty times as long.  Bytes between
- * zones are paid for; a few milliseconds that nobody misses are not worth them.
+ * The local replica is a third slower than those of other zones, and callers
+ * wait up to thirty times as long.  Guards against paid traffic between zones
+ * for a few milliseconds that no caller notices.
  */
-static void test_near_unless_callers_would_notice(void **state)
+static void test_prefers_local_replica(void **state)
 {
-	struct gate_fixture *scene = three_scene();
+	struct gate_fixture *fixture = new_three_zone_fixture();
 
 	for (int i = 0; i < 200; i++)
-		serve(scene, 10 * TEST_MS, 7500);
-	assert_true(count_sent_to(scene, "s.a") >= 170);
-	test_free_gate(scene);
+		serve_request(fixture, 10 * TEST_MS, 7500);
+	assert_true(count_sent_to(fixture, "s.a") >= 170);
+	test_free_gate(fixture);
 }
 
-/* Where the near one would take much of what callers wait, others do. */
-static void test_far_when_the_near_one_is_slow(void **state)
+/* A local replica that uses much of the callers' time is avoided. */
+static void test_avoids_slow_local_replica(void **state)
 {
-	struct gate_fixture *scene = three_scene();
+	struct gate_fixture *fixture = new_three_zone_fixture();
 
 	for (int i = 0; i < 200; i++)
-		serve(scene, 120 * TEST_MS, 7500);
-	assert_true(count_sent_to(scene, "s.a") <= 40);
-	test_free_gate(scene);
+		serve_request(fixture, 120 * TEST_MS, 7500);
+	assert_true(count_sent_to(fixture, "s.a") <= 40);
+	test_free_gate(fixture);
 }
 
 /*
- * Story: a replica sheds six in ten of its requests though it is idle, and
- * says that it is well.  Each shed costs an arrival out of the bound on extra
- * ones; after a few it is asked seldom, as one that loses answers is.
+ * A replica rejects six in ten requests though it is idle and reports itself
+ * healthy.  Each rejection costs an extra attempt of the retry budget; after a
+ * few, the replica gets few attempts, like one that loses answers.
  */
-static void test_a_replica_that_sheds_is_asked_seldom(void **state)
+static void test_avoids_rejecting_replica(void **state)
 {
-	struct gate_fixture *scene = three_scene();
-	guint sheds = 0;
+	struct gate_fixture *fixture = new_three_zone_fixture();
+	guint n_rejected = 0;
 
-	test_earn_retry_budget(scene, "/often/1");
+	test_earn_retry_budget(fixture, "/often/1");
 	for (int i = 0; i < 300; i++) {
-		struct test_sent_attempt *shed;
+		struct test_sent_attempt *attempt;
 
-		test_submit(scene, "/often/1", 900);
-		shed = test_find_open_attempt(scene, "s.a");
-		if (shed && i % 5 < 3) {
-			test_reply(scene, shed, RR_GATE_REJECTED, 503);
-			sheds++;
+		test_submit(fixture, "/often/1", 900);
+		attempt = test_find_open_attempt(fixture, "s.a");
+		if (attempt && i % 5 < 3) {
+			test_reply(fixture, attempt, RR_GATE_REJECTED, 503);
+			n_rejected++;
 		}
-		test_advance_time(scene, 5 * TEST_MS);
-		test_reply_all(scene);
-		test_advance_time(scene, 30 * TEST_MS);
+		test_advance_time(fixture, 5 * TEST_MS);
+		test_reply_all(fixture);
+		test_advance_time(fixture, 30 * TEST_MS);
 	}
-	assert_in_range(sheds, 2, 40);
-	test_free_gate(scene);
+	assert_in_range(n_rejected, 2, 40);
+	test_free_gate(fixture);
 }
 
 /*
- * Story: a shard has one replica, and its connection fails once.  It was left
- * alone for half a second then, and each search of that time lacked the shard
- * for certain.  Nobody else is there to ask: it is asked, until a probe finds
- * that it is not there.
+ * Guards against excluding the only replica of a shard for half a second after
+ * one failed connection, during which every search lacks the shard.  As there
+ * is no alternative, it is tried until a probe fails.
  */
-static void test_the_only_replica_is_still_asked(void **state)
+static void test_keeps_trying_only_replica(void **state)
 {
-	struct gate_fixture *scene = test_new_gate(1);
+	struct gate_fixture *fixture = test_new_gate(1);
 
 	(void)state;
-	test_list_replica(scene, "s.a", "s", "a");
-	/* Its zone is well. */
-	test_list_replica(scene, "other.a", "other", "a");
-	test_set_routes(scene, 1, &test_idempotent_route, 1);
-	test_submit(scene, "/often/1", 900);
-	test_reply(scene, test_attempt_at(scene, 0), RR_GATE_NO_REPLY, 0);
-	test_submit(scene, "/often/1", 900);
-	assert_int_equal(scene->attempts->len, 2);
-	test_reply_all(scene);
-	test_submit(scene, "/often/1", 900);
-	test_reply(scene, test_attempt_at(scene, 2), RR_GATE_NO_REPLY, 0);
-	test_advance_time(scene, 450 * TEST_MS);
-	rr_gate_handle_probe_result(scene->ctx, scene->gate, scene->now_us,
-				    "s.a", false);
-	test_submit(scene, "/often/1", 900);
-	assert_int_equal(scene->attempts->len, 3);
-	assert_int_equal(test_last_answer(scene)->status, 503);
-	test_free_gate(scene);
+	test_list_replica(fixture, "s.a", "s", "a");
+	/* Keeps its zone reachable. */
+	test_list_replica(fixture, "other.a", "other", "a");
+	test_set_routes(fixture, 1, &test_idempotent_route, 1);
+	test_submit(fixture, "/often/1", 900);
+	test_reply(fixture, test_attempt_at(fixture, 0), RR_GATE_NO_REPLY, 0);
+	test_submit(fixture, "/often/1", 900);
+	assert_int_equal(fixture->attempts->len, 2);
+	test_reply_all(fixture);
+	test_submit(fixture, "/often/1", 900);
+	test_reply(fixture, test_attempt_at(fixture, 2), RR_GATE_NO_REPLY, 0);
+	test_advance_time(fixture, 450 * TEST_MS);
+	rr_gate_handle_probe_result(fixture->ctx, fixture->gate,
+				    fixture->now_us, "s.a", false);
+	test_submit(fixture, "/often/1", 900);
+	assert_int_equal(fixture->attempts->len, 3);
+	assert_int_equal(test_last_answer(fixture)->status, 503);
+	test_free_gate(fixture);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_near_unless_callers_would_notice),
-		cmocka_unit_test(test_far_when_the_near_one_is_slow),
-		cmocka_unit_test(test_a_replica_that_sheds_is_asked_seldom),
-		cmocka_unit_test(test_the_only_replica_is_still_asked),
+		cmocka_unit_test(test_prefers_local_replica),
+		cmocka_unit_test(test_avoids_slow_local_replica),
+		cmocka_unit_test(test_avoids_rejecting_replica),
+		cmocka_unit_test(test_keeps_trying_only_replica),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-gate-deadline.c
+++ b/tests/test-gate-deadline.c
@@ -1,5 +1,5 @@
 /*
- * test-gate-deadline.c - when answers have to leave, and callers come back.
+ * test-gate-deadline.c - tests of response deadlines.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,43 +11,43 @@
 
 #include "support/gate-fixture.h"
 
-/* When a search that lacks one of its four parts is answered. */
-static int64_t answered_after_us(bool caller_is_new)
+/* Return when a search that misses one of four parts is answered. */
+static int64_t measure_answer_us(bool is_new_connection)
 {
-	struct gate_fixture *scene = test_start_gate(&test_search_route);
-	int64_t began_us = scene->now_us;
-	int64_t after_us;
+	struct gate_fixture *fixture = test_start_gate(&test_search_route);
+	int64_t start_us = fixture->now_us;
+	int64_t elapsed_us;
 
-	scene->new_connection = caller_is_new;
-	test_submit(scene, "/search/1", 900);
-	test_advance_time(scene, 5 * TEST_MS);
+	fixture->new_connection = is_new_connection;
+	test_submit(fixture, "/search/1", 900);
+	test_advance_time(fixture, 5 * TEST_MS);
 	for (guint i = 0; i < 3; i++)
-		test_reply(scene, test_attempt_at(scene, i), RR_GATE_ANSWERED,
-			   200);
-	test_advance_time(scene, 200 * TEST_MS);
-	assert_int_equal(test_last_answer(scene)->status, 200);
-	assert_int_equal(test_last_answer(scene)->missing, 1);
-	after_us = test_last_answer(scene)->at_us - began_us;
-	test_free_gate(scene);
-	return after_us;
+		test_reply(fixture, test_attempt_at(fixture, i),
+			   RR_GATE_ANSWERED, 200);
+	test_advance_time(fixture, 200 * TEST_MS);
+	assert_int_equal(test_last_answer(fixture)->status, 200);
+	assert_int_equal(test_last_answer(fixture)->missing, 1);
+	elapsed_us = test_last_answer(fixture)->at_us - start_us;
+	test_free_gate(fixture);
+	return elapsed_us;
 }
 
 /*
- * Story: a caller makes a connection for its search and waits a round trip
- * for that.  An answer that leaves when one on a kept connection would, with
- * the same parts, comes late and is worth a tenth.
+ * A caller that opens a connection for its search waits one round trip for it.
+ * Guards against an answer that is sent as late as on a reused connection:
+ * with the same parts it arrives late and is worth a tenth.
  */
-static void test_a_connection_takes_its_time(void **state)
+static void test_new_connection_shortens_deadline(void **state)
 {
-	/* The scene's callers are 2 ms away, there and back. */
-	assert_int_equal(answered_after_us(false) - answered_after_us(true),
+	/* The fixture's callers have a round-trip time of 2 ms. */
+	assert_int_equal(measure_answer_us(false) - measure_answer_us(true),
 			 2 * TEST_MS);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_a_connection_takes_its_time),
+		cmocka_unit_test(test_new_connection_shortens_deadline),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-gate-emulated.c
+++ b/tests/test-gate-emulated.c
@@ -1,6 +1,8 @@
 /*
- * test-gate-emulated.c - the gate's policy against emulated replicas: each
- * scenario keeps the aim, and each mechanism is worth what it is kept for.
+ * test-gate-emulated.c - the gate's policy against emulated replicas.
+ *
+ * Each scenario has to meet its target, and each mechanism has to improve the
+ * scenarios that it is meant for.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,66 +19,68 @@
 #include "support/paths.h"
 
 #define SEEDS 2
-/* Of answers within their objective, where nothing goes wrong. */
-#define AIM_IN_TIME 0.99
-/* Of what callers are owed, on days with trouble. */
-#define AIM_VALUE 0.90
-/* Half of one in a hundred: less is no gain. */
-#define LEAST_GAIN 0.005
-
-static void load(const char *name, struct emulated_scenario *scenario)
+/* Minimum fraction of answers within the objective, without faults. */
+#define MIN_IN_TIME 0.99
+/* Minimum answer value, as a fraction of the maximum, with faults. */
+#define MIN_VALUE 0.90
+/* Smallest difference in value that counts as a gain: half a per cent. */
+#define MIN_GAIN 0.005
+
+static void load_named_scenario(const char *name,
+				struct emulated_scenario *scenario)
 {
 	char *file = g_strdup_printf("bench/gate/scenarios/%s.yaml", name);
 	char *path = rr_source_path(file);
-	GPtrArray *faults = rr_new_diagnostics();
+	GPtrArray *errors = rr_new_diagnostics();
 
-	if (!load_scenario(path, scenario, faults)) {
-		rr_print_diagnostics(faults);
+	if (!load_scenario(path, scenario, errors)) {
+		rr_print_diagnostics(errors);
 		fail_msg("%s cannot be read", name);
 	}
-	g_ptr_array_unref(faults);
+	g_ptr_array_unref(errors);
 	g_free(path);
 	g_free(file);
 }
 
-/* Mean over the seeds; *in_time may be NULL. */
-static double value_of(const char *name, const char *off, double *in_time)
+/* Return the mean value over the seeds; `in_time` may be NULL. */
+static double measure_value(const char *name, const char *disabled,
+			    double *in_time)
 {
 	struct emulated_scenario scenario;
 	struct rr_gate_policy policy;
-	uint64_t asked = 0;
+	uint64_t n_requests = 0;
 	uint64_t n_in_time = 0;
-	double sum = 0;
+	double total_value = 0;
 
-	load(name, &scenario);
+	load_named_scenario(name, &scenario);
 	rr_init_gate_policy(&policy);
-	if (off)
-		assert_true(rr_set_gate_policy(&policy, off, "off"));
+	if (disabled)
+		assert_true(rr_set_gate_policy(&policy, disabled, "off"));
 	for (uint32_t seed = 1; seed <= SEEDS; seed++) {
 		struct emulated_result result;
 
 		emulate_scenario(&scenario, &policy, seed, &result);
-		sum += mean_answer_value(&result);
-		asked += result.requests;
+		total_value += mean_answer_value(&result);
+		n_requests += result.requests;
 		n_in_time += result.in_time;
 		clear_emulated_result(&result);
 	}
 	if (in_time)
-		*in_time = (double)n_in_time / (double)asked;
-	return sum / SEEDS;
+		*in_time = (double)n_in_time / (double)n_requests;
+	return total_value / SEEDS;
 }
 
-static void test_calm_answers_are_in_time(void **state)
+static void test_answers_in_time_without_faults(void **state)
 {
 	double in_time;
 
-	value_of("calm", NULL, &in_time);
-	if (in_time < AIM_IN_TIME)
+	measure_value("calm", NULL, &in_time);
+	if (in_time < MIN_IN_TIME)
 		fail_msg("%.4f in time", in_time);
 }
 
-/* Where each shard has a replica that answers, or all but one. */
-static void test_troubles_cost_a_tenth_at_most(void **state)
+/* In these scenarios at most one shard has no replica that answers. */
+static void test_value_with_faults(void **state)
 {
 	static const char *const names[] = {
 		"failing",	 "shedding",   "reborn", "zone-cut",
@@ -84,23 +88,23 @@
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(names); i++) {
-		double value = value_of(names[i], NULL, NULL);
+		double value = measure_value(names[i], NULL, NULL);
 
-		if (value < AIM_VALUE)
+		if (value < MIN_VALUE)
 			fail_msg("%s: %.4f", names[i], value);
 	}
 }
 
 /*
- * Story: somebody tidies a mechanism away, since no test of a module needs it.
- * Each was kept for a load; without it that load's callers are served worse.
+ * Guards against the removal of a mechanism that no unit test needs.  Each one
+ * improves the answers in some scenario; without it they are worse there.
  */
-static void test_each_mechanism_is_worth_its_load(void **state)
+static void test_each_mechanism_gains(void **state)
 {
 	static const struct {
 		const char *scenario;
 		const char *mechanism;
-	} gains[] = {
+	} cases[] = {
 		{ "calm", "hedge_slow" },
 		{ "ninety-shards", "hedge_slow" },
 		{ "ninety-shards", "choose_by_slowness" },
@@ -114,28 +118,29 @@
 	};
 	double with = 0;
 
-	for (size_t i = 0; i < G_N_ELEMENTS(gains); i++) {
-		bool again = i && gains[i].scenario == gains[i - 1].scenario;
-		double without =
-			value_of(gains[i].scenario, gains[i].mechanism, NULL);
+	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
+		bool same_scenario =
+			i && cases[i].scenario == cases[i - 1].scenario;
+		double without = measure_value(cases[i].scenario,
+					       cases[i].mechanism, NULL);
 
-		if (!again)
-			with = value_of(gains[i].scenario, NULL, NULL);
-		if (with - without < LEAST_GAIN)
+		if (!same_scenario)
+			with = measure_value(cases[i].scenario, NULL, NULL);
+		if (with - without < MIN_GAIN)
 			fail_msg("%s in %s: %.4f with it, %.4f without",
-				 gains[i].mechanism, gains[i].scenario, with,
+				 cases[i].mechanism, cases[i].scenario, with,
 				 without);
 	}
 }
 
-/* Guards against a request that goes on crashing replicas once it is known. */
-static void test_a_deadly_request_is_kept_from_replicas(void **state)
+/* Guards against a query of death that is sent on after its detection. */
+static void test_query_of_death_is_quarantined(void **state)
 {
 	struct emulated_scenario scenario;
 	struct emulated_result result;
 
 	(void)state;
-	load("deadly", &scenario);
+	load_named_scenario("deadly", &scenario);
 	for (uint32_t seed = 1; seed <= SEEDS; seed++) {
 		emulate_scenario(&scenario, NULL, seed, &result);
 		assert_true(result.crashes >= 3);
@@ -144,31 +149,31 @@
 	}
 }
 
-/* Guards against caution that costs those more who run where replicas crash. */
-static void test_crashes_without_a_cause_condemn_nobody(void **state)
+/* Guards against quarantine that costs more than it saves on random crashes. */
+static void test_random_crashes_quarantine_nothing(void **state)
 {
-	double with = value_of("crashing", NULL, NULL);
-	double without = value_of("crashing", "quarantine_known", NULL);
+	double with = measure_value("crashing", NULL, NULL);
+	double without = measure_value("crashing", "quarantine_known", NULL);
 	struct emulated_scenario scenario;
 	struct emulated_result result;
 
 	(void)state;
-	if (without - with >= LEAST_GAIN)
+	if (without - with >= MIN_GAIN)
 		fail_msg("%.4f with it, %.4f without", with, without);
-	load("crashing", &scenario);
+	load_named_scenario("crashing", &scenario);
 	emulate_scenario(&scenario, NULL, 1, &result);
 	assert_int_equal(result.quarantine_reports, 0);
 	clear_emulated_result(&result);
 }
 
-/* Guards against work for an evacuated zone, or too much for a cold replica. */
+/* Guards against work for evacuated zones and overload of cold replicas. */
 static void test_evacuated_zones_and_cold_replicas(void **state)
 {
 	struct emulated_scenario scenario;
 	struct emulated_result result;
 
 	(void)state;
-	load("evacuated", &scenario);
+	load_named_scenario("evacuated", &scenario);
 	for (uint32_t seed = 1; seed <= SEEDS; seed++) {
 		emulate_scenario(&scenario, NULL, seed, &result);
 		assert_int_equal(result.evacuated_arrivals, 0);
@@ -177,13 +182,13 @@
 	}
 }
 
-static void test_a_run_repeats(void **state)
+static void test_emulation_is_deterministic(void **state)
 {
-	assert_true(value_of("few-quick", NULL, NULL) ==
-		    value_of("few-quick", NULL, NULL));
+	assert_true(measure_value("few-quick", NULL, NULL) ==
+		    measure_value("few-quick", NULL, NULL));
 }
 
-static void test_faulty_scenarios(void **state)
+static void test_invalid_scenarios(void **state)
 {
 	static const char *const texts[] = {
 		"name: x\n",
@@ -201,15 +206,15 @@
 
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
 		struct emulated_scenario scenario;
-		GPtrArray *faults = rr_new_diagnostics();
+		GPtrArray *errors = rr_new_diagnostics();
 		char *file;
 		int fd = g_file_open_tmp("scenario-XXXXXX", &file, NULL);
 
 		assert_true(fd >= 0);
 		assert_true(g_file_set_contents(file, texts[i], -1, NULL));
-		assert_false(load_scenario(file, &scenario, faults));
-		assert_true(faults->len > 0);
-		g_ptr_array_unref(faults);
+		assert_false(load_scenario(file, &scenario, errors));
+		assert_true(errors->len > 0);
+		g_ptr_array_unref(errors);
 		g_close(fd, NULL);
 		remove(file);
 		g_free(file);
@@ -219,14 +224,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_calm_answers_are_in_time),
-		cmocka_unit_test(test_troubles_cost_a_tenth_at_most),
-		cmocka_unit_test(test_each_mechanism_is_worth_its_load),
-		cmocka_unit_test(test_a_deadly_request_is_kept_from_replicas),
-		cmocka_unit_test(test_crashes_without_a_cause_condemn_nobody),
+		cmocka_unit_test(test_answers_in_time_without_faults),
+		cmocka_unit_test(test_value_with_faults),
+		cmocka_unit_test(test_each_mechanism_gains),
+		cmocka_unit_test(test_query_of_death_is_quarantined),
+		cmocka_unit_test(test_random_crashes_quarantine_nothing),
 		cmocka_unit_test(test_evacuated_zones_and_cold_replicas),
-		cmocka_unit_test(test_a_run_repeats),
-		cmocka_unit_test(test_faulty_scenarios),
+		cmocka_unit_test(test_emulation_is_deterministic),
+		cmocka_unit_test(test_invalid_scenarios),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-gate-generated.c
+++ b/tests/test-gate-generated.c
@@ -1,10 +1,11 @@
 /*
- * test-gate-generated.c - deployments that nobody has seen, drawn at random: the
- * policy loses to the plain one nowhere.
+ * test-gate-generated.c - the policy against the baseline policy in randomly
+ * generated deployments.
  *
- * Story: a customer's shards have one replica each, and their work takes a
- * tenth of a second.  What helps where work is short and replicas are two
- * turns searches away there, which one try at each shard would have served.
+ * Guards against a policy that helps in common deployments and harms others.
+ * An example is a deployment whose shards have one replica each and take a
+ * tenth of a second: mechanisms that help with short work and two replicas
+ * reject searches there that one attempt at each shard would have served.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,13 +17,13 @@
 
 #include "gate/emulator.h"
 
-/* Deployments drawn from the seeds 1 to so many. */
-#define DRAWN 12
-/* Of what callers are owed: less is as good. */
-#define MOST_LOST 0.02
+/* Number of deployments, generated from the seeds 1 to this. */
+#define N_DEPLOYMENTS 12
+/* Tolerated loss of answer value, as a fraction of the maximum. */
+#define MAX_LOSS 0.02
 
-static double value_by(const struct emulated_scenario *scenario,
-		       const struct rr_gate_policy *policy)
+static double measure_value(const struct emulated_scenario *scenario,
+			    const struct rr_gate_policy *policy)
 {
 	struct emulated_result result;
 	double value;
@@ -33,34 +34,34 @@
 	return value;
 }
 
-static void test_plain_is_no_better(void **state)
+static void test_baseline_is_not_better(void **state)
 {
 	struct rr_gate_policy policy;
-	struct rr_gate_policy plain;
-	guint lost = 0;
+	struct rr_gate_policy baseline;
+	guint n_lost = 0;
 
 	rr_init_gate_policy(&policy);
-	init_baseline_policy(&plain);
-	for (uint32_t seed = 1; seed <= DRAWN; seed++) {
+	init_baseline_policy(&baseline);
+	for (uint32_t seed = 1; seed <= N_DEPLOYMENTS; seed++) {
 		struct emulated_scenario scenario;
 		double loss;
 
 		generate_scenario(seed, &scenario);
-		loss = -value_by(&scenario, &policy);
+		loss = -measure_value(&scenario, &policy);
 		scenario.routes[0].max_attempts = 1;
-		loss += value_by(&scenario, &plain);
-		if (loss <= MOST_LOST)
+		loss += measure_value(&scenario, &baseline);
+		if (loss <= MAX_LOSS)
 			continue;
 		print_message("%s loses %.4f\n", scenario.name, loss);
-		lost++;
+		n_lost++;
 	}
-	assert_int_equal(lost, 0);
+	assert_int_equal(n_lost, 0);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_plain_is_no_better),
+		cmocka_unit_test(test_baseline_is_not_better),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-gate-incarnation.c
+++ b/tests/test-gate-incarnation.c
@@ -1,5 +1,5 @@
 /*
- * test-gate-incarnation.c - replicas that start again under the id they had.
+ * test-gate-incarnation.c - tests of replicas that restart under the same id.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,334 +12,346 @@
 
 #include "support/gate-fixture.h"
 
-#define FIRST_BORN_MS INT64_C(1700000000000)
-#define SECOND_BORN_MS (FIRST_BORN_MS + 5000)
+#define FIRST_START_MS INT64_C(1700000000000)
+#define SECOND_START_MS (FIRST_START_MS + 5000)
 
 static const char *const one_service[] = { "s", NULL };
 
-static void list_as(struct gate_fixture *scene, int64_t born_ms, bool draining)
+static void list_with(struct gate_fixture *fixture, int64_t started_ms,
+		      bool draining)
 {
-	struct test_incarnation lifetime = {
+	struct test_incarnation incarnation = {
 		.id = "r",
 		.service = "s",
 		.zone = "a",
-		.started_ms = born_ms,
+		.started_ms = started_ms,
 		.draining = draining,
 	};
 
-	test_list_incarnation(scene, &lifetime);
+	test_list_incarnation(fixture, &incarnation);
 }
 
-static void list_born(struct gate_fixture *scene, int64_t born_ms)
+static void list_started(struct gate_fixture *fixture, int64_t started_ms)
 {
-	list_as(scene, born_ms, false);
+	list_with(fixture, started_ms, false);
 }
 
-static void list_draining(struct gate_fixture *scene, int64_t born_ms)
+static void list_draining(struct gate_fixture *fixture, int64_t started_ms)
 {
-	list_as(scene, born_ms, true);
+	list_with(fixture, started_ms, true);
 }
 
-/* One replica, "r", of the service of a route. */
-static struct gate_fixture *start(const struct test_route *route)
+/* Create a gate with one replica, "r", and a route to its service. */
+static struct gate_fixture *
+new_one_replica_fixture(const struct test_route *route)
 {
-	struct gate_fixture *scene = test_new_gate(7);
+	struct gate_fixture *fixture = test_new_gate(7);
 
-	list_born(scene, FIRST_BORN_MS);
-	assert_true(test_set_routes(scene, 5, route, 1));
-	return scene;
+	list_started(fixture, FIRST_START_MS);
+	assert_true(test_set_routes(fixture, 5, route, 1));
+	return fixture;
 }
 
-static struct test_sent_attempt *last_sent(struct gate_fixture *scene)
+static struct test_sent_attempt *last_attempt(struct gate_fixture *fixture)
 {
-	return test_attempt_at(scene, scene->attempts->len - 1);
+	return test_attempt_at(fixture, fixture->attempts->len - 1);
 }
 
-static void assert_refused(struct gate_fixture *scene)
+static void assert_rejected(struct gate_fixture *fixture)
 {
-	guint sent = scene->attempts->len;
+	guint n_sent = fixture->attempts->len;
 
-	test_submit(scene, "/often/1", 900);
-	assert_int_equal(scene->attempts->len, sent);
-	assert_int_equal(test_last_answer(scene)->status, 503);
+	test_submit(fixture, "/often/1", 900);
+	assert_int_equal(fixture->attempts->len, n_sent);
+	assert_int_equal(test_last_answer(fixture)->status, 503);
 }
 
-static void assert_served(struct gate_fixture *scene)
+static void assert_served(struct gate_fixture *fixture)
 {
-	guint sent = scene->attempts->len;
+	guint n_sent = fixture->attempts->len;
 
-	test_submit(scene, "/often/1", 900);
-	assert_int_equal(scene->attempts->len, sent + 1);
-	test_reply(scene, last_sent(scene), RR_GATE_ANSWERED, 200);
+	test_submit(fixture, "/often/1", 900);
+	assert_int_equal(fixture->attempts->len, n_sent + 1);
+	test_reply(fixture, last_attempt(fixture), RR_GATE_ANSWERED, 200);
 }
 
 /*
- * Story: operators drain a replica, and its machine starts it again under
- * the same id.  It says that it is ready, and callers are refused for want of
- * it for as long as the instance runs: the drain was the lifetime's before.
+ * A drained replica restarts under the same id.  Guards against applying the
+ * drain of the previous incarnation to the new one, which is ready: requests
+ * would be rejected for as long as the instance runs.
  */
-static void test_a_drained_replica_is_used_once_born_again(void **state)
+static void test_drained_replica_is_used_after_restart(void **state)
 {
-	struct gate_fixture *scene = start(&test_idempotent_route);
-
-	list_draining(scene, FIRST_BORN_MS);
-	assert_refused(scene);
-	list_born(scene, FIRST_BORN_MS);
-	assert_refused(scene);
-	list_born(scene, SECOND_BORN_MS);
-	assert_served(scene);
-	test_free_gate(scene);
+	struct gate_fixture *fixture =
+		new_one_replica_fixture(&test_idempotent_route);
+
+	list_draining(fixture, FIRST_START_MS);
+	assert_rejected(fixture);
+	list_started(fixture, FIRST_START_MS);
+	assert_rejected(fixture);
+	list_started(fixture, SECOND_START_MS);
+	assert_served(fixture);
+	test_free_gate(fixture);
 }
 
 /*
- * Story: a replica's address goes to another for a moment, which answers 421;
- * then the replica starts again there, under its id.
+ * A replica's address is used by another one for a moment, which answers 421;
+ * then the replica restarts there under its id.  The new incarnation is used.
  */
-static void test_after_421_the_next_lifetime_is_used(void **state)
+static void test_next_incarnation_is_used_after_421(void **state)
 {
-	struct gate_fixture *scene = start(&test_idempotent_route);
-
-	test_submit(scene, "/often/1", 900);
-	test_reply(scene, last_sent(scene), RR_GATE_REJECTED, 421);
-	assert_refused(scene);
-	list_born(scene, SECOND_BORN_MS);
-	assert_served(scene);
-	test_free_gate(scene);
+	struct gate_fixture *fixture =
+		new_one_replica_fixture(&test_idempotent_route);
+
+	test_submit(fixture, "/often/1", 900);
+	test_reply(fixture, last_attempt(fixture), RR_GATE_REJECTED, 421);
+	assert_rejected(fixture);
+	list_started(fixture, SECOND_START_MS);
+	assert_served(fixture);
+	test_free_gate(fixture);
 }
 
 /*
- * Story: the news of a replica's earlier lifetime come late, from an instance
- * that has fallen behind.  Taken for new they would put a drained replica, or
- * an address that is another's, in place of the one that is well.
+ * An entry of an earlier incarnation arrives late, from an instance that lags
+ * behind.  Guards against replacing a healthy replica by a drained one, or by
+ * an address that now belongs to another replica.
  */
-static void test_an_earlier_lifetime_never_returns(void **state)
+static void test_earlier_incarnation_is_ignored(void **state)
 {
-	struct gate_fixture *scene = start(&test_idempotent_route);
-
-	list_born(scene, SECOND_BORN_MS);
-	list_draining(scene, FIRST_BORN_MS);
-	assert_served(scene);
-	rr_gate_unlist_endpoint(scene->ctx, scene->gate, scene->now_us, "r");
-	test_advance_time(scene, 5000 * TEST_MS);
-	list_born(scene, FIRST_BORN_MS);
-	assert_refused(scene);
-	list_born(scene, SECOND_BORN_MS);
-	assert_served(scene);
-	test_free_gate(scene);
+	struct gate_fixture *fixture =
+		new_one_replica_fixture(&test_idempotent_route);
+
+	list_started(fixture, SECOND_START_MS);
+	list_draining(fixture, FIRST_START_MS);
+	assert_served(fixture);
+	rr_gate_unlist_endpoint(fixture->ctx, fixture->gate, fixture->now_us,
+				"r");
+	test_advance_time(fixture, 5000 * TEST_MS);
+	list_started(fixture, FIRST_START_MS);
+	assert_rejected(fixture);
+	list_started(fixture, SECOND_START_MS);
+	assert_served(fixture);
+	test_free_gate(fixture);
 }
 
 /*
- * Story: a replica hangs, is suspected and left alone, and its operators start
- * it again.  What was seen of the lifetime before says nothing of this one.
+ * A replica hangs, is suspected and excluded, and operators restart it.  Guards
+ * against suspecting the new incarnation for failures of the previous one.
  */
-static void test_what_was_seen_is_of_one_lifetime(void **state)
+static void test_health_is_per_incarnation(void **state)
 {
-	struct gate_fixture *scene = start(&test_idempotent_route);
+	struct gate_fixture *fixture =
+		new_one_replica_fixture(&test_idempotent_route);
 
 	for (int i = 0; i < 3; i++) {
-		test_submit(scene, "/often/1", 900);
-		test_reply(scene, last_sent(scene), RR_GATE_NO_REPLY, 0);
+		test_submit(fixture, "/often/1", 900);
+		test_reply(fixture, last_attempt(fixture), RR_GATE_NO_REPLY, 0);
 	}
-	assert_refused(scene);
-	list_born(scene, SECOND_BORN_MS);
-	assert_served(scene);
-	test_free_gate(scene);
+	assert_rejected(fixture);
+	list_started(fixture, SECOND_START_MS);
+	assert_served(fixture);
+	test_free_gate(fixture);
 }
 
 /*
- * Story: a reservation is at a replica that crashes and starts again.  Whether
- * it ran before the crash is not known: sent to the new lifetime it could run
- * twice, and refused it would be a false promise.
+ * A non-idempotent request is at a replica that crashes and restarts, and may
+ * have run before the crash.  Guards against sending it to the new incarnation,
+ * where it could run twice, and against a status that says it has not run.
  */
-static void test_a_lost_lifetimes_work_is_unknown(void **state)
+static void test_outcome_is_unknown_after_crash(void **state)
 {
-	struct gate_fixture *scene = start(&test_non_idempotent_route);
-
-	test_submit(scene, "/once/1", 900);
-	list_born(scene, SECOND_BORN_MS);
-	assert_int_equal(scene->attempts->len, 1);
-	assert_int_equal(scene->answers->len, 0);
-	test_reply(scene, last_sent(scene), RR_GATE_BROKEN, 0);
-	assert_int_equal(scene->attempts->len, 1);
-	assert_int_equal(test_last_answer(scene)->status, 502);
-	test_free_gate(scene);
+	struct gate_fixture *fixture =
+		new_one_replica_fixture(&test_non_idempotent_route);
+
+	test_submit(fixture, "/once/1", 900);
+	list_started(fixture, SECOND_START_MS);
+	assert_int_equal(fixture->attempts->len, 1);
+	assert_int_equal(fixture->answers->len, 0);
+	test_reply(fixture, last_attempt(fixture), RR_GATE_BROKEN, 0);
+	assert_int_equal(fixture->attempts->len, 1);
+	assert_int_equal(test_last_answer(fixture)->status, 502);
+	test_free_gate(fixture);
 }
 
-/* Lost at the lifetime before, it may be repeated at the next one. */
-static void test_the_next_lifetime_takes_a_repeat(void **state)
+/* An idempotent request lost by one incarnation is retried at the next. */
+static void test_retry_at_next_incarnation(void **state)
 {
-	struct gate_fixture *scene = start(&test_idempotent_route);
-
-	test_earn_retry_budget(scene, "/often/1");
-	test_submit(scene, "/often/1", 900);
-	list_born(scene, SECOND_BORN_MS);
-	test_reply(scene, test_attempt_at(scene, 0), RR_GATE_BROKEN, 0);
-	assert_int_equal(scene->attempts->len, 2);
-	assert_string_not_equal(test_attempt_at(scene, 0)->incarnation,
-				test_attempt_at(scene, 1)->incarnation);
-	test_reply(scene, last_sent(scene), RR_GATE_ANSWERED, 200);
-	assert_int_equal(test_last_answer(scene)->kind, RR_GATE_PROXIED_ANSWER);
-	test_free_gate(scene);
+	struct gate_fixture *fixture =
+		new_one_replica_fixture(&test_idempotent_route);
+
+	test_earn_retry_budget(fixture, "/often/1");
+	test_submit(fixture, "/often/1", 900);
+	list_started(fixture, SECOND_START_MS);
+	test_reply(fixture, test_attempt_at(fixture, 0), RR_GATE_BROKEN, 0);
+	assert_int_equal(fixture->attempts->len, 2);
+	assert_string_not_equal(test_attempt_at(fixture, 0)->incarnation,
+				test_attempt_at(fixture, 1)->incarnation);
+	test_reply(fixture, last_attempt(fixture), RR_GATE_ANSWERED, 200);
+	assert_int_equal(test_last_answer(fixture)->kind,
+			 RR_GATE_PROXIED_ANSWER);
+	test_free_gate(fixture);
 }
 
-/* A reply of the lifetime before tells nothing of the one that is there. */
-static void test_a_late_421_is_the_earlier_lifetimes(void **state)
+/* A late reply of an earlier incarnation does not affect the current one. */
+static void test_late_421_of_earlier_incarnation(void **state)
 {
-	struct gate_fixture *scene = start(&test_idempotent_route);
-
-	test_submit(scene, "/often/1", 900);
-	list_born(scene, SECOND_BORN_MS);
-	test_reply(scene, last_sent(scene), RR_GATE_REJECTED, 421);
-	assert_served(scene);
-	test_free_gate(scene);
+	struct gate_fixture *fixture =
+		new_one_replica_fixture(&test_idempotent_route);
+
+	test_submit(fixture, "/often/1", 900);
+	list_started(fixture, SECOND_START_MS);
+	test_reply(fixture, last_attempt(fixture), RR_GATE_REJECTED, 421);
+	assert_served(fixture);
+	test_free_gate(fixture);
 }
 
 /*
- * Story: a replica comes back at another address.  A connection to the old one
- * is kept, and requests go to whoever listens there now.
+ * A replica restarts at another address.  Guards against reuse of a connection
+ * to the old address, where another process may listen now.
  */
-static void test_connections_are_a_lifetimes_own(void **state)
+static void test_connections_are_per_incarnation(void **state)
 {
-	struct gate_fixture *scene = start(&test_idempotent_route);
+	struct gate_fixture *fixture =
+		new_one_replica_fixture(&test_idempotent_route);
 	struct test_incarnation moved = {
 		.id = "r",
 		.service = "s",
 		.zone = "a",
 		.address = "127.0.0.1:2",
-		.started_ms = SECOND_BORN_MS,
+		.started_ms = SECOND_START_MS,
 	};
-	char *before;
-
-	assert_served(scene);
-	before = g_strdup(last_sent(scene)->incarnation);
-	test_list_incarnation(scene, &moved);
-	assert_string_equal(g_ptr_array_index(scene->idle_closed,
-					      scene->idle_closed->len - 1),
-			    before);
-	assert_served(scene);
-	assert_string_equal(last_sent(scene)->address, "127.0.0.1:2");
-	assert_string_equal(last_sent(scene)->endpoint, "r");
-	assert_string_not_equal(last_sent(scene)->incarnation, before);
-	g_free(before);
-	test_free_gate(scene);
+	char *previous;
+
+	assert_served(fixture);
+	previous = g_strdup(last_attempt(fixture)->incarnation);
+	test_list_incarnation(fixture, &moved);
+	assert_string_equal(g_ptr_array_index(fixture->idle_closed,
+					      fixture->idle_closed->len - 1),
+			    previous);
+	assert_served(fixture);
+	assert_string_equal(last_attempt(fixture)->address, "127.0.0.1:2");
+	assert_string_equal(last_attempt(fixture)->endpoint, "r");
+	assert_string_not_equal(last_attempt(fixture)->incarnation, previous);
+	g_free(previous);
+	test_free_gate(fixture);
 }
 
 /*
- * Story: a machine that served one service starts again under its id as a
- * replica of another.  Still counted to the first, it would run requests of a
- * service to which no route leads.
+ * A replica restarts under its id as a replica of another service, to which no
+ * route leads.  Guards against sending it requests for its previous service.
  */
-static void test_a_new_lifetime_may_serve_another_service(void **state)
+static void test_new_incarnation_of_another_service(void **state)
 {
-	struct gate_fixture *scene = start(&test_idempotent_route);
+	struct gate_fixture *fixture =
+		new_one_replica_fixture(&test_idempotent_route);
 	struct test_incarnation other = {
 		.id = "r",
 		.service = "t",
 		.zone = "b",
-		.started_ms = SECOND_BORN_MS,
+		.started_ms = SECOND_START_MS,
 	};
 
-	test_list_incarnation(scene, &other);
-	assert_refused(scene);
-	test_free_gate(scene);
+	test_list_incarnation(fixture, &other);
+	assert_rejected(fixture);
+	test_free_gate(fixture);
 }
 
 /*
- * An entry that changes place within a lifetime is treated as another one, but
- * for a drain, which is for good.
+ * An entry whose address changes without a restart is treated as a new
+ * incarnation, except that a drain is permanent.
  */
-static void test_a_moved_lifetime_keeps_its_drain(void **state)
+static void test_moved_incarnation_keeps_drain(void **state)
 {
-	struct gate_fixture *scene = start(&test_idempotent_route);
+	struct gate_fixture *fixture =
+		new_one_replica_fixture(&test_idempotent_route);
 	struct test_incarnation moved = {
 		.id = "r",
 		.service = "s",
 		.zone = "a",
 		.address = "127.0.0.1:2",
-		.started_ms = FIRST_BORN_MS,
+		.started_ms = FIRST_START_MS,
 	};
 
-	test_list_incarnation(scene, &moved);
-	assert_served(scene);
-	assert_string_equal(last_sent(scene)->address, "127.0.0.1:2");
-	list_draining(scene, FIRST_BORN_MS);
-	test_list_incarnation(scene, &moved);
-	assert_refused(scene);
-	test_free_gate(scene);
+	test_list_incarnation(fixture, &moved);
+	assert_served(fixture);
+	assert_string_equal(last_attempt(fixture)->address, "127.0.0.1:2");
+	list_draining(fixture, FIRST_START_MS);
+	test_list_incarnation(fixture, &moved);
+	assert_rejected(fixture);
+	test_free_gate(fixture);
 }
 
 /*
- * Story: somebody else writes an entry under the key of a replica, which lacks
- * when it started.  It names no replica, and that one's own next entry does.
+ * Another writer stores an entry without a start time under a replica's key.
+ * The entry is not used for any replica; the replica's own next entry is.
  */
-static void test_an_entry_that_lacks_its_start_names_nobody(void **state)
+static void test_entry_without_start_is_not_used(void **state)
 {
-	struct gate_fixture *scene = start(&test_idempotent_route);
-
-	list_born(scene, 0);
-	test_advance_time(scene, 5000 * TEST_MS);
-	assert_refused(scene);
-	list_born(scene, FIRST_BORN_MS);
-	assert_served(scene);
-	test_free_gate(scene);
+	struct gate_fixture *fixture =
+		new_one_replica_fixture(&test_idempotent_route);
+
+	list_started(fixture, 0);
+	test_advance_time(fixture, 5000 * TEST_MS);
+	assert_rejected(fixture);
+	list_started(fixture, FIRST_START_MS);
+	assert_served(fixture);
+	test_free_gate(fixture);
 }
 
-/* A lifetime is cold by its own entry, not by the one before. */
-static void test_cold_time_is_a_lifetimes_own(void **state)
+/* Whether an incarnation is cold depends only on its own entry. */
+static void test_warm_up_is_per_incarnation(void **state)
 {
-	struct gate_fixture *scene = test_new_gate(7);
+	struct gate_fixture *fixture = test_new_gate(7);
 	struct test_route route = test_idempotent_route;
 	struct test_incarnation cold = {
 		.id = "r",
 		.service = "s",
 		.zone = "a",
-		.started_ms = FIRST_BORN_MS,
+		.started_ms = FIRST_START_MS,
 		.cold_ms = 60000,
 	};
 
 	route.services = one_service;
-	test_list_incarnation(scene, &cold);
-	test_list_replica(scene, "q", "s", "a");
-	assert_true(test_set_routes(scene, 5, &route, 1));
+	test_list_incarnation(fixture, &cold);
+	test_list_replica(fixture, "q", "s", "a");
+	assert_true(test_set_routes(fixture, 5, &route, 1));
 	for (int i = 0; i < 8; i++) {
-		test_submit(scene, "/often/1", 900);
-		test_advance_time(scene, 20 * TEST_MS);
-		test_reply_all(scene);
+		test_submit(fixture, "/often/1", 900);
+		test_advance_time(fixture, 20 * TEST_MS);
+		test_reply_all(fixture);
 	}
-	list_born(scene, SECOND_BORN_MS);
-	g_ptr_array_set_size(scene->attempts, 0);
+	list_started(fixture, SECOND_START_MS);
+	g_ptr_array_set_size(fixture->attempts, 0);
 	for (int i = 0; i < 40; i++) {
-		test_submit(scene, "/often/1", 900);
-		test_advance_time(scene, 20 * TEST_MS);
-		test_reply_all(scene);
+		test_submit(fixture, "/often/1", 900);
+		test_advance_time(fixture, 20 * TEST_MS);
+		test_reply_all(fixture);
 	}
-	assert_non_null(scene->attempts);
-	for (guint i = 0; i < scene->attempts->len; i++) {
-		if (!strcmp(test_attempt_at(scene, i)->endpoint, "r")) {
-			test_free_gate(scene);
+	assert_non_null(fixture->attempts);
+	for (guint i = 0; i < fixture->attempts->len; i++) {
+		if (!strcmp(test_attempt_at(fixture, i)->endpoint, "r")) {
+			test_free_gate(fixture);
 			return;
 		}
 	}
-	fail_msg("the new lifetime got none of 40 requests");
+	fail_msg("the new incarnation got none of 40 requests");
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(
-			test_a_drained_replica_is_used_once_born_again),
-		cmocka_unit_test(test_after_421_the_next_lifetime_is_used),
-		cmocka_unit_test(test_an_earlier_lifetime_never_returns),
-		cmocka_unit_test(test_what_was_seen_is_of_one_lifetime),
-		cmocka_unit_test(test_a_lost_lifetimes_work_is_unknown),
-		cmocka_unit_test(test_the_next_lifetime_takes_a_repeat),
-		cmocka_unit_test(test_a_late_421_is_the_earlier_lifetimes),
-		cmocka_unit_test(test_connections_are_a_lifetimes_own),
-		cmocka_unit_test(test_a_new_lifetime_may_serve_another_service),
-		cmocka_unit_test(test_a_moved_lifetime_keeps_its_drain),
-		cmocka_unit_test(
-			test_an_entry_that_lacks_its_start_names_nobody),
-		cmocka_unit_test(test_cold_time_is_a_lifetimes_own),
+		cmocka_unit_test(test_drained_replica_is_used_after_restart),
+		cmocka_unit_test(test_next_incarnation_is_used_after_421),
+		cmocka_unit_test(test_earlier_incarnation_is_ignored),
+		cmocka_unit_test(test_health_is_per_incarnation),
+		cmocka_unit_test(test_outcome_is_unknown_after_crash),
+		cmocka_unit_test(test_retry_at_next_incarnation),
+		cmocka_unit_test(test_late_421_of_earlier_incarnation),
+		cmocka_unit_test(test_connections_are_per_incarnation),
+		cmocka_unit_test(test_new_incarnation_of_another_service),
+		cmocka_unit_test(test_moved_incarnation_keeps_drain),
+		cmocka_unit_test(test_entry_without_start_is_not_used),
+		cmocka_unit_test(test_warm_up_is_per_incarnation),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-gate-policy.c
+++ b/tests/test-gate-policy.c
@@ -1,5 +1,5 @@
 /*
- * test-gate-policy.c - the gate's policy by name.
+ * test-gate-policy.c - tests of policy parameters by name.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,7 +13,7 @@
 #include "support/gate-fixture.h"
 #include "support/paths.h"
 
-static void test_values_by_name(void **state)
+static void test_set_by_name(void **state)
 {
 	struct rr_gate_policy policy;
 
@@ -29,7 +29,7 @@
 	assert_int_equal(policy.choose_draws, 2);
 }
 
-static void test_what_is_no_value(void **state)
+static void test_invalid_values(void **state)
 {
 	static const char *const texts[] = { "",     "x",   "-1",
 					     "1e99", "nan", "true" };
@@ -46,48 +46,48 @@
 	assert_true(policy.hedge_slow);
 }
 
-/* Every switch can be off by itself, and requests are still served. */
-static void test_each_mechanism_can_be_off(void **state)
+/* Requests are served with any single switch off. */
+static void test_each_switch_can_be_off(void **state)
 {
 	const char *const *names = rr_gate_policy_switches();
 	size_t n = 0;
 
 	for (; names[n]; n++) {
 		struct rr_gate_policy policy;
-		struct gate_fixture *scene;
+		struct gate_fixture *fixture;
 
 		rr_init_gate_policy(&policy);
 		assert_true(rr_set_gate_policy(&policy, names[n], "off"));
-		scene = test_start_gate_with_policy(&test_search_route,
-						    &policy);
+		fixture = test_start_gate_with_policy(&test_search_route,
+						      &policy);
 		for (int i = 0; i < 40; i++) {
-			test_submit(scene, "/search/1", 900);
-			test_advance_time(scene, 5 * TEST_MS);
-			test_reply_all(scene);
-			test_advance_time(scene, 5 * TEST_MS);
+			test_submit(fixture, "/search/1", 900);
+			test_advance_time(fixture, 5 * TEST_MS);
+			test_reply_all(fixture);
+			test_advance_time(fixture, 5 * TEST_MS);
 		}
-		assert_int_equal(scene->answers->len, 40);
-		assert_int_equal(test_last_answer(scene)->status, 200);
-		test_free_gate(scene);
+		assert_int_equal(fixture->answers->len, 40);
+		assert_int_equal(test_last_answer(fixture)->status, 200);
+		test_free_gate(fixture);
 	}
 	assert_true(n > 10);
 }
 
 static void test_reference_page_is_current(void **state)
 {
-	GString *made = g_string_new(NULL);
+	GString *page = g_string_new(NULL);
 
-	rr_format_policy_reference(made);
-	rr_assert_page_is_current("docs/POLICY.md", made->str);
-	g_string_free(made, TRUE);
+	rr_format_policy_reference(page);
+	rr_assert_page_is_current("docs/POLICY.md", page->str);
+	g_string_free(page, TRUE);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_values_by_name),
-		cmocka_unit_test(test_what_is_no_value),
-		cmocka_unit_test(test_each_mechanism_can_be_off),
+		cmocka_unit_test(test_set_by_name),
+		cmocka_unit_test(test_invalid_values),
+		cmocka_unit_test(test_each_switch_can_be_off),
 		cmocka_unit_test(test_reference_page_is_current),
 	};
 
--- a/tests/test-gate-region.c
+++ b/tests/test-gate-region.c
@@ -1,5 +1,5 @@
 /*
- * test-gate-region.c - routes whose requests may go to some regions only.
+ * test-gate-region.c - tests of routes that are restricted to regions.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,107 +12,109 @@
 
 #include "support/gate-fixture.h"
 
-/* Near replicas in north, one far in south, one of a zone without a region. */
-static struct gate_fixture *region_scene(const struct test_route *model,
-					 const char *region)
+/* One replica in north, one in south, and one in a zone without a region. */
+static struct gate_fixture *new_region_fixture(const struct test_route *base,
+					       const char *region)
 {
-	struct test_route route = *model;
-	struct gate_fixture *scene = test_new_gate(3);
+	struct test_route route = *base;
+	struct gate_fixture *fixture = test_new_gate(3);
 
 	route.region = region;
-	test_list_replica(scene, "s.a", "s", "a");
-	test_list_replica(scene, "s.c", "s", "c");
-	test_list_replica(scene, "s.x", "s", "x");
-	test_set_routes(scene, 1, &route, 1);
-	return scene;
+	test_list_replica(fixture, "s.a", "s", "a");
+	test_list_replica(fixture, "s.c", "s", "c");
+	test_list_replica(fixture, "s.x", "s", "x");
+	test_set_routes(fixture, 1, &route, 1);
+	return fixture;
 }
 
-/* Guards against a first attempt or a repeat that leaves its region. */
-static void test_attempts_stay_at_home(void **state)
+/* Guards against a first attempt or a retry outside the route's region. */
+static void test_attempts_stay_in_region(void **state)
 {
-	struct gate_fixture *scene =
-		region_scene(&test_idempotent_route, "south");
+	struct gate_fixture *fixture =
+		new_region_fixture(&test_idempotent_route, "south");
 
 	(void)state;
-	test_earn_retry_budget(scene, "/often/1");
+	test_earn_retry_budget(fixture, "/often/1");
 	for (int i = 0; i < 40; i++) {
-		test_submit(scene, "/often/1", 900);
-		test_reply(scene,
-			   test_attempt_at(scene, scene->attempts->len - 1),
+		test_submit(fixture, "/often/1", 900);
+		test_reply(fixture,
+			   test_attempt_at(fixture, fixture->attempts->len - 1),
 			   i % 2 ? RR_GATE_REJECTED : RR_GATE_ANSWERED, 200);
-		test_advance_time(scene, 20 * TEST_MS);
+		test_advance_time(fixture, 20 * TEST_MS);
 	}
-	for (guint i = 0; i < scene->attempts->len; i++)
-		assert_string_equal(test_attempt_at(scene, i)->endpoint, "s.c");
-	test_free_gate(scene);
+	for (guint i = 0; i < fixture->attempts->len; i++)
+		assert_string_equal(test_attempt_at(fixture, i)->endpoint,
+				    "s.c");
+	test_free_gate(fixture);
 }
 
-/* Guards against callers who wait though no region has a replica for them. */
-static void test_no_replica_at_home(void **state)
+/* Guards against requests that wait though no allowed region has a replica. */
+static void test_no_replica_in_region(void **state)
 {
-	struct gate_fixture *scene =
-		region_scene(&test_idempotent_route, "west");
+	struct gate_fixture *fixture =
+		new_region_fixture(&test_idempotent_route, "west");
 
 	(void)state;
-	test_submit(scene, "/often/1", 900);
-	assert_int_equal(scene->attempts->len, 0);
-	assert_int_equal(test_last_answer(scene)->status, 503);
-	test_free_gate(scene);
+	test_submit(fixture, "/often/1", 900);
+	assert_int_equal(fixture->attempts->len, 0);
+	assert_int_equal(test_last_answer(fixture)->status, 503);
+	test_free_gate(fixture);
 }
 
-/* Several regions, and a zone whose region is not known: that is none. */
+/* A zone without a known region is not allowed by any list of regions. */
 static void test_several_regions(void **state)
 {
-	struct gate_fixture *scene =
-		region_scene(&test_idempotent_route, "west,south,north");
+	struct gate_fixture *fixture =
+		new_region_fixture(&test_idempotent_route, "west,south,north");
 
 	guint first;
 
 	(void)state;
-	test_earn_retry_budget(scene, "/often/1");
-	first = scene->attempts->len;
-	test_submit(scene, "/often/1", 900);
-	test_reply(scene, test_attempt_at(scene, first), RR_GATE_REJECTED, 503);
-	assert_int_equal(scene->attempts->len, first + 2);
-	for (guint i = 0; i < scene->attempts->len; i++)
-		assert_string_not_equal(test_attempt_at(scene, i)->endpoint,
+	test_earn_retry_budget(fixture, "/often/1");
+	first = fixture->attempts->len;
+	test_submit(fixture, "/often/1", 900);
+	test_reply(fixture, test_attempt_at(fixture, first), RR_GATE_REJECTED,
+		   503);
+	assert_int_equal(fixture->attempts->len, first + 2);
+	for (guint i = 0; i < fixture->attempts->len; i++)
+		assert_string_not_equal(test_attempt_at(fixture, i)->endpoint,
 					"s.x");
-	test_free_gate(scene);
+	test_free_gate(fixture);
 }
 
-/* Guards against a search that is handed to an instance of another region. */
-static void test_searches_are_handed_over_at_home(void **state)
+/* Guards against forwarding a search to an instance of another region. */
+static void test_forwards_within_region(void **state)
 {
 	struct test_route route = test_search_route;
-	struct gate_fixture *scene = test_new_gate(3);
+	struct gate_fixture *fixture = test_new_gate(3);
 
 	(void)state;
 	route.region = "north";
 	for (int i = 0; i < 4; i++) {
 		char *id = g_strdup_printf("%s.a", test_shards[i]);
 
-		test_list_replica(scene, id, test_shards[i], "a");
+		test_list_replica(fixture, id, test_shards[i], "a");
 		g_free(id);
 	}
-	test_set_routes(scene, 1, &route, 1);
-	test_update_instance(scene, "self", "a", 1, 5000);
-	test_update_instance(scene, "strong", "a", 4, 5000);
-	test_update_instance(scene, "abroad", "c", 9, 5000);
-	test_submit(scene, "/search/1", 900);
-	assert_string_equal(test_attempt_at(scene, 0)->endpoint, "strong");
-	test_reply(scene, test_attempt_at(scene, 0), RR_GATE_UNSENT, 0);
-	assert_int_equal(scene->attempts->len, 5);
-	assert_string_equal(test_attempt_at(scene, 1)->endpoint, "s1.a");
-	test_free_gate(scene);
+	test_set_routes(fixture, 1, &route, 1);
+	test_update_instance(fixture, "self", "a", 1, 5000);
+	test_update_instance(fixture, "strong", "a", 4, 5000);
+	test_update_instance(fixture, "abroad", "c", 9, 5000);
+	test_submit(fixture, "/search/1", 900);
+	assert_string_equal(test_attempt_at(fixture, 0)->endpoint, "strong");
+	test_reply(fixture, test_attempt_at(fixture, 0), RR_GATE_UNSENT, 0);
+	assert_int_equal(fixture->attempts->len, 5);
+	assert_string_equal(test_attempt_at(fixture, 1)->endpoint, "s1.a");
+	test_free_gate(fixture);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_attempts_stay_at_home),
-		cmocka_unit_test(test_no_replica_at_home),
+		cmocka_unit_test(test_attempts_stay_in_region),
+		cmocka_unit_test(test_no_replica_in_region),
 		cmocka_unit_test(test_several_regions),
-		cmocka_unit_test(test_searches_are_handed_over_at_home),
+		cmocka_unit_test(test_forwards_within_region),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-route.c
+++ b/tests/test-route.c
@@ -1,5 +1,5 @@
 /*
- * test-route.c - versions of routes, and which one takes a request.
+ * test-route.c - tests of route tables and of the lookup of routes.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -27,8 +27,8 @@
 	return route;
 }
 
-static const char *find(const struct rr_route_table *table, const char *host,
-			const char *path)
+static const char *find_name(const struct rr_route_table *table,
+			     const char *host, const char *path)
 {
 	const struct rr_route *route =
 		rr_find_route(table, host, path, strlen(path));
@@ -55,40 +55,42 @@
 {
 	struct rr_route_table *table = make_table();
 
-	assert_string_equal(find(table, "a.example", "/x"), "all");
-	assert_string_equal(find(table, "a.example", "/stock/1"), "stock");
-	assert_string_equal(find(table, "a.example", "/stock/tiles/1"),
+	assert_string_equal(find_name(table, "a.example", "/x"), "all");
+	assert_string_equal(find_name(table, "a.example", "/stock/1"), "stock");
+	assert_string_equal(find_name(table, "a.example", "/stock/tiles/1"),
 			    "tiles");
-	assert_string_equal(find(table, "a.example", "/stock/tilesx/1"),
+	assert_string_equal(find_name(table, "a.example", "/stock/tilesx/1"),
 			    "stock");
-	/* A prefix ends with its slash: what is shorter is not begun by it. */
-	assert_string_equal(find(table, "a.example", "/stock"), "all");
-	assert_string_equal(find(table, "b.example", "/stock"), "none");
-	assert_string_equal(find(table, "b.example", "/stock/"), "other");
+	/* A prefix includes its final slash: without it there is no match. */
+	assert_string_equal(find_name(table, "a.example", "/stock"), "all");
+	assert_string_equal(find_name(table, "b.example", "/stock"), "none");
+	assert_string_equal(find_name(table, "b.example", "/stock/"), "other");
 	rr_drop_route_table(table);
 }
 
-static void test_host_in_any_case_and_with_port(void **state)
+static void test_host_ignores_case_and_port(void **state)
 {
 	struct rr_route_table *table = make_table();
 
-	assert_string_equal(find(table, "A.Example:8080", "/stock/1"), "stock");
-	assert_string_equal(find(table, "c.example", "/stock/1"), "none");
+	assert_string_equal(find_name(table, "A.Example:8080", "/stock/1"),
+			    "stock");
+	assert_string_equal(find_name(table, "c.example", "/stock/1"), "none");
 	rr_drop_route_table(table);
 }
 
-/* A slash behind the question mark belongs to the query, not to the path. */
-static void test_query_counts_for_nothing(void **state)
+/* A slash after the question mark belongs to the query, not to the path. */
+static void test_query_is_ignored(void **state)
 {
 	struct rr_route_table *table = make_table();
 
-	assert_string_equal(find(table, "b.example", "/x?/stock/"), "none");
-	assert_string_equal(find(table, "a.example", "/?to=/stock/tiles/"),
+	assert_string_equal(find_name(table, "b.example", "/x?/stock/"),
+			    "none");
+	assert_string_equal(find_name(table, "a.example", "/?to=/stock/tiles/"),
 			    "all");
 	rr_drop_route_table(table);
 }
 
-static void test_faulty_routes_are_refused(void **state)
+static void test_invalid_routes_are_rejected(void **state)
 {
 	struct rr_route_table *table = make_table();
 	struct rr_route *route;
@@ -144,9 +146,9 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_longest_prefix_wins),
-		cmocka_unit_test(test_host_in_any_case_and_with_port),
-		cmocka_unit_test(test_query_counts_for_nothing),
-		cmocka_unit_test(test_faulty_routes_are_refused),
+		cmocka_unit_test(test_host_ignores_case_and_port),
+		cmocka_unit_test(test_query_is_ignored),
+		cmocka_unit_test(test_invalid_routes_are_rejected),
 		cmocka_unit_test(test_very_deep_paths),
 		cmocka_unit_test(test_services_and_limits),
 	};
