--- a/include/ragwort/gate-policy-list.h
+++ b/include/ragwort/gate-policy-list.h
@@ -13,7 +13,7 @@
 RR_POLICY_TIME(answer_guessed_rtt_us, 4000, "round-trip time assumed for a caller whose connection does not report one; raising it sends responses to such callers earlier")
 RR_POLICY_SWITCH(answer_counts_connect, true, "on a new connection, subtract one more round trip, for its handshake, from the time available")
 RR_POLICY_TIME(answer_hand_back_us, 3000, "time reserved for returning a response through the instance that forwarded the search; raising it leaves less time for the shards to answer")
-RR_POLICY_TIME(answer_left_us, 250000, "how long a request is still served after its caller closed its sending side; raising it does more work for callers that may be gone")
+RR_POLICY_TIME(answer_left_us, 250000, "how long an idempotent request is still served after its caller closed its sending side; raising it does more work for callers that may be gone")
 RR_POLICY_SWITCH(answer_ends_when_cut, true, "close the caller's connection after a rejection by an isolated instance, so that the caller reconnects to another instance")
 
 /* Retry-After of rejected requests. */
@@ -69,17 +69,17 @@
 /* Detection of unresponsive replicas and zones. */
 RR_POLICY_TIME(silence_replica_us, 400000, "time without a reply, with an attempt in flight, after which a replica is suspected; raising it finds a failure later, lowering it suspects replicas that only pause")
 RR_POLICY_SWITCH(silence_of_open_attempts, true, "detect unresponsive replicas while attempts are in flight, not only when attempts end")
-RR_POLICY_SWITCH(silence_of_zones, true, "stop sending to a zone as a whole when all of its replicas stop responding")
-RR_POLICY_SWITCH(silence_unready, true, "report not ready while this instance is isolated from all other zones and lacks a route for that reason")
+RR_POLICY_SWITCH(silence_of_zones, true, "detect when all replicas of a zone stop responding, and stop sending to the zone as a whole")
+RR_POLICY_SWITCH(silence_unready, true, "report not ready while all other zones are unreachable and a route cannot be served for that reason")
 RR_POLICY_TIME(silence_zone_us, 200000, "time without a reply from a whole zone after which it is unreachable; raising it finds a network partition later")
-RR_POLICY_COUNT(silence_unanswered, 5, "attempts", "minimum number of attempts without a reply in that time; raising it finds a network partition later and with fewer false alarms")
+RR_POLICY_COUNT(silence_unanswered, 5, "attempts", "minimum number of attempts without a reply in that time; raising it finds a network partition later, with fewer false alarms")
 RR_POLICY_COUNT(silence_next_unanswered, 3, "attempts", "minimum number of attempts without a reply while another zone does not respond; raising it finds a second partition later")
 RR_POLICY_TIME(suspect_zone_us, 50000, "time without a reply from a whole zone after which it is suspected and probed; raising it finds a network partition later, lowering it opens more connections")
 RR_POLICY_COUNT(suspect_zone_unanswered, 3, "attempts", "minimum number of attempts in flight, lost or cancelled in that time; raising it probes less often")
 RR_POLICY_COUNT(suspect_zone_probes, 2, "probes", "replicas of a suspected zone that are probed at once, because a single one may be down by itself; raising it opens more connections")
 RR_POLICY_TIME(suspect_probe_timeout_us, 80000, "timeout of the probes of a suspected zone; raising it finds a network partition later")
 RR_POLICY_TIME(silence_probe_us, 300000, "interval between later probes of an unreachable zone or replica; raising it finds a recovery later")
-RR_POLICY_COUNT(silence_failed_probes, 2, "probes", "consecutive failed probes after which a zone is unreachable; raising it finds a network partition later")
+RR_POLICY_COUNT(silence_failed_probes, 2, "probes", "consecutive failed probes after which a suspected zone is unreachable; raising it finds a network partition later")
 
 /* Quarantine of requests that crash replicas. */
 RR_POLICY_SWITCH(quarantine_known, true, "detect requests that crash replicas (queries of death) and stop sending them")
--- a/source/core/gate-attempt.c
+++ b/source/core/gate-attempt.c
@@ -110,7 +110,7 @@
 
 static void send_attempt(struct rr_context *ctx, struct rr_gate *gate,
 			 struct rr_gate_request *req, size_t index,
-			 struct rr_endpoint *endpoint, const char *why)
+			 struct rr_endpoint *endpoint, const char *reason)
 {
 	struct rr_gate_part *part = &req->parts[index];
 	struct rr_gate_attempt *attempt = g_new0(struct rr_gate_attempt, 1);
@@ -140,7 +140,7 @@
 	part->last_sent_us = gate->now_us;
 	req->n_may_have_run++;
 	rr_count(ctx, RR_N_ATTEMPTS, 1);
-	rr_trace_attempt(gate, req, attempt, RR_TRACE_SENT, why, 0);
+	rr_trace_attempt(gate, req, attempt, RR_TRACE_SENT, reason, 0);
 	send.attempt = attempt->id;
 	send.request = req->id;
 	send.endpoint = endpoint->id;
@@ -223,7 +223,7 @@
 
 bool rr_try_send_part(struct rr_context *ctx, struct rr_gate *gate,
 		      struct rr_gate_request *req, size_t index,
-		      const char *why)
+		      const char *reason)
 {
 	struct rr_gate_part *part = &req->parts[index];
 	bool extra = part->n_reached > 0;
@@ -248,7 +248,7 @@
 	}
 	if (extra)
 		rr_take_extra(&part->service->retry_budget, gate->now_us);
-	send_attempt(ctx, gate, req, index, endpoint, why);
+	send_attempt(ctx, gate, req, index, endpoint, reason);
 	return true;
 }
 
--- a/source/core/gate-deadline.c
+++ b/source/core/gate-deadline.c
@@ -8,18 +8,18 @@
 {
 	double from = gate->policy.retry_from;
 	double to = gate->policy.retry_to;
-	double part = from + (to - from) * rr_random_unit(ctx);
+	double fraction = from + (to - from) * rr_random_unit(ctx);
 
-	return MAX(1, (uint32_t)(part * (double)left_us / 1000));
+	return MAX(1, (uint32_t)(fraction * (double)left_us / 1000));
 }
 
 /* Return the time reserved for sending the response. */
 static int64_t write_reserve_us(const struct rr_gate *gate,
 				int64_t objective_us)
 {
-	double part = (double)objective_us / gate->policy.answer_write_part;
+	double fraction = (double)objective_us / gate->policy.answer_write_part;
 
-	return MAX(gate->policy.answer_least_write_us, (int64_t)part);
+	return MAX(gate->policy.answer_least_write_us, (int64_t)fraction);
 }
 
 void rr_set_request_deadlines(const struct rr_gate *gate,
--- a/source/core/gate-endpoint.c
+++ b/source/core/gate-endpoint.c
@@ -63,17 +63,18 @@
 {
 	double slack = gate->extra_slack * gate->policy.share_slack_part;
 	uint32_t n_coordinators = rr_count_coordinators(gate);
-	double part = gate->n_instances ? 1.0 / gate->n_instances : 0;
+	double fraction = gate->n_instances ? 1.0 / gate->n_instances : 0;
 
 	/* Where some forward searches, coordinators get most extra attempts. */
 	if (service->is_shard && n_coordinators < gate->n_instances)
-		part = gate->forwards_searches ?
-			       gate->policy.share_weak_part /
-				       (gate->n_instances - n_coordinators) :
-			       (1 - gate->policy.share_weak_part) /
-				       n_coordinators;
+		fraction =
+			gate->forwards_searches ?
+				gate->policy.share_weak_part /
+					(gate->n_instances - n_coordinators) :
+				(1 - gate->policy.share_weak_part) /
+					n_coordinators;
 	rr_set_retry_budget(&service->retry_budget, gate->extra_ratio,
-			    slack * part);
+			    slack * fraction);
 }
 
 struct rr_gate_service *rr_get_gate_service(struct rr_gate *gate,
@@ -146,9 +147,9 @@
 		       NULL;
 }
 
-/* Return this instance's share of the fraction `part` of the connections. */
+/* Return this instance's share of a fraction of a replica's connections. */
 static uint32_t connection_share(const struct rr_gate *gate, const char *name,
-				 double part)
+				 double fraction)
 {
 	const struct rr_route_service *service =
 		rr_find_service_config(gate, name);
@@ -158,7 +159,8 @@
 		return 1;
 	if (!rr_count_coordinators(gate))
 		return 1;
-	share = service->max_connections * part / rr_count_coordinators(gate);
+	share = service->max_connections * fraction /
+		rr_count_coordinators(gate);
 	return MAX(1, (uint32_t)share);
 }
 
--- a/source/core/gate-private.h
+++ b/source/core/gate-private.h
@@ -235,7 +235,8 @@
 	GHashTable *services;	 /* name -> struct rr_gate_service */
 	GPtrArray *zones;	 /* struct rr_gate_zone */
 	GHashTable *evacuations; /* zone name -> struct rr_evacuation */
-	bool isolated; /* all other zones are unreachable, see gate-zone.c */
+	/* Other zones are unreachable and a route fails, see gate-zone.c. */
+	bool isolated;
 	/* id -> struct rr_endpoint, listed or recently unlisted */
 	GHashTable *endpoints;
 	GHashTable *incarnations; /* name -> struct rr_endpoint */
@@ -409,7 +410,7 @@
  */
 bool rr_try_send_part(struct rr_context *ctx, struct rr_gate *gate,
 		      struct rr_gate_request *req, size_t index,
-		      const char *why);
+		      const char *reason);
 void rr_handle_hedge_timer(struct rr_context *ctx, struct rr_gate *gate,
 			   uint64_t id);
 /* Remove an attempt from all tables; the caller frees it. */
--- a/tests/test-gate-deadline.c
+++ b/tests/test-gate-deadline.c
@@ -11,7 +11,7 @@
 
 #include "support/gate-fixture.h"
 
-/* Return when a search that misses one of four parts is answered. */
+/* Return the time that a search without one of its four parts takes. */
 static int64_t measure_answer_us(bool is_new_connection)
 {
 	struct gate_fixture *fixture = test_start_gate(&test_search_route);
--- a/tests/test-gate-random.c
+++ b/tests/test-gate-random.c
@@ -46,9 +46,9 @@
 	guint n_attempts_checked;
 	guint n_answers_checked;
 	uint64_t version;
-	int64_t started_ms[SERVICES]
-			  [REPLICAS]; /* of the newest incarnation listed */
-	bool draining[SERVICES][REPLICAS];	 /* that incarnation */
+	/* Start of the newest incarnation listed, and whether it drains. */
+	int64_t started_ms[SERVICES][REPLICAS];
+	bool draining[SERVICES][REPLICAS];
 	int64_t unlisted_us[SERVICES][REPLICAS]; /* 0 if listed */
 	uint64_t extras;
 	uint64_t asked;
