--- a/tests/test-platform-entries.c
+++ b/tests/test-platform-entries.c
@@ -1,6 +1,6 @@
 /*
- * test-platform-entries.c - entries of replicas and instances in the store,
- * their own and others'.
+ * test-platform-entries.c - decoding of store entries, valid ones and those
+ * that other programs wrote.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,13 +13,13 @@
 
 #include "platform/platform.h"
 
-/* Fields of a good entry, of which one is left out or replaced. */
+/* Fields of a valid entry, of which tests omit or replace one. */
 struct field {
 	const char *name;
 	const char *value;
 };
 
-static const struct field good_fields[] = {
+static const struct field valid_fields[] = {
 	{ "service", "\"s\"" },
 	{ "address", "\"10.0.0.1:80\"" },
 	{ "zone", "\"z\"" },
@@ -31,20 +31,20 @@
 	{ "born", "1700000000000" },
 };
 
-/* NULL leaves the field out; a name that is none of them changes nothing. */
+/* A NULL value omits the field; an unknown name changes nothing. */
 static char *make_entry(const char *name, const char *value)
 {
 	GString *out = g_string_new("{");
 
-	for (size_t i = 0; i < G_N_ELEMENTS(good_fields); i++) {
-		bool changed = !strcmp(good_fields[i].name, name);
+	for (size_t i = 0; i < G_N_ELEMENTS(valid_fields); i++) {
+		bool replaced = !strcmp(valid_fields[i].name, name);
 
-		if (changed && !value)
+		if (replaced && !value)
 			continue;
-		g_string_append_printf(out, "%s\"%s\":%s",
-				       out->len > 1 ? "," : "",
-				       good_fields[i].name,
-				       changed ? value : good_fields[i].value);
+		g_string_append_printf(
+			out, "%s\"%s\":%s", out->len > 1 ? "," : "",
+			valid_fields[i].name,
+			replaced ? value : valid_fields[i].value);
 	}
 	g_string_append_c(out, '}');
 	return g_string_free(out, FALSE);
@@ -61,16 +61,16 @@
 	return item;
 }
 
-static void assert_names_nobody(const char *id, const char *text)
+static void assert_invalid_replica(const char *id, const char *text)
 {
 	struct rr_feed_item *item = decode(id, text, strlen(text));
 
 	if (item->replica)
-		fail_msg("%s names a replica: %s", id, text);
+		fail_msg("decoded as replica %s: %s", id, text);
 	rr_free_feed_item(item);
 }
 
-static void test_an_entry_of_a_replica(void **state)
+static void test_replica_entry(void **state)
 {
 	char *text = make_entry("state", "\"draining\"");
 	struct rr_feed_item *item = decode("i-1", text, strlen(text));
@@ -88,8 +88,8 @@
 	g_free(text);
 }
 
-/* Not every platform tells when a lifetime started. */
-static void test_a_start_may_be_left_out(void **state)
+/* Not every platform reports when an incarnation started. */
+static void test_optional_start_time(void **state)
 {
 	char *text = make_entry("born", NULL);
 	struct rr_feed_item *item = decode("i-1", text, strlen(text));
@@ -101,34 +101,34 @@
 }
 
 /*
- * Story: a script of the operators' writes under a replica's key, without a
- * field or with one of another type.  Read with guesses in place of what
- * lacks, such an entry sends requests where nobody is.
+ * Guards against requests sent to an address without a replica: a script of
+ * the operators writes an entry under a replica's key in which a field is
+ * missing or of another type, and a default is used in its place.
  */
-static void test_fields_that_lack_or_are_of_another_type(void **state)
+static void test_missing_or_mistyped_fields(void **state)
 {
-	static const char *const others[] = { "null", "true", "[]",   "{}",
-					      "-1",   "\"\"", "1e999" };
+	static const char *const bad_values[] = { "null", "true", "[]",	  "{}",
+						  "-1",	  "\"\"", "1e999" };
 
-	for (size_t i = 0; i < G_N_ELEMENTS(good_fields); i++) {
-		const char *name = good_fields[i].name;
+	for (size_t i = 0; i < G_N_ELEMENTS(valid_fields); i++) {
+		const char *name = valid_fields[i].name;
 
-		for (size_t j = 0; j < G_N_ELEMENTS(others); j++) {
-			char *text = make_entry(name, others[j]);
+		for (size_t j = 0; j < G_N_ELEMENTS(bad_values); j++) {
+			char *text = make_entry(name, bad_values[j]);
 
-			assert_names_nobody("i-1", text);
+			assert_invalid_replica("i-1", text);
 			g_free(text);
 		}
 		if (strcmp(name, "born")) {
 			char *text = make_entry(name, NULL);
 
-			assert_names_nobody("i-1", text);
+			assert_invalid_replica("i-1", text);
 			g_free(text);
 		}
 	}
 }
 
-static void test_values_that_are_not_known(void **state)
+static void test_invalid_field_values(void **state)
 {
 	static const struct field fields[] = {
 		{ "state", "\"Ready\"" },
@@ -154,84 +154,86 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
 		char *text = make_entry(fields[i].name, fields[i].value);
 
-		assert_names_nobody("i-1", text);
+		assert_invalid_replica("i-1", text);
 		g_free(text);
 	}
 }
 
-static void test_bytes_that_are_no_entry(void **state)
+static void test_malformed_entries(void **state)
 {
 	static const char *const texts[] = {
 		"", "nonsense", "[]", "7", "{", "\"x\"", "\xff\xfe{}", "null",
 	};
-	char *good = make_entry("none", NULL);
-	char *longer = g_strconcat(good, "{}", NULL);
-	char *cut = g_strndup(good, strlen(good) - 1);
-	GString *bytes = g_string_new(good);
+	char *valid = make_entry("none", NULL);
+	char *extended = g_strconcat(valid, "{}", NULL);
+	char *truncated = g_strndup(valid, strlen(valid) - 1);
+	GString *bytes = g_string_new(valid);
 	struct rr_feed_item *item;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++)
-		assert_names_nobody("i-1", texts[i]);
-	assert_names_nobody("i-1", longer);
-	assert_names_nobody("i-1", cut);
-	/* A good entry up to a zero byte, and something behind it. */
+		assert_invalid_replica("i-1", texts[i]);
+	assert_invalid_replica("i-1", extended);
+	assert_invalid_replica("i-1", truncated);
+	/* A valid entry up to a NUL, with more bytes behind it. */
 	g_string_append_len(bytes, "\0{}", 3);
 	item = decode("i-1", bytes->str, bytes->len);
 	assert_null(item->replica);
 	rr_free_feed_item(item);
 	g_string_free(bytes, TRUE);
-	g_free(cut);
-	g_free(longer);
-	g_free(good);
+	g_free(truncated);
+	g_free(extended);
+	g_free(valid);
 }
 
 /*
- * Story: a key holds a line end.  Its id goes into a header of each request,
- * where what is behind the line end would be a header of its own.
+ * Guards against header injection: the id in a key contains a line end.  The
+ * id is sent in a header of every request, and what follows the line end would
+ * be read as another header.
  */
-static void test_ids_that_cannot_stand_in_a_header(void **state)
+static void test_invalid_ids(void **state)
 {
 	static const char *const ids[] = {
 		"", "i 1", "i\r\nHost: x", "i\t1", "i\x7f", "\xc3\xa4",
 	};
-	char *good = make_entry("none", NULL);
-	char *longest = g_strnfill(201, 'i');
+	char *valid = make_entry("none", NULL);
+	char *too_long = g_strnfill(201, 'i');
 
 	for (size_t i = 0; i < G_N_ELEMENTS(ids); i++)
-		assert_names_nobody(ids[i], good);
-	assert_names_nobody(longest, good);
-	g_free(longest);
-	g_free(good);
+		assert_invalid_replica(ids[i], valid);
+	assert_invalid_replica(too_long, valid);
+	g_free(too_long);
+	g_free(valid);
 }
 
-static void test_an_instances_own_entry(void **state)
+static void test_instance_round_trip(void **state)
 {
-	struct rr_instance entry = {
+	struct rr_instance instance = {
 		.id = (char *)"gw-1",
 		.zone = (char *)"z",
 		.address = (char *)"10.0.0.1:80",
 		.strength = 0.25,
 		.started_ms = 1700000000000,
 	};
-	char *text = rr_encode_instance(&entry);
-	const char *fault;
-	struct rr_instance *instance =
-		rr_decode_instance("gw-1", text, strlen(text), &fault);
-
-	assert_null(fault);
-	assert_string_equal(instance->zone, "z");
-	assert_string_equal(instance->address, "10.0.0.1:80");
-	assert_true(instance->strength == 0.25);
-	assert_int_equal(instance->started_ms, 1700000000000);
-	rr_free_instance(instance);
+	char *text = rr_encode_instance(&instance);
+	const char *error;
+	struct rr_instance *decoded =
+		rr_decode_instance("gw-1", text, strlen(text), &error);
+
+	assert_null(error);
+	assert_string_equal(decoded->zone, "z");
+	assert_string_equal(decoded->address, "10.0.0.1:80");
+	assert_true(decoded->strength == 0.25);
+	assert_int_equal(decoded->started_ms, 1700000000000);
+	rr_free_instance(decoded);
 	g_free(text);
 }
 
 /*
- * Story: an entry among those of the instances has no zone.  Taken for an
- * instance it ends the process that looks its zone up.
+ * Guards against a crash: an entry under the prefix of the instances has no
+ * zone, is accepted as an instance, and the process dies when it looks the zone
+ * up.
  */
-static void test_entries_that_are_no_instances(void **state)
+static void test_invalid_instances(void **state)
 {
 	static const char *const texts[] = {
 		"{}",
@@ -244,48 +246,51 @@
 		"{\"zone\":\"z\",\"address\":\"\",\"strength\":1e300}",
 		"{\"zone\":\"z\",\"address\":\"\",\"strength\":1,\"born\":0.5}",
 	};
-	const char *fault;
+	const char *error;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
 		assert_null(rr_decode_instance("gw-1", texts[i],
-					       strlen(texts[i]), &fault));
-		assert_non_null(fault);
+					       strlen(texts[i]), &error));
+		assert_non_null(error);
 	}
 }
 
-static struct rr_feed_reply read_back(const char *key, const char *value,
-				      bool packed, bool takes_packed)
+static struct rr_feed_reply forward_change(const char *key, const char *value,
+					   bool compressed,
+					   bool accepts_compressed)
 {
-	struct rr_change_feed_request call = { .after_revision = 1,
-					       .accepts_compressed =
-						       takes_packed };
-	GArray *items =
+	struct rr_change_feed_request request = { .after_revision = 1,
+						  .accepts_compressed =
+							  accepts_compressed };
+	GArray *changes =
 		g_array_new(FALSE, FALSE, sizeof(struct rr_feed_change));
-	struct rr_feed_change item = {
-		.key = key, .value = value, .compressed = packed, .revision = 2
-	};
+	struct rr_feed_change change = { .key = key,
+					 .value = value,
+					 .compressed = compressed,
+					 .revision = 2 };
 	struct rr_feed_reply reply = { 0 };
 	GString *body;
 
-	g_array_append_val(items, item);
-	item.key = "servers/next";
-	item.value = NULL;
-	item.compressed = false;
-	item.revision = 3;
-	g_array_append_val(items, item);
-	body = rr_encode_change_feed_reply(&call, items, 3);
+	g_array_append_val(changes, change);
+	change.key = "servers/next";
+	change.value = NULL;
+	change.compressed = false;
+	change.revision = 3;
+	g_array_append_val(changes, change);
+	body = rr_encode_change_feed_reply(&request, changes, 3);
 	rr_decode_feed_reply(RR_FEED_WATCH, 200, (const uint8_t *)body->str,
 			     body->len, &reply);
 	g_string_free(body, TRUE);
-	g_array_unref(items);
+	g_array_unref(changes);
 	return reply;
 }
 
 /*
- * Story: one key holds a quote.  Passed on as it is, it ends the text of all
- * news, and a whole zone hears of no change any more.
+ * Guards against a reply with changes that cannot be parsed: a key contains a
+ * quote and is forwarded unescaped, so that a whole zone gets no changes any
+ * more.
  */
-static void test_odd_keys_spoil_no_news(void **state)
+static void test_key_escaping(void **state)
 {
 	static const char *const keys[] = {
 		"servers/a\"b", "servers/a\\",	"servers/\"}],\"x\":[{",
@@ -294,7 +299,7 @@
 
 	for (size_t i = 0; i < G_N_ELEMENTS(keys); i++) {
 		struct rr_feed_reply reply =
-			read_back(keys[i], "e30=", false, true);
+			forward_change(keys[i], "e30=", false, true);
 		struct rr_feed_item *item;
 
 		assert_int_equal(reply.status, RR_FEED_OK);
@@ -306,23 +311,27 @@
 	}
 }
 
-/* One key in another encoding does not spoil what is read with it. */
-static void test_a_key_that_is_no_utf8(void **state)
+/* A key that is not UTF-8 must not make the rest of the reply unreadable. */
+static void test_invalid_utf8_key(void **state)
 {
 	struct rr_feed_reply reply =
-		read_back("servers/\xff", "e30=", false, true);
+		forward_change("servers/\xff", "e30=", false, true);
 
 	assert_int_equal(reply.status, RR_FEED_OK);
 	assert_int_equal(reply.items->len, 2);
 	g_ptr_array_unref(reply.items);
 }
 
-/* Values that cannot be unpacked are passed on: others have to know, too. */
-static void test_values_that_cannot_be_unpacked(void **state)
+/*
+ * Values that cannot be decompressed are forwarded, so that other instances
+ * learn of the change as well.
+ */
+static void test_undecompressable_values(void **state)
 {
-	for (int takes_packed = 0; takes_packed < 2; takes_packed++) {
-		struct rr_feed_reply reply =
-			read_back("servers/a", "\"!", true, takes_packed);
+	for (int accepts_compressed = 0; accepts_compressed < 2;
+	     accepts_compressed++) {
+		struct rr_feed_reply reply = forward_change(
+			"servers/a", "\"!", true, accepts_compressed);
 		struct rr_feed_item *item;
 
 		assert_int_equal(reply.status, RR_FEED_OK);
@@ -335,10 +344,11 @@
 }
 
 /*
- * Story: somebody writes under a key that is a replica's with a zero byte
- * behind it.  Cut off there, it would be the replica's own.
+ * Guards against a key that is truncated at a NUL: someone writes under a
+ * replica's key with a NUL appended, which would then be read as the replica's
+ * own key.
  */
-static void test_a_zero_byte_ends_no_key(void **state)
+static void test_nul_in_key(void **state)
 {
 	static const char body[] =
 		"{\"storeRevision\":3,\"events\":[{\"key\":\"servers/"
@@ -357,7 +367,7 @@
 	g_ptr_array_unref(reply.items);
 }
 
-/* Guards against an evacuation whose zone or value is read as another's. */
+/* Guards against an evacuation that is read with a wrong zone or value. */
 static void test_evacuations(void **state)
 {
 	static const char body[] =
@@ -379,22 +389,22 @@
 	assert_string_equal(item->id, "athi");
 	assert_null(item->decode_error);
 	item = g_ptr_array_index(reply.items, 1);
-	assert_string_equal(item->decode_error, "its key names no zone");
+	assert_string_equal(item->decode_error, "key has no zone name");
 	item = g_ptr_array_index(reply.items, 2);
 	assert_string_equal(item->id, "ruaraka");
-	assert_string_equal(item->decode_error, "no object");
+	assert_string_equal(item->decode_error, "value is not a JSON object");
 	g_ptr_array_unref(reply.items);
 }
 
-static struct rr_registration_request *parse_entries(const char *body)
+static struct rr_registration_request *parse_registration(const char *body)
 {
-	const char *fault;
+	const char *error;
 
-	return rr_parse_registration_request(body, strlen(body), &fault);
+	return rr_parse_registration_request(body, strlen(body), &error);
 }
 
-/* What one instance asks another to write is read as it was meant. */
-static void test_entries_for_another(void **state)
+/* The receiver decodes a registration request as the sender encoded it. */
+static void test_registration_request(void **state)
 {
 	struct rr_instance entry = { .id = (char *)"front-1",
 				     .zone = (char *)"z",
@@ -403,34 +413,34 @@
 				     .started_ms = 5 };
 	gpointer entries[] = { &entry };
 	gpointer ids[] = { (char *)"front-2" };
-	GPtrArray entered = { .pdata = entries, .len = 1 };
+	GPtrArray added = { .pdata = entries, .len = 1 };
 	GPtrArray removed = { .pdata = ids, .len = 1 };
-	const struct rr_feed_call enter = { .kind = RR_FEED_WRITE_ENTRIES,
-					    .peer = "10.0.0.2:7",
-					    .added = &entered,
-					    .removed = &removed };
-	GString *bytes = rr_encode_feed_call(&enter, "10.0.0.2:7");
-	struct rr_registration_request *call =
-		parse_entries(strstr(bytes->str, "\r\n\r\n") + 4);
-	const struct rr_instance *read;
+	const struct rr_feed_call call = { .kind = RR_FEED_WRITE_ENTRIES,
+					   .peer = "10.0.0.2:7",
+					   .added = &added,
+					   .removed = &removed };
+	GString *bytes = rr_encode_feed_call(&call, "10.0.0.2:7");
+	struct rr_registration_request *request =
+		parse_registration(strstr(bytes->str, "\r\n\r\n") + 4);
+	const struct rr_instance *decoded;
 
 	(void)state;
 	assert_true(rr_is_registration_request("POST", "/v1/kv-txn"));
 	assert_false(rr_is_registration_request("GET", "/v1/kv-txn"));
-	assert_non_null(call);
-	assert_int_equal(call->added->len, 1);
-	read = g_ptr_array_index(call->added, 0);
-	assert_string_equal(read->id, "front-1");
-	assert_string_equal(read->address, "10.0.0.1:7");
-	assert_true(read->strength == 0.12);
-	assert_int_equal(read->started_ms, 5);
-	assert_string_equal(g_ptr_array_index(call->removed, 0), "front-2");
-	rr_free_registration_request(call);
+	assert_non_null(request);
+	assert_int_equal(request->added->len, 1);
+	decoded = g_ptr_array_index(request->added, 0);
+	assert_string_equal(decoded->id, "front-1");
+	assert_string_equal(decoded->address, "10.0.0.1:7");
+	assert_true(decoded->strength == 0.12);
+	assert_int_equal(decoded->started_ms, 5);
+	assert_string_equal(g_ptr_array_index(request->removed, 0), "front-2");
+	rr_free_registration_request(request);
 	g_string_free(bytes, TRUE);
 }
 
-/* A call that is none is refused whole: nothing of it is written. */
-static void test_bad_entries_for_another(void **state)
+/* An invalid registration request is rejected as a whole, with no write. */
+static void test_invalid_registration_requests(void **state)
 {
 	static const char *const bodies[] = {
 		"",
@@ -448,23 +458,23 @@
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(bodies); i++)
-		assert_null(parse_entries(bodies[i]));
+		assert_null(parse_registration(bodies[i]));
 }
 
-#define DEADLY "00000000000000010000000000000002"
+#define FINGERPRINT "00000000000000010000000000000002"
 
-static const char *find_quarantine_fault(const char *id, const char *text)
+static const char *check_quarantine(const char *id, const char *text)
 {
-	const char *fault;
+	const char *error;
 	struct rr_quarantine_entry *entry =
-		rr_decode_quarantine(id, text, strlen(text), &fault);
+		rr_decode_quarantine(id, text, strlen(text), &error);
 
-	assert_true(!entry == !!fault);
+	assert_true(!entry == !!error);
 	rr_free_quarantine_entry(entry);
-	return fault;
+	return error;
 }
 
-static void test_quarantine_comes_back(void **state)
+static void test_quarantine_round_trip(void **state)
 {
 	char *crashed[] = { (char *)"i-1", (char *)"i-2@170\"0", NULL };
 	struct rr_quarantine_entry entry = {
@@ -474,29 +484,29 @@
 		.trials = 3,
 	};
 	char *text = rr_encode_quarantine(&entry);
-	const char *fault;
-	struct rr_quarantine_entry *back =
-		rr_decode_quarantine(DEADLY, text, strlen(text), &fault);
+	const char *error;
+	struct rr_quarantine_entry *decoded =
+		rr_decode_quarantine(FINGERPRINT, text, strlen(text), &error);
 
 	(void)state;
-	assert_non_null(back);
+	assert_non_null(decoded);
 	assert_true(
-		rr_same_fingerprint(&back->fingerprint, &entry.fingerprint));
-	assert_true(back->quarantined);
-	assert_int_equal(back->trials, 3);
-	assert_int_equal(g_strv_length(back->crashed), 2);
-	assert_string_equal(back->crashed[1], crashed[1]);
-	rr_free_quarantine_entry(back);
+		rr_same_fingerprint(&decoded->fingerprint, &entry.fingerprint));
+	assert_true(decoded->quarantined);
+	assert_int_equal(decoded->trials, 3);
+	assert_int_equal(g_strv_length(decoded->crashed), 2);
+	assert_string_equal(decoded->crashed[1], crashed[1]);
+	rr_free_quarantine_entry(decoded);
 	g_free(text);
 }
 
-/* Guards against entries that others write, or a later version. */
-static void test_quarantine_that_is_none(void **state)
+/* Guards against invalid entries of other programs or of later versions. */
+static void test_invalid_quarantine_entries(void **state)
 {
-	static const char five[] =
+	static const char too_many[] =
 		"{\"state\":\"quarantined\",\"trials\":0,\"crashed\":"
 		"[\"a\",\"b\",\"c\",\"d\",\"e\"]}";
-	static const char *const bad[] = {
+	static const char *const invalid[] = {
 		"",
 		"[]",
 		"{}",
@@ -506,26 +516,26 @@
 		"{\"state\":\"quarantined\",\"trials\":0,\"crashed\":[]}",
 		"{\"state\":\"quarantined\",\"trials\":0,\"crashed\":[7]}",
 		"{\"state\":\"quarantined\",\"trials\":0,\"crashed\":[\"a b\"]}",
-		five,
+		too_many,
 	};
-	const char *good =
+	const char *valid =
 		"{\"state\":\"suspected\",\"trials\":0,\"crashed\":[\"i\"]}";
 
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++)
-		assert_non_null(find_quarantine_fault(DEADLY, bad[i]));
-	assert_null(find_quarantine_fault(DEADLY, good));
-	assert_non_null(find_quarantine_fault("", good));
-	assert_non_null(find_quarantine_fault("x", good));
+	for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++)
+		assert_non_null(check_quarantine(FINGERPRINT, invalid[i]));
+	assert_null(check_quarantine(FINGERPRINT, valid));
+	assert_non_null(check_quarantine("", valid));
+	assert_non_null(check_quarantine("x", valid));
 }
 
-/* Of a key that others wrote, and of one that is not there any more. */
-static void test_a_report_that_came_too_late(void **state)
+/* The key was written by another program, or is absent by now. */
+static void test_conflicting_report(void **state)
 {
 	static const char *const bodies[] = {
-		"{\"items\":[{\"key\":\"ragwort/quarantine/" DEADLY
+		"{\"items\":[{\"key\":\"ragwort/quarantine/" FINGERPRINT
 		"\",\"value\":\"e30=\",\"revision\":7}]}",
-		"{\"items\":[{\"key\":\"ragwort/quarantine/" DEADLY
+		"{\"items\":[{\"key\":\"ragwort/quarantine/" FINGERPRINT
 		"\",\"revision\":0}]}",
 		"{\"items\":[]}",
 	};
@@ -547,23 +557,23 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_evacuations),
-		cmocka_unit_test(test_an_entry_of_a_replica),
-		cmocka_unit_test(test_a_start_may_be_left_out),
-		cmocka_unit_test(test_fields_that_lack_or_are_of_another_type),
-		cmocka_unit_test(test_values_that_are_not_known),
-		cmocka_unit_test(test_bytes_that_are_no_entry),
-		cmocka_unit_test(test_ids_that_cannot_stand_in_a_header),
-		cmocka_unit_test(test_an_instances_own_entry),
-		cmocka_unit_test(test_entries_that_are_no_instances),
-		cmocka_unit_test(test_odd_keys_spoil_no_news),
-		cmocka_unit_test(test_a_key_that_is_no_utf8),
-		cmocka_unit_test(test_values_that_cannot_be_unpacked),
-		cmocka_unit_test(test_a_zero_byte_ends_no_key),
-		cmocka_unit_test(test_entries_for_another),
-		cmocka_unit_test(test_bad_entries_for_another),
-		cmocka_unit_test(test_quarantine_comes_back),
-		cmocka_unit_test(test_quarantine_that_is_none),
-		cmocka_unit_test(test_a_report_that_came_too_late),
+		cmocka_unit_test(test_replica_entry),
+		cmocka_unit_test(test_optional_start_time),
+		cmocka_unit_test(test_missing_or_mistyped_fields),
+		cmocka_unit_test(test_invalid_field_values),
+		cmocka_unit_test(test_malformed_entries),
+		cmocka_unit_test(test_invalid_ids),
+		cmocka_unit_test(test_instance_round_trip),
+		cmocka_unit_test(test_invalid_instances),
+		cmocka_unit_test(test_key_escaping),
+		cmocka_unit_test(test_invalid_utf8_key),
+		cmocka_unit_test(test_undecompressable_values),
+		cmocka_unit_test(test_nul_in_key),
+		cmocka_unit_test(test_registration_request),
+		cmocka_unit_test(test_invalid_registration_requests),
+		cmocka_unit_test(test_quarantine_round_trip),
+		cmocka_unit_test(test_invalid_quarantine_entries),
+		cmocka_unit_test(test_conflicting_report),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
