--- a/source/gateway/gateway-callers.c
+++ b/source/gateway/gateway-callers.c
@@ -1,6 +1,5 @@
 /*
- * gateway-callers.c - requests to the gate, its attempts to the ports, its
- * answers back.
+ * gateway-callers.c - requests of callers and the gate's attempts and answers.
  */
 #include "gateway/gateway-private.h"
 
@@ -18,51 +17,51 @@
 	g_free(open);
 }
 
-/* The gate's actions. */
+/* Actions of the gate. */
 
-static struct open_request *find_open(const struct rr_gateway *gateway,
-				      uint64_t id)
+static struct open_request *find_open_request(const struct rr_gateway *gateway,
+					      uint64_t id)
 {
 	struct open_request *open = g_hash_table_lookup(gateway->requests, &id);
 
 	return open ? open : gateway->submitting;
 }
 
-static void send_attempt(void *data, const struct rr_gate_attempt_info *send)
+static void send_attempt(void *data, const struct rr_gate_attempt_info *info)
 {
 	struct rr_gateway *gateway = data;
-	struct open_request *open = find_open(gateway, send->request);
+	struct open_request *open = find_open_request(gateway, info->request);
 	struct rr_raw_request request = {
 		.body = open->message->body,
 		.body_length = open->message->body_length,
 		.request_id = open->request_id,
 		.no_body = !strcmp(open->message->method, "HEAD"),
 	};
-	gsize shared = open->head->len;
+	gsize shared_length = open->head->len;
 
-	if (send->forwarded)
+	if (info->forwarded)
 		g_string_append_printf(open->head,
 				       FORWARD_DEADLINE_HEADER
 				       ": %" G_GINT64_FORMAT "\r\n",
-				       send->forward_deadline_us);
+				       info->forward_deadline_us);
 	else
 		g_string_append_printf(open->head, "%s: %s\r\n",
 				       gateway->names->expect_incarnation,
-				       send->endpoint);
-	if (send->deadline_ms >= 0)
+				       info->endpoint);
+	if (info->deadline_ms >= 0)
 		g_string_append_printf(
 			open->head, "%s: %" G_GINT64_FORMAT "\r\n",
-			gateway->names->deadline, send->deadline_ms);
+			gateway->names->deadline, info->deadline_ms);
 	g_string_append(open->head, "\r\n");
 	request.head = open->head->str;
 	request.head_length = open->head->len;
-	rr_send_to_replica(send->forwarded ? gateway->coordinator_client :
+	rr_send_to_replica(info->forwarded ? gateway->coordinator_client :
 					     gateway->replica_client,
-			   rr_gateway_now_us(), send, &request);
-	g_string_truncate(open->head, shared);
+			   rr_gateway_now_us(), info, &request);
+	g_string_truncate(open->head, shared_length);
 }
 
-static void withdraw_attempt(void *data, uint64_t attempt)
+static void cancel_attempt(void *data, uint64_t attempt)
 {
 	struct rr_gateway *gateway = data;
 
@@ -70,7 +69,7 @@
 	rr_cancel_replica_attempt(gateway->coordinator_client, attempt);
 }
 
-static bool recall_attempt(void *data, uint64_t attempt)
+static bool cancel_unsent_attempt(void *data, uint64_t attempt)
 {
 	struct rr_gateway *gateway = data;
 
@@ -78,8 +77,8 @@
 	       rr_cancel_unsent_attempt(gateway->coordinator_client, attempt);
 }
 
-static void answer_own(struct rr_caller_conn *caller,
-		       const struct rr_gate_answer *answer, bool handed)
+static void send_local_answer(struct rr_caller_conn *caller,
+			      const struct rr_gate_answer *answer, bool handed)
 {
 	char seconds[G_ASCII_DTOSTR_BUF_SIZE];
 	struct rr_http_header headers[] = {
@@ -98,9 +97,9 @@
 	rr_send_http_response(caller, &reply);
 }
 
-static void answer_gathered(struct rr_gateway *gateway,
-			    struct rr_caller_conn *caller,
-			    const struct rr_gate_answer *answer)
+static void send_merged_answer(struct rr_gateway *gateway,
+			       struct rr_caller_conn *caller,
+			       const struct rr_gate_answer *answer)
 {
 	char missing[32];
 	struct rr_http_header headers[] = {
@@ -120,13 +119,13 @@
 	rr_send_http_response(caller, &reply);
 }
 
-static void answer_forwarded(const struct open_request *open,
-			     const struct rr_gate_answer *answer)
+static void send_proxied_answer(const struct open_request *open,
+				const struct rr_gate_answer *answer)
 {
 	const struct rr_http_message *message = answer->message;
-	bool bodiless = !strcmp(open->message->method, "HEAD") ||
-			message->status == 304;
-	GArray *headers = rr_make_answer_headers(message, bodiless);
+	bool no_body = !strcmp(open->message->method, "HEAD") ||
+		       message->status == 304;
+	GArray *headers = rr_make_answer_headers(message, no_body);
 	struct rr_http_response reply = {
 		.status = message->status,
 		.reason = message->reason,
@@ -140,20 +139,20 @@
 	g_array_unref(headers);
 }
 
-static void give_answer(void *data, const struct rr_gate_answer *answer)
+static void send_answer(void *data, const struct rr_gate_answer *answer)
 {
 	struct rr_gateway *gateway = data;
-	struct open_request *open = find_open(gateway, answer->request);
+	struct open_request *open = find_open_request(gateway, answer->request);
 
 	switch (answer->kind) {
 	case RR_GATE_LOCAL_ANSWER:
-		answer_own(open->caller, answer, open->from_peer);
+		send_local_answer(open->caller, answer, open->from_peer);
 		break;
 	case RR_GATE_PROXIED_ANSWER:
-		answer_forwarded(open, answer);
+		send_proxied_answer(open, answer);
 		break;
 	case RR_GATE_MERGED_ANSWER:
-		answer_gathered(gateway, open->caller, answer);
+		send_merged_answer(gateway, open->caller, answer);
 		break;
 	}
 	if (open == gateway->submitting) {
@@ -164,7 +163,8 @@
 	}
 }
 
-static void open_lifetime(void *data, const char *lifetime, const char *address)
+static void preconnect_replica(void *data, const char *lifetime,
+			       const char *address)
 {
 	struct rr_gateway *gateway = data;
 
@@ -172,8 +172,7 @@
 			      lifetime, address);
 }
 
-static void probe_lifetime(void *data, const char *lifetime,
-			   const char *address)
+static void probe_replica(void *data, const char *lifetime, const char *address)
 {
 	struct rr_gateway *gateway = data;
 
@@ -181,15 +180,15 @@
 			 address);
 }
 
-static void forget_lifetime(void *data, const char *lifetime)
+static void close_idle_conns(void *data, const char *lifetime)
 {
 	struct rr_gateway *gateway = data;
 
 	rr_close_replica_conns(gateway->replica_client, lifetime);
 }
 
-static void report_request(void *data,
-			   const struct rr_quarantine_report *report)
+static void report_quarantine(void *data,
+			      const struct rr_quarantine_report *report)
 {
 	struct rr_gateway *gateway = data;
 
@@ -200,22 +199,22 @@
 {
 	return (struct rr_gate_actions){
 		.send = send_attempt,
-		.cancel = withdraw_attempt,
-		.cancel_unsent = recall_attempt,
-		.answer = give_answer,
-		.preconnect = open_lifetime,
-		.probe = probe_lifetime,
-		.close_idle = forget_lifetime,
-		.report = report_request,
+		.cancel = cancel_attempt,
+		.cancel_unsent = cancel_unsent_attempt,
+		.answer = send_answer,
+		.preconnect = preconnect_replica,
+		.probe = probe_replica,
+		.close_idle = close_idle_conns,
+		.report = report_quarantine,
 		.data = gateway,
 	};
 }
 
-/* Callers. */
+/* Requests. */
 
-/* A header's whole number; -1 if it is none. */
-static int64_t read_number(const struct rr_http_message *message,
-			   const char *name)
+/* Parse an integer header; -1 if it is absent or invalid. */
+static int64_t parse_integer_header(const struct rr_http_message *message,
+				    const char *name)
 {
 	const char *value = rr_find_http_header(message, name);
 	guint64 number;
@@ -226,7 +225,7 @@
 	return (int64_t)number;
 }
 
-static uint64_t *new_key(uint64_t id)
+static uint64_t *new_request_key(uint64_t id)
 {
 	uint64_t *key = g_new(uint64_t, 1);
 
@@ -234,9 +233,9 @@
 	return key;
 }
 
-/* Of the parts that are forwarded to replicas on every attempt. */
+/* Covers only what is sent to the replica unchanged in every attempt. */
 static struct rr_fingerprint
-fingerprint_of(const struct rr_http_message *message)
+fingerprint_request(const struct rr_http_message *message)
 {
 	struct rr_fingerprint_parts parts = {
 		.method = message->method,
@@ -251,24 +250,26 @@
 	return rr_fingerprint(&parts);
 }
 
-static void take_request(struct rr_gateway *gateway,
-			 struct rr_caller_conn *caller,
-			 const struct rr_http_message *message, bool handed)
+static void submit_request(struct rr_gateway *gateway,
+			   struct rr_caller_conn *caller,
+			   const struct rr_http_message *message, bool handed)
 {
 	const char *host = rr_find_http_header(message, "Host");
-	struct rr_http_response bad = { .status = 400, .close = true };
-	struct rr_gate_request_info ask = {
+	struct rr_http_response bad_request = { .status = 400, .close = true };
+	struct rr_gate_request_info info = {
 		.host = host,
 		.path = message->target,
 		.path_length = message->target_length,
 		.request_id = rr_find_http_header(message,
 						  gateway->names->request_id),
-		.fingerprint = fingerprint_of(message),
-		.deadline_ms = read_number(message, gateway->names->deadline),
+		.fingerprint = fingerprint_request(message),
+		.deadline_ms =
+			parse_integer_header(message, gateway->names->deadline),
 		.caller_rtt_us = rr_caller_rtt_us(caller),
 		.new_connection = rr_is_first_request(caller),
 		.forward_deadline_us =
-			handed ? read_number(message, FORWARD_DEADLINE_HEADER) :
+			handed ? parse_integer_header(message,
+						      FORWARD_DEADLINE_HEADER) :
 				 -1,
 	};
 	struct open_request *open;
@@ -276,22 +277,23 @@
 
 	if (!host || message->target[0] != '/') {
 		rr_count(gateway->ctx, RR_N_CALLS_INVALID, 1);
-		rr_send_http_response(caller, &bad);
+		rr_send_http_response(caller, &bad_request);
 		return;
 	}
 	open = g_new0(struct open_request, 1);
 	open->caller = caller;
 	open->from_peer = handed;
 	open->message = message;
-	open->request_id = ask.request_id;
+	open->request_id = info.request_id;
 	open->head = g_string_sized_new(512);
 	rr_append_request_head(open->head, message, gateway->names);
 	gateway->submitting = open;
 	id = rr_gate_submit(gateway->ctx, gateway->gate, rr_gateway_now_us(),
-			    &ask);
+			    &info);
 	if (gateway->submitting) {
 		rr_set_caller_user_data(caller, id);
-		g_hash_table_insert(gateway->requests, new_key(id), open);
+		g_hash_table_insert(gateway->requests, new_request_key(id),
+				    open);
 		gateway->submitting = NULL;
 	}
 }
@@ -299,22 +301,22 @@
 void rr_handle_caller_request(void *data, struct rr_caller_conn *caller,
 			      const struct rr_http_message *message)
 {
-	take_request(data, caller, message, false);
+	submit_request(data, caller, message, false);
 }
 
 void rr_handle_peer_request(void *data, struct rr_caller_conn *caller,
 			    const struct rr_http_message *message)
 {
-	struct rr_change_feed_request call;
+	struct rr_change_feed_request request;
 
 	if (rr_find_http_header(message, FORWARD_DEADLINE_HEADER))
-		take_request(data, caller, message, true);
-	else if (rr_parse_change_feed_request(message->target, &call))
-		rr_handle_change_feed_request(data, caller, &call);
+		submit_request(data, caller, message, true);
+	else if (rr_parse_change_feed_request(message->target, &request))
+		rr_handle_change_feed_request(data, caller, &request);
 	else if (rr_is_registration_request(message->method, message->target))
 		rr_handle_registration_request(data, caller, message);
 	else
-		take_request(data, caller, message, true);
+		submit_request(data, caller, message, true);
 }
 
 void rr_handle_caller_half_close(void *data, struct rr_caller_conn *caller)
--- a/source/gateway/gateway-change-feed.c
+++ b/source/gateway/gateway-change-feed.c
@@ -1,6 +1,7 @@
 /*
- * gateway-change-feed.c - the store's news for other instances: those who ask wait
- * here until there is something to tell.
+ * gateway-change-feed.c - store changes for other instances.
+ *
+ * A peer's request waits here until there is a change or its time is up.
  */
 #include "gateway/gateway-private.h"
 
@@ -9,99 +10,106 @@
 #include "ragwort/counters.h"
 #include "ragwort/log.h"
 
-static void refuse(const struct rr_gateway *gateway,
-		   struct rr_caller_conn *caller, uint16_t status)
+static void send_rejection(const struct rr_gateway *gateway,
+			   struct rr_caller_conn *caller, uint16_t status)
 {
-	struct rr_http_header cut_off = { ISOLATED_HEADER, "1" };
+	struct rr_http_header isolated_header = { ISOLATED_HEADER, "1" };
 	struct rr_http_response answer = {
 		.status = status,
-		.headers = &cut_off,
+		.headers = &isolated_header,
 		.n_headers = rr_gate_is_isolated(gateway->gate) ? 1 : 0,
 	};
 
 	rr_send_http_response(caller, &answer);
 }
 
-static void tell(struct rr_gateway *gateway, struct rr_caller_conn *caller,
-		 const struct rr_change_feed_request *call)
+static void send_changes(struct rr_gateway *gateway,
+			 struct rr_caller_conn *caller,
+			 const struct rr_change_feed_request *request)
 {
 	uint64_t revision;
-	GArray *items =
-		rr_feed_changes(gateway->feed, call->after_revision, &revision);
+	GArray *changes = rr_feed_changes(gateway->feed,
+					  request->after_revision, &revision);
 	struct rr_http_response answer = { .status = 200 };
 	GString *body;
 
-	if (!items) {
-		refuse(gateway, caller, rr_compacted_status());
+	if (!changes) {
+		send_rejection(gateway, caller, rr_compacted_status());
 		return;
 	}
-	body = rr_encode_change_feed_reply(call, items, revision);
+	body = rr_encode_change_feed_reply(request, changes, revision);
 	answer.body = (const uint8_t *)body->str;
 	answer.length = body->len;
 	rr_count(gateway->ctx, RR_N_FEED_REPLIES_SERVED, 1);
 	rr_send_http_response(caller, &answer);
 	g_string_free(body, TRUE);
-	g_array_unref(items);
+	g_array_unref(changes);
 }
 
 /*
- * Whether an answer can be given now.  One that cannot be, since this
- * instance does not hear the store, is refused, so that whoever asks turns to
- * another; at once, unless it is about to hear the store again.
+ * Answer a request if possible; false if it has to wait.  While this instance
+ * does not follow the store, it rejects requests, so that the peer asks another
+ * instance; but not during the grace period, in which it may follow the store
+ * again.
  */
-static bool answer_now(struct rr_gateway *gateway,
+static bool try_answer(struct rr_gateway *gateway,
 		       struct rr_caller_conn *caller,
-		       const struct rr_change_feed_request *call, bool is_late)
+		       const struct rr_change_feed_request *request,
+		       bool timed_out)
 {
-	if (call->wants_snapshot) {
+	if (request->wants_snapshot) {
 		if (rr_feed_has_synced(gateway->feed))
-			tell(gateway, caller, call);
+			send_changes(gateway, caller, request);
 		else
-			refuse(gateway, caller, 503);
+			send_rejection(gateway, caller, 503);
 		return true;
 	}
 	if (!rr_feed_can_serve_changes(gateway->feed)) {
 		if (rr_feed_is_in_serve_grace(gateway->feed,
 					      rr_gateway_now_us()))
 			return false;
-		refuse(gateway, caller, 503);
+		send_rejection(gateway, caller, 503);
 		return true;
 	}
-	if (!is_late && rr_feed_revision(gateway->feed) <= call->after_revision)
+	if (!timed_out &&
+	    rr_feed_revision(gateway->feed) <= request->after_revision)
 		return false;
-	tell(gateway, caller, call);
+	send_changes(gateway, caller, request);
 	return true;
 }
 
 void rr_handle_change_feed_request(struct rr_gateway *gateway,
 				   struct rr_caller_conn *caller,
-				   const struct rr_change_feed_request *call)
+				   const struct rr_change_feed_request *request)
 {
-	struct watching_peer asker = {
+	struct watching_peer waiting = {
 		.caller = caller,
-		.request = *call,
+		.request = *request,
 		.deadline_us =
-			rr_gateway_now_us() + (int64_t)call->wait_ms * 1000,
+			rr_gateway_now_us() + (int64_t)request->wait_ms * 1000,
 	};
 
-	if (!answer_now(gateway, caller, call, false))
-		g_array_append_val(gateway->watching_peers, asker);
+	if (!try_answer(gateway, caller, request, false))
+		g_array_append_val(gateway->watching_peers, waiting);
 }
 
-/* Whether all of a call was taken; else whoever asks turns to another. */
-static bool take_entries(struct rr_gateway *gateway,
-			 const struct rr_registration_request *call)
+/*
+ * Apply a registration request.  False if any of it was rejected; the peer
+ * then asks another instance.
+ */
+static bool apply_registration(struct rr_gateway *gateway,
+			       const struct rr_registration_request *request)
 {
 	int64_t now_us = rr_gateway_now_us();
 
-	for (guint i = 0; i < call->removed->len; i++)
+	for (guint i = 0; i < request->removed->len; i++)
 		rr_feed_deregister_instance(
 			gateway->feed, now_us,
-			g_ptr_array_index(call->removed, i));
-	for (guint i = 0; i < call->added->len; i++) {
+			g_ptr_array_index(request->removed, i));
+	for (guint i = 0; i < request->added->len; i++) {
 		if (!rr_feed_register_instance(
 			    gateway->ctx, gateway->feed, now_us,
-			    g_ptr_array_index(call->added, i)))
+			    g_ptr_array_index(request->added, i)))
 			return false;
 	}
 	return true;
@@ -112,25 +120,25 @@
 				    const struct rr_http_message *message)
 {
 	const char *body = rr_registration_accepted_body();
-	struct rr_http_response taken = { .status = 200,
-					  .body = (const uint8_t *)body,
-					  .length = strlen(body) };
+	struct rr_http_response accepted = { .status = 200,
+					     .body = (const uint8_t *)body,
+					     .length = strlen(body) };
 	const char *fault;
-	struct rr_registration_request *call = rr_parse_registration_request(
+	struct rr_registration_request *request = rr_parse_registration_request(
 		(const char *)message->body, message->body_length, &fault);
 
-	if (!call) {
+	if (!request) {
 		rr_count(gateway->ctx, RR_N_PEER_MESSAGES_BAD, 1);
 		rr_log(gateway->ctx, RR_LOG_WARNING, "entry-call-refused",
 		       RR_FIELD_STRING("reason", fault));
-		refuse(gateway, caller, 400);
+		send_rejection(gateway, caller, 400);
 		return;
 	}
-	if (take_entries(gateway, call))
-		rr_send_http_response(caller, &taken);
+	if (apply_registration(gateway, request))
+		rr_send_http_response(caller, &accepted);
 	else
-		refuse(gateway, caller, 503);
-	rr_free_registration_request(call);
+		send_rejection(gateway, caller, 503);
+	rr_free_registration_request(request);
 }
 
 void rr_answer_watching_peers(struct rr_gateway *gateway, int64_t now_us)
@@ -138,11 +146,11 @@
 	guint i = 0;
 
 	while (i < gateway->watching_peers->len) {
-		struct watching_peer asker = g_array_index(
+		struct watching_peer waiting = g_array_index(
 			gateway->watching_peers, struct watching_peer, i);
 
-		if (answer_now(gateway, asker.caller, &asker.request,
-			       asker.deadline_us <= now_us))
+		if (try_answer(gateway, waiting.caller, &waiting.request,
+			       waiting.deadline_us <= now_us))
 			g_array_remove_index_fast(gateway->watching_peers, i);
 		else
 			i++;
@@ -152,11 +160,11 @@
 void rr_reject_watching_peers(struct rr_gateway *gateway)
 {
 	while (gateway->watching_peers->len) {
-		struct watching_peer asker = g_array_index(
+		struct watching_peer waiting = g_array_index(
 			gateway->watching_peers, struct watching_peer, 0);
 
 		g_array_remove_index_fast(gateway->watching_peers, 0);
-		refuse(gateway, asker.caller, 503);
+		send_rejection(gateway, waiting.caller, 503);
 	}
 }
 
--- a/source/gateway/gateway-private.h
+++ b/source/gateway/gateway-private.h
@@ -1,5 +1,5 @@
 /*
- * gateway-private.h - inside of struct rr_gateway, and what its parts share.
+ * gateway-private.h - struct rr_gateway and declarations shared by its files.
  */
 #ifndef RAGWORT_GATEWAY_PRIVATE_H
 #define RAGWORT_GATEWAY_PRIVATE_H
@@ -15,33 +15,33 @@
 #include "ragwort/lifecycle.h"
 
 /*
- * Between instances: time until a search that is handed over has to be
- * answered, in microseconds; and the promise that it was not run.
+ * Between instances: time until a forwarded request has to be answered, in
+ * microseconds; and, in a reply, the guarantee that it was not executed.
  */
 #define FORWARD_DEADLINE_HEADER "Ragwort-Left-Us"
 #define NOT_RUN_HEADER "Ragwort-Not-Run"
-/* Between instances: the one that refuses is cut off from other zones. */
+/* Between instances: the one that rejects is isolated from other zones. */
 #define ISOLATED_HEADER "Ragwort-Cut-Off"
 
-/* Ticks whatever is due. */
+/* Main loop source that runs all timers of the gateway. */
 struct tick_source {
-	GSource source; /* first: GLib allocates the whole */
+	GSource source; /* first: GLib allocates the struct */
 	struct rr_gateway *gateway;
 	int64_t due_us;
-	int64_t iteration_started_us; /* when the turn under way began; 0: none has */
+	int64_t iteration_started_us; /* of the main loop; 0 before the first */
 };
 
-/* Another instance that waits for the store's news. */
+/* Another instance that waits for changes of the store. */
 struct watching_peer {
 	struct rr_caller_conn *caller;
 	struct rr_change_feed_request request;
 	int64_t deadline_us;
 };
 
-/* A request that a caller waits for. */
+/* A request that has not been answered yet. */
 struct open_request {
 	struct rr_caller_conn *caller;
-	bool from_peer; /* its caller is another instance */
+	bool from_peer; /* sent by another instance */
 	const struct rr_http_message *message;
 	GString *head;
 	const char *request_id;
@@ -60,19 +60,19 @@
 	struct rr_http_listener *readiness_listener;
 	struct rr_http_listener *metrics_listener;
 	struct rr_http_listener
-		*peer_listener; /* other instances that hand over */
+		*peer_listener; /* for requests of other instances */
 	struct rr_replica_client *replica_client;
 	struct rr_replica_client *store_client;
-	struct rr_replica_client
-		*coordinator_client; /* instances to hand over to */
+	struct rr_replica_client *
+		coordinator_client; /* instances that requests are forwarded to */
 	struct rr_lifecycle lifecycle;
-	int64_t started_ms;   /* Unix time; told in this instance's entry */
-	GHashTable *requests; /* gate's id -> struct open_request */
+	int64_t started_ms;   /* Unix time, for this instance's entry */
+	GHashTable *requests; /* id in the gate -> struct open_request */
 	struct open_request
-		*submitting;	 /* being taken: its id is not known yet */
+		*submitting;	 /* in rr_gate_submit(): has no id yet */
 	GHashTable *store_calls; /* id -> struct open_call */
 	GArray *watching_peers;	 /* struct watching_peer */
-	int64_t log_flush_us;	 /* 0: no line waits */
+	int64_t log_flush_us;	 /* 0: no line is buffered */
 	int64_t stop_check_us;
 	bool was_ready;
 	bool was_isolated;
@@ -80,10 +80,13 @@
 };
 
 int64_t rr_gateway_now_us(void);
-/* Whether callers may come; else *reason (static) says why not. */
+/*
+ * Whether callers may send requests here; if not, *reason is set to a static
+ * string.
+ */
 bool rr_gateway_is_ready(const struct rr_gateway *gateway, const char **reason);
 
-/* gateway-callers.c: requests of callers and instances, and their answers */
+/* gateway-callers.c: requests of callers and other instances */
 struct rr_gate_actions rr_gateway_gate_actions(struct rr_gateway *gateway);
 void rr_free_open_request(gpointer data);
 void rr_handle_caller_request(void *data, struct rr_caller_conn *caller,
@@ -97,22 +100,22 @@
 void rr_handle_metrics_request(void *data, struct rr_caller_conn *caller,
 			       const struct rr_http_message *message);
 
-/* gateway-store.c: the feed's calls, and what it learns */
+/* gateway-store.c: the feed's calls and the changes that it reports */
 struct rr_feed_actions rr_gateway_feed_actions(struct rr_gateway *gateway);
 void rr_handle_gateway_store_reply(void *data,
 				   const struct rr_gate_reply *reply);
 
-/* gateway-change-feed.c: the store's news for other instances */
-void rr_handle_change_feed_request(struct rr_gateway *gateway,
-				   struct rr_caller_conn *caller,
-				   const struct rr_change_feed_request *call);
-/* Another instance asks to be entered in the store, or leaves. */
+/* gateway-change-feed.c: store changes for other instances */
+void rr_handle_change_feed_request(
+	struct rr_gateway *gateway, struct rr_caller_conn *caller,
+	const struct rr_change_feed_request *request);
+/* Another instance asks to add its entry to the store or to remove it. */
 void rr_handle_registration_request(struct rr_gateway *gateway,
 				    struct rr_caller_conn *caller,
 				    const struct rr_http_message *message);
-/* Answer those who have waited long enough, or for whom there is news. */
+/* Answer watching peers whose wait has ended or that have changes to get. */
 void rr_answer_watching_peers(struct rr_gateway *gateway, int64_t now_us);
-/* All who wait are told at once that this instance has been cut off. */
+/* Reject all watching peers at once, as this instance has been isolated. */
 void rr_reject_watching_peers(struct rr_gateway *gateway);
 int64_t rr_watching_peers_wake_us(const struct rr_gateway *gateway);
 void rr_handle_peer_disconnect(void *data, struct rr_caller_conn *caller);
--- a/source/gateway/gateway-store.c
+++ b/source/gateway/gateway-store.c
@@ -1,49 +1,48 @@
 /*
- * gateway-store.c - the feed's calls to the store, and what it learns for the
- * gate.
+ * gateway-store.c - the feed's calls to the store and its updates of the gate.
  */
 #include "gateway/gateway-private.h"
 
 #include "platform/platform.h"
 
-/* The endpoint of the store; other instances are named by address. */
-#define STORE "store"
-/* A watch, and one for the other calls. */
-#define STORE_CONNECTIONS 2
+/* Endpoint name of the store; other instances are named by address. */
+#define STORE_ENDPOINT "store"
+/* One for the watch and one for all other calls. */
+#define MAX_IDLE_STORE_CONNS 2
 
-/* A call to the store. */
+/* A call that has not been answered yet. */
 struct open_call {
-	uint64_t id; /* the feed's */
+	uint64_t id; /* assigned by the feed */
 	enum rr_feed_call_kind kind;
 };
 
-static void make_call(void *data, const struct rr_feed_call *call)
+static void send_call(void *data, const struct rr_feed_call *call)
 {
 	struct rr_gateway *gateway = data;
 	const char *address =
 		call->peer ? call->peer : gateway->settings->store_address;
-	GString *bytes = rr_encode_feed_call(call, address);
+	GString *encoded = rr_encode_feed_call(call, address);
 	struct rr_raw_request request = {
-		.head = bytes->str,
-		.head_length = bytes->len,
+		.head = encoded->str,
+		.head_length = encoded->len,
 	};
-	/* Sent once: a repeat is the feed's to decide. */
-	struct rr_gate_attempt_info send = {
+	/* Not retried here: the feed decides on retries. */
+	struct rr_gate_attempt_info info = {
 		.attempt = call->id,
-		.incarnation = call->peer ? call->peer : STORE,
+		.incarnation = call->peer ? call->peer : STORE_ENDPOINT,
 		.address = address,
 		.deadline_ms = call->timeout_ms,
 		.idempotent = false,
-		.max_idle_connections = STORE_CONNECTIONS,
+		.max_idle_connections = MAX_IDLE_STORE_CONNS,
 	};
 	struct open_call *open = g_new0(struct open_call, 1);
 
 	open->id = call->id;
 	open->kind = call->kind;
 	g_hash_table_insert(gateway->store_calls, &open->id, open);
-	rr_send_to_replica(gateway->store_client, rr_gateway_now_us(), &send,
+	rr_send_to_replica(gateway->store_client, rr_gateway_now_us(), &info,
 			   &request);
-	g_string_free(bytes, TRUE);
+	g_string_free(encoded, TRUE);
 }
 
 static void cancel_call(void *data, uint64_t call)
@@ -79,7 +78,7 @@
 		g_ptr_array_unref(decoded.items);
 }
 
-static void take_routes(void *data, struct rr_route_table *table)
+static void set_routes(void *data, struct rr_route_table *table)
 {
 	struct rr_gateway *gateway = data;
 
@@ -89,15 +88,15 @@
 					    rr_table_caller_limits(table));
 }
 
-static void take_listing(void *data, const struct rr_endpoint_info *listing)
+static void update_endpoint(void *data, const struct rr_endpoint_info *endpoint)
 {
 	struct rr_gateway *gateway = data;
 
 	rr_gate_update_endpoint(gateway->ctx, gateway->gate,
-				rr_gateway_now_us(), listing);
+				rr_gateway_now_us(), endpoint);
 }
 
-static void take_unlisted(void *data, const char *id)
+static void unlist_endpoint(void *data, const char *id)
 {
 	struct rr_gateway *gateway = data;
 
@@ -105,32 +104,32 @@
 				rr_gateway_now_us(), id);
 }
 
-static void take_instance(void *data, const char *id,
-			  const struct rr_instance *instance)
+static void update_instance(void *data, const char *id,
+			    const struct rr_instance *instance)
 {
 	struct rr_gateway *gateway = data;
 
-	struct rr_gate_instance told = { .id = id };
+	struct rr_gate_instance info = { .id = id };
 
 	if (instance) {
-		told.zone = instance->zone;
-		told.address = instance->address;
-		told.strength = instance->strength;
-		told.started_ms = instance->started_ms;
+		info.zone = instance->zone;
+		info.address = instance->address;
+		info.strength = instance->strength;
+		info.started_ms = instance->started_ms;
 	}
 	rr_gate_update_instance(gateway->ctx, gateway->gate,
-				rr_gateway_now_us(), &told);
+				rr_gateway_now_us(), &info);
 }
 
-static void take_instances(void *data, uint32_t instances)
+static void set_instance_count(void *data, uint32_t instances)
 {
 	struct rr_gateway *gateway = data;
 
 	rr_gate_set_instance_count(gateway->ctx, gateway->gate, instances);
 }
 
-static void take_evacuation(void *data, const char *zone, uint64_t revision,
-			    bool in_force)
+static void set_evacuation(void *data, const char *zone, uint64_t revision,
+			   bool in_force)
 {
 	struct rr_gateway *gateway = data;
 
@@ -138,9 +137,9 @@
 			       zone, revision, in_force);
 }
 
-static void take_quarantine(void *data,
-			    const struct rr_fingerprint *fingerprint,
-			    const struct rr_quarantine_entry *entry)
+static void apply_quarantine(void *data,
+			     const struct rr_fingerprint *fingerprint,
+			     const struct rr_quarantine_entry *entry)
 {
 	struct rr_gateway *gateway = data;
 
@@ -148,8 +147,9 @@
 				 rr_gateway_now_us(), fingerprint, entry);
 }
 
-static void take_claimed(void *data, const struct rr_quarantine_entry *entry,
-			 bool granted)
+static void handle_claim_result(void *data,
+				const struct rr_quarantine_entry *entry,
+				bool granted)
 {
 	struct rr_gateway *gateway = data;
 
@@ -160,16 +160,16 @@
 struct rr_feed_actions rr_gateway_feed_actions(struct rr_gateway *gateway)
 {
 	return (struct rr_feed_actions){
-		.call = make_call,
+		.call = send_call,
 		.cancel = cancel_call,
-		.routes = take_routes,
-		.replica_listed = take_listing,
-		.replica_unlisted = take_unlisted,
-		.instance_count = take_instances,
-		.instance = take_instance,
-		.evacuation = take_evacuation,
-		.quarantine = take_quarantine,
-		.claim_decided = take_claimed,
+		.routes = set_routes,
+		.replica_listed = update_endpoint,
+		.replica_unlisted = unlist_endpoint,
+		.instance_count = set_instance_count,
+		.instance = update_instance,
+		.evacuation = set_evacuation,
+		.quarantine = apply_quarantine,
+		.claim_decided = handle_claim_result,
 		.data = gateway,
 	};
 }
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -1,6 +1,8 @@
 /*
- * gateway.c - wiring: callers, replicas and the store hand events to the
- * gate and the feed, whose actions go back to them.
+ * gateway.c - construction and main loop of a gateway instance.
+ *
+ * Events of callers, replicas and the store go to the gate and the feed, whose
+ * actions go back to the network adapters.
  */
 #include "gateway/gateway-private.h"
 
@@ -11,17 +13,18 @@
 #include "platform/platform.h"
 #include "ragwort/counters.h"
 
-/* Lines wait so long to be written, many at once. */
-#define FLUSH_US (200 * 1000)
-/* While stopping, how often it is looked at what is still open. */
-#define STOP_CHECK_US (100 * 1000)
+/* Log lines are buffered for this long and written in one go. */
+#define LOG_FLUSH_DELAY_US (200 * 1000)
+/* Interval of the checks for open requests and connections while stopping. */
+#define STOP_CHECK_INTERVAL_US (100 * 1000)
 /*
- * A turn of the loop that takes so long, or a wait that ends so late, holds
- * up what others answer: much less than silence is judged by.
+ * A main loop iteration of this length, or a wake-up this late, is reported to
+ * the gate as a stall, since it delays the reading of replies.  Much shorter
+ * than the silence after which a replica is suspected.
  */
-#define HELD_UP_US (10 * 1000)
-/* Of the ready and metrics addresses: few ask, and seldom. */
-#define MOST_ASKERS 64
+#define MIN_STALL_US (10 * 1000)
+/* For the readiness and metrics addresses, which get few requests. */
+#define MAX_STATUS_CONNS 64
 
 int64_t rr_gateway_now_us(void)
 {
@@ -43,17 +46,20 @@
 	return rr_lifecycle_is_ready(&gateway->lifecycle, serves);
 }
 
-/* The others of the zone may have too little work to notice a cut. */
-static void look_at_cut(struct rr_gateway *gateway)
+/*
+ * Reject watching peers as soon as this instance is isolated: other instances
+ * of the zone may send too few requests to detect the partition themselves.
+ */
+static void update_isolation(struct rr_gateway *gateway)
 {
-	bool cut_off = rr_gate_is_isolated(gateway->gate);
+	bool isolated = rr_gate_is_isolated(gateway->gate);
 
-	if (cut_off && !gateway->was_isolated)
+	if (isolated && !gateway->was_isolated)
 		rr_reject_watching_peers(gateway);
-	gateway->was_isolated = cut_off;
+	gateway->was_isolated = isolated;
 }
 
-static void look_at_readiness(struct rr_gateway *gateway)
+static void update_readiness(struct rr_gateway *gateway)
 {
 	const char *reason = "";
 	bool ready = rr_gateway_is_ready(gateway, &reason);
@@ -66,14 +72,14 @@
 	       RR_FIELD_STRING("reason", reason));
 }
 
-static void refuse_all(struct rr_gateway *gateway)
+static void stop_accepting(struct rr_gateway *gateway)
 {
 	rr_stop_accepting(gateway->caller_listener);
 	if (gateway->peer_listener)
 		rr_stop_accepting(gateway->peer_listener);
 }
 
-static void close_idle(struct rr_gateway *gateway)
+static void close_idle_conns(struct rr_gateway *gateway)
 {
 	rr_close_idle_caller_conns(gateway->caller_listener);
 	if (gateway->peer_listener)
@@ -83,20 +89,20 @@
 static void check_stop(struct rr_gateway *gateway)
 {
 	size_t callers = rr_count_caller_conns(gateway->caller_listener);
-	enum rr_stop_phase step;
+	enum rr_stop_phase phase;
 
 	if (!gateway->lifecycle.stop_requested_us ||
 	    rr_gateway_now_us() < gateway->stop_check_us)
 		return;
-	gateway->stop_check_us = rr_gateway_now_us() + STOP_CHECK_US;
-	step = rr_find_stop_phase(&gateway->lifecycle, rr_gateway_now_us(),
-				  rr_gate_count_requests(gateway->gate),
-				  callers);
-	if (step == RR_STOP_REJECT_NEW)
-		refuse_all(gateway);
-	if (step == RR_STOP_CLOSE_IDLE || step == RR_STOP_REJECT_NEW)
-		close_idle(gateway);
-	if (step == RR_STOP_EXIT)
+	gateway->stop_check_us = rr_gateway_now_us() + STOP_CHECK_INTERVAL_US;
+	phase = rr_find_stop_phase(&gateway->lifecycle, rr_gateway_now_us(),
+				   rr_gate_count_requests(gateway->gate),
+				   callers);
+	if (phase == RR_STOP_REJECT_NEW)
+		stop_accepting(gateway);
+	if (phase == RR_STOP_CLOSE_IDLE || phase == RR_STOP_REJECT_NEW)
+		close_idle_conns(gateway);
+	if (phase == RR_STOP_EXIT)
 		g_main_loop_quit(gateway->loop);
 }
 
@@ -110,7 +116,7 @@
 	rr_feed_tick(gateway->ctx, gateway->feed, now);
 	rr_answer_watching_peers(gateway, now);
 	rr_gate_tick(gateway->ctx, gateway->gate, now);
-	look_at_cut(gateway);
+	update_isolation(gateway);
 	rr_tick_http_listener(gateway->caller_listener, now);
 	rr_tick_http_listener(gateway->readiness_listener, now);
 	if (gateway->peer_listener)
@@ -122,12 +128,12 @@
 	}
 }
 
-/* What is due next, after whatever happened in a turn of the loop. */
+/* When the next timer is due, after the events of a main loop iteration. */
 static int64_t next_tick_us(struct rr_gateway *gateway)
 {
 	int64_t due_us = rr_gate_next_tick_us(gateway->gate);
 
-	look_at_readiness(gateway);
+	update_readiness(gateway);
 	if (rr_gate_is_isolated(gateway->gate) != gateway->was_isolated)
 		return 0;
 	due_us = MIN(due_us, rr_feed_wake_us(gateway->feed));
@@ -147,23 +153,25 @@
 	if (gateway->lifecycle.stop_requested_us)
 		due_us = MIN(due_us, gateway->stop_check_us);
 	if (rr_has_buffered_log_lines() && !gateway->log_flush_us)
-		gateway->log_flush_us = rr_gateway_now_us() + FLUSH_US;
+		gateway->log_flush_us =
+			rr_gateway_now_us() + LOG_FLUSH_DELAY_US;
 	if (gateway->log_flush_us)
 		due_us = MIN(due_us, gateway->log_flush_us);
 	return due_us;
 }
 
-static void note_delay(struct rr_gateway *gateway, int64_t now_us,
-		       int64_t delay_us)
+static void report_stall(struct rr_gateway *gateway, int64_t now_us,
+			 int64_t delay_us)
 {
-	if (delay_us >= HELD_UP_US)
+	if (delay_us >= MIN_STALL_US)
 		rr_gate_report_stall(gateway->ctx, gateway->gate, now_us,
 				     delay_us);
 }
 
 /*
- * Once a turn, before the loop waits.  No ready time of GLib's: each change
- * of it wakes the loop for a turn of its own.
+ * Called once per iteration, before the main loop waits.  The wait is limited
+ * by a timeout and not by g_source_set_ready_time(), since each change of the
+ * ready time wakes the loop for one more iteration.
  */
 static gboolean prepare_tick(GSource *source, gint *timeout_ms)
 {
@@ -172,9 +180,9 @@
 	int64_t wait_us;
 
 	if (ticker->iteration_started_us)
-		note_delay(ticker->gateway, now_us,
-			   now_us - ticker->iteration_started_us);
-	/* What is due already is not checked after the wait. */
+		report_stall(ticker->gateway, now_us,
+			     now_us - ticker->iteration_started_us);
+	/* check() is not called if the source is ready already. */
 	ticker->iteration_started_us = now_us;
 	ticker->due_us = MAX(next_tick_us(ticker->gateway), now_us);
 	*timeout_ms = -1;
@@ -185,14 +193,14 @@
 	return !wait_us;
 }
 
-/* Once a turn, when the loop has waited: before anything is read. */
+/* Called once per iteration after the wait, before any input is read. */
 static gboolean check_tick(GSource *source)
 {
 	struct tick_source *ticker = (struct tick_source *)source;
 
 	ticker->iteration_started_us = rr_gateway_now_us();
-	note_delay(ticker->gateway, ticker->iteration_started_us,
-		   ticker->iteration_started_us - ticker->due_us);
+	report_stall(ticker->gateway, ticker->iteration_started_us,
+		     ticker->iteration_started_us - ticker->due_us);
 	return ticker->due_us <= ticker->iteration_started_us;
 }
 
@@ -209,16 +217,16 @@
 	.dispatch = dispatch_tick,
 };
 
-/* Replicas. */
+/* Replies of replicas. */
 
-static void take_reply(void *data, const struct rr_gate_reply *reply)
+static void handle_reply(void *data, const struct rr_gate_reply *reply)
 {
 	struct rr_gateway *gateway = data;
 
 	rr_gate_reply(gateway->ctx, gateway->gate, rr_gateway_now_us(), reply);
 }
 
-static void take_probe(void *data, const char *lifetime, bool reached)
+static void handle_probe_result(void *data, const char *lifetime, bool reached)
 {
 	struct rr_gateway *gateway = data;
 
@@ -228,7 +236,7 @@
 
 /* Signals. */
 
-static gboolean begin_stop(gpointer data)
+static gboolean handle_stop_signal(gpointer data)
 {
 	struct rr_gateway *gateway = data;
 
@@ -237,7 +245,7 @@
 	       RR_FIELD_U64("callers",
 			    rr_count_caller_conns(gateway->caller_listener)));
 	rr_request_stop(&gateway->lifecycle, rr_gateway_now_us());
-	gateway->stop_check_us = rr_gateway_now_us() + STOP_CHECK_US;
+	gateway->stop_check_us = rr_gateway_now_us() + STOP_CHECK_INTERVAL_US;
 	rr_drain_http_listener(gateway->caller_listener);
 	if (gateway->peer_listener)
 		rr_drain_http_listener(gateway->peer_listener);
@@ -246,27 +254,31 @@
 	return G_SOURCE_CONTINUE;
 }
 
-static gboolean note_reload(gpointer data)
+static gboolean handle_reload_signal(gpointer data)
 {
 	struct rr_gateway *gateway = data;
 
 	rr_log(gateway->ctx, RR_LOG_INFO, "reload",
-	       RR_FIELD_STRING("reason", "nothing of the start file changes "
-					 "without a restart"));
+	       RR_FIELD_STRING("reason", "changes to the start file take "
+					 "effect only after a restart"));
 	return G_SOURCE_CONTINUE;
 }
 
-/* Making it. */
+/* Construction. */
 
-/* All changes come by the same calls: the shortest bound is that of all. */
-static uint32_t news_bound_ms(const struct rr_gateway_settings *settings)
+/*
+ * The limit on the age of changes.  All kinds of changes arrive with the same
+ * calls, so the shortest limit applies to all of them.
+ */
+static uint32_t
+find_max_staleness_ms(const struct rr_gateway_settings *settings)
 {
 	if (!settings->evacuation_bound_ms)
 		return settings->news_bound_ms;
 	return MIN(settings->news_bound_ms, settings->evacuation_bound_ms);
 }
 
-static void make_cores(struct rr_gateway *gateway)
+static void create_gate_and_feed(struct rr_gateway *gateway)
 {
 	struct rr_gate_options gate = {
 		.instance = gateway->settings->instance,
@@ -293,14 +305,14 @@
 			.started_ms = gateway->started_ms,
 		},
 		.seeds = (const char *const *)gateway->settings->seed_peers,
-		.max_staleness_ms = news_bound_ms(gateway->settings),
+		.max_staleness_ms = find_max_staleness_ms(gateway->settings),
 	};
 
 	gateway->gate = rr_new_gate(gateway->ctx, &gate);
 	gateway->feed = rr_new_feed(gateway->ctx, &feed, rr_gateway_now_us());
 }
 
-static void make_clients(struct rr_gateway *gateway)
+static void create_clients(struct rr_gateway *gateway)
 {
 	struct rr_replica_client_options replicas = {
 		.poller = gateway->poller,
@@ -309,8 +321,8 @@
 		.not_run_header = gateway->names->not_run,
 		.load_header = gateway->names->load,
 		.parse_load = rr_decode_load,
-		.replied = take_reply,
-		.probed = take_probe,
+		.replied = handle_reply,
+		.probed = handle_probe_result,
 		.data = gateway,
 	};
 	struct rr_replica_client_options store = {
@@ -319,22 +331,22 @@
 		.data = gateway,
 	};
 
-	struct rr_replica_client_options strong = {
+	struct rr_replica_client_options coordinators = {
 		.poller = gateway->poller,
 		.not_run_header = NOT_RUN_HEADER,
-		.replied = take_reply,
-		.probed = take_probe,
+		.replied = handle_reply,
+		.probed = handle_probe_result,
 		.data = gateway,
 	};
 
 	gateway->coordinator_client =
-		rr_new_replica_client(gateway->ctx, &strong);
+		rr_new_replica_client(gateway->ctx, &coordinators);
 	gateway->replica_client =
 		rr_new_replica_client(gateway->ctx, &replicas);
 	gateway->store_client = rr_new_replica_client(gateway->ctx, &store);
 }
 
-static bool listen_all(struct rr_gateway *gateway, GError **error)
+static bool start_listeners(struct rr_gateway *gateway, GError **error)
 {
 	const struct rr_gateway_settings *settings = gateway->settings;
 	struct rr_http_listener_options callers = {
@@ -349,7 +361,7 @@
 	struct rr_http_listener_options ready = {
 		.poller = gateway->poller,
 		.address = settings->ready_address,
-		.max_connections = MOST_ASKERS,
+		.max_connections = MAX_STATUS_CONNS,
 		.request = rr_handle_readiness_request,
 		.data = gateway,
 	};
@@ -382,18 +394,18 @@
 	return gateway->metrics_listener != NULL;
 }
 
-static void start_sources(struct rr_gateway *gateway)
+static void attach_sources(struct rr_gateway *gateway)
 {
 	gateway->ticker = (struct tick_source *)g_source_new(
 		&tick_funcs, sizeof(struct tick_source));
 	gateway->ticker->gateway = gateway;
 	g_source_attach(&gateway->ticker->source, NULL);
 	gateway->signal_sources[0] =
-		g_unix_signal_add(SIGTERM, begin_stop, gateway);
+		g_unix_signal_add(SIGTERM, handle_stop_signal, gateway);
 	gateway->signal_sources[1] =
-		g_unix_signal_add(SIGINT, begin_stop, gateway);
+		g_unix_signal_add(SIGINT, handle_stop_signal, gateway);
 	gateway->signal_sources[2] =
-		g_unix_signal_add(SIGHUP, note_reload, gateway);
+		g_unix_signal_add(SIGHUP, handle_reload_signal, gateway);
 }
 
 struct rr_gateway *rr_new_gateway(struct rr_context *ctx,
@@ -415,13 +427,13 @@
 	gateway->watching_peers =
 		g_array_new(FALSE, FALSE, sizeof(struct watching_peer));
 	gateway->poller = rr_new_poller(error);
-	if (!gateway->poller || !listen_all(gateway, error)) {
+	if (!gateway->poller || !start_listeners(gateway, error)) {
 		rr_drop_gateway(gateway);
 		return NULL;
 	}
-	make_clients(gateway);
-	make_cores(gateway);
-	start_sources(gateway);
+	create_clients(gateway);
+	create_gate_and_feed(gateway);
+	attach_sources(gateway);
 	return gateway;
 }
 
--- a/source/gateway/gateway.h
+++ b/source/gateway/gateway.h
@@ -1,6 +1,7 @@
 /*
- * gateway.h - a gateway instance: the gate and the feed with their adapters
- * on one main loop.
+ * gateway.h - a gateway instance.
+ *
+ * Connects the gate and the feed with their network adapters on one main loop.
  */
 #ifndef RAGWORT_GATEWAY_H
 #define RAGWORT_GATEWAY_H
@@ -12,12 +13,16 @@
 
 struct rr_gateway;
 
-/* Listen; NULL with an error.  The settings must live as long. */
+/*
+ * Create a gateway and listen on its addresses.  Returns NULL and sets *error
+ * if an address cannot be used.  The settings must outlive the gateway.
+ */
 struct rr_gateway *rr_new_gateway(struct rr_context *ctx,
 				  const struct rr_gateway_settings *settings,
 				  GError **error);
+/* Close all connections and free the gateway, which may be NULL. */
 void rr_drop_gateway(struct rr_gateway *gateway);
-/* Run until SIGTERM or SIGINT and the graceful stop that follows. */
+/* Run until the graceful stop that follows SIGTERM or SIGINT has ended. */
 void rr_run_gateway(struct rr_gateway *gateway);
 
 #endif
--- a/source/gateway/log-writer.c
+++ b/source/gateway/log-writer.c
@@ -1,8 +1,8 @@
 /*
- * log-writer.c - a bounded buffer before standard output.
+ * log-writer.c - a bounded buffer for log lines to standard output.
  *
- * A reader that stalls must not stall requests: what does not fit any more is
- * left out, and a line says how many were.
+ * A reader that stalls must not delay requests: lines that do not fit into the
+ * buffer are dropped, and a later line reports how many.
  */
 #include "gateway/log-writer.h"
 
@@ -12,37 +12,37 @@
 #include <string.h>
 #include <unistd.h>
 
-/* About ten seconds of lines at the usual bound. */
-#define MOST_BYTES (256 * 1024)
+/* About 10 s of lines at the usual rate limit. */
+#define MAX_BUFFERED_BYTES (256 * 1024)
 
-static GString *kept;
-static uint64_t left_out;
+static GString *buffer;
+static uint64_t n_dropped;
 
 void rr_buffer_log_line(void *data, enum rr_log_level level, const char *line)
 {
-	if (!kept)
-		kept = g_string_sized_new(4096);
-	if (kept->len + strlen(line) > MOST_BYTES) {
-		left_out++;
+	if (!buffer)
+		buffer = g_string_sized_new(4096);
+	if (buffer->len + strlen(line) > MAX_BUFFERED_BYTES) {
+		n_dropped++;
 		return;
 	}
-	if (left_out) {
-		g_string_append_printf(kept,
+	if (n_dropped) {
+		g_string_append_printf(buffer,
 				       "level=warning event=lines-left-out "
 				       "lines=%" G_GUINT64_FORMAT "\n",
-				       left_out);
-		left_out = 0;
+				       n_dropped);
+		n_dropped = 0;
 	}
-	g_string_append(kept, line);
-	g_string_append_c(kept, '\n');
+	g_string_append(buffer, line);
+	g_string_append_c(buffer, '\n');
 }
 
 int rr_has_buffered_log_lines(void)
 {
-	return kept && kept->len;
+	return buffer && buffer->len;
 }
 
-static gboolean takes_bytes(void)
+static gboolean is_stdout_writable(void)
 {
 	struct pollfd fd = { .fd = STDOUT_FILENO, .events = POLLOUT };
 
@@ -52,12 +52,12 @@
 void rr_flush_log(void)
 {
 	/* A pipe that is writable takes this much without blocking. */
-	while (rr_has_buffered_log_lines() && takes_bytes()) {
-		ssize_t n = write(STDOUT_FILENO, kept->str,
-				  MIN(kept->len, (gsize)PIPE_BUF));
+	while (rr_has_buffered_log_lines() && is_stdout_writable()) {
+		ssize_t n = write(STDOUT_FILENO, buffer->str,
+				  MIN(buffer->len, (gsize)PIPE_BUF));
 
 		if (n <= 0)
 			return;
-		g_string_erase(kept, 0, n);
+		g_string_erase(buffer, 0, n);
 	}
 }
--- a/source/gateway/log-writer.h
+++ b/source/gateway/log-writer.h
@@ -1,5 +1,5 @@
 /*
- * log-writer.h - log lines to standard output, bounded and never blocking.
+ * log-writer.h - bounded, non-blocking log output to standard output.
  */
 #ifndef RAGWORT_LOG_WRITER_H
 #define RAGWORT_LOG_WRITER_H
@@ -8,11 +8,14 @@
 
 #include "ragwort/log.h"
 
-/* For struct rr_log_options: keeps the line until it can be written. */
+/*
+ * Buffer a line until it can be written, or drop it if the buffer is full.  For
+ * the member `write` of struct rr_log_options.
+ */
 void rr_buffer_log_line(void *data, enum rr_log_level level, const char *line);
-/* Write what the reader takes at once; the rest stays. */
+/* Write as much as possible without blocking; the rest stays buffered. */
 void rr_flush_log(void);
-/* Whether lines wait to be written. */
+/* Whether any lines are still to be written. */
 int rr_has_buffered_log_lines(void);
 
 #endif
--- a/source/gateway/main.c
+++ b/source/gateway/main.c
@@ -1,5 +1,5 @@
 /*
- * main.c - ragwort-gateway: its start file, and a run by it.
+ * main.c - the program ragwort-gateway.
  */
 #include <stdio.h>
 
@@ -11,8 +11,8 @@
 #define PROGRAM "ragwort-gateway"
 
 /*
- * NULL when the file is unreadable or faulty; all faults are printed, and left
- * in `faults`.
+ * Read and parse the start file.  Returns NULL if it is unreadable or invalid.
+ * All diagnostics are printed and added to `faults`.
  */
 static struct rr_gateway_settings *read_settings(const char *file,
 						 GPtrArray *faults)
@@ -34,8 +34,12 @@
 	return settings;
 }
 
-/* Figures that were left out: what the platform fills in may be anything. */
-static void log_left_out(struct rr_context *ctx, const GPtrArray *faults)
+/*
+ * Log the settings that were ignored: the platform may fill in anything for a
+ * number, and an invalid one is not used.
+ */
+static void log_ignored_settings(struct rr_context *ctx,
+				 const GPtrArray *faults)
 {
 	for (guint i = 0; i < faults->len; i++) {
 		const struct rr_diagnostic *fault =
@@ -47,8 +51,8 @@
 	}
 }
 
-static enum rr_program_exit run_by(const struct rr_gateway_settings *settings,
-				   const GPtrArray *faults)
+static enum rr_program_exit
+run_gateway(const struct rr_gateway_settings *settings, const GPtrArray *faults)
 {
 	struct rr_context_options options = {
 		.seed = g_random_int(),
@@ -65,7 +69,7 @@
 	struct rr_gateway *gateway;
 	GError *error = NULL;
 
-	log_left_out(ctx, faults);
+	log_ignored_settings(ctx, faults);
 	gateway = rr_new_gateway(ctx, settings, &error);
 	if (gateway) {
 		rr_run_gateway(gateway);
@@ -89,7 +93,7 @@
 	if (!settings)
 		code = RR_PROGRAM_USAGE;
 	else if (!check_only)
-		code = run_by(settings, faults);
+		code = run_gateway(settings, faults);
 	rr_drop_gateway_settings(settings);
 	g_ptr_array_unref(faults);
 	return code;
--- a/source/gateway/request-head.c
+++ b/source/gateway/request-head.c
@@ -1,9 +1,10 @@
 /*
- * request-head.c - which headers pass the gateway.
+ * request-head.c - selection of the headers that the gateway forwards.
  */
 #include "gateway/request-head.h"
 
-static gboolean is_own(const char *name, const struct rr_gate_names *names)
+static gboolean is_set_by_gateway(const char *name,
+				  const struct rr_gate_names *names)
 {
 	return !g_ascii_strcasecmp(name, names->deadline) ||
 	       !g_ascii_strcasecmp(name, names->expect_incarnation) ||
@@ -22,8 +23,8 @@
 void rr_append_request_head(GString *out, const struct rr_http_message *message,
 			    const struct rr_gate_names *names)
 {
-	gboolean framed = rr_find_http_header(message, "Content-Length") ||
-			  rr_find_http_header(message, "Transfer-Encoding");
+	gboolean has_body = rr_find_http_header(message, "Content-Length") ||
+			    rr_find_http_header(message, "Transfer-Encoding");
 
 	g_string_append(out, message->method);
 	g_string_append_c(out, ' ');
@@ -33,11 +34,11 @@
 	for (size_t i = 0; i < message->n_headers; i++) {
 		const struct rr_http_header *header = &message->headers[i];
 
-		if (!is_own(header->name, names) &&
+		if (!is_set_by_gateway(header->name, names) &&
 		    !rr_is_hop_by_hop_header(message, header->name))
 			append_header(out, header->name, header->value);
 	}
-	if (framed)
+	if (has_body)
 		g_string_append_printf(
 			out, "Content-Length: %" G_GSIZE_FORMAT "\r\n",
 			message->body_length);
--- a/source/gateway/request-head.h
+++ b/source/gateway/request-head.h
@@ -1,5 +1,5 @@
 /*
- * request-head.h - a caller's request as a replica gets it.
+ * request-head.h - headers of forwarded requests and answers.
  */
 #ifndef RAGWORT_REQUEST_HEAD_H
 #define RAGWORT_REQUEST_HEAD_H
@@ -10,16 +10,18 @@
 #include "ragwort/gate-names.h"
 
 /*
- * Append request line and headers as they are, but for those that concern
- * one connection, those the gateway sets itself, and the framing, which is
- * by length.  The empty line is left to the caller.
+ * Append the request line and the headers of a caller's request as a replica
+ * gets them: without hop-by-hop headers and those that the gateway sets
+ * itself, and with the body framed by Content-Length.  The empty line at the
+ * end is not appended.
  */
 void rr_append_request_head(GString *out, const struct rr_http_message *message,
 			    const struct rr_gate_names *names);
 /*
- * Make the headers of an answer from a replica's, without those that concern
- * one connection and without framing where we frame it ourselves.  An array
- * of struct rr_http_header that points into the message.
+ * Make the headers of an answer from those of a replica's: without hop-by-hop
+ * headers, and without Content-Length unless keep_length is set, since the
+ * listener adds it.  Returns an array of struct rr_http_header that points
+ * into the message; free with g_array_unref().
  */
 GArray *rr_make_answer_headers(const struct rr_http_message *message,
 			       gboolean keep_length);
