--- a/source/gateway/gateway-private.h
+++ b/source/gateway/gateway-private.h
@@ -63,8 +63,8 @@
 		*peer_listener; /* for requests of other instances */
 	struct rr_replica_client *replica_client;
 	struct rr_replica_client *store_client;
-	struct rr_replica_client *
-		coordinator_client; /* instances that requests are forwarded to */
+	struct rr_replica_client
+		*coordinator_client; /* instances to forward to */
 	struct rr_lifecycle lifecycle;
 	int64_t started_ms;   /* Unix time, for this instance's entry */
 	GHashTable *requests; /* id in the gate -> struct open_request */
--- a/source/gateway/gateway.h
+++ b/source/gateway/gateway.h
@@ -15,7 +15,7 @@
 
 /*
  * Create a gateway and listen on its addresses.  Returns NULL and sets *error
- * if an address cannot be used.  The settings must outlive the gateway.
+ * on failure.  The settings must outlive the gateway.
  */
 struct rr_gateway *rr_new_gateway(struct rr_context *ctx,
 				  const struct rr_gateway_settings *settings,
--- a/source/gateway/request-head.c
+++ b/source/gateway/request-head.c
@@ -23,8 +23,9 @@
 void rr_append_request_head(GString *out, const struct rr_http_message *message,
 			    const struct rr_gate_names *names)
 {
-	gboolean has_body = rr_find_http_header(message, "Content-Length") ||
-			    rr_find_http_header(message, "Transfer-Encoding");
+	gboolean has_framing =
+		rr_find_http_header(message, "Content-Length") ||
+		rr_find_http_header(message, "Transfer-Encoding");
 
 	g_string_append(out, message->method);
 	g_string_append_c(out, ' ');
@@ -38,7 +39,7 @@
 		    !rr_is_hop_by_hop_header(message, header->name))
 			append_header(out, header->name, header->value);
 	}
-	if (has_body)
+	if (has_framing)
 		g_string_append_printf(
 			out, "Content-Length: %" G_GSIZE_FORMAT "\r\n",
 			message->body_length);
--- a/tests/test-gateway-settings.c
+++ b/tests/test-gateway-settings.c
@@ -1,6 +1,7 @@
 /*
- * test-gateway-settings.c - a gateway's start file as the platform fills its
- * template: whole numbers, fractions, true or false, or nothing at all.
+ * test-gateway-settings.c - gateway start files made from the template.
+ *
+ * The platform may fill in integers, fractions, booleans or nothing at all.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,13 +17,13 @@
 
 #define TEMPLATE "deploy/gateway.yaml.template"
 
-/* What stands in a field of the template; NULL: there is no such field. */
-struct fill {
+/* Text of a field of the template. */
+struct template_field {
 	const char *field;
 	const char *text;
 };
 
-static const struct fill usual[] = {
+static const struct template_field default_fields[] = {
 	{ "node", "front-1" },
 	{ "zone", "a" },
 	{ "listen.front", "127.0.0.1:8104" },
@@ -37,7 +38,7 @@
 	{ "bounds.graceS", "6" },
 };
 
-/* Fields that not every platform has: their lines are left out then. */
+/* Optional fields of the platform; their lines are omitted if absent. */
 static const struct section {
 	const char *field;
 	const char *key;
@@ -50,15 +51,15 @@
 
 static char *replace(char *text, const char *from, const char *to)
 {
-	char **pieces = g_strsplit(text, from, -1);
-	char *joined = g_strjoinv(to, pieces);
+	char **parts = g_strsplit(text, from, -1);
+	char *joined = g_strjoinv(to, parts);
 
-	g_strfreev(pieces);
+	g_strfreev(parts);
 	g_free(text);
 	return joined;
 }
 
-/* One section: its line with the usual or another text, or no line. */
+/* Replace a section by its line with a text, or by nothing if it is NULL. */
 static char *fill_section(char *out, const struct section *section,
 			  const char *text)
 {
@@ -83,21 +84,24 @@
 		      "\"127.0.0.1:8106\"");
 	out = replace(out, "{{#zones}}\"{{@}}/{{.}}\"{{,}}{{/zones}}",
 		      "\"a/north\",\"b/south\"");
-	for (size_t i = 0; i < G_N_ELEMENTS(usual); i++) {
-		char *place = g_strdup_printf("{{%s}}", usual[i].field);
-		bool changed = field && !strcmp(usual[i].field, field);
-
-		out = replace(out, place, changed ? text : usual[i].text);
-		g_free(place);
+	for (size_t i = 0; i < G_N_ELEMENTS(default_fields); i++) {
+		char *placeholder =
+			g_strdup_printf("{{%s}}", default_fields[i].field);
+		bool replaced =
+			field && !strcmp(default_fields[i].field, field);
+
+		out = replace(out, placeholder,
+			      replaced ? text : default_fields[i].text);
+		g_free(placeholder);
 	}
 	for (size_t i = 0; i < G_N_ELEMENTS(sections); i++) {
-		bool changed = field && !strcmp(sections[i].field, field);
+		bool replaced = field && !strcmp(sections[i].field, field);
 
 		out = fill_section(out, &sections[i],
-				   changed ? text : sections[i].text);
+				   replaced ? text : sections[i].text);
 	}
 	if (strstr(out, "{{"))
-		fail_msg("a field of the template is not known here: %s", out);
+		fail_msg("unknown field in the template: %s", out);
 	return out;
 }
 
@@ -112,13 +116,13 @@
 
 	*n_left_out = faults->len;
 	if (!settings)
-		fail_msg("no gateway starts with %s: %s", field, text);
+		fail_msg("start file rejected with %s: %s", field, text);
 	g_ptr_array_unref(faults);
 	g_free(filled);
 	return settings;
 }
 
-static void test_the_usual(void **state)
+static void test_default_values(void **state)
 {
 	guint left_out;
 	struct rr_gateway_settings *settings = parse(NULL, NULL, &left_out);
@@ -136,8 +140,8 @@
 	rr_drop_gateway_settings(settings);
 }
 
-/* Guards against a platform that tells nothing of cold replicas. */
-static void test_sections_left_out(void **state)
+/* Guards against a failed start where a platform omits optional fields. */
+static void test_missing_sections(void **state)
 {
 	guint left_out;
 	struct rr_gateway_settings *settings;
@@ -152,9 +156,9 @@
 }
 
 /*
- * Story: a deployment's window is 7.5 s, its slack 58.5.  Read with a unit
- * added in the text, the window becomes 7.5 ms or the file is refused, and no
- * gateway of that deployment starts.
+ * Guards against fractions that are misread or rejected: a deployment has a
+ * window of 7.5 s and a slack of 58.5.  With the unit appended to the text, the
+ * window would become 7.5 ms, or no gateway of the deployment would start.
  */
 static void test_fractions(void **state)
 {
@@ -184,10 +188,10 @@
 }
 
 /*
- * Story: a deployment lacks a bound, or has true or false in its place.  One
- * figure that is of no use must not keep all instances of it from starting.
+ * Guards against a deployment in which no instance starts, because one limit
+ * is missing or a boolean.  The setting is ignored instead.
  */
-static void test_what_is_no_figure(void **state)
+static void test_invalid_numbers(void **state)
 {
 	static const char *const fields[] = {
 		"limits.cpuShare",	   "bounds.configApplyMs",
@@ -217,8 +221,8 @@
 	}
 }
 
-/* Without a role that others come to there is no address of that kind. */
-static void test_no_address_for_others(void **state)
+/* An instance without a peer listener has no address for one. */
+static void test_no_peer_address(void **state)
 {
 	guint left_out;
 	struct rr_gateway_settings *settings =
@@ -232,11 +236,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_the_usual),
-		cmocka_unit_test(test_sections_left_out),
+		cmocka_unit_test(test_default_values),
+		cmocka_unit_test(test_missing_sections),
 		cmocka_unit_test(test_fractions),
-		cmocka_unit_test(test_what_is_no_figure),
-		cmocka_unit_test(test_no_address_for_others),
+		cmocka_unit_test(test_invalid_numbers),
+		cmocka_unit_test(test_no_peer_address),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-platform-formats.c
+++ b/tests/test-platform-formats.c
@@ -1,5 +1,5 @@
 /*
- * test-platform-formats.c - the users' platform's formats, both ways.
+ * test-platform-formats.c - encoding and decoding of the platform's formats.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -31,7 +31,7 @@
 	g_string_free(bytes, TRUE);
 }
 
-static void test_prefix_counts(void **state)
+static void test_feed_requests(void **state)
 {
 	const struct rr_feed_call range = { .kind = RR_FEED_RANGE };
 	const struct rr_feed_call page = { .kind = RR_FEED_RANGE,
@@ -41,10 +41,10 @@
 					    .wait_ms = 20000 };
 	const struct rr_feed_call grant = { .kind = RR_FEED_LEASE_GRANT,
 					    .ttl_ms = 3000 };
-	const struct rr_feed_call keep = { .kind = RR_FEED_LEASE_RENEW,
-					   .lease = 77120 };
-	const struct rr_feed_call leave = { .kind = RR_FEED_LEASE_REVOKE,
+	const struct rr_feed_call renew = { .kind = RR_FEED_LEASE_RENEW,
 					    .lease = 77120 };
+	const struct rr_feed_call revoke = { .kind = RR_FEED_LEASE_REVOKE,
+					     .lease = 77120 };
 
 	assert_call(&range, "GET /v1/kv-range?prefix= HTTP/1.1\r\n", "");
 	assert_call(&page,
@@ -56,20 +56,20 @@
 		    "");
 	assert_call(&grant, "POST /v1/kv-lease HTTP/1.1\r\n",
 		    "{\"ttlMs\":3000}");
-	assert_call(&keep, "POST /v1/kv-keep/77120 HTTP/1.1\r\n", "{}");
-	assert_call(&leave, "DELETE /v1/kv-lease-end/77120 HTTP/1.1\r\n", "");
+	assert_call(&renew, "POST /v1/kv-keep/77120 HTTP/1.1\r\n", "{}");
+	assert_call(&revoke, "DELETE /v1/kv-lease-end/77120 HTTP/1.1\r\n", "");
 }
 
-static void test_replica_entry(void **state)
+static void test_registration_request(void **state)
 {
 	struct rr_instance entry = { .id = (char *)"front-1",
 				     .zone = (char *)"z" };
 	gpointer entries[] = { &entry };
-	GPtrArray entered = { .pdata = entries, .len = 1 };
-	const struct rr_feed_call enter = { .kind = RR_FEED_WRITE_ENTRIES,
-					    .lease = 5,
-					    .added = &entered };
-	GString *bytes = rr_encode_feed_call(&enter, "s:1");
+	GPtrArray added = { .pdata = entries, .len = 1 };
+	const struct rr_feed_call call = { .kind = RR_FEED_WRITE_ENTRIES,
+					   .lease = 5,
+					   .added = &added };
+	GString *bytes = rr_encode_feed_call(&call, "s:1");
 
 	assert_true(g_str_has_prefix(bytes->str, "POST /v1/kv-txn HTTP/1.1"));
 	assert_non_null(
@@ -78,19 +78,22 @@
 	g_string_free(bytes, TRUE);
 }
 
-/* The first read takes an old copy; other instances' copies are not old. */
-static void test_old_copies(void **state)
+/*
+ * The first read accepts a stale copy of the store; other instances have no
+ * stale ones.
+ */
+static void test_stale_ranges(void **state)
 {
-	const struct rr_feed_call old = { .kind = RR_FEED_RANGE,
-					  .allow_stale = true };
-	const struct rr_feed_call page = { .kind = RR_FEED_RANGE,
-					   .allow_stale = true,
-					   .after_key = "servers/i" };
+	const struct rr_feed_call first_page = { .kind = RR_FEED_RANGE,
+						 .allow_stale = true };
+	const struct rr_feed_call next_page = { .kind = RR_FEED_RANGE,
+						.allow_stale = true,
+						.after_key = "servers/i" };
 
 	(void)state;
-	assert_call(&old,
+	assert_call(&first_page,
 		    "GET /v1/kv-range?prefix=&serializable=1 HTTP/1.1\r\n", "");
-	assert_call(&page,
+	assert_call(&next_page,
 		    "GET /v1/kv-range?prefix=&after=servers/i&serializable=1 "
 		    "HTTP/1.1\r\n",
 		    "");
@@ -106,7 +109,7 @@
 	return reply;
 }
 
-static void drop(struct rr_feed_reply *reply)
+static void clear_reply(struct rr_feed_reply *reply)
 {
 	if (reply->items)
 		g_ptr_array_unref(reply->items);
@@ -115,10 +118,12 @@
 
 static void test_range_reply(void **state)
 {
-	char *coded = g_base64_encode((const guchar *)config, strlen(config));
-	struct test_replica_entry listed = { .id = "i-1" };
-	char *text = test_make_replica_entry(&listed);
-	char *entry = g_base64_encode((const guchar *)text, strlen(text));
+	char *encoded_config =
+		g_base64_encode((const guchar *)config, strlen(config));
+	struct test_replica_entry replica = { .id = "i-1" };
+	char *text = test_make_replica_entry(&replica);
+	char *encoded_entry =
+		g_base64_encode((const guchar *)text, strlen(text));
 	char *body = g_strdup_printf(
 		"{\"items\":[{\"key\":\"op/config\",\"value\":\"%s\","
 		"\"revision\":3,\"created\":3,\"lease\":0},"
@@ -127,7 +132,7 @@
 		"\"revision\":10},{\"key\":\"op/else\",\"value\":\"\","
 		"\"revision\":11}],"
 		"\"hasMore\":true,\"storeRevision\":530}",
-		coded, entry);
+		encoded_config, encoded_entry);
 	struct rr_feed_reply reply = decode(RR_FEED_RANGE, 200, body);
 	struct rr_feed_item *item;
 
@@ -146,11 +151,11 @@
 	assert_string_equal(item->id, "n1");
 	item = g_ptr_array_index(reply.items, 3);
 	assert_int_equal(item->kind, RR_FEED_OTHER);
-	drop(&reply);
+	clear_reply(&reply);
 	g_free(body);
-	g_free(entry);
+	g_free(encoded_entry);
 	g_free(text);
-	g_free(coded);
+	g_free(encoded_config);
 }
 
 static void test_watch_reply(void **state)
@@ -164,7 +169,7 @@
 	assert_true(item->removed);
 	assert_int_equal(item->revision, 413);
 	assert_int_equal(reply.revision, 413);
-	drop(&reply);
+	clear_reply(&reply);
 }
 
 static void test_other_replies(void **state)
@@ -183,7 +188,7 @@
 	assert_int_equal(reply.status, RR_FEED_COMPACTED);
 }
 
-/* Whatever is no such answer changes nothing and is tried again. */
+/* A malformed or unexpected reply counts as failed, to be retried. */
 static void test_failures(void **state)
 {
 	static const struct {
@@ -209,29 +214,29 @@
 
 		if (reply.status != RR_FEED_FAILED)
 			fail_msg("case %zu: %d", i, reply.status);
-		drop(&reply);
+		clear_reply(&reply);
 	}
 }
 
-static void test_key_calls(void **state)
+static void test_key_requests(void **state)
 {
-	struct rr_store_request call;
-
-	rr_make_get_request(&call, "ledger/3 4");
-	assert_string_equal(call.path, "/v1/kv-key?key=ledger/3%204");
-	assert_null(call.body);
-	rr_clear_store_request(&call);
-	rr_make_cas_request(&call, "ledger/3", 7, "one", 3);
-	assert_string_equal(call.path, "/v1/kv-txn");
-	assert_string_equal(call.body,
+	struct rr_store_request request;
+
+	rr_make_get_request(&request, "ledger/3 4");
+	assert_string_equal(request.path, "/v1/kv-key?key=ledger/3%204");
+	assert_null(request.body);
+	rr_clear_store_request(&request);
+	rr_make_cas_request(&request, "ledger/3", 7, "one", 3);
+	assert_string_equal(request.path, "/v1/kv-txn");
+	assert_string_equal(request.body,
 			    "{\"expectedRev\":[{\"key\":\"ledger/3\","
 			    "\"revision\":7}],\"writes\":[{\"key\":"
 			    "\"ledger/3\",\"value\":\"b25l\",\"lease\":0}],"
 			    "\"deletes\":[]}");
-	rr_clear_store_request(&call);
+	rr_clear_store_request(&request);
 }
 
-static struct rr_key_reply got(uint16_t status, const char *body)
+static struct rr_key_reply decode_get(uint16_t status, const char *body)
 {
 	struct rr_key_reply reply;
 
@@ -239,7 +244,7 @@
 	return reply;
 }
 
-static struct rr_key_reply swapped(uint16_t status, const char *body)
+static struct rr_key_reply decode_cas(uint16_t status, const char *body)
 {
 	struct rr_key_reply reply;
 
@@ -249,39 +254,39 @@
 
 static void test_key_replies(void **state)
 {
-	struct rr_key_reply reply =
-		got(200, "{\"key\":\"a\",\"revision\":9,\"value\":\"b25l\"}");
+	struct rr_key_reply reply = decode_get(
+		200, "{\"key\":\"a\",\"revision\":9,\"value\":\"b25l\"}");
 
 	assert_int_equal(reply.status, RR_STORE_OK);
 	assert_int_equal(reply.revision, 9);
 	assert_int_equal(reply.length, 3);
 	assert_string_equal(reply.value, "one");
 	rr_clear_key_reply(&reply);
-	reply = got(404, "{}");
+	reply = decode_get(404, "{}");
 	assert_int_equal(reply.status, RR_STORE_OK);
 	assert_null(reply.value);
 	assert_int_equal(reply.revision, 0);
-	reply = swapped(200, "{\"revision\":12}");
+	reply = decode_cas(200, "{\"revision\":12}");
 	assert_int_equal(reply.status, RR_STORE_OK);
 	assert_int_equal(reply.revision, 12);
-	reply = swapped(412, "{\"items\":[{\"key\":\"b\",\"revision\":3},"
-			     "{\"key\":\"a\",\"revision\":8}]}");
+	reply = decode_cas(412, "{\"items\":[{\"key\":\"b\",\"revision\":3},"
+				"{\"key\":\"a\",\"revision\":8}]}");
 	assert_int_equal(reply.status, RR_STORE_CONFLICT);
 	assert_int_equal(reply.revision, 8);
-	reply = swapped(412, "{\"items\":[]}");
+	reply = decode_cas(412, "{\"items\":[]}");
 	assert_int_equal(reply.status, RR_STORE_CONFLICT);
 	assert_int_equal(reply.revision, 0);
 }
 
 /*
- * "Nothing was done" and "it may have been done" must never be taken for each
- * other: a reservation hangs on it.
+ * Guards against a write that may have taken effect but is reported as not
+ * done, or the other way round: reservations rely on the difference.
  */
-static void test_what_a_reply_proves(void **state)
+static void test_ambiguous_replies(void **state)
 {
 	static const struct {
 		const char *body;
-		enum rr_store_status proves;
+		enum rr_store_status expected;
 		uint16_t status;
 	} cases[] = {
 		{ "{}", RR_STORE_UNAVAILABLE, 503 },
@@ -296,17 +301,17 @@
 
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		struct rr_key_reply reply =
-			swapped(cases[i].status, cases[i].body);
+			decode_cas(cases[i].status, cases[i].body);
 
 		assert_int_equal(reply.status, cases[i].proves);
-		reply = got(cases[i].status, cases[i].body);
+		reply = decode_get(cases[i].status, cases[i].body);
 		assert_int_equal(reply.status, cases[i].proves);
 		assert_null(reply.value);
 	}
 }
 
-/* An instance answers another in the store's own words. */
-static void test_news_of_instances(void **state)
+/* Instances answer each other in the store's format. */
+static void test_peer_changes(void **state)
 {
 	struct rr_feed_change changes[] = {
 		{ .key = "servers/i1", .value = "e30=", .revision = 8 },
@@ -314,21 +319,21 @@
 	};
 	GArray *items =
 		g_array_new(FALSE, FALSE, sizeof(struct rr_feed_change));
-	struct rr_feed_call asked = { .kind = RR_FEED_WATCH,
-				      .after_revision = 7,
-				      .wait_ms = 750 };
+	struct rr_feed_call call = { .kind = RR_FEED_WATCH,
+				     .after_revision = 7,
+				     .wait_ms = 750 };
 	struct rr_feed_reply reply = { 0 };
-	struct rr_change_feed_request call;
-	GString *bytes = rr_encode_feed_call(&asked, "10.0.0.1:9");
+	struct rr_change_feed_request request;
+	GString *bytes = rr_encode_feed_call(&call, "10.0.0.1:9");
 	char **words = g_strsplit(bytes->str, " ", 3);
 	GString *body;
 
-	assert_true(rr_parse_change_feed_request(words[1], &call));
-	assert_false(call.wants_snapshot);
-	assert_int_equal(call.after_revision, 7);
-	assert_int_equal(call.wait_ms, 750);
+	assert_true(rr_parse_change_feed_request(words[1], &request));
+	assert_false(request.wants_snapshot);
+	assert_int_equal(request.after_revision, 7);
+	assert_int_equal(request.wait_ms, 750);
 	g_array_append_vals(items, changes, G_N_ELEMENTS(changes));
-	body = rr_encode_change_feed_reply(&call, items, 11);
+	body = rr_encode_change_feed_reply(&request, items, 11);
 	rr_decode_feed_reply(RR_FEED_WATCH, 200, (const uint8_t *)body->str,
 			     body->len, &reply);
 	assert_int_equal(reply.status, RR_FEED_OK);
@@ -343,7 +348,7 @@
 	g_array_unref(items);
 }
 
-/* Routes as the store has them, long enough to be packed. */
+/* Routes in the store's format, long enough to be compressed. */
 static char *make_long_routes(void)
 {
 	char *padding = g_strnfill(40000, 'x');
@@ -354,7 +359,7 @@
 	return text;
 }
 
-static struct rr_feed_reply read_watch(const char *body)
+static struct rr_feed_reply decode_watch(const char *body)
 {
 	struct rr_feed_reply reply = { 0 };
 
@@ -370,99 +375,104 @@
 	return g_ptr_array_index(reply->items, 0);
 }
 
-/* Pass an item on as its asker wants it, and read it there. */
-static struct rr_feed_reply pass_on(const struct rr_feed_item *item,
-				    bool packed, size_t *bytes)
+/* Forward an item, compressed if the receiver accepts it, and decode it. */
+static struct rr_feed_reply forward_item(const struct rr_feed_item *item,
+					 bool accepts_compressed,
+					 size_t *n_bytes)
 {
-	struct rr_feed_change news = {
+	struct rr_feed_change change = {
 		.key = item->key,
 		.value = item->value,
 		.compressed = item->compressed,
 		.revision = item->revision,
 	};
-	struct rr_change_feed_request call = { .accepts_compressed = packed };
-	GArray *items =
+	struct rr_change_feed_request request = { .accepts_compressed =
+							  accepts_compressed };
+	GArray *changes =
 		g_array_new(FALSE, FALSE, sizeof(struct rr_feed_change));
 	struct rr_feed_reply reply;
 	GString *body;
 
-	g_array_append_val(items, news);
-	body = rr_encode_change_feed_reply(&call, items, item->revision);
-	*bytes = body->len;
-	reply = read_watch(body->str);
+	g_array_append_val(changes, change);
+	body = rr_encode_change_feed_reply(&request, changes, item->revision);
+	*n_bytes = body->len;
+	reply = decode_watch(body->str);
 	g_string_free(body, TRUE);
-	g_array_unref(items);
+	g_array_unref(changes);
 	return reply;
 }
 
 /*
- * Story: a watcher of a large zone passes each configuration on to a dozen
- * others: 477 KB, 600 times a day, is more than control may send.  It goes
- * packed, through any number of instances; one of an older version, which
- * does not know of that, gets it as the store has it.
+ * Guards against too much traffic between instances: in a large zone a watcher
+ * forwards every configuration to a dozen others, and 477 KB, 600 times a day,
+ * exceeds the limit for control traffic.  Values are forwarded compressed,
+ * through any number of instances.  One of an earlier version, which does not
+ * support that, gets the value as the store has it.
  */
-static void test_long_values_go_packed(void **state)
+static void test_long_values_compressed(void **state)
 {
 	char *text = make_long_routes();
-	char *coded = g_base64_encode((const guchar *)text, strlen(text));
+	char *encoded = g_base64_encode((const guchar *)text, strlen(text));
 	char *body = g_strdup_printf(
 		"{\"storeRevision\":9,\"events\":[{\"key\":\"op/config\","
 		"\"revision\":9,\"value\":\"%s\"}]}",
-		coded);
-	struct rr_feed_reply first = read_watch(body);
-	struct rr_feed_reply next;
-	struct rr_feed_reply old;
-	size_t packed_bytes;
-	size_t old_bytes;
+		encoded);
+	struct rr_feed_reply first = decode_watch(body);
+	struct rr_feed_reply forwarded;
+	struct rr_feed_reply uncompressed;
+	size_t compressed_bytes;
+	size_t uncompressed_bytes;
 
 	(void)state;
 	assert_non_null(only_item(&first)->routes);
-	next = pass_on(only_item(&first), true, &packed_bytes);
-	assert_non_null(only_item(&next)->routes);
-	assert_string_equal(only_item(&next)->value, only_item(&first)->value);
-	assert_true(packed_bytes < strlen(body) / 10);
-	old = pass_on(only_item(&next), false, &old_bytes);
-	assert_non_null(only_item(&old)->routes);
-	assert_int_equal(old_bytes, strlen(body));
+	forwarded = forward_item(only_item(&first), true, &compressed_bytes);
+	assert_non_null(only_item(&forwarded)->routes);
+	assert_string_equal(only_item(&forwarded)->value,
+			    only_item(&first)->value);
+	assert_true(compressed_bytes < strlen(body) / 10);
+	uncompressed =
+		forward_item(only_item(&forwarded), false, &uncompressed_bytes);
+	assert_non_null(only_item(&uncompressed)->routes);
+	assert_int_equal(uncompressed_bytes, strlen(body));
 	g_ptr_array_unref(first.items);
-	g_ptr_array_unref(next.items);
-	g_ptr_array_unref(old.items);
+	g_ptr_array_unref(forwarded.items);
+	g_ptr_array_unref(uncompressed.items);
 	g_free(body);
-	g_free(coded);
+	g_free(encoded);
 	g_free(text);
 }
 
-/* An asker says whether it takes packed values; the store is not told so. */
-static void test_who_takes_packed_values(void **state)
+/* Requests to instances accept compressed values, those to the store do not. */
+static void test_compression_request(void **state)
 {
-	struct rr_feed_call asked = { .kind = RR_FEED_WATCH };
-	struct rr_change_feed_request call;
+	struct rr_feed_call call = { .kind = RR_FEED_WATCH };
+	struct rr_change_feed_request request;
 
 	(void)state;
 	for (int peer = 0; peer < 2; peer++) {
 		GString *bytes;
 		char **words;
 
-		asked.peer = peer ? "10.0.0.1:9" : NULL;
-		bytes = rr_encode_feed_call(&asked, "10.0.0.1:9");
+		call.peer = peer ? "10.0.0.1:9" : NULL;
+		bytes = rr_encode_feed_call(&call, "10.0.0.1:9");
 		words = g_strsplit(bytes->str, " ", 3);
-		assert_true(rr_parse_change_feed_request(words[1], &call));
-		assert_int_equal(call.accepts_compressed, peer);
+		assert_true(rr_parse_change_feed_request(words[1], &request));
+		assert_int_equal(request.accepts_compressed, peer);
 		g_strfreev(words);
 		g_string_free(bytes, TRUE);
 	}
 	assert_true(rr_parse_change_feed_request(
-		"/v1/kv-range?prefix=&packed=1", &call));
-	assert_true(call.wants_snapshot && call.accepts_compressed);
+		"/v1/kv-range?prefix=&packed=1", &request));
+	assert_true(request.wants_snapshot && request.accepts_compressed);
 }
 
 /*
- * What cannot be unpacked leaves the routes as they were, and is kept as it
- * came: the instances that ask this one have to hear that there was something.
+ * A value that cannot be decompressed gives no routes and is kept unchanged, so
+ * that peers that request changes from this instance get it as well.
  */
-static void test_unreadable_packed_value(void **state)
+static void test_undecompressable_value(void **state)
 {
-	struct rr_feed_reply reply = read_watch(
+	struct rr_feed_reply reply = decode_watch(
 		"{\"storeRevision\":9,\"events\":[{\"key\":\"op/config\","
 		"\"revision\":9,\"packed\":\"e30=\"}]}");
 
@@ -473,7 +483,7 @@
 	g_ptr_array_unref(reply.items);
 }
 
-static void test_what_is_no_news_call(void **state)
+static void test_other_targets(void **state)
 {
 	static const char *const targets[] = {
 		"/",
@@ -484,33 +494,34 @@
 		"/v1/kv-range?prefix=&after=a",
 		"/search/1?after=1&waitMs=2",
 	};
-	struct rr_change_feed_request call;
+	struct rr_change_feed_request request;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(targets); i++)
-		assert_false(rr_parse_change_feed_request(targets[i], &call));
+		assert_false(
+			rr_parse_change_feed_request(targets[i], &request));
 	assert_true(
-		rr_parse_change_feed_request("/v1/kv-range?prefix=", &call));
-	assert_true(call.wants_snapshot);
+		rr_parse_change_feed_request("/v1/kv-range?prefix=", &request));
+	assert_true(request.wants_snapshot);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_prefix_counts),
-		cmocka_unit_test(test_replica_entry),
+		cmocka_unit_test(test_feed_requests),
+		cmocka_unit_test(test_registration_request),
 		cmocka_unit_test(test_range_reply),
 		cmocka_unit_test(test_watch_reply),
 		cmocka_unit_test(test_other_replies),
 		cmocka_unit_test(test_failures),
-		cmocka_unit_test(test_key_calls),
+		cmocka_unit_test(test_key_requests),
 		cmocka_unit_test(test_key_replies),
-		cmocka_unit_test(test_what_a_reply_proves),
-		cmocka_unit_test(test_news_of_instances),
-		cmocka_unit_test(test_long_values_go_packed),
-		cmocka_unit_test(test_who_takes_packed_values),
-		cmocka_unit_test(test_unreadable_packed_value),
-		cmocka_unit_test(test_what_is_no_news_call),
-		cmocka_unit_test(test_old_copies),
+		cmocka_unit_test(test_ambiguous_replies),
+		cmocka_unit_test(test_peer_changes),
+		cmocka_unit_test(test_long_values_compressed),
+		cmocka_unit_test(test_compression_request),
+		cmocka_unit_test(test_undecompressable_value),
+		cmocka_unit_test(test_other_targets),
+		cmocka_unit_test(test_stale_ranges),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-platform-load.c
+++ b/tests/test-platform-load.c
@@ -1,5 +1,5 @@
 /*
- * test-platform-load.c - what replicas tell of their load.
+ * test-platform-load.c - decoding of the load header of replicas.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -10,7 +10,7 @@
 
 #include "platform/platform.h"
 
-static void test_load_of_a_replica(void **state)
+static void test_valid_load(void **state)
 {
 	struct rr_gate_load load;
 
@@ -24,8 +24,8 @@
 	assert_int_equal(load.pace_percent, 830);
 }
 
-/* Guards against a bad report that stands for a load. */
-static void test_what_is_no_load(void **state)
+/* Guards against a malformed header that is accepted as a load. */
+static void test_malformed_load(void **state)
 {
 	static const char *const texts[] = {
 		"",	   "3",		  "3,0",    "3,0,0",
@@ -45,8 +45,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_load_of_a_replica),
-		cmocka_unit_test(test_what_is_no_load),
+		cmocka_unit_test(test_valid_load),
+		cmocka_unit_test(test_malformed_load),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-platform-routes.c
+++ b/tests/test-platform-routes.c
@@ -1,5 +1,5 @@
 /*
- * test-platform-routes.c - the operators' configuration as a table of routes.
+ * test-platform-routes.c - decoding of the operators' configuration.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -32,13 +32,13 @@
 	"\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":262144,"
 	"\"headerTimeoutMs\":3000,\"idleTimeoutMs\":15000},\"news\":[1]}";
 
-static const struct rr_route *find(const struct rr_route_table *table,
-				   const char *path)
+static const struct rr_route *find_route(const struct rr_route_table *table,
+					 const char *path)
 {
 	return rr_find_route(table, "pupu.example", path, strlen(path));
 }
 
-static void test_routes(void **state)
+static void test_valid_routes(void **state)
 {
 	const char *fault;
 	struct rr_route_table *table =
@@ -47,7 +47,7 @@
 
 	assert_non_null(table);
 	assert_int_equal(rr_route_table_version(table), 7);
-	route = find(table, "/b/1");
+	route = find_route(table, "/b/1");
 	assert_string_equal(route->name, "r1");
 	assert_int_equal(route->mode, RR_ROUTE_GATHER);
 	assert_true(route->idempotent);
@@ -58,7 +58,7 @@
 	assert_int_equal(route->objective_ms, 40);
 	assert_int_equal(route->timeout_ms, 600);
 	assert_int_equal(route->priority, 2);
-	route = find(table, "/t/1");
+	route = find_route(table, "/t/1");
 	assert_int_equal(route->mode, RR_ROUTE_PROXY);
 	assert_false(route->idempotent);
 	assert_int_equal(route->max_attempts, 3);
@@ -66,7 +66,7 @@
 	assert_true(rr_route_allows_region(route, "south"));
 	assert_false(rr_route_allows_region(route, "west"));
 	assert_false(rr_route_allows_region(route, NULL));
-	route = find(table, "/s/1");
+	route = find_route(table, "/s/1");
 	assert_true(rr_route_allows_region(route, NULL));
 	assert_int_equal(route->n_parts, 2);
 	assert_true(route->parts[0].weight == 0.75);
@@ -80,7 +80,7 @@
 	rr_drop_route_table(table);
 }
 
-static void test_faulty_routes(void **state)
+static void test_invalid_routes(void **state)
 {
 	static const char *const texts[] = {
 		"",
@@ -113,8 +113,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_routes),
-		cmocka_unit_test(test_faulty_routes),
+		cmocka_unit_test(test_valid_routes),
+		cmocka_unit_test(test_invalid_routes),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
