--- a/tests/test-platform-formats.c
+++ b/tests/test-platform-formats.c
@@ -303,9 +303,9 @@
 		struct rr_key_reply reply =
 			decode_cas(cases[i].status, cases[i].body);
 
-		assert_int_equal(reply.status, cases[i].proves);
+		assert_int_equal(reply.status, cases[i].expected);
 		reply = decode_get(cases[i].status, cases[i].body);
-		assert_int_equal(reply.status, cases[i].proves);
+		assert_int_equal(reply.status, cases[i].expected);
 		assert_null(reply.value);
 	}
 }
