--- a/source/gateway/gateway-change-feed.c
+++ b/source/gateway/gateway-change-feed.c
@@ -48,9 +48,9 @@
 
 /*
  * Answer a request if possible; false if it has to wait.  While this instance
- * does not follow the store, it rejects requests, so that the peer asks another
- * instance; but not during the grace period, in which it may follow the store
- * again.
+ * does not follow the store, it rejects requests at once, so that the peer asks
+ * another instance; except during the grace period, in which it is about to
+ * follow the store again.
  */
 static bool try_answer(struct rr_gateway *gateway,
 		       struct rr_caller_conn *caller,
