--- a/include/ragwort/error.h
+++ b/include/ragwort/error.h
@@ -1,5 +1,5 @@
 /*
- * error.h - the library's GError domain.
+ * error.h - the GError domain of the library.
  */
 #ifndef RAGWORT_ERROR_H
 #define RAGWORT_ERROR_H
@@ -9,13 +9,13 @@
 #define RR_ERROR (rr_error_quark())
 
 enum rr_error_code {
-	RR_ERROR_SYNTAX,	   /* text that cannot be parsed */
-	RR_ERROR_OUT_OF_RANGE,	   /* a value outside what is allowed */
-	RR_ERROR_UNSUPPORTED,	   /* a name that is not known */
-	RR_ERROR_RESTART_REQUIRED, /* somebody else changed it first */
-	RR_ERROR_UNAVAILABLE,	   /* a service does not answer */
+	RR_ERROR_SYNTAX,	   /* text or bytes that cannot be parsed */
+	RR_ERROR_OUT_OF_RANGE,	   /* a value outside its allowed range */
+	RR_ERROR_UNSUPPORTED,	   /* an unknown name, format or version */
+	RR_ERROR_RESTART_REQUIRED, /* a change that needs a restart */
+	RR_ERROR_UNAVAILABLE,	   /* a service that does not answer */
 	RR_ERROR_TOO_LARGE,
-	RR_ERROR_SYSTEM, /* the operating system said no */
+	RR_ERROR_SYSTEM, /* a failed system call */
 };
 
 GQuark rr_error_quark(void);
--- a/include/ragwort/log.h
+++ b/include/ragwort/log.h
@@ -1,9 +1,9 @@
 /*
- * log.h - structured log lines, one per event, as key=value or JSON.
+ * log.h - structured logging, one line per event, as key=value or JSON.
  *
- * A line has a level, an event name and typed fields.  Lines of one event
- * are bounded per second, so that a fault cannot flood the log; what was
- * left out is counted and told in the event's next line.
+ * A line has a level, an event name and typed fields.  The lines per
+ * second of each event are limited, so that a fault cannot flood the log; the
+ * number of dropped lines is a field of the event's next line.
  */
 #ifndef RAGWORT_LOG_H
 #define RAGWORT_LOG_H
@@ -61,34 +61,37 @@
 
 struct rr_log_options {
 	/*
-	 * Writes one finished line, without a line feed, and does not keep
-	 * it.  NULL throws lines away.
+	 * Writes one line, which has no line feed; the string is only valid
+	 * during the call.  NULL discards all lines.
 	 */
 	void (*write)(void *data, enum rr_log_level level, const char *line);
 	/*
-	 * Wall-clock time in microseconds since 1970, for stamps and the
-	 * rate bound.  NULL leaves both out.
+	 * Returns the wall-clock time in microseconds since 1970, for
+	 * timestamps and the rate limit.  NULL disables both.
 	 */
 	int64_t (*clock)(void *data);
-	void *data; /* passed to both */
+	void *data; /* passed to both callbacks */
 	enum rr_log_level max_level;
 	enum rr_log_format format;
-	/* Lines per second of one event; 0 is no bound. */
+	/* Lines per second of one event; 0 for no limit. */
 	uint32_t max_lines_per_s;
 };
 
 /*
- * Write one line if the level is enabled and the event's bound allows it.
- * Use the rr_log() macro, which counts the fields.
+ * Write one line if the level is enabled and the event is within its rate
+ * limit.  Callers use the rr_log() macro, which counts the fields.
  */
 void rr_log_fields(struct rr_context *ctx, enum rr_log_level level,
 		   const char *event, const struct rr_log_field *fields,
 		   size_t n_fields);
 
-/* Whether a line of this level would be written: spares building fields. */
+/*
+ * Return whether lines of this level are written, so that callers can skip
+ * building the fields.
+ */
 bool rr_log_enabled(struct rr_context *ctx, enum rr_log_level level);
 
-/* Change level, format and bound of a running context. */
+/* Change the level, format and rate limit of a context. */
 void rr_set_log_options(struct rr_context *ctx, enum rr_log_level max_level,
 			enum rr_log_format format, uint32_t max_lines_per_s);
 
--- a/include/ragwort/program.h
+++ b/include/ragwort/program.h
@@ -1,6 +1,6 @@
 /*
- * program.h - what the daemons' main programs share: command line, exit
- * codes, the clock that stamps log lines.
+ * program.h - command line, exit codes and log clock of the daemons' main
+ * programs.
  */
 #ifndef RAGWORT_PROGRAM_H
 #define RAGWORT_PROGRAM_H
@@ -9,29 +9,35 @@
 #include <stdint.h>
 
 enum rr_program_exit {
-	RR_PROGRAM_OK = 0,     /* stopped as asked, or the check passed */
-	RR_PROGRAM_FAILED = 1, /* the system said no: an address in use */
-	RR_PROGRAM_USAGE = 2,  /* bad command line or start file */
+	RR_PROGRAM_OK = 0,     /* stopped on request, or check passed */
+	RR_PROGRAM_FAILED = 1, /* system error, e.g. address in use */
+	RR_PROGRAM_USAGE = 2,  /* invalid command line or start file */
 };
 
 struct rr_program {
 	const char *name;
-	const char *settings_help; /* of --settings */
-	/* Names the start file where the command line does not; or NULL. */
+	const char *settings_help; /* help text of --settings */
+	/*
+	 * Environment variable with the start file's name, used without
+	 * --settings; NULL if there is none.
+	 */
 	const char *settings_env_var;
-	const char *signals_help; /* what they do: whole lines of --help */
-	/* Read the start file, and run by it unless it is to be checked. */
+	const char *signals_help; /* lines of --help, each with \n */
+	/* Reads the start file, then runs unless check_only. */
 	enum rr_program_exit (*run)(const char *file, bool check_only);
 };
 
 /*
- * Read a daemon's command line and do what it asks for: run, check the start
- * file, or print help or version.  Faults go to stderr.  Returns the exit
- * code, one of enum rr_program_exit.
+ * Parse a daemon's command line and run it, check the start file, or print
+ * help or version.  Errors go to stderr.  Returns the exit code, one of enum
+ * rr_program_exit.
  */
 int rr_run_program(const struct rr_program *program, int argc, char **argv);
 
-/* Microseconds since 1970: for struct rr_log_options. */
+/*
+ * Return the wall-clock time in microseconds since 1970.  It can be the clock
+ * of struct rr_log_options; `data` is ignored.
+ */
 int64_t rr_read_wall_clock(void *data);
 
 #endif
--- a/include/ragwort/version.h
+++ b/include/ragwort/version.h
@@ -1,5 +1,5 @@
 /*
- * version.h - the version of the library and both programs.
+ * version.h - version of the library and of both programs.
  */
 #ifndef RAGWORT_VERSION_H
 #define RAGWORT_VERSION_H
--- a/source/base/context-private.h
+++ b/source/base/context-private.h
@@ -1,5 +1,5 @@
 /*
- * context-private.h - inside of struct rr_context.
+ * context-private.h - definition of struct rr_context.
  */
 #ifndef RAGWORT_CONTEXT_PRIVATE_H
 #define RAGWORT_CONTEXT_PRIVATE_H
@@ -12,7 +12,10 @@
 	GRand *random;
 	struct rr_log_options log;
 	GHashTable *log_windows; /* event name to struct log_window */
-	/* The last stamp but for its fraction: making one costs a line's time. */
+	/*
+	 * The second of the last timestamp, and its text without the fraction.
+	 * Cached since formatting it takes as long as the rest of a line.
+	 */
 	int64_t timestamp_s;
 	char timestamp_prefix[32];
 	uint64_t counters[RR_COUNTER_COUNT];
--- a/source/base/context.c
+++ b/source/base/context.c
@@ -1,5 +1,5 @@
 /*
- * context.c - make and drop contexts; seeded random numbers.
+ * context.c - reference-counted contexts and seeded random numbers.
  */
 #include "base/context-private.h"
 
--- a/source/base/counters.c
+++ b/source/base/counters.c
@@ -1,5 +1,5 @@
 /*
- * counters.c - counters, gauges, latency histograms, Prometheus text.
+ * counters.c - counters, gauges, latency histograms and their Prometheus text.
  */
 #include "ragwort/counters.h"
 
@@ -9,7 +9,10 @@
 
 #include "base/context-private.h"
 
-/* Buckets grow by 2^(1/8), about 9 %, from 1 us to about 18 minutes. */
+/*
+ * Bucket bounds grow by a factor of 2^(1/8), about 9 %, from 1 us to about 18
+ * minutes.
+ */
 #define BUCKETS_PER_DOUBLING 8
 #define BUCKET_COUNT (30 * BUCKETS_PER_DOUBLING)
 
@@ -25,7 +28,7 @@
 	bool gauge;
 };
 
-static const struct counter_info infos[RR_COUNTER_COUNT] = {
+static const struct counter_info counter_infos[RR_COUNTER_COUNT] = {
 #define RR_COUNTER(id, name, help) [id] = { name, help, false },
 #define RR_GAUGE(id, name, help) [id] = { name, help, true },
 #include "ragwort/counter-list.h"
@@ -33,7 +36,7 @@
 #undef RR_GAUGE
 };
 
-/* Bounds of the Prometheus buckets, in microseconds. */
+/* Upper bounds of the exported Prometheus buckets. */
 static const int64_t exported_bounds_us[] = {
 	1000,  2000,   5000,   10000,  20000,	50000,
 	84000, 100000, 200000, 500000, 1000000, 5000000,
@@ -54,7 +57,7 @@
 	return ctx->counters[counter];
 }
 
-static int bucket_of(int64_t latency_us)
+static int find_bucket(int64_t latency_us)
 {
 	int bucket;
 
@@ -64,7 +67,7 @@
 	return MIN(bucket, BUCKET_COUNT - 1);
 }
 
-/* The upper end of a bucket. */
+/* The upper bound of a bucket, rounded up to a microsecond. */
 static int64_t bucket_bound_us(int bucket)
 {
 	return (int64_t)ceil(exp2((bucket + 1.0) / BUCKETS_PER_DOUBLING));
@@ -81,7 +84,7 @@
 		g_hash_table_insert(ctx->latencies, g_strdup(service),
 				    histogram);
 	}
-	histogram->buckets[bucket_of(latency_us)]++;
+	histogram->buckets[find_bucket(latency_us)]++;
 	histogram->count++;
 	histogram->sum_us += (uint64_t)MAX(latency_us, 0);
 }
@@ -90,22 +93,22 @@
 			       double quantile)
 {
 	struct rr_histogram *histogram;
-	uint64_t wanted;
-	uint64_t seen = 0;
+	uint64_t rank;
+	uint64_t cumulative_count = 0;
 
 	histogram = g_hash_table_lookup(ctx->latencies, service);
 	if (!histogram || !histogram->count)
 		return 0;
-	wanted = (uint64_t)ceil(quantile * (double)histogram->count);
+	rank = (uint64_t)ceil(quantile * (double)histogram->count);
 	for (int i = 0; i < BUCKET_COUNT; i++) {
-		seen += histogram->buckets[i];
-		if (seen && seen >= wanted)
+		cumulative_count += histogram->buckets[i];
+		if (cumulative_count && cumulative_count >= rank)
 			return bucket_bound_us(i);
 	}
 	return bucket_bound_us(BUCKET_COUNT - 1);
 }
 
-/* A label's value as the Prometheus text format escapes it. */
+/* Escape a label's value as the Prometheus text format requires. */
 static char *escape_label(const char *text)
 {
 	GString *out = g_string_new(NULL);
@@ -126,7 +129,7 @@
 {
 	static const char name[] = "ragwort_answer_seconds";
 	char *service = escape_label(label);
-	uint64_t below = 0;
+	uint64_t cumulative_count = 0;
 	int bucket = 0;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(exported_bounds_us); i++) {
@@ -134,11 +137,12 @@
 
 		while (bucket < BUCKET_COUNT &&
 		       bucket_bound_us(bucket) <= bound_us)
-			below += histogram->buckets[bucket++];
+			cumulative_count += histogram->buckets[bucket++];
 		g_string_append_printf(
 			out,
 			"%s_bucket{service=\"%s\",le=\"%g\"} %" PRIu64 "\n",
-			name, service, (double)bound_us / 1e6, below);
+			name, service, (double)bound_us / 1e6,
+			cumulative_count);
 	}
 	g_string_append_printf(
 		out, "%s_bucket{service=\"%s\",le=\"+Inf\"} %" PRIu64 "\n",
@@ -158,14 +162,16 @@
 
 	for (int i = 0; i < RR_COUNTER_COUNT; i++) {
 		g_string_append_printf(out, "# HELP ragwort_%s %s\n",
-				       infos[i].name, infos[i].help);
-		g_string_append_printf(out, "# TYPE ragwort_%s %s\n",
-				       infos[i].name,
-				       infos[i].gauge ? "gauge" : "counter");
+				       counter_infos[i].name,
+				       counter_infos[i].help);
+		g_string_append_printf(
+			out, "# TYPE ragwort_%s %s\n", counter_infos[i].name,
+			counter_infos[i].gauge ? "gauge" : "counter");
 		g_string_append_printf(out, "ragwort_%s %" PRIu64 "\n",
-				       infos[i].name, ctx->counters[i]);
+				       counter_infos[i].name, ctx->counters[i]);
 	}
-	g_string_append(out, "# HELP ragwort_answer_seconds time to answer\n"
+	g_string_append(out, "# HELP ragwort_answer_seconds time from "
+			     "request to answer\n"
 			     "# TYPE ragwort_answer_seconds histogram\n");
 	g_hash_table_iter_init(&iter, ctx->latencies);
 	while (g_hash_table_iter_next(&iter, &service, &histogram))
@@ -175,21 +181,24 @@
 void rr_format_metrics_reference(GString *out)
 {
 	g_string_append(
-		out, "# Metrics\n"
-		     "\n"
-		     "Made by `ragwort metrics-reference` from the list in\n"
-		     "include/ragwort/counter-list.h; do not edit it by hand. "
-		     "`GET /metrics`\n"
-		     "of an instance gives them in the Prometheus text format, "
-		     "version 0.0.4.\n"
-		     "\n"
-		     "| name | type | meaning |\n"
-		     "| --- | --- | --- |\n");
+		out,
+		"# Metrics\n"
+		"\n"
+		"Generated by `ragwort metrics-reference` from the list in\n"
+		"include/ragwort/counter-list.h; do not edit it by hand. "
+		"`GET /metrics`\n"
+		"of an instance gives them in the Prometheus text format, "
+		"version 0.0.4.\n"
+		"\n"
+		"| name | type | meaning |\n"
+		"| --- | --- | --- |\n");
 	for (int i = 0; i < RR_COUNTER_COUNT; i++)
-		g_string_append_printf(
-			out, "| `ragwort_%s` | %s | %s |\n", infos[i].name,
-			infos[i].gauge ? "gauge" : "counter", infos[i].help);
+		g_string_append_printf(out, "| `ragwort_%s` | %s | %s |\n",
+				       counter_infos[i].name,
+				       counter_infos[i].gauge ? "gauge" :
+								"counter",
+				       counter_infos[i].help);
 	g_string_append(out, "| `ragwort_answer_seconds` | histogram, label "
-			     "`service` | time from a request to its "
+			     "`service` | time from request to "
 			     "answer |\n");
 }
--- a/source/base/error.c
+++ b/source/base/error.c
@@ -1,5 +1,5 @@
 /*
- * error.c - the GError domain and the words for outcomes and reasons.
+ * error.c - GError domain and names of request kinds, outcomes and reasons.
  */
 #include "ragwort/error.h"
 #include "ragwort/request.h"
--- a/source/base/json-private.h
+++ b/source/base/json-private.h
@@ -1,12 +1,15 @@
 /*
- * json-private.h - JSON text written straight into a string.
+ * json-private.h - JSON text appended to a string.
  */
 #ifndef RAGWORT_JSON_PRIVATE_H
 #define RAGWORT_JSON_PRIVATE_H
 
 #include <glib.h>
 
-/* Append a quoted, escaped string; NULL gives null. */
+/*
+ * Append a quoted, escaped string; NULL appends null.  Bytes that are not UTF-8
+ * become U+FFFD.
+ */
 void rr_append_json_string(GString *out, const char *text);
 
 #endif
--- a/source/base/json.c
+++ b/source/base/json.c
@@ -1,21 +1,24 @@
 /*
- * json.c - escape strings for JSON.
+ * json.c - escaping of strings for JSON.
  */
 #include "base/json-private.h"
 
 #include <stdbool.h>
 
-static bool is_plain(unsigned char c)
+static bool needs_no_escape(unsigned char c)
 {
 	return c >= ' ' && c != '"' && c != '\\' && c != 0x7f;
 }
 
-/* Bytes until one that is escaped: long values have none. */
-static size_t count_plain(const char *text)
+/*
+ * Count the bytes before the first one that needs an escape.  Long values
+ * usually have none, and are then copied at once.
+ */
+static size_t count_unescaped(const char *text)
 {
 	size_t n = 0;
 
-	while (is_plain((unsigned char)text[n]))
+	while (needs_no_escape((unsigned char)text[n]))
 		n++;
 	return n;
 }
@@ -43,8 +46,8 @@
 		return;
 	}
 	/*
-	 * JSON is UTF-8: a stranger's bytes that are not, say in a request
-	 * id, would make the whole line or answer unreadable to its reader.
+	 * JSON is UTF-8: a caller's bytes that are not, for example in a
+	 * request id, would make the whole line or answer invalid.
 	 */
 	if (!g_utf8_validate(text, -1, NULL)) {
 		valid = g_utf8_make_valid(text, -1);
@@ -52,10 +55,10 @@
 	}
 	g_string_append_c(out, '"');
 	while (*text) {
-		size_t plain = count_plain(text);
+		size_t n_unescaped = count_unescaped(text);
 
-		g_string_append_len(out, text, (gssize)plain);
-		text += plain;
+		g_string_append_len(out, text, (gssize)n_unescaped);
+		text += n_unescaped;
 		if (*text)
 			append_escaped(out, (unsigned char)*text++);
 	}
--- a/source/base/log.c
+++ b/source/base/log.c
@@ -1,5 +1,5 @@
 /*
- * log.c - format structured log lines and bound their rate.
+ * log.c - formatting and rate limiting of structured log lines.
  */
 #include "ragwort/log.h"
 
@@ -15,11 +15,11 @@
 	[RR_LOG_DEBUG] = "debug",
 };
 
-/* Lines of one event within the current second. */
+/* Lines of one event in the current second. */
 struct log_window {
 	int64_t second;
 	uint32_t lines;
-	uint64_t dropped; /* since the event's last line */
+	uint64_t dropped; /* lines since the last one written */
 };
 
 bool rr_log_enabled(struct rr_context *ctx, enum rr_log_level level)
@@ -36,9 +36,10 @@
 }
 
 /*
- * Whether the event's bound allows one more line at now_us.  Guards against
- * a fault that logs on every request and fills the operator's log; the count
- * of what was left out goes into the next line of the event.
+ * Return whether the event's rate limit allows one more line at now_us.  If so,
+ * *dropped is the number of lines dropped since the event's last one, which the
+ * new line reports.  Without the limit, a fault that logs on every request
+ * would fill the operator's log.
  */
 static bool allow_line(struct rr_context *ctx, const char *event,
 		       int64_t now_us, uint64_t *dropped)
@@ -69,8 +70,8 @@
 	return true;
 }
 
-static void write_stamp(struct rr_context *ctx, int64_t now_us, char *stamp,
-			size_t size)
+static void format_timestamp(struct rr_context *ctx, int64_t now_us,
+			     char *timestamp, size_t size)
 {
 	int64_t second = now_us / G_USEC_PER_SEC;
 
@@ -84,7 +85,7 @@
 		g_free(text);
 		g_date_time_unref(time);
 	}
-	g_snprintf(stamp, size, "%s.%06dZ", ctx->timestamp_prefix,
+	g_snprintf(timestamp, size, "%s.%06dZ", ctx->timestamp_prefix,
 		   (int)(now_us % G_USEC_PER_SEC));
 }
 
@@ -123,7 +124,7 @@
 				       field->value.i64);
 		break;
 	case RR_LOG_DOUBLE:
-		/* JSON has no word for these. */
+		/* JSON cannot represent NaN and infinity. */
 		if (json && !isfinite(field->value.f64)) {
 			g_string_append(line, "null");
 			break;
@@ -172,10 +173,10 @@
 		return;
 	line = g_string_new(json ? "{" : "");
 	if (ctx->log.clock) {
-		char stamp[48];
+		char timestamp[48];
 
-		write_stamp(ctx, now_us, stamp, sizeof(stamp));
-		append_field(line, &RR_FIELD_STRING("time", stamp), json);
+		format_timestamp(ctx, now_us, timestamp, sizeof(timestamp));
+		append_field(line, &RR_FIELD_STRING("time", timestamp), json);
 	}
 	append_field(line, &RR_FIELD_STRING("level", level_names[level]), json);
 	append_field(line, &RR_FIELD_STRING("event", event), json);
--- a/source/base/program.c
+++ b/source/base/program.c
@@ -1,5 +1,5 @@
 /*
- * program.c - a daemon's command line.
+ * program.c - the command line of the daemons.
  */
 #include "ragwort/program.h"
 
@@ -16,16 +16,17 @@
 	arg_print_glossary(stdout, table, "  %-20s %s\n");
 	printf("\n");
 	if (program->settings_env_var)
-		printf("Without --settings the variable %s names the file.\n",
+		printf("Without --settings, the environment variable %s names "
+		       "the file.\n",
 		       program->settings_env_var);
-	printf("Exit codes: 0 stopped as asked or check passed, 1 the system "
-	       "refused\nsomething such as an address in use, 2 bad command "
-	       "line or start file.\n%s",
+	printf("Exit codes: 0 stopped on request or check passed, 1 system "
+	       "error such as\nan address in use, 2 invalid command line or "
+	       "start file.\n%s",
 	       program->signals_help);
 }
 
-static const char *find_file(const struct rr_program *program,
-			     const struct arg_file *file)
+static const char *find_start_file(const struct rr_program *program,
+				   const struct arg_file *file)
 {
 	if (file->count)
 		return file->filename[0];
@@ -39,22 +40,23 @@
 		arg_file0(NULL, "settings", "FILE", program->settings_help);
 	struct arg_lit *check =
 		arg_lit0(NULL, "check", "check the start file and exit");
-	struct arg_lit *help = arg_lit0("h", "help", "print this and exit");
+	struct arg_lit *help =
+		arg_lit0("h", "help", "print this help and exit");
 	struct arg_lit *version =
 		arg_lit0(NULL, "version", "print the version and exit");
 	struct arg_end *end = arg_end(10);
 	void *table[] = { file, check, help, version, end };
-	int faults = arg_parse(argc, argv, table);
-	const char *name = find_file(program, file);
+	int n_errors = arg_parse(argc, argv, table);
+	const char *name = find_start_file(program, file);
 	enum rr_program_exit code = RR_PROGRAM_OK;
 
 	if (help->count) {
 		print_help(program, table);
 	} else if (version->count) {
 		printf("%s %s\n", program->name, RR_VERSION);
-	} else if (faults || !name) {
+	} else if (n_errors || !name) {
 		arg_print_errors(stderr, end, program->name);
-		fprintf(stderr, "%s: --settings FILE is needed; see --help\n",
+		fprintf(stderr, "%s: --settings FILE is required; see --help\n",
 			program->name);
 		code = RR_PROGRAM_USAGE;
 	} else {
