--- a/proto/ledger.pb-c.h
+++ b/proto/ledger.pb-c.h
@@ -25,14 +25,14 @@
 /* --- messages --- */
 
 /*
- * The value of one key "ledger/G/S": claims of request ids.
+ * Value of the key "ledger/G/S": a bucket of claims of request ids.
  */
 struct  Ragwort__Ledger__Bucket
 {
   ProtobufCMessage base;
   uint32_t format;
   /*
-   * Ids made before this second may have been pruned: they are refused.
+   * Ids created before this second may have been pruned, so they are rejected.
    */
   int64_t floor_s;
   size_t n_entries;
@@ -51,19 +51,19 @@
    */
   char *name;
   /*
-   * When the id was made, in seconds since 1970.
+   * Creation time of the id, in seconds since 1970.
    */
   int64_t made_s;
   uint64_t fingerprint;
   /*
-   * The nonce: who claimed it.
+   * The claim's nonce: instance, incarnation and sequence.
    */
   char *instance;
   uint64_t incarnation;
   uint64_t sequence;
   protobuf_c_boolean done;
   /*
-   * The recorded result, where done.
+   * The recorded result; empty until done.
    */
   ProtobufCBinaryData result;
 };
--- a/proto/peer.pb-c.h
+++ b/proto/peer.pb-c.h
@@ -33,11 +33,11 @@
   ProtobufCMessage base;
   char *instance;
   /*
-   * left out for a dead member
+   * empty for a dead member
    */
   char *zone;
   /*
-   * likewise
+   * empty for a dead member
    */
   char *address;
   uint64_t incarnation;
@@ -101,7 +101,7 @@
   char *request_id;
   ProtobufCBinaryData body;
   /*
-   * empty: none
+   * empty if there is none
    */
   char *idempotency_key;
   uint64_t key_from;
@@ -126,14 +126,14 @@
   uint64_t query_id;
   uint64_t version;
   /*
-   * Rows by column: one allocation each, whatever their number.
+   * Rows by column, so that decoding takes one allocation per column.
    */
   size_t n_row_keys;
   uint64_t *row_keys;
   size_t n_row_lengths;
   uint32_t *row_lengths;
   /*
-   * all rows' JSON, end to end
+   * JSON of all rows, concatenated
    */
   ProtobufCBinaryData row_texts;
   size_t n_outcomes;
@@ -164,7 +164,7 @@
   uint64_t config_revision;
   uint64_t sequence;
   /*
-   * empty: none
+   * empty if there is none
    */
   char *target;
   size_t n_updates;
--- a/source/wire/compress.c
+++ b/source/wire/compress.c
@@ -1,5 +1,5 @@
 /*
- * compress.c - zlib and base64, both GLib's.
+ * compress.c - zlib compression to base64 text, with GLib's converters.
  */
 #include "wire/compress.h"
 
@@ -7,65 +7,66 @@
 #include <stdbool.h>
 
 /*
- * The quickest, since whoever packs serves callers on the same thread: a
+ * The fastest level, since the thread that compresses also serves callers: a
  * generated configuration of 1,100 shards, 297 KB, becomes 38 KB of text in
- * 1.1 ms; the usual level makes 20 KB of it.
+ * 1.1 ms.  The default level reduces it to 20 KB.
  */
-#define LEVEL 1
-#define STEP_BYTES 16384
+#define COMPRESSION_LEVEL 1
+#define CHUNK_BYTES 16384
 
 /*
- * Convert all of `in`; false where that is no input of the converter's, or
- * more than `most` bytes come out.
+ * Convert all of `in`.  False if the input is invalid, has trailing bytes, or
+ * gives more than `max_bytes` of output.
  */
 static bool convert_all(GConverter *converter, const uint8_t *in, size_t length,
-			size_t most, GByteArray *out)
+			size_t max_bytes, GByteArray *out)
 {
 	GConverterResult result = G_CONVERTER_CONVERTED;
-	uint8_t step[STEP_BYTES];
+	uint8_t chunk[CHUNK_BYTES];
 
 	while (result != G_CONVERTER_FINISHED) {
-		gsize used;
-		gsize made;
+		gsize consumed;
+		gsize produced;
 
 		result = g_converter_convert(
-			converter, in, length, step, sizeof(step),
-			G_CONVERTER_INPUT_AT_END, &used, &made, NULL);
-		if (result == G_CONVERTER_ERROR || out->len + made > most)
+			converter, in, length, chunk, sizeof(chunk),
+			G_CONVERTER_INPUT_AT_END, &consumed, &produced, NULL);
+		if (result == G_CONVERTER_ERROR ||
+		    out->len + produced > max_bytes)
 			return false;
-		g_byte_array_append(out, step, (guint)made);
-		in += used;
-		length -= used;
+		g_byte_array_append(out, chunk, (guint)produced);
+		in += consumed;
+		length -= consumed;
 	}
 	return length == 0;
 }
 
 char *rr_compress_to_base64(const uint8_t *bytes, size_t length)
 {
-	GConverter *packer = G_CONVERTER(
-		g_zlib_compressor_new(G_ZLIB_COMPRESSOR_FORMAT_ZLIB, LEVEL));
-	GByteArray *packed = g_byte_array_new();
+	GConverter *compressor = G_CONVERTER(g_zlib_compressor_new(
+		G_ZLIB_COMPRESSOR_FORMAT_ZLIB, COMPRESSION_LEVEL));
+	GByteArray *compressed = g_byte_array_new();
 	char *text = NULL;
 
-	if (convert_all(packer, bytes, length, G_MAXUINT, packed))
-		text = g_base64_encode(packed->data, packed->len);
-	g_byte_array_unref(packed);
-	g_object_unref(packer);
+	if (convert_all(compressor, bytes, length, G_MAXUINT, compressed))
+		text = g_base64_encode(compressed->data, compressed->len);
+	g_byte_array_unref(compressed);
+	g_object_unref(compressor);
 	return text;
 }
 
-char *rr_decompress_base64(const char *text, size_t most_bytes, size_t *length)
+char *rr_decompress_base64(const char *text, size_t max_bytes, size_t *length)
 {
-	GConverter *unpacker = G_CONVERTER(
+	GConverter *decompressor = G_CONVERTER(
 		g_zlib_decompressor_new(G_ZLIB_COMPRESSOR_FORMAT_ZLIB));
 	GByteArray *bytes = g_byte_array_new();
-	gsize packed_length;
-	guchar *packed = g_base64_decode(text, &packed_length);
-	bool ok =
-		convert_all(unpacker, packed, packed_length, most_bytes, bytes);
+	gsize compressed_length;
+	guchar *compressed = g_base64_decode(text, &compressed_length);
+	bool ok = convert_all(decompressor, compressed, compressed_length,
+			      max_bytes, bytes);
 
-	g_free(packed);
-	g_object_unref(unpacker);
+	g_free(compressed);
+	g_object_unref(decompressor);
 	if (!ok) {
 		g_byte_array_unref(bytes);
 		return NULL;
--- a/source/wire/compress.h
+++ b/source/wire/compress.h
@@ -1,5 +1,7 @@
 /*
- * compress.h - compressed bytes as text, for what instances pass on to each other.
+ * compress.h - zlib compression to base64 text.
+ *
+ * For messages between instances.
  */
 #ifndef RAGWORT_WIRE_COMPRESS_H
 #define RAGWORT_WIRE_COMPRESS_H
@@ -7,14 +9,17 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* The bytes compressed, in base64, for g_free(). */
+/*
+ * Return the bytes compressed and encoded in base64; the caller frees the text
+ * with g_free().  NULL if compression fails.
+ */
 char *rr_compress_to_base64(const uint8_t *bytes, size_t length);
 
 /*
- * What was packed, for g_free(), with a zero byte behind its *length bytes.
- * NULL if the text is nothing that rr_compress_to_base64() made, or holds more than
- * `most_bytes`.
+ * Decode and decompress the text of rr_compress_to_base64().  The caller frees
+ * the result with g_free(); a zero byte follows its *length bytes.  NULL if the
+ * text is malformed or decompresses to more than `max_bytes`.
  */
-char *rr_decompress_base64(const char *text, size_t most_bytes, size_t *length);
+char *rr_decompress_base64(const char *text, size_t max_bytes, size_t *length);
 
 #endif
--- a/source/wire/ledger-value.c
+++ b/source/wire/ledger-value.c
@@ -1,5 +1,5 @@
 /*
- * ledger-value.c - the value of one ledger bucket, and its encoding.
+ * ledger-value.c - value of one ledger bucket and its protobuf encoding.
  */
 #include "wire/ledger-value.h"
 
@@ -9,9 +9,9 @@
 #include "ragwort/error.h"
 
 #define LEDGER_FORMAT 1
-/* Tags, lengths, numbers and the fingerprint of one entry, at most. */
+/* Upper bound of an entry's tags, lengths, numbers and fingerprint. */
 #define ENTRY_OVERHEAD_BYTES 64
-#define VALUE_OVERHEAD_BYTES 32
+#define BUCKET_OVERHEAD_BYTES 32
 
 static void free_entry(gpointer data)
 {
@@ -29,7 +29,7 @@
 
 	value->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					       free_entry);
-	value->encoded_size_bound = VALUE_OVERHEAD_BYTES;
+	value->encoded_size_bound = BUCKET_OVERHEAD_BYTES;
 	return value;
 }
 
@@ -47,7 +47,7 @@
 	return g_hash_table_lookup(value->entries, name);
 }
 
-static size_t entry_bytes(const struct rr_ledger_entry *entry)
+static size_t entry_size_bound(const struct rr_ledger_entry *entry)
 {
 	return ENTRY_OVERHEAD_BYTES + strlen(entry->name) +
 	       strlen(entry->instance) + entry->result_length;
@@ -62,7 +62,7 @@
 	copy->name = g_strdup(entry->name);
 	copy->instance = g_strdup(entry->instance);
 	copy->result = g_memdup2(entry->result, entry->result_length);
-	value->encoded_size_bound += entry_bytes(copy);
+	value->encoded_size_bound += entry_size_bound(copy);
 	value->max_created_s = MAX(value->max_created_s, copy->created_s);
 	g_hash_table_insert(value->entries, copy->name, copy);
 }
@@ -71,12 +71,12 @@
 			    struct rr_ledger_entry *entry, const char *result,
 			    size_t length)
 {
-	value->encoded_size_bound -= entry_bytes(entry);
+	value->encoded_size_bound -= entry_size_bound(entry);
 	g_free(entry->result);
 	entry->done = true;
 	entry->result = g_memdup2(result, length);
 	entry->result_length = length;
-	value->encoded_size_bound += entry_bytes(entry);
+	value->encoded_size_bound += entry_size_bound(entry);
 }
 
 void rr_remove_ledger_entry(struct rr_ledger_value *value, const char *name)
@@ -85,11 +85,11 @@
 
 	if (!entry)
 		return;
-	value->encoded_size_bound -= entry_bytes(entry);
+	value->encoded_size_bound -= entry_size_bound(entry);
 	g_hash_table_remove(value->entries, name);
 }
 
-void rr_prune_ledger_value(struct rr_ledger_value *value, int64_t floor_s,
+void rr_prune_ledger_value(struct rr_ledger_value *value, int64_t min_created_s,
 			   bool (*keep)(const void *data,
 					const struct rr_ledger_entry *entry),
 			   const void *data)
@@ -97,16 +97,16 @@
 	GHashTableIter iter;
 	gpointer item;
 
-	if (floor_s <= value->min_created_s)
+	if (min_created_s <= value->min_created_s)
 		return;
-	value->min_created_s = floor_s;
+	value->min_created_s = min_created_s;
 	g_hash_table_iter_init(&iter, value->entries);
 	while (g_hash_table_iter_next(&iter, NULL, &item)) {
 		struct rr_ledger_entry *entry = item;
 
-		if (entry->created_s >= floor_s || keep(data, entry))
+		if (entry->created_s >= min_created_s || keep(data, entry))
 			continue;
-		value->encoded_size_bound -= entry_bytes(entry);
+		value->encoded_size_bound -= entry_size_bound(entry);
 		g_hash_table_iter_remove(&iter);
 	}
 }
@@ -161,13 +161,13 @@
 {
 	if (!strchr(message->name, '/') || !*message->instance) {
 		g_set_error(error, RR_ERROR, RR_ERROR_SYNTAX,
-			    "ledger entry '%s' lacks its service or claimant",
+			    "ledger entry '%s' has no service or no claimant",
 			    message->name);
 		return false;
 	}
 	if (rr_find_ledger_entry(value, message->name)) {
 		g_set_error(error, RR_ERROR, RR_ERROR_SYNTAX,
-			    "ledger entry '%s' stands twice", message->name);
+			    "duplicate ledger entry '%s'", message->name);
 		return false;
 	}
 	return true;
@@ -178,7 +178,7 @@
 {
 	if (bucket->format != LEDGER_FORMAT) {
 		g_set_error(error, RR_ERROR, RR_ERROR_UNSUPPORTED,
-			    "ledger bucket of format %u, only %d is known",
+			    "ledger bucket has format %u, supported is %d",
 			    bucket->format, LEDGER_FORMAT);
 		return false;
 	}
--- a/source/wire/ledger-value.h
+++ b/source/wire/ledger-value.h
@@ -1,6 +1,7 @@
 /*
- * ledger-value.h - the value of one ledger bucket in memory, and its
- * encoding (proto/ledger.proto).
+ * ledger-value.h - value of one ledger bucket and its protobuf encoding.
+ *
+ * proto/ledger.proto defines the encoding.
  */
 #ifndef WIRE_LEDGER_VALUE_H
 #define WIRE_LEDGER_VALUE_H
@@ -11,58 +12,64 @@
 #include <stdint.h>
 
 struct rr_ledger_entry {
-	char *name; /* SERVICE/ID */
-	int64_t created_s;
-	uint64_t fingerprint;
-	/* The nonce of the claimant. */
+	char *name;	      /* SERVICE/ID */
+	int64_t created_s;    /* of the id, in seconds since 1970 */
+	uint64_t fingerprint; /* of the request */
+	/* The claim's nonce: instance, incarnation and sequence. */
 	char *instance;
 	uint64_t incarnation;
 	uint64_t sequence;
-	bool done;
-	char *result;
+	bool done;    /* the result is recorded */
+	char *result; /* NULL until done */
 	size_t result_length;
-	/* Not encoded: changed in memory and not yet known to be stored. */
+	/* Changed in memory and not known to be stored yet; not encoded. */
 	bool uncommitted;
 };
 
 struct rr_ledger_value {
 	GHashTable *entries; /* name to struct rr_ledger_entry */
-	/* Ids made before this may have been pruned. */
+	/* Ids created before this second may have been pruned. */
 	int64_t min_created_s;
-	/* When the newest id in it was made. */
+	/* Creation time of the newest id ever added, in seconds. */
 	int64_t max_created_s;
-	/* An upper bound of the encoded size. */
+	/* Upper bound of the encoded size, in bytes. */
 	size_t encoded_size_bound;
 };
 
+/* Create an empty value, freed with rr_drop_ledger_value(). */
 struct rr_ledger_value *rr_new_ledger_value(void);
+/* Free a value and its entries; NULL is ignored. */
 void rr_drop_ledger_value(struct rr_ledger_value *value);
 
-/* The entry of that name, owned by the value; NULL if there is none. */
+/* Return the entry of that name, owned by the value; NULL if absent. */
 struct rr_ledger_entry *
 rr_find_ledger_entry(const struct rr_ledger_value *value, const char *name);
-/* Copy an entry into the value; its name must not be in it. */
+/* Add a copy of an entry; its name must not be in the value yet. */
 void rr_add_ledger_entry(struct rr_ledger_value *value,
 			 const struct rr_ledger_entry *entry);
-/* Mark an entry as done with a copy of its result. */
+/* Mark an entry as done and store a copy of its result, `length` bytes. */
 void rr_finish_ledger_entry(struct rr_ledger_value *value,
 			    struct rr_ledger_entry *entry, const char *result,
 			    size_t length);
+/* Remove the entry of that name, if there is one. */
 void rr_remove_ledger_entry(struct rr_ledger_value *value, const char *name);
 /*
- * Remove the entries of ids made before `floor_s` and raise the floor to it;
- * entries that keep() wants stay.  A lower floor than the present one changes
- * nothing.
+ * Remove the entries of ids created before `min_created_s`, except those for
+ * which keep() returns true, and set the value's min_created_s to it.  Does
+ * nothing unless this raises the value's min_created_s.
  */
-void rr_prune_ledger_value(struct rr_ledger_value *value, int64_t floor_s,
+void rr_prune_ledger_value(struct rr_ledger_value *value, int64_t min_created_s,
 			   bool (*keep)(const void *data,
 					const struct rr_ledger_entry *entry),
 			   const void *data);
 
-/* The bytes are freed with g_free(). */
+/* Encode a value in *length bytes, which the caller frees with g_free(). */
 char *rr_encode_ledger_value(const struct rr_ledger_value *value,
 			     size_t *length);
-/* NULL with an error for anything malformed. */
+/*
+ * Decode a value, freed with rr_drop_ledger_value(); NULL with an error if it
+ * is malformed or has an unknown format.
+ */
 struct rr_ledger_value *rr_decode_ledger_value(const char *bytes, size_t length,
 					       GError **error);
 
--- a/source/wire/wire-attempt.c
+++ b/source/wire/wire-attempt.c
@@ -1,5 +1,5 @@
 /*
- * wire-attempt.c - the JSON body of an attempt and the path it is posted to.
+ * wire-attempt.c - the JSON body and the request path of an attempt.
  */
 #include "wire/wire-private.h"
 
@@ -20,7 +20,7 @@
 
 char *rr_format_attempt_path(const struct rr_attempt *attempt)
 {
-	/* A shard's name has only characters that need no escape. */
+	/* Names of shards have only characters that need no escape. */
 	return g_strdup_printf("/v1/shards/%s/%s", attempt->shard,
 			       rr_request_kind_name(attempt->kind));
 }
--- a/source/wire/wire-cursor.c
+++ b/source/wire/wire-cursor.c
@@ -1,10 +1,10 @@
 /*
- * wire-cursor.c - the text that says where a paged list goes on:
- * "1.VERSION.EPOCH.KEY.SKIP.SUM", numbers in hexadecimal.
+ * wire-cursor.c - encoding of the cursors of paged lists.
  *
- * The check sum is over the service's name and the rest.  It guards against
- * a cursor that was cut, mistyped or used on another service and would then
- * leave out rows without a word; it is no signature.
+ * A cursor is "1.VERSION.EPOCH.KEY.SKIP.SUM", with numbers in hexadecimal.  The
+ * checksum SUM covers the service's name and the fields before it.  It detects
+ * cursors that were truncated, mistyped or used on another service, which would
+ * silently skip rows; it is not a signature.
  */
 #include <string.h>
 #include <xxhash.h>
@@ -15,7 +15,8 @@
 #define CURSOR_FIELDS 6
 #define MAX_CURSOR_LENGTH 128
 
-static uint64_t sum_cursor(const char *service, const char *text, size_t length)
+static uint64_t checksum_cursor(const char *service, const char *text,
+				size_t length)
 {
 	uint64_t seed = XXH64(service, strlen(service), CURSOR_FORMAT);
 
@@ -32,12 +33,15 @@
 			CURSOR_FORMAT, cursor->version, cursor->map_epoch,
 			cursor->next_key, cursor->skip_rows);
 	g_string_append_printf(text, ".%016" G_GINT64_MODIFIER "x",
-			       sum_cursor(service, text->str, text->len));
+			       checksum_cursor(service, text->str, text->len));
 	return g_string_free(text, FALSE);
 }
 
-/* Read one hexadecimal number and the dot after it; NULL when malformed. */
-static const char *read_field(const char *at, bool last, uint64_t *value)
+/*
+ * Parse one hexadecimal number and the dot after it, or the end of the text
+ * after the last one.  NULL if malformed.
+ */
+static const char *parse_field(const char *at, bool last, uint64_t *value)
 {
 	const char *start = at;
 
@@ -51,10 +55,10 @@
 	return last ? at : at + 1;
 }
 
-static bool read_fields(const char *text, uint64_t *fields)
+static bool parse_fields(const char *text, uint64_t *fields)
 {
 	for (int i = 0; i < CURSOR_FIELDS; i++) {
-		text = read_field(text, i == CURSOR_FIELDS - 1, &fields[i]);
+		text = parse_field(text, i == CURSOR_FIELDS - 1, &fields[i]);
 		if (!text)
 			return false;
 	}
@@ -65,26 +69,27 @@
 		      struct rr_cursor *cursor, GError **error)
 {
 	uint64_t fields[CURSOR_FIELDS];
-	const char *sum;
+	const char *checksum;
 
 	if (strnlen(text, MAX_CURSOR_LENGTH + 1) > MAX_CURSOR_LENGTH ||
-	    !read_fields(text, fields)) {
+	    !parse_fields(text, fields)) {
 		g_set_error(error, RR_ERROR, RR_ERROR_SYNTAX,
-			    "cursor is malformed: use next_cursor of the last "
-			    "page as it is");
+			    "cursor is malformed: send next_cursor of the "
+			    "previous page unchanged");
 		return false;
 	}
 	if (fields[0] != CURSOR_FORMAT) {
 		g_set_error(error, RR_ERROR, RR_ERROR_UNSUPPORTED,
-			    "cursor is of format %" G_GUINT64_FORMAT
-			    ", allowed is %d",
+			    "cursor has format %" G_GUINT64_FORMAT
+			    ", supported is %d",
 			    fields[0], CURSOR_FORMAT);
 		return false;
 	}
-	sum = strrchr(text, '.');
-	if (fields[5] != sum_cursor(service, text, (size_t)(sum - text))) {
+	checksum = strrchr(text, '.');
+	if (fields[5] !=
+	    checksum_cursor(service, text, (size_t)(checksum - text))) {
 		g_set_error(error, RR_ERROR, RR_ERROR_SYNTAX,
-			    "cursor was altered or belongs to another service "
+			    "cursor was altered or belongs to a service other "
 			    "than \"%s\"",
 			    service);
 		return false;
--- a/source/wire/wire-peer-encode.c
+++ b/source/wire/wire-peer-encode.c
@@ -1,14 +1,14 @@
 /*
- * wire-peer-encode.c - typed peer messages to protobuf.
+ * wire-peer-encode.c - encoding of peer messages as protobuf.
  *
- * The generated structs only borrow the message's strings.
+ * The strings in the generated structs are owned by the peer message.
  */
 #include <string.h>
 
 #include "peer.pb-c.h"
 #include "wire/wire-private.h"
 
-/* What was allocated for one message; all strings are borrowed. */
+/* The protobuf message and the arrays allocated for it. */
 struct encoding {
 	Ragwort__PeerMessage message;
 	Ragwort__MemberUpdate *updates;
@@ -19,7 +19,7 @@
 	Ragwort__RelayReply reply;
 	Ragwort__RelayOutcome *outcomes;
 	Ragwort__RelayOutcome **outcome_list;
-	uint64_t *ranges; /* of all outcomes */
+	uint64_t *ranges; /* of all outcomes: from, to, from, to */
 	uint64_t *row_keys;
 	uint32_t *row_lengths;
 	uint8_t *row_texts;
@@ -92,7 +92,7 @@
 static void fill_rows(struct encoding *e, const struct rr_rows *rows)
 {
 	size_t n = rr_count_rows(rows);
-	size_t at = 0;
+	size_t offset = 0;
 
 	e->row_keys = g_new(uint64_t, n);
 	e->row_lengths = g_new(uint32_t, n);
@@ -103,15 +103,15 @@
 
 		e->row_keys[i] = rr_row_key(rows, i);
 		e->row_lengths[i] = (uint32_t)length;
-		memcpy(e->row_texts + at, json, length);
-		at += length;
+		memcpy(e->row_texts + offset, json, length);
+		offset += length;
 	}
 	e->reply.row_keys = e->row_keys;
 	e->reply.n_row_keys = n;
 	e->reply.row_lengths = e->row_lengths;
 	e->reply.n_row_lengths = n;
 	e->reply.row_texts.data = e->row_texts;
-	e->reply.row_texts.len = at;
+	e->reply.row_texts.len = offset;
 }
 
 static size_t count_ranges(const struct rr_relay_reply *from)
--- a/source/wire/wire-peer.c
+++ b/source/wire/wire-peer.c
@@ -1,5 +1,5 @@
 /*
- * wire-peer.c - decode and check peer messages.
+ * wire-peer.c - decoding and checking of peer messages.
  */
 #include <string.h>
 
@@ -7,28 +7,29 @@
 #include "wire/wire-private.h"
 
 /*
- * Memory that one message may unpack to.  Guards against a short message of
- * many empty parts, which unpacks to fifty times its size: the allocation
- * fails instead and the message is refused.
+ * Memory limit for unpacking a message of N bytes: UNPACK_SLACK_BYTES +
+ * UNPACK_FACTOR * N.  A short message of many empty submessages would unpack to
+ * fifty times its size; beyond the limit the allocation fails and the message
+ * is rejected.
  */
 #define UNPACK_SLACK_BYTES (256u << 10)
 #define UNPACK_FACTOR 8
 
 struct budget {
-	size_t left;
+	size_t remaining_bytes;
 };
 
-static void *take_budget(void *data, size_t size)
+static void *allocate_within_budget(void *data, size_t size)
 {
 	struct budget *budget = data;
 
-	if (size > budget->left)
+	if (size > budget->remaining_bytes)
 		return NULL;
-	budget->left -= size;
+	budget->remaining_bytes -= size;
 	return g_try_malloc(size);
 }
 
-static void return_budget(void *data, void *pointer)
+static void free_allocation(void *data, void *pointer)
 {
 	(void)data;
 	g_free(pointer);
@@ -52,15 +53,15 @@
 {
 	if (rr_is_valid_name(text))
 		return true;
-	return fail(error, "%s is missing or no name", field);
+	return fail(error, "%s is missing or not a valid name", field);
 }
 
-/* Bytes as a string of ours; a NUL inside would cut it silently. */
+/* Copy bytes to a string.  A NUL byte, which would truncate it, is an error. */
 static bool copy_text(ProtobufCBinaryData bytes, const char *field, char **text,
 		      GError **error)
 {
 	if (bytes.len && memchr(bytes.data, 0, bytes.len))
-		return fail(error, "%s holds a NUL", field);
+		return fail(error, "%s contains a NUL byte", field);
 	*text = g_strndup((const char *)bytes.data, bytes.len);
 	return true;
 }
@@ -80,7 +81,7 @@
 	if (!dead && !check_name(from->zone, "member update's zone", error))
 		return false;
 	if (!dead && !rr_is_valid_address(from->address))
-		return fail(error, "member update's address is no IP:PORT");
+		return fail(error, "member update's address is not IP:PORT");
 	update->instance = g_strdup(from->instance);
 	update->zone = dead ? NULL : g_strdup(from->zone);
 	update->address = dead ? NULL : g_strdup(from->address);
@@ -123,7 +124,8 @@
 		    !check_name(shard->replica, "relay's replica", error))
 			return false;
 		if (shard->oldest_version > shard->newest_version)
-			return fail(error, "relay's versions are reversed");
+			return fail(error, "relay's oldest version is above "
+					   "its newest");
 		relay->shards[i].shard = g_strdup(shard->shard);
 		if (*shard->replica)
 			relay->shards[i].preferred_replica =
@@ -140,14 +142,14 @@
 	struct rr_relay *relay;
 
 	if (!from)
-		return fail(error, "relay without its part");
+		return fail(error, "relay without payload");
 	if (from->kind < RR_SEARCH || from->kind > RR_LIST)
 		return fail(error, "relay kind %u, allowed %d to %d",
 			    from->kind, RR_SEARCH, RR_LIST);
 	if (!check_name(from->service, "relay's service", error))
 		return false;
 	if (!rr_is_valid_key_range(from->key_from, from->key_to))
-		return fail(error, "relay's keys are no range");
+		return fail(error, "relay has an invalid key range");
 	if (from->kind == RR_RESERVE && !*from->idempotency_key)
 		return fail(error, "reservation without idempotency key");
 	relay = g_new0(struct rr_relay, 1);
@@ -174,7 +176,7 @@
 			struct rr_relay_reply *reply, GError **error)
 {
 	const char *text = (const char *)from->row_texts.data;
-	size_t left = from->row_texts.len;
+	size_t remaining = from->row_texts.len;
 
 	if (from->n_row_keys != from->n_row_lengths)
 		return fail(error, "%zu row keys but %zu lengths",
@@ -184,15 +186,15 @@
 		size_t length = from->row_lengths[i];
 
 		if (from->row_keys[i] >= RR_KEY_LIMIT)
-			return fail(error, "a row's key is out of range");
-		if (!length || length > left)
-			return fail(error, "a row's length is out of range");
+			return fail(error, "row key is out of range");
+		if (!length || length > remaining)
+			return fail(error, "row length is out of range");
 		rr_append_row(reply->rows, from->row_keys[i], text, length);
 		text += length;
-		left -= length;
+		remaining -= length;
 	}
-	if (left)
-		return fail(error, "%zu bytes after the last row", left);
+	if (remaining)
+		return fail(error, "%zu bytes after the last row", remaining);
 	return true;
 }
 
@@ -205,11 +207,14 @@
 		return fail(error, "reason %u, allowed 0 to %d", from->reason,
 			    RR_MISSING_REASON_COUNT - 1);
 	if (from->covered == (from->reason != RR_MISSING_NONE))
-		return fail(error, "an outcome's reason and cover disagree");
+		return fail(error, "outcome's reason contradicts covered");
 	if (from->oldest_version > from->newest_version)
-		return fail(error, "outcome's versions are reversed");
+		return fail(error, "outcome's oldest version is above its "
+				   "newest");
 	if (from->n_ranges % 2 || from->n_ranges / 2 > RR_MAX_RANGES)
-		return fail(error, "%zu bounds of ranges, allowed even to %d",
+		return fail(error,
+			    "%zu range bounds, allowed are even numbers "
+			    "up to %d",
 			    from->n_ranges, 2 * RR_MAX_RANGES);
 	outcome->shard = g_strdup(from->shard);
 	outcome->covered = from->covered;
@@ -225,7 +230,7 @@
 		outcome->ranges[i].to = from->ranges[2 * i + 1];
 		if (!rr_is_valid_key_range(outcome->ranges[i].from,
 					   outcome->ranges[i].to))
-			return fail(error, "an outcome's range is no range");
+			return fail(error, "outcome has an invalid key range");
 	}
 	return true;
 }
@@ -236,7 +241,7 @@
 	struct rr_relay_reply *reply;
 
 	if (!from)
-		return fail(error, "relay reply without its part");
+		return fail(error, "relay reply without payload");
 	if (from->n_outcomes > RR_MAX_RELAY_SHARDS)
 		return fail(error, "%zu outcomes, allowed %d", from->n_outcomes,
 			    RR_MAX_RELAY_SHARDS);
@@ -258,8 +263,8 @@
 	return decode_rows(from, reply, error);
 }
 
-static bool decode_part(const Ragwort__PeerMessage *from,
-			struct rr_peer_message *message, GError **error)
+static bool decode_payload(const Ragwort__PeerMessage *from,
+			   struct rr_peer_message *message, GError **error)
 {
 	switch (message->kind) {
 	case RR_PEER_PING_REQUEST:
@@ -303,7 +308,7 @@
 	message->members_digest = from->members_digest;
 	message->cancel_query_id = from->cancel_query_id;
 	return decode_updates(from, message, error) &&
-	       decode_part(from, message, error);
+	       decode_payload(from, message, error);
 }
 
 static struct rr_peer_message *
@@ -312,8 +317,8 @@
 	struct rr_peer_message *message;
 
 	if (unpacked->version != RR_PEER_VERSION) {
-		fail(error, "version %u, this instance speaks %d",
-		     unpacked->version, RR_PEER_VERSION);
+		fail(error, "version %u, supported is %d", unpacked->version,
+		     RR_PEER_VERSION);
 		return NULL;
 	}
 	if (unpacked->kind < RR_PEER_PING || unpacked->kind > RR_PEER_CONFIG) {
@@ -332,7 +337,8 @@
 					       size_t length, GError **error)
 {
 	struct budget budget = { UNPACK_SLACK_BYTES + UNPACK_FACTOR * length };
-	ProtobufCAllocator allocator = { take_budget, return_budget, &budget };
+	ProtobufCAllocator allocator = { allocate_within_budget,
+					 free_allocation, &budget };
 	Ragwort__PeerMessage *unpacked;
 	struct rr_peer_message *message;
 
@@ -344,7 +350,7 @@
 	}
 	unpacked = ragwort__peer_message__unpack(&allocator, length, bytes);
 	if (!unpacked) {
-		fail(error, "%zu bytes that are no message", length);
+		fail(error, "%zu bytes are not a valid message", length);
 		return NULL;
 	}
 	message = check_and_decode(unpacked, error);
--- a/source/wire/wire-upstream.c
+++ b/source/wire/wire-upstream.c
@@ -1,10 +1,10 @@
 /*
- * wire-upstream.c - the JSON body and path of an attempt, and decoding of
- * the body of its reply.
+ * wire-upstream.c - decoding of the JSON body of an upstream's reply.
  *
- * The body is read once, by events, without a tree: a query of 40 shards
- * decodes 40 of them.  A row's text is copied verbatim into the block of
- * rows; it is checked as JSON on the way, since it goes into our own answers.
+ * The body is parsed in one pass by events, without building a tree, since a
+ * query of 40 shards decodes 40 bodies.  The text of a row is copied verbatim
+ * into the block of rows.  It is checked to be JSON, since it becomes part of
+ * our own answers.
  */
 #include <errno.h>
 #include <string.h>
@@ -14,7 +14,7 @@
 
 #define MAX_DEPTH 64
 
-/* Members of the body's object and of a row's; NONE is one we don't know. */
+/* Members of the body's object and of a row; NONE for unknown ones. */
 enum field {
 	FIELD_NONE,
 	FIELD_VERSION,
@@ -29,7 +29,7 @@
 	FIELD_LOAD,
 	FIELD_RESULT,
 	FIELD_END,
-	FIELD_KEY, /* of a row */
+	FIELD_KEY, /* the first member of a row */
 	FIELD_ROW,
 	FIELD_COUNT,
 };
@@ -45,10 +45,10 @@
 	[FIELD_ROW] = "row",
 };
 
-/* Where a value stands: how deep, and in which known array. */
-#define DEPTH_BODY 1  /* in the body's object */
-#define DEPTH_LIST 2  /* in ranges or rows */
-#define DEPTH_ENTRY 3 /* in one range or one row */
+/* Nesting depth of a value. */
+#define DEPTH_BODY 1  /* member of the body's object */
+#define DEPTH_LIST 2  /* element of ranges or rows */
+#define DEPTH_ENTRY 3 /* element of a range, or member of a row */
 
 struct rr_upstream_body {
 	struct rr_reply reply;
@@ -62,15 +62,15 @@
 	const char *text;
 	size_t length;
 	int depth;
-	enum field field;     /* of the body, whose value is next */
-	enum field row_field; /* of a row, whose value is next */
-	uint32_t seen;	      /* bits of the body's fields */
-	uint32_t row_seen;    /* bits of the present row's */
+	enum field field;	  /* member of the body being parsed */
+	enum field row_field;	  /* member of a row being parsed */
+	uint32_t seen_fields;	  /* bits of the body's members */
+	uint32_t seen_row_fields; /* bits of the current row's members */
 	uint64_t row_key;
-	size_t value_start; /* of a value taken verbatim */
+	size_t value_start; /* of a value copied verbatim */
 	size_t row_start;
 	size_t row_length;
-	uint64_t bounds[2]; /* of the present range */
+	uint64_t bounds[2]; /* of the current range */
 	size_t n_bounds;
 	GError *error;
 };
@@ -97,7 +97,7 @@
 	return d->field == list && d->depth == depth;
 }
 
-/* Whether the next value is passed on verbatim; its kind is then free. */
+/* Return whether the next value is copied or skipped, whatever its type. */
 static bool is_verbatim(const struct decoder *d)
 {
 	if (d->depth == DEPTH_BODY)
@@ -108,8 +108,8 @@
 	       d->field == FIELD_NONE;
 }
 
-/* A value that is taken verbatim has just ended. */
-static void take_verbatim(struct decoder *d)
+/* Save the text of a verbatim value that ends here; skip unknown ones. */
+static void save_verbatim(struct decoder *d)
 {
 	size_t end = yajl_get_bytes_consumed(d->parser);
 
@@ -125,7 +125,7 @@
 	}
 }
 
-/* The first byte of the value that follows the key just read. */
+/* Return the offset of the value after the key that was just parsed. */
 static size_t find_value_start(const struct decoder *d)
 {
 	size_t at = yajl_get_bytes_consumed(d->parser);
@@ -151,37 +151,37 @@
 {
 	struct decoder *d = data;
 	enum field field;
-	uint32_t *seen;
+	uint32_t *seen_fields;
 
 	if (d->depth == DEPTH_BODY) {
-		if (d->seen & 1u << FIELD_END)
-			return fail(d, "a member after the end mark");
+		if (d->seen_fields & 1u << FIELD_END)
+			return fail(d, "member after the end mark");
 		field = find_field((const char *)name, length, FIELD_VERSION,
 				   FIELD_END);
 		d->field = field;
-		seen = &d->seen;
+		seen_fields = &d->seen_fields;
 	} else if (in_list(d, FIELD_ROWS, DEPTH_ENTRY)) {
 		field = find_field((const char *)name, length, FIELD_KEY,
 				   FIELD_ROW);
 		d->row_field = field;
-		seen = &d->row_seen;
+		seen_fields = &d->seen_row_fields;
 	} else {
 		return 1;
 	}
-	if (field != FIELD_NONE && (*seen & 1u << field))
-		return fail(d, "\"%s\" stands twice", field_names[field]);
-	*seen |= 1u << field;
+	if (field != FIELD_NONE && (*seen_fields & 1u << field))
+		return fail(d, "duplicate \"%s\"", field_names[field]);
+	*seen_fields |= 1u << field;
 	d->value_start = find_value_start(d);
 	return 1;
 }
 
-static int wrong_kind(struct decoder *d, const char *found)
+static int fail_wrong_type(struct decoder *d, const char *found)
 {
 	enum field field = d->field;
 
 	if (in_list(d, FIELD_ROWS, DEPTH_ENTRY))
 		field = d->row_field;
-	return fail(d, "%s where \"%s\" has another kind of value", found,
+	return fail(d, "%s is not allowed as the value of \"%s\"", found,
 		    field_names[field]);
 }
 
@@ -203,10 +203,10 @@
 	else
 		allowed = false;
 	if (!allowed)
-		return wrong_kind(d, map ? "an object" : "an array");
+		return fail_wrong_type(d, map ? "an object" : "an array");
 	d->depth++;
 	if (d->depth == DEPTH_ENTRY) {
-		d->row_seen = 0;
+		d->seen_row_fields = 0;
 		d->n_bounds = 0;
 	}
 	return 1;
@@ -227,7 +227,7 @@
 	struct rr_rows *rows = d->body->reply.rows;
 	uint32_t both = 1u << FIELD_KEY | 1u << FIELD_ROW;
 
-	if ((d->row_seen & both) != both)
+	if ((d->seen_row_fields & both) != both)
 		return fail(d, "row %zu lacks \"key\" or \"row\"",
 			    rr_count_rows(rows));
 	if (rr_count_rows(rows) >= RR_MAX_UPSTREAM_ROWS)
@@ -253,7 +253,7 @@
 {
 	d->depth--;
 	if (d->depth > 0 && is_verbatim(d)) {
-		take_verbatim(d);
+		save_verbatim(d);
 		return 1;
 	}
 	if (in_list(d, FIELD_ROWS, DEPTH_LIST))
@@ -273,7 +273,7 @@
 	return on_end(data);
 }
 
-/* A non-negative integer of [0, 2^63); no fraction, no exponent. */
+/* Parse an integer in [0, 2^63) without fraction or exponent. */
 static bool parse_integer(const char *text, size_t length, uint64_t *value)
 {
 	*value = 0;
@@ -287,7 +287,7 @@
 	return *value < RR_KEY_LIMIT;
 }
 
-static int take_load(struct decoder *d, const char *text, size_t length)
+static int parse_load(struct decoder *d, const char *text, size_t length)
 {
 	char number[G_ASCII_DTOSTR_BUF_SIZE];
 	double load = -1;
@@ -303,7 +303,7 @@
 	return 1;
 }
 
-static int take_body_integer(struct decoder *d, uint64_t value)
+static int set_body_integer(struct decoder *d, uint64_t value)
 {
 	struct rr_reply *reply = &d->body->reply;
 
@@ -327,7 +327,7 @@
 		reply->row_count = (uint32_t)value;
 		return 1;
 	default:
-		return wrong_kind(d, "a number");
+		return fail_wrong_type(d, "a number");
 	}
 }
 
@@ -337,20 +337,20 @@
 	uint64_t value;
 
 	if (d->depth == 0)
-		return fail(d, "a number in place of an object");
+		return fail(d, "a number instead of an object");
 	if (is_verbatim(d)) {
-		take_verbatim(d);
+		save_verbatim(d);
 		return 1;
 	}
 	if (d->depth == DEPTH_BODY && d->field == FIELD_LOAD)
-		return take_load(d, text, length);
+		return parse_load(d, text, length);
 	if (!parse_integer(text, length, &value))
 		return fail(d,
-			    "\"%s\" has a number that is no integer of "
+			    "\"%s\" has a number that is not an integer in "
 			    "[0, 2^63)",
 			    field_names[d->field]);
 	if (d->depth == DEPTH_BODY)
-		return take_body_integer(d, value);
+		return set_body_integer(d, value);
 	if (in_list(d, FIELD_RANGES, DEPTH_ENTRY)) {
 		if (d->n_bounds < 2)
 			d->bounds[d->n_bounds] = value;
@@ -361,7 +361,7 @@
 		d->row_key = value;
 		return 1;
 	}
-	return wrong_kind(d, "a number");
+	return fail_wrong_type(d, "a number");
 }
 
 static int on_boolean(void *data, int value)
@@ -369,13 +369,13 @@
 	struct decoder *d = data;
 
 	if (d->depth > 0 && is_verbatim(d))
-		take_verbatim(d);
+		save_verbatim(d);
 	else if (d->depth == DEPTH_BODY && d->field == FIELD_MORE)
 		d->body->reply.has_more = value;
 	else if (d->depth == DEPTH_BODY && d->field == FIELD_END && value)
 		d->body->reply.body_complete = true;
 	else
-		return wrong_kind(d, "a boolean");
+		return fail_wrong_type(d, "a boolean");
 	return 1;
 }
 
@@ -384,30 +384,30 @@
 	struct decoder *d = data;
 
 	if (d->depth == 0 || !is_verbatim(d))
-		return wrong_kind(d, "null");
-	take_verbatim(d);
+		return fail_wrong_type(d, "null");
+	save_verbatim(d);
 	return 1;
 }
 
-static int take_state(struct decoder *d, const char *text, size_t length)
+static int parse_state(struct decoder *d, const char *text, size_t length)
 {
 	static const struct {
-		const char *word;
+		const char *name;
 		enum rr_upstream_state state;
-	} words[] = {
+	} states[] = {
 		{ "ready", RR_UPSTREAM_READY },
 		{ "cold", RR_UPSTREAM_COLD },
 		{ "draining", RR_UPSTREAM_DRAINING },
 	};
 
-	for (size_t i = 0; i < G_N_ELEMENTS(words); i++) {
-		if (strlen(words[i].word) == length &&
-		    !memcmp(words[i].word, text, length)) {
-			d->body->reply.state = words[i].state;
+	for (size_t i = 0; i < G_N_ELEMENTS(states); i++) {
+		if (strlen(states[i].name) == length &&
+		    !memcmp(states[i].name, text, length)) {
+			d->body->reply.state = states[i].state;
 			return 1;
 		}
 	}
-	return fail(d, "\"state\" is none of ready, cold, draining");
+	return fail(d, "\"state\" is not one of ready, cold, draining");
 }
 
 static int on_string(void *data, const unsigned char *text, size_t length)
@@ -415,12 +415,12 @@
 	struct decoder *d = data;
 
 	if (d->depth > 0 && is_verbatim(d)) {
-		take_verbatim(d);
+		save_verbatim(d);
 		return 1;
 	}
 	if (d->depth == DEPTH_BODY && d->field == FIELD_STATE)
-		return take_state(d, (const char *)text, length);
-	return wrong_kind(d, "a string");
+		return parse_state(d, (const char *)text, length);
+	return fail_wrong_type(d, "a string");
 }
 
 static const yajl_callbacks callbacks = {
@@ -436,9 +436,9 @@
 };
 
 /*
- * Every row's key has to lie in a range that was answered for.  Guards
- * against a replica in the middle of a repartition that sends rows it does
- * not claim to hold: the other holder's reply would bring them again.
+ * Return whether the key of every row is in one of the reply's ranges.  During
+ * a repartition a replica may send rows outside the ranges that it reports;
+ * the reply of the other replica that holds them would then duplicate them.
  */
 static bool rows_within_ranges(const struct rr_upstream_body *body)
 {
@@ -468,21 +468,21 @@
 	};
 
 	if (!reply->body_complete)
-		return fail(d, "cut short: no end mark");
+		return fail(d, "truncated: no end mark");
 	for (size_t i = 0; i < G_N_ELEMENTS(required); i++) {
-		if (!(d->seen & 1u << required[i]))
+		if (!(d->seen_fields & 1u << required[i]))
 			return fail(d, "\"%s\" is missing",
 				    field_names[required[i]]);
 	}
 	if (reply->row_count != n)
-		return fail(d, "cut short: row_count %u but %zu rows",
+		return fail(d, "truncated: row_count %u but %zu rows",
 			    reply->row_count, n);
 	if (!reply->version)
 		return fail(d, "\"version\" is 0, allowed from 1");
 	if (reply->oldest_version > reply->newest_version)
 		return fail(d, "\"oldest\" is above \"newest\"");
 	if (!rows_within_ranges(d->body))
-		return fail(d, "a row's key is in none of the ranges");
+		return fail(d, "a row's key is outside all ranges");
 	return 1;
 }
 
@@ -492,12 +492,12 @@
 	yajl_status status = yajl_parse(d->parser, text, d->length);
 	size_t consumed = yajl_get_bytes_consumed(d->parser);
 
-	if (status == yajl_status_ok && d->depth == 0 && d->seen)
+	if (status == yajl_status_ok && d->depth == 0 && d->seen_fields)
 		status = yajl_complete_parse(d->parser);
 	else if (status == yajl_status_ok)
-		fail(d, "cut short after %zu bytes", d->length);
+		fail(d, "truncated after %zu bytes", d->length);
 	if (status == yajl_status_error)
-		fail(d, "no JSON at byte %zu", consumed);
+		fail(d, "invalid JSON at byte %zu", consumed);
 	if (!d->error)
 		check_body(d);
 }
--- a/source/wire/wire-validate.c
+++ b/source/wire/wire-validate.c
@@ -1,5 +1,5 @@
 /*
- * wire-validate.c - checks that several decoders use.
+ * wire-validate.c - checks of names, addresses and key ranges.
  */
 #include "wire/wire-private.h"
 
@@ -25,10 +25,11 @@
 }
 
 /*
- * Read a decimal number of at most `max`; leading zeros are refused, since
- * some resolvers read them as octal.  NULL when there is none.
+ * Parse a decimal number of at most `max` and return the position after it;
+ * NULL if there is none.  Leading zeros are rejected, since some resolvers read
+ * them as octal.
  */
-static const char *read_number(const char *at, uint32_t max, uint32_t *number)
+static const char *parse_number(const char *at, uint32_t max, uint32_t *number)
 {
 	const char *start = at;
 
@@ -51,12 +52,12 @@
 	if (!text)
 		return false;
 	for (int i = 0; i < 4; i++) {
-		text = read_number(text, 255, &number);
+		text = parse_number(text, 255, &number);
 		if (!text || *text != (i < 3 ? '.' : ':'))
 			return false;
 		text++;
 	}
-	text = read_number(text, MAX_PORT, &number);
+	text = parse_number(text, MAX_PORT, &number);
 	return text && !*text && number > 0;
 }
 
--- a/tests/test-counters.c
+++ b/tests/test-counters.c
@@ -1,5 +1,5 @@
 /*
- * test-counters.c - counters, latency histograms and their Prometheus text.
+ * test-counters.c - counters, gauges, latency histograms and Prometheus text.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,11 +16,11 @@
 
 static void assert_line(const GString *text, const char *line)
 {
-	char *whole = g_strdup_printf("\n%s\n", line);
+	char *terminated_line = g_strdup_printf("\n%s\n", line);
 
-	if (!strstr(text->str, whole))
+	if (!strstr(text->str, terminated_line))
 		fail_msg("no line '%s' in:\n%s", line, text->str);
-	g_free(whole);
+	g_free(terminated_line);
 }
 
 static void test_counters_and_gauges(void **state)
@@ -44,7 +44,7 @@
 	rr_drop_context(ctx);
 }
 
-/* Each name may stand once only, and must be one that Prometheus takes. */
+/* Names must be unique and valid for Prometheus. */
 static void test_names_are_valid_and_unique(void **state)
 {
 	struct rr_context *ctx = rr_new_context(NULL);
@@ -52,7 +52,7 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	GString *text = g_string_new(NULL);
 	char **lines;
-	int found = 0;
+	int n_types = 0;
 
 	(void)state;
 	rr_format_metrics(ctx, text);
@@ -68,11 +68,11 @@
 			assert_int_equal(g_str_has_suffix(words[2], "_total"),
 					 counter);
 			assert_true(g_hash_table_add(seen, g_strdup(words[2])));
-			found++;
+			n_types++;
 		}
 		g_strfreev(words);
 	}
-	assert_int_equal(found, RR_COUNTER_COUNT + 1);
+	assert_int_equal(n_types, RR_COUNTER_COUNT + 1);
 	g_strfreev(lines);
 	g_hash_table_destroy(seen);
 	g_string_free(text, TRUE);
@@ -90,10 +90,11 @@
 	for (int tenth = 1; tenth < 10; tenth++) {
 		double quantile = tenth / 10.0;
 		double exact = quantile * 100000;
-		int64_t told = rr_latency_quantile_us(ctx, "desk", quantile);
+		int64_t reported_us =
+			rr_latency_quantile_us(ctx, "desk", quantile);
 
-		assert_true((double)told >= exact);
-		assert_true((double)told <= exact * 1.1);
+		assert_true((double)reported_us >= exact);
+		assert_true((double)reported_us <= exact * 1.1);
 	}
 	rr_observe_latency(ctx, "odd", -5);
 	rr_observe_latency(ctx, "odd", INT64_MAX);
@@ -102,7 +103,7 @@
 	rr_drop_context(ctx);
 }
 
-/* Buckets are cumulative, by the bound's whole time or less. */
+/* Buckets are cumulative: each counts the latencies up to its bound. */
 static void test_histogram_text(void **state)
 {
 	struct rr_context *ctx = rr_new_context(NULL);
@@ -131,9 +132,8 @@
 }
 
 /*
- * Story: the graphs of every service stop at once.
- * Cause: one label with a quotation mark or a line feed makes the whole page
- * unreadable to the collector.
+ * An unescaped quotation mark or line feed in one label makes the whole page
+ * invalid, and the collector loses the metrics of every service.
  */
 static void test_labels_are_escaped(void **state)
 {
@@ -151,12 +151,12 @@
 
 static void test_reference_page_is_current(void **state)
 {
-	GString *made = g_string_new(NULL);
+	GString *page = g_string_new(NULL);
 
 	(void)state;
-	rr_format_metrics_reference(made);
-	rr_assert_page_is_current("docs/METRICS.md", made->str);
-	g_string_free(made, TRUE);
+	rr_format_metrics_reference(page);
+	rr_assert_page_is_current("docs/METRICS.md", page->str);
+	g_string_free(page, TRUE);
 }
 
 int main(void)
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -1,6 +1,6 @@
 /*
- * test-wire.c - encoders and decoders: round trips, and malformed input by
- * hand and by seeded mutation.
+ * test-wire.c - encoders and decoders: round trips, and malformed input written
+ * by hand and made by seeded mutation.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -117,11 +117,11 @@
 	return message;
 }
 
-/* Encoding what was decoded has to give the same bytes again. */
+/* Encoding the decoded message must give the same bytes. */
 static void check_round_trip(struct rr_peer_message *message)
 {
 	GBytes *bytes = rr_encode_peer_message(message);
-	GBytes *again;
+	GBytes *encoded_again;
 	GError *error = NULL;
 	struct rr_peer_message *decoded;
 	gsize length;
@@ -130,14 +130,14 @@
 	decoded = rr_decode_peer_message(data, length, &error);
 	if (!decoded)
 		fail_msg("%s", error->message);
-	again = rr_encode_peer_message(decoded);
-	assert_true(g_bytes_equal(bytes, again));
+	encoded_again = rr_encode_peer_message(decoded);
+	assert_true(g_bytes_equal(bytes, encoded_again));
 	g_bytes_unref(bytes);
-	g_bytes_unref(again);
+	g_bytes_unref(encoded_again);
 	rr_drop_peer_message(decoded);
 }
 
-static struct rr_peer_message *(*const makers[])(void) = {
+static struct rr_peer_message *(*const message_makers[])(void) = {
 	make_ping,
 	make_relay,
 	make_reply,
@@ -147,15 +147,18 @@
 static void test_peer_round_trips(void **state)
 {
 	(void)state;
-	for (size_t i = 0; i < G_N_ELEMENTS(makers); i++) {
-		struct rr_peer_message *message = makers[i]();
+	for (size_t i = 0; i < G_N_ELEMENTS(message_makers); i++) {
+		struct rr_peer_message *message = message_makers[i]();
 
 		check_round_trip(message);
 		rr_drop_peer_message(message);
 	}
 }
 
-/* Every field by name, so that none is left out on both sides alike. */
+/*
+ * A round trip does not notice a field that both the encoder and the decoder
+ * omit, so fields are checked one by one.
+ */
 static void test_peer_fields(void **state)
 {
 	struct rr_peer_message *sent = make_reply();
@@ -207,7 +210,8 @@
 	g_bytes_unref(bytes);
 }
 
-static void expect_refused(struct rr_peer_message *message, const char *what)
+static void assert_rejected(struct rr_peer_message *message,
+			    const char *expected)
 {
 	GBytes *bytes = rr_encode_peer_message(message);
 	GError *error = NULL;
@@ -215,53 +219,54 @@
 	const uint8_t *data = g_bytes_get_data(bytes, &length);
 
 	assert_null(rr_decode_peer_message(data, length, &error));
-	if (!strstr(error->message, what))
-		fail_msg("\"%s\" lacks \"%s\"", error->message, what);
+	if (!strstr(error->message, expected))
+		fail_msg("\"%s\" lacks \"%s\"", error->message, expected);
 	g_error_free(error);
 	g_bytes_unref(bytes);
 	rr_drop_peer_message(message);
 }
 
-static void test_peer_refusals(void **state)
+static void test_malformed_peer_messages_are_rejected(void **state)
 {
 	struct rr_peer_message *message;
 
 	(void)state;
 	message = make_ping();
 	message->kind = (enum rr_peer_kind)99;
-	expect_refused(message, "kind 99");
+	assert_rejected(message, "kind 99");
 	message = make_ping();
 	message->from_incarnation = 0;
-	expect_refused(message, "without incarnation");
+	assert_rejected(message, "without incarnation");
 	message = make_ping();
 	message->from[0] = '-';
-	expect_refused(message, "sender is missing or no name");
+	assert_rejected(message, "sender is missing or not a valid name");
 	message = make_ping();
 	message->updates[0].address[0] = 'x';
-	expect_refused(message, "no IP:PORT");
+	assert_rejected(message, "not IP:PORT");
 	message = make_ping();
 	message->updates[0].state = (enum rr_member_state)4;
-	expect_refused(message, "member state 4");
+	assert_rejected(message, "member state 4");
 	message = make_relay();
 	message->relay->key_to = 17;
-	expect_refused(message, "no range");
+	assert_rejected(message, "invalid key range");
 	message = make_relay();
 	g_clear_pointer(&message->relay->idempotency_key, g_free);
-	expect_refused(message, "without idempotency key");
+	assert_rejected(message, "without idempotency key");
 	message = make_reply();
 	message->relay_reply->outcomes[0].covered = false;
-	expect_refused(message, "reason and cover disagree");
+	assert_rejected(message, "reason contradicts covered");
 	message = make_reply();
 	message->relay_reply->outcomes[0].ranges[0].to = 0;
-	expect_refused(message, "no range");
+	assert_rejected(message, "invalid key range");
 	message = make_reply();
 	message->kind = RR_PEER_RELAY;
-	expect_refused(message, "without its part");
+	assert_rejected(message, "without payload");
 }
 
 /*
- * A short message of many empty parts must not take memory out of all
- * proportion: 2 bytes each on the wire, about a hundred when unpacked.
+ * A short message of many empty submessages must not use memory out of
+ * proportion to its size: each takes 2 bytes on the wire and about a hundred
+ * when unpacked.
  */
 static void test_peer_memory_is_bounded(void **state)
 {
@@ -271,16 +276,16 @@
 
 	(void)state;
 	for (size_t i = 0; i < length; i += 2) {
-		bytes[i] = 9 << 3 | 2; /* an update of no bytes */
+		bytes[i] = 9 << 3 | 2; /* an empty update */
 		bytes[i + 1] = 0;
 	}
 	assert_null(rr_decode_peer_message(bytes, length, &error));
-	assert_non_null(strstr(error->message, "no message"));
+	assert_non_null(strstr(error->message, "not a valid message"));
 	g_error_free(error);
 	g_free(bytes);
 }
 
-/* Change, cut, double or insert a few bytes. */
+/* Overwrite, flip, insert or cut off bytes, 1 to 3 times. */
 static GByteArray *mutate(GRand *random, const uint8_t *data, size_t length)
 {
 	GByteArray *bytes = g_byte_array_new();
@@ -288,24 +293,25 @@
 
 	g_byte_array_append(bytes, data, (guint)length);
 	while (changes-- && bytes->len > 1) {
-		guint at = (guint)g_rand_int_range(random, 0, (int)bytes->len);
+		guint offset =
+			(guint)g_rand_int_range(random, 0, (int)bytes->len);
 		uint8_t other = (uint8_t)g_rand_int(random);
 
 		switch (g_rand_int_range(random, 0, 4)) {
 		case 0:
-			bytes->data[at] = other;
+			bytes->data[offset] = other;
 			break;
 		case 1:
-			bytes->data[at] ^= (uint8_t)(1u << other % 8);
+			bytes->data[offset] ^= (uint8_t)(1u << other % 8);
 			break;
 		case 2:
-			g_byte_array_set_size(bytes, at + 1);
+			g_byte_array_set_size(bytes, offset + 1);
 			break;
 		default:
 			g_byte_array_append(bytes, &other, 1);
-			memmove(bytes->data + at + 1, bytes->data + at,
-				bytes->len - at - 1);
-			bytes->data[at] = other;
+			memmove(bytes->data + offset + 1, bytes->data + offset,
+				bytes->len - offset - 1);
+			bytes->data[offset] = other;
 			break;
 		}
 	}
@@ -320,7 +326,7 @@
 	(void)state;
 	for (int i = 0; i < MUTATIONS; i++) {
 		struct rr_peer_message *message =
-			makers[i % G_N_ELEMENTS(makers)]();
+			message_makers[i % G_N_ELEMENTS(message_makers)]();
 		GBytes *valid = rr_encode_peer_message(message);
 		gsize length;
 		const uint8_t *data = g_bytes_get_data(valid, &length);
@@ -393,40 +399,40 @@
 	rr_drop_upstream_body(body);
 }
 
-static void expect_body_refused(const char *text, size_t length,
-				const char *what)
+static void assert_body_rejected(const char *text, size_t length,
+				 const char *expected)
 {
 	GError *error = NULL;
 
 	assert_null(rr_decode_upstream_body(text, length, &error));
-	if (!strstr(error->message, what))
-		fail_msg("\"%s\" lacks \"%s\"", error->message, what);
+	if (!strstr(error->message, expected))
+		fail_msg("\"%s\" lacks \"%s\"", error->message, expected);
 	g_error_free(error);
 }
 
 /*
- * Story: a connection breaks inside a body, and the rows read so far are
- * shown as the whole answer of that shard: a pallet is sold twice.  Wherever
- * the body ends too soon it has to be refused, and say that it was cut.
+ * A connection breaks inside a body, and the rows received so far are taken for
+ * the shard's complete answer: a pallet is sold twice.  A body truncated at any
+ * byte must be rejected with an error that says so.
  */
-static void test_upstream_cut_anywhere(void **state)
+static void test_truncated_upstream_body_is_rejected(void **state)
 {
 	(void)state;
 	for (size_t length = 0; length < strlen(whole_body); length++)
-		expect_body_refused(whole_body, length, "cut short");
+		assert_body_rejected(whole_body, length, "truncated");
 }
 
-static void test_upstream_refusals(void **state)
+static void test_malformed_upstream_bodies_are_rejected(void **state)
 {
 	static const char *const cases[][2] = {
 		{ "[]", "an array" },
 		{ "7 ", "a number" },
-		{ "nonsense", "no JSON" },
+		{ "nonsense", "invalid JSON" },
 		{ "{\"version\":\"7\"}", "\"version\"" },
-		{ "{\"version\":-7}", "no integer" },
-		{ "{\"version\":9223372036854775808}", "no integer" },
-		{ "{\"version\":7.0}", "no integer" },
-		{ "{\"version\":7,\"version\":7}", "twice" },
+		{ "{\"version\":-7}", "not an integer" },
+		{ "{\"version\":9223372036854775808}", "not an integer" },
+		{ "{\"version\":7.0}", "not an integer" },
+		{ "{\"version\":7,\"version\":7}", "duplicate" },
 		{ "{\"ranges\":[[3,3]]}", "range 0" },
 		{ "{\"ranges\":[[3]]}", "range 0" },
 		{ "{\"ranges\":[[1,2,3]]}", "range 0" },
@@ -434,9 +440,9 @@
 		{ "{\"ranges\":{}}", "an object" },
 		{ "{\"rows\":[{\"key\":1}]}", "row 0 lacks" },
 		{ "{\"rows\":[{\"row\":1}]}", "row 0 lacks" },
-		{ "{\"rows\":[{\"key\":1,\"key\":1,\"row\":1}]}", "twice" },
+		{ "{\"rows\":[{\"key\":1,\"key\":1,\"row\":1}]}", "duplicate" },
 		{ "{\"rows\":[[1,2]]}", "an array" },
-		{ "{\"state\":\"gone\"}", "none of ready" },
+		{ "{\"state\":\"gone\"}", "not one of ready" },
 		{ "{\"load\":1.5}", "within 0 to 1" },
 		{ "{\"load\":-0.1}", "within 0 to 1" },
 		{ "{\"end\":false}", "a boolean" },
@@ -453,16 +459,16 @@
 		  "above" },
 		{ "{\"version\":1,\"ranges\":[[0,3]],\"rows\":[{\"key\":3,"
 		  "\"row\":0}],\"row_count\":1,\"end\":true}",
-		  "none of the ranges" },
+		  "outside all ranges" },
 		{ "{\"version\":1,\"ranges\":[],\"rows\":[],\"row_count\":0,"
 		  "\"end\":true}{}",
-		  "no JSON" },
+		  "invalid JSON" },
 	};
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++)
-		expect_body_refused(cases[i][0], strlen(cases[i][0]),
-				    cases[i][1]);
+		assert_body_rejected(cases[i][0], strlen(cases[i][0]),
+				     cases[i][1]);
 }
 
 static void test_upstream_nesting_is_bounded(void **state)
@@ -472,7 +478,7 @@
 	(void)state;
 	for (int i = 0; i < 100000; i++)
 		g_string_append_c(text, '[');
-	expect_body_refused(text->str, text->len, "nested deeper");
+	assert_body_rejected(text->str, text->len, "nested deeper");
 	g_string_free(text, TRUE);
 }
 
@@ -527,9 +533,9 @@
 }
 
 /*
- * Story: a nightly job sends the cursor of another service, or a cut one;
- * the list goes on somewhere in the middle and rows are left out.  Any
- * change of the text has to be noticed.
+ * A nightly job sends the cursor of another service, or a truncated one; the
+ * list continues at another position and skips rows.  Any change of the text
+ * must be detected.
  */
 static void test_cursor(void **state)
 {
@@ -541,7 +547,7 @@
 
 	(void)state;
 	assert_true(rr_decode_cursor("riordino", text, &decoded, NULL));
-	/* Field by field: the struct ends in padding. */
+	/* Compared by field, since the struct ends in padding. */
 	assert_int_equal(decoded.version, cursor.version);
 	assert_int_equal(decoded.map_epoch, cursor.map_epoch);
 	assert_int_equal(decoded.next_key, cursor.next_key);
@@ -550,11 +556,11 @@
 	assert_non_null(strstr(error->message, "officina"));
 	g_clear_error(&error);
 	for (size_t i = 0; i < length; i++) {
-		char had = text[i];
+		char original = text[i];
 
 		for (char c = ' '; c < 127; c++) {
 			text[i] = c;
-			if (c == had || g_ascii_tolower(c) == had)
+			if (c == original || g_ascii_tolower(c) == original)
 				continue;
 			assert_false(rr_decode_cursor("riordino", text,
 						      &decoded, &error));
@@ -564,7 +570,7 @@
 		assert_false(
 			rr_decode_cursor("riordino", text, &decoded, &error));
 		g_clear_error(&error);
-		text[i] = had;
+		text[i] = original;
 	}
 	g_free(text);
 }
@@ -574,12 +580,12 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_peer_round_trips),
 		cmocka_unit_test(test_peer_fields),
-		cmocka_unit_test(test_peer_refusals),
+		cmocka_unit_test(test_malformed_peer_messages_are_rejected),
 		cmocka_unit_test(test_peer_memory_is_bounded),
 		cmocka_unit_test(test_peer_mutations),
 		cmocka_unit_test(test_upstream_body),
-		cmocka_unit_test(test_upstream_cut_anywhere),
-		cmocka_unit_test(test_upstream_refusals),
+		cmocka_unit_test(test_truncated_upstream_body_is_rejected),
+		cmocka_unit_test(test_malformed_upstream_bodies_are_rejected),
 		cmocka_unit_test(test_upstream_nesting_is_bounded),
 		cmocka_unit_test(test_upstream_mutations),
 		cmocka_unit_test(test_attempt),
