--- a/include/ragwort/push.h
+++ b/include/ragwort/push.h
@@ -1,17 +1,17 @@
 /*
- * push.h - the decision of one push of a configuration file.
+ * push.h - state machine that pushes one configuration file to the store.
  *
- * A push reads the record, puts the file in, checks the merged result of
- * every site and swaps the record.  No input or output: rr_push_step() says
- * what to do next, the user of this module does it and hands the store's
- * reply in.
+ * A push reads the configuration record, replaces the file in it, checks the
+ * merged configuration of every site and writes the record back by
+ * compare-and-swap.  The module does no I/O: rr_push_step() returns the next
+ * action, and the caller performs it and passes the store's reply in.
  *
  *     push = rr_new_push(ctx, &options);
  *     while (!rr_push_step(push, &step)) {
- *             do as the step says: read, swap or wait;
+ *             perform step.action: read, swap or wait;
  *             rr_handle_push_reply(ctx, push, &reply);  (not after a wait)
  *     }
- *     look at rr_push_result(push);
+ *     use rr_push_result(push);
  */
 #ifndef RAGWORT_PUSH_H
 #define RAGWORT_PUSH_H
@@ -28,38 +28,39 @@
 	const char *file; /* RR_CONFIG_BASE_FILE or a site's name */
 	const char *text; /* NULL removes the site's overlay */
 	/*
-	 * The record's revision that the operator's text was made from (shown
-	 * by `config show`); 0 when there was no such file.
+	 * Revision of the record that the text was edited from (printed by
+	 * `config show`); 0 if the file did not exist.
 	 */
 	uint64_t base_revision;
 	/*
-	 * Never used before.  A push that ended unsettled is made again with
-	 * the same one and pushed_before: it then takes effect once at most.
+	 * Unique for each change.  A push that ended as RR_PUSH_UNRESOLVED is
+	 * retried with the same id and is_retry set, so that the change takes
+	 * effect at most once.
 	 */
 	const char *change_id;
 	/*
-	 * The change id is one of an earlier push that ended unsettled: its
-	 * write may be on its way still, so only an answer of the store can
-	 * end this push as not written.
+	 * The change id is that of an earlier push that ended as
+	 * RR_PUSH_UNRESOLVED.  Its write may still be in flight, so only a
+	 * reply from the store can end this push as not written.
 	 */
 	bool is_retry;
 	const char *author;
 	int64_t when_s;
-	/* Calls that may fail or conflict before the push ends; 0: 20. */
+	/* Store calls that may fail or conflict before the push ends; 0: 20. */
 	uint32_t max_tries;
 };
 
 enum rr_push_action {
-	RR_PUSH_READ, /* get the key */
+	RR_PUSH_READ, /* read the key */
 	RR_PUSH_SWAP, /* compare-and-swap the key */
-	RR_PUSH_WAIT, /* wait, then ask for the next step */
+	RR_PUSH_WAIT, /* wait for wait_ms, then call rr_push_step() */
 };
 
-/* Pointers are valid until the reply is handed in. */
+/* Pointers are valid until the call of rr_handle_push_reply(). */
 struct rr_push_step {
 	enum rr_push_action action;
 	const char *key;
-	uint64_t revision; /* RR_PUSH_SWAP: the key's, to compare */
+	uint64_t revision; /* RR_PUSH_SWAP: expected revision of the key */
 	const char *value;
 	size_t length;
 	uint32_t wait_ms;
@@ -67,48 +68,61 @@
 
 enum rr_push_status {
 	RR_PUSH_RUNNING,
-	/* In force from `revision` on, also when found accepted before. */
+	/*
+	 * In effect from `revision` on.  Also reported if the record already
+	 * had the change or the same text.
+	 */
 	RR_PUSH_ACCEPTED,
-	/* The file was changed since base_revision; nothing was written. */
+	/* The file has changed since base_revision; nothing was written. */
 	RR_PUSH_CONFLICT,
-	/* The merged result is not valid; nothing was written. */
+	/* The options or the merged result are invalid; nothing was written. */
 	RR_PUSH_INVALID,
-	/* The store does not answer; nothing was written. */
+	/*
+	 * The store does not reply, or other writers changed the record at
+	 * each attempt; nothing was written.
+	 */
 	RR_PUSH_UNAVAILABLE,
 	/*
-	 * A write got no reply and may have taken or still take effect: push
-	 * again with the same change id.
+	 * A write got no reply and may have taken effect or may do so later:
+	 * retry with the same change id.
 	 */
 	RR_PUSH_UNRESOLVED,
-	/* The record in the store cannot be used; nothing was written. */
+	/*
+	 * The record in the store is malformed or older than base_revision;
+	 * nothing was written.
+	 */
 	RR_PUSH_BAD_RECORD,
 };
 
 /* Owned by the push. */
 struct rr_push_result {
 	enum rr_push_status status;
-	uint64_t revision;	/* RR_PUSH_ACCEPTED */
-	const char *message;	/* one line for the operator */
+	uint64_t revision;   /* RR_PUSH_ACCEPTED */
+	const char *message; /* one line for the operator; NULL while running */
 	GPtrArray *diagnostics; /* RR_PUSH_INVALID: struct rr_diagnostic */
-	uint32_t store_reads;	/* calls that were made */
-	uint32_t store_writes;
+	uint32_t store_reads;	/* number of read calls made */
+	uint32_t store_writes;	/* number of write calls made */
 };
 
 struct rr_push;
 
-/* Strings are copied; the context is kept for the length of each call only. */
+/*
+ * Create a push.  The strings of `options` are copied; no function here keeps
+ * `ctx` after it returns.  Free the result with rr_drop_push().
+ */
 struct rr_push *rr_new_push(struct rr_context *ctx,
 			    const struct rr_push_options *options);
 void rr_drop_push(struct rr_push *push);
 
 /*
- * What to do next; returns true when the push has ended and there is nothing
- * to do.  Each RR_PUSH_READ and RR_PUSH_SWAP is answered by one
- * rr_handle_push_reply() before the next step.
+ * Write the next action into `step`.  Returns true, leaving `step` unchanged,
+ * once the push has ended.  After RR_PUSH_READ and RR_PUSH_SWAP, call
+ * rr_handle_push_reply() exactly once before the next rr_push_step().
  */
 bool rr_push_step(struct rr_push *push, struct rr_push_step *step);
 void rr_handle_push_reply(struct rr_context *ctx, struct rr_push *push,
 			  const struct rr_store_reply *reply);
+/* Return the state of the push, owned by it. */
 const struct rr_push_result *rr_push_result(const struct rr_push *push);
 
 #endif
--- a/source/settings/config-diff.c
+++ b/source/settings/config-diff.c
@@ -1,5 +1,5 @@
 /*
- * config-diff.c - say in words what a new configuration changes at a site.
+ * config-diff.c - text of the differences between two configurations of a site.
  */
 #include "settings/settings-table.h"
 
@@ -26,9 +26,9 @@
 	}
 }
 
-/* Say which values of one scope differ, one line each. */
-static void describe_values(enum rr_setting_scope scope, const char *path,
-			    const void *old, const void *new, GString *out)
+/* Append the values of one scope that differ, one line each. */
+static void format_values(enum rr_setting_scope scope, const char *path,
+			  const void *old, const void *new, GString *out)
 {
 	for (size_t i = 0; i < rr_n_settings; i++) {
 		const struct rr_setting *setting = &rr_settings[i];
@@ -64,9 +64,8 @@
 	return NULL;
 }
 
-static void describe_replicas(const char *path,
-			      const struct rr_shard_config *old,
-			      const struct rr_shard_config *new, GString *out)
+static void format_replicas(const char *path, const struct rr_shard_config *old,
+			    const struct rr_shard_config *new, GString *out)
 {
 	for (size_t i = 0; i < old->n_replicas; i++) {
 		const char *id = old->replicas[i].id;
@@ -79,7 +78,7 @@
 		const struct rr_replica_config *replica = &new->replicas[i];
 		const struct rr_replica_config *before =
 			find_replica(old, replica->id);
-		char *inner;
+		char *replica_path;
 
 		if (!before) {
 			g_string_append_printf(
@@ -88,19 +87,20 @@
 				replica->zone);
 			continue;
 		}
-		inner = g_strdup_printf("%sreplica %s: ", path, replica->id);
-		describe_values(RR_SCOPE_REPLICA, inner, before, replica, out);
-		g_free(inner);
+		replica_path =
+			g_strdup_printf("%sreplica %s: ", path, replica->id);
+		format_values(RR_SCOPE_REPLICA, replica_path, before, replica,
+			      out);
+		g_free(replica_path);
 	}
 }
 
-static void describe_shard(const char *service,
-			   const struct rr_shard_config *old,
-			   const struct rr_shard_config *new, GString *out)
+static void format_shard(const char *service, const struct rr_shard_config *old,
+			 const struct rr_shard_config *new, GString *out)
 {
 	char *path = g_strdup_printf("%s, shard %s, ", service, new->name);
 
-	describe_values(RR_SCOPE_SHARD, path, old, new, out);
+	format_values(RR_SCOPE_SHARD, path, old, new, out);
 	if (old->key_from != new->key_from || old->key_to != new->key_to)
 		g_string_append_printf(
 			out,
@@ -108,16 +108,16 @@
 			"] -> [%" G_GUINT64_FORMAT ", %" G_GUINT64_FORMAT "]\n",
 			path, old->key_from, old->key_to, new->key_from,
 			new->key_to);
-	describe_replicas(path, old, new, out);
+	format_replicas(path, old, new, out);
 	g_free(path);
 }
 
-static void describe_service(const struct rr_service_config *old,
-			     const struct rr_service_config *new, GString *out)
+static void format_service(const struct rr_service_config *old,
+			   const struct rr_service_config *new, GString *out)
 {
 	char *path = g_strdup_printf("%s, ", new->name);
 
-	describe_values(RR_SCOPE_SERVICE, path, old, new, out);
+	format_values(RR_SCOPE_SERVICE, path, old, new, out);
 	for (size_t i = 0; i < old->n_shards; i++) {
 		if (!find_shard(new, old->shards[i].name))
 			g_string_append_printf(out, "  %sshard %s: removed\n",
@@ -129,7 +129,7 @@
 			find_shard(old, shard->name);
 
 		if (before)
-			describe_shard(new->name, before, shard, out);
+			format_shard(new->name, before, shard, out);
 		else
 			g_string_append_printf(
 				out, "  %sshard %s: added, %zu replicas\n",
@@ -141,8 +141,8 @@
 void rr_format_config_diff(const struct rr_config *old,
 			   const struct rr_config *new, GString *out)
 {
-	describe_values(RR_SCOPE_SITE, "", old, new, out);
-	describe_values(RR_SCOPE_SITE_LOG, "log, ", old, new, out);
+	format_values(RR_SCOPE_SITE, "", old, new, out);
+	format_values(RR_SCOPE_SITE_LOG, "log, ", old, new, out);
 	for (size_t i = 0; i < old->n_services; i++) {
 		const char *name = old->services[i].name;
 
@@ -156,7 +156,7 @@
 			rr_find_service(old, service->name);
 
 		if (before)
-			describe_service(before, service, out);
+			format_service(before, service, out);
 		else
 			g_string_append_printf(
 				out, "  service %s: added, %zu shards\n",
--- a/source/settings/gateway-settings.c
+++ b/source/settings/gateway-settings.c
@@ -1,9 +1,9 @@
 /*
- * gateway-settings.c - a gateway's start file.
+ * gateway-settings.c - defaults and parser of a gateway's start file.
  */
 #include "settings/settings-table.h"
 
-/* What a service bears on top of its requests where nothing is said. */
+/* Limits of attempts beyond the first and of requests to cold replicas. */
 #define DEFAULT_EXTRA_SHARE 0.1
 #define DEFAULT_EXTRA_SLACK 10
 #define DEFAULT_EXTRA_WINDOW_MS 10000
@@ -11,10 +11,10 @@
 #define DEFAULT_STOP_TIMEOUT_MS 10000
 #define DEFAULT_STRENGTH 1
 #define DEFAULT_NEWS_BOUND_MS 3000
-/* Half of the descriptors that a small instance has. */
+/* Half of the file descriptors of a small instance. */
 #define DEFAULT_MAX_CONNECTIONS 2000
 #define DEFAULT_MAX_LINES_PER_S 400
-/* About a hundredth of a small instance's processor, see MEASUREMENTS. */
+/* Takes about 1 % of a small instance's processor. */
 #define DEFAULT_REQUEST_LINES_PER_S 100
 
 void rr_init_gateway_settings(struct rr_gateway_settings *settings)
@@ -39,13 +39,13 @@
 
 struct rr_gateway_settings *
 rr_parse_gateway_settings(const struct rr_settings_source *file,
-			  GPtrArray *faults)
+			  GPtrArray *diagnostics)
 {
 	struct rr_gateway_settings *settings =
 		g_new0(struct rr_gateway_settings, 1);
 
 	rr_init_gateway_settings(settings);
-	if (rr_parse_start_file(file, RR_SCOPE_GATEWAY, settings, faults))
+	if (rr_parse_start_file(file, RR_SCOPE_GATEWAY, settings, diagnostics))
 		return settings;
 	rr_drop_gateway_settings(settings);
 	return NULL;
--- a/source/settings/overlay.c
+++ b/source/settings/overlay.c
@@ -1,5 +1,5 @@
 /*
- * overlay.c - lay a site's overlay over the base.
+ * overlay.c - merge of a site's overlay into the base file's tree.
  */
 #include "settings/settings-table.h"
 
@@ -17,7 +17,7 @@
 	return NULL;
 }
 
-/* Where each named element of a list stands. */
+/* Map the identity of each list element to its node. */
 static GHashTable *index_list(const struct rr_yaml_node *list,
 			      const char *identity)
 {
@@ -42,23 +42,23 @@
 
 static void remove_element(struct rr_yaml_node *list, GHashTable *index,
 			   const struct rr_yaml_node *element,
-			   const char *identity, GPtrArray *faults)
+			   const char *identity, GPtrArray *diagnostics)
 {
 	const char *name = rr_find_yaml_text(element, identity);
 	struct rr_yaml_node *match = g_hash_table_lookup(index, name);
-	char *shown;
+	char *quoted;
 
 	if (match) {
 		g_hash_table_remove(index, name);
 		g_ptr_array_remove(list->items, match);
 		return;
 	}
-	/* The base changed under the overlay, or a name is misspelt. */
-	shown = rr_quote_text(name);
-	rr_add_diagnostic(faults, element->file, element->line,
+	/* The base was changed after the overlay, or a name is misspelt. */
+	quoted = rr_quote_text(name);
+	rr_add_diagnostic(diagnostics, element->file, element->line,
 			  "remove: the base has no %s %s here", identity,
-			  shown);
-	g_free(shown);
+			  quoted);
+	g_free(quoted);
 }
 
 static struct rr_yaml_node *new_empty_like(const struct rr_yaml_node *node)
@@ -77,7 +77,10 @@
 	return empty;
 }
 
-/* The element of that name, made empty where the base has none. */
+/*
+ * Return the base's element with the same identity, or add one that has only
+ * the identity.
+ */
 static struct rr_yaml_node *find_or_add(struct rr_yaml_node *list,
 					GHashTable *index,
 					const struct rr_yaml_node *element,
@@ -86,25 +89,26 @@
 	struct rr_yaml_entry *name = find_entry(element, identity);
 	struct rr_yaml_node *match =
 		g_hash_table_lookup(index, name->value->text);
-	struct rr_yaml_entry *moved;
+	struct rr_yaml_entry *identity_entry;
 
 	if (match)
 		return match;
 	match = new_empty_like(element);
-	moved = g_new0(struct rr_yaml_entry, 1);
-	moved->key = g_strdup(identity);
-	moved->line = name->line;
-	moved->value = name->value;
+	identity_entry = g_new0(struct rr_yaml_entry, 1);
+	identity_entry->key = g_strdup(identity);
+	identity_entry->line = name->line;
+	identity_entry->value = name->value;
 	name->value = new_empty_like(name->value);
-	name->value->text = g_strdup(moved->value->text);
-	g_ptr_array_add(match->entries, moved);
+	name->value->text = g_strdup(identity_entry->value->text);
+	g_ptr_array_add(match->entries, identity_entry);
 	g_ptr_array_add(list->items, match);
-	g_hash_table_insert(index, g_strdup(moved->value->text), match);
+	g_hash_table_insert(index, g_strdup(identity_entry->value->text),
+			    match);
 	return match;
 }
 
-static void lay_list(struct rr_yaml_node *base, struct rr_yaml_node *overlay,
-		     enum rr_setting_scope scope, GPtrArray *faults)
+static void merge_list(struct rr_yaml_node *base, struct rr_yaml_node *overlay,
+		       enum rr_setting_scope scope, GPtrArray *diagnostics)
 {
 	const char *identity = rr_find_identity_key(scope);
 	GHashTable *index = index_list(base, identity);
@@ -115,47 +119,49 @@
 		if (!rr_find_yaml_text(element, identity))
 			continue;
 		if (is_removal(element))
-			remove_element(base, index, element, identity, faults);
+			remove_element(base, index, element, identity,
+				       diagnostics);
 		else
 			rr_merge_overlay(
 				find_or_add(base, index, element, identity),
-				element, scope, faults);
+				element, scope, diagnostics);
 	}
 	g_hash_table_destroy(index);
 }
 
-static void lay_entry(struct rr_yaml_node *base, struct rr_yaml_entry *entry,
-		      const struct rr_setting *setting, GPtrArray *faults)
+static void merge_entry(struct rr_yaml_node *base, struct rr_yaml_entry *entry,
+			const struct rr_setting *setting,
+			GPtrArray *diagnostics)
 {
-	struct rr_yaml_entry *under = find_entry(base, entry->key);
+	struct rr_yaml_entry *base_entry = find_entry(base, entry->key);
 	bool nested = setting->type == RR_TYPE_MAPPING ||
 		      setting->type == RR_TYPE_MAPPING_LIST;
 
-	if (!under) {
-		under = g_new0(struct rr_yaml_entry, 1);
-		under->key = g_strdup(entry->key);
-		under->line = entry->line;
-		under->value = new_empty_like(entry->value);
-		g_ptr_array_add(base->entries, under);
+	if (!base_entry) {
+		base_entry = g_new0(struct rr_yaml_entry, 1);
+		base_entry->key = g_strdup(entry->key);
+		base_entry->line = entry->line;
+		base_entry->value = new_empty_like(entry->value);
+		g_ptr_array_add(base->entries, base_entry);
 	}
-	nested = nested && under->value->kind == entry->value->kind;
+	nested = nested && base_entry->value->kind == entry->value->kind;
 	if (nested && entry->value->kind == RR_YAML_MAPPING) {
-		rr_merge_overlay(under->value, entry->value,
-				 setting->inner_scope, faults);
+		rr_merge_overlay(base_entry->value, entry->value,
+				 setting->inner_scope, diagnostics);
 	} else if (nested && setting->type == RR_TYPE_MAPPING_LIST &&
 		   entry->value->kind == RR_YAML_LIST) {
-		lay_list(under->value, entry->value, setting->inner_scope,
-			 faults);
+		merge_list(base_entry->value, entry->value,
+			   setting->inner_scope, diagnostics);
 	} else {
-		struct rr_yaml_node *replaced = under->value;
+		struct rr_yaml_node *replaced = base_entry->value;
 
-		under->value = entry->value;
+		base_entry->value = entry->value;
 		entry->value = replaced;
 	}
 }
 
 void rr_merge_overlay(struct rr_yaml_node *base, struct rr_yaml_node *overlay,
-		      enum rr_setting_scope scope, GPtrArray *faults)
+		      enum rr_setting_scope scope, GPtrArray *diagnostics)
 {
 	if (base->kind != RR_YAML_MAPPING || overlay->kind != RR_YAML_MAPPING)
 		return;
@@ -165,6 +171,6 @@
 			rr_find_setting(scope, entry->key);
 
 		if (setting && !setting->is_identity && !setting->base_only)
-			lay_entry(base, entry, setting, faults);
+			merge_entry(base, entry, setting, diagnostics);
 	}
 }
--- a/source/settings/push.c
+++ b/source/settings/push.c
@@ -1,5 +1,5 @@
 /*
- * push.c - the decision of one push of a configuration file.
+ * push.c - state machine that pushes one configuration file to the store.
  */
 #include "ragwort/push.h"
 
@@ -10,30 +10,29 @@
 #include "ragwort/record.h"
 #include "ragwort/settings.h"
 
-#define DEFAULT_TRIES 20
-#define FIRST_WAIT_MS 20
-#define MAX_WAIT_DOUBLINGS 6
-/* The platform holds values up to a megabyte. */
+#define DEFAULT_MAX_TRIES 20
+#define BASE_BACKOFF_MS 20
+#define MAX_BACKOFF_DOUBLINGS 6
+/* The platform accepts values of up to a megabyte. */
 #define MAX_RECORD_BYTES 1000000
-#define MAX_CHANGE_ID 128
+#define MAX_CHANGE_ID_BYTES 128
 
 struct rr_push {
 	struct rr_push_options options;
 	struct rr_push_result result;
 	char *message;
 	struct rr_push_step step;
-	char *value; /* of the swap in flight */
-	/* What the swap in flight leads to. */
-	uint64_t next_revision;
-	uint64_t highest_revision; /* of the key, ever seen */
+	char *value;		   /* of the swap in flight */
+	uint64_t next_revision;	   /* of the record after the swap in flight */
+	uint64_t highest_revision; /* of the key in any reply */
 	/*
-	 * A swap on unknown_revision got no reply.  While the key still has
-	 * that revision the swap may take effect yet.
+	 * A swap that expects unresolved_revision got no reply.  While the key
+	 * still has that revision, the swap may yet take effect.
 	 */
-	bool unknown_write;
-	uint64_t unknown_revision;
-	uint32_t tries;
-	bool wait_told;
+	bool unresolved_write;
+	uint64_t unresolved_revision;
+	uint32_t tries;	    /* store calls that failed or conflicted */
+	bool wait_returned; /* by rr_push_step(), or no wait is due */
 };
 
 static void end_push(struct rr_push *push, enum rr_push_status status,
@@ -46,11 +45,11 @@
 	push->result.message = message;
 }
 
-static void plan_read(struct rr_push *push, uint32_t wait_ms)
+static void schedule_read(struct rr_push *push, uint32_t wait_ms)
 {
 	push->step.action = RR_PUSH_READ;
 	push->step.wait_ms = wait_ms;
-	push->wait_told = !wait_ms;
+	push->wait_returned = !wait_ms;
 }
 
 static char *check_options(const struct rr_push_options *options)
@@ -68,10 +67,10 @@
 	if (options->text && !g_utf8_validate(options->text, -1, NULL))
 		return g_strdup_printf("%s is not UTF-8 text", options->file);
 	if (!*options->change_id ||
-	    strlen(options->change_id) > MAX_CHANGE_ID ||
+	    strlen(options->change_id) > MAX_CHANGE_ID_BYTES ||
 	    !g_utf8_validate(options->change_id, -1, NULL))
 		return g_strdup_printf("a change id has 1 to %d bytes of UTF-8",
-				       MAX_CHANGE_ID);
+				       MAX_CHANGE_ID_BYTES);
 	if (!g_utf8_validate(options->author, -1, NULL))
 		return g_strdup("the author's name is not UTF-8 text");
 	return NULL;
@@ -90,10 +89,10 @@
 	push->options.change_id = g_strdup(options->change_id);
 	push->options.author = g_strdup(options->author);
 	if (!push->options.max_tries)
-		push->options.max_tries = DEFAULT_TRIES;
+		push->options.max_tries = DEFAULT_MAX_TRIES;
 	push->result.diagnostics = rr_new_diagnostics();
 	push->step.key = RR_CONFIG_RECORD_KEY;
-	plan_read(push, 0);
+	schedule_read(push, 0);
 	if (message)
 		end_push(push, RR_PUSH_INVALID, message);
 	return push;
@@ -118,8 +117,8 @@
 	if (push->result.status != RR_PUSH_RUNNING)
 		return true;
 	*step = push->step;
-	if (!push->wait_told) {
-		push->wait_told = true;
+	if (!push->wait_returned) {
+		push->wait_returned = true;
 		step->action = RR_PUSH_WAIT;
 		return false;
 	}
@@ -135,21 +134,22 @@
 	return &push->result;
 }
 
-/* Whether a write of this change may have taken or may still take effect. */
+/* Whether a write of this change may have taken effect or may yet do so. */
 static bool may_be_written(const struct rr_push *push)
 {
-	return push->unknown_write || push->options.is_retry;
+	return push->unresolved_write || push->options.is_retry;
 }
 
-/* Read again after a random wait that grows, or give up after max_tries. */
-static void try_again(struct rr_context *ctx, struct rr_push *push)
+/* Read again after a random, exponentially growing wait, up to max_tries. */
+static void retry_or_end(struct rr_context *ctx, struct rr_push *push)
 {
-	uint32_t doublings = MIN(push->tries, MAX_WAIT_DOUBLINGS);
+	uint32_t doublings = MIN(push->tries, MAX_BACKOFF_DOUBLINGS);
 
 	push->tries++;
 	if (push->tries < push->options.max_tries) {
-		plan_read(push,
-			  1 + rr_random_below(ctx, FIRST_WAIT_MS << doublings));
+		schedule_read(
+			push,
+			1 + rr_random_below(ctx, BASE_BACKOFF_MS << doublings));
 		return;
 	}
 	if (may_be_written(push))
@@ -161,23 +161,23 @@
 	else
 		end_push(push, RR_PUSH_UNAVAILABLE,
 			 g_strdup("others changed the configuration at each "
-				  "try; nothing was written: push again"));
+				  "attempt; nothing was written: push again"));
 }
 
 static void handle_failure(struct rr_context *ctx, struct rr_push *push)
 {
-	/* Only a push with nothing on its way can say "not written" at once. */
+	/* A push that has no write in flight can report "not written". */
 	if (may_be_written(push))
-		try_again(ctx, push);
+		retry_or_end(ctx, push);
 	else
 		end_push(push, RR_PUSH_UNAVAILABLE,
-			 g_strdup("the platform's service does not answer; "
+			 g_strdup("the platform's service does not reply; "
 				  "nothing was written"));
 }
 
-/* Whose changes the operator has not seen. */
-static char *describe_changes(const struct rr_push *push,
-			      const struct rr_config_record *record)
+/* Describe the changes made to the file since base_revision. */
+static char *describe_conflict(const struct rr_push *push,
+			       const struct rr_config_record *record)
 {
 	const struct rr_config_change *changes;
 	size_t n = rr_list_config_changes(record, &changes);
@@ -196,54 +196,56 @@
 			changes[i].revision, changes[i].author,
 			changes[i].change_id);
 	}
-	g_string_append(text, " look at it and push from the newest");
+	g_string_append(text, " review the changes and push from the latest "
+			      "revision");
 	return g_string_free(text, FALSE);
 }
 
-/* 0 where the record makes no valid configuration. */
-static uint32_t find_buckets(const struct rr_config_record *record)
+/* Return ledger_buckets; 0 if the record's configuration is not valid. */
+static uint32_t read_ledger_buckets(const struct rr_config_record *record)
 {
-	GPtrArray *faults = rr_new_diagnostics();
+	GPtrArray *diagnostics = rr_new_diagnostics();
 	char **sites = rr_list_overlay_sites(record);
 	struct rr_config *config;
 	uint32_t buckets = 0;
 
 	config = rr_build_site_config(
-		record, *sites ? *sites : RR_CONFIG_BASE_FILE, faults);
+		record, *sites ? *sites : RR_CONFIG_BASE_FILE, diagnostics);
 	if (config)
 		buckets = config->ledger_buckets;
 	rr_drop_config(config);
 	g_strfreev(sites);
-	g_ptr_array_unref(faults);
+	g_ptr_array_unref(diagnostics);
 	return buckets;
 }
 
 /*
- * A request id maps to a ledger key by the number of buckets.  With another
- * number an id claimed before would be looked for in another key, found
- * absent and run a second time, so the number stays what it first was.
+ * Whether a change alters the number of ledger buckets.  The number determines
+ * which ledger key a request id maps to.  With another number, an id that was
+ * claimed before would be looked up under another key, not be found there, and
+ * its request would run a second time.  So the number must not change once set.
  */
-static bool moves_buckets(const struct rr_config_record *before,
-			  const struct rr_config_record *after)
+static bool changes_ledger_buckets(const struct rr_config_record *before,
+				   const struct rr_config_record *after)
 {
-	uint32_t buckets = find_buckets(before);
+	uint32_t buckets = read_ledger_buckets(before);
 
-	return buckets && buckets != find_buckets(after);
+	return buckets && buckets != read_ledger_buckets(after);
 }
 
-static bool check_change(struct rr_push *push,
-			 const struct rr_config_record *before,
-			 const struct rr_config_record *after)
+static bool validate_change(struct rr_push *push,
+			    const struct rr_config_record *before,
+			    const struct rr_config_record *after)
 {
-	GPtrArray *faults = push->result.diagnostics;
+	GPtrArray *diagnostics = push->result.diagnostics;
 
-	if (!rr_check_config_record(after, faults)) {
+	if (!rr_check_config_record(after, diagnostics)) {
 		end_push(push, RR_PUSH_INVALID,
-			 g_strdup_printf("%u faults; nothing was written",
-					 faults->len));
+			 g_strdup_printf("%u errors; nothing was written",
+					 diagnostics->len));
 		return false;
 	}
-	if (moves_buckets(before, after)) {
+	if (changes_ledger_buckets(before, after)) {
 		end_push(push, RR_PUSH_INVALID,
 			 g_strdup("ledger_buckets cannot change once set: "
 				  "reservations made before would not be "
@@ -253,8 +255,9 @@
 	return true;
 }
 
-static void plan_swap(struct rr_push *push,
-		      const struct rr_config_record *before, uint64_t revision)
+static void schedule_swap(struct rr_push *push,
+			  const struct rr_config_record *before,
+			  uint64_t revision)
 {
 	struct rr_config_record *after = rr_copy_config_record(before);
 	size_t length;
@@ -262,7 +265,7 @@
 	rr_update_config_record(after, push->options.file, push->options.text,
 				push->options.change_id, push->options.author,
 				push->options.when_s);
-	if (!check_change(push, before, after)) {
+	if (!validate_change(push, before, after)) {
 		rr_drop_config_record(after);
 		return;
 	}
@@ -274,8 +277,9 @@
 	rr_drop_config_record(after);
 	if (length > MAX_RECORD_BYTES) {
 		end_push(push, RR_PUSH_INVALID,
-			 g_strdup_printf("all files together take %zu bytes, "
-					 "%d are allowed; nothing was written",
+			 g_strdup_printf("the record of all files takes %zu "
+					 "bytes, %d are allowed; nothing was "
+					 "written",
 					 length, MAX_RECORD_BYTES));
 		return;
 	}
@@ -290,24 +294,25 @@
 	return a && b ? !strcmp(a, b) : a == b;
 }
 
-static char *describe_setback(const struct rr_push *push,
-			      const struct rr_config_record *record)
+static char *describe_older_record(const struct rr_push *push,
+				   const struct rr_config_record *record)
 {
 	return g_strdup_printf(
 		"the store holds revision %" G_GUINT64_FORMAT
-		", older than the %" G_GUINT64_FORMAT
-		" that was pushed from: it lost changes; nothing was written",
+		", older than revision %" G_GUINT64_FORMAT
+		" that the push is based on: the store lost changes; nothing "
+		"was written",
 		rr_config_record_revision(record), push->options.base_revision);
 }
 
-static void take_record(struct rr_push *push,
-			const struct rr_config_record *record,
-			uint64_t key_revision)
+static void handle_record(struct rr_push *push,
+			  const struct rr_config_record *record,
+			  uint64_t key_revision)
 {
 	const struct rr_push_options *options = &push->options;
 	uint64_t revision;
 
-	/* Here a lost reply is settled: the record says that it was written. */
+	/* A write whose reply was lost took effect if the record lists it. */
 	if (rr_find_config_change(record, options->change_id, &revision)) {
 		push->result.revision = revision;
 		end_push(push, RR_PUSH_ACCEPTED, g_strdup("accepted"));
@@ -319,25 +324,25 @@
 		end_push(push, RR_PUSH_ACCEPTED, g_strdup("no change"));
 		return;
 	}
-	/* Instances would leave a lower revision out: it would not take effect. */
+	/* Instances ignore lower revisions: the push would have no effect. */
 	if (rr_config_record_revision(record) < options->base_revision) {
 		end_push(push, RR_PUSH_BAD_RECORD,
-			 describe_setback(push, record));
+			 describe_older_record(push, record));
 		return;
 	}
 #ifndef RR_MUTANT_CONFIG_REVERT
 	if (rr_config_file_revision(record, options->file) >
 	    options->base_revision) {
 		end_push(push, RR_PUSH_CONFLICT,
-			 describe_changes(push, record));
+			 describe_conflict(push, record));
 		return;
 	}
 #endif
-	plan_swap(push, record, key_revision);
+	schedule_swap(push, record, key_revision);
 }
 
-static struct rr_config_record *decode_read(struct rr_push *push,
-					    const struct rr_store_reply *reply)
+static struct rr_config_record *decode_reply(struct rr_push *push,
+					     const struct rr_store_reply *reply)
 {
 	struct rr_config_record *record;
 	GError *error = NULL;
@@ -352,8 +357,8 @@
 	return NULL;
 }
 
-static void take_read(struct rr_context *ctx, struct rr_push *push,
-		      const struct rr_store_reply *reply)
+static void handle_read_reply(struct rr_context *ctx, struct rr_push *push,
+			      const struct rr_store_reply *reply)
 {
 	struct rr_config_record *record;
 
@@ -364,34 +369,36 @@
 	}
 	push->highest_revision = reply->revision;
 	/*
-	 * A swap without a reply compares the revision when it arrives: once
-	 * the key has another one, the record says whether it took effect.
-	 * While it is the same, the swap may still be on its way; then only a
-	 * later swap of ours fences it off, so we go on to write.
+	 * A swap without a reply compares the key's revision when it reaches
+	 * the store.  Once the key has another revision, the record shows
+	 * whether the swap took effect.  While the revision is the same, the
+	 * swap may still be in flight, and only a later swap of this push
+	 * prevents it from taking effect, so the push writes again.
 	 */
-	if (push->unknown_write && push->unknown_revision != reply->revision)
-		push->unknown_write = false;
+	if (push->unresolved_write &&
+	    push->unresolved_revision != reply->revision)
+		push->unresolved_write = false;
 #ifdef RR_MUTANT_CONFIG_NO_FENCE
-	push->unknown_write = false;
+	push->unresolved_write = false;
 #endif
-	record = decode_read(push, reply);
+	record = decode_reply(push, reply);
 	if (!record)
 		return;
-	take_record(push, record, reply->revision);
+	handle_record(push, record, reply->revision);
 	rr_drop_config_record(record);
 }
 
-static void take_swap(struct rr_context *ctx, struct rr_push *push,
-		      const struct rr_store_reply *reply)
+static void handle_swap_reply(struct rr_context *ctx, struct rr_push *push,
+			      const struct rr_store_reply *reply)
 {
 	switch (reply->status) {
 	case RR_STORE_OK:
-		push->unknown_write = false;
+		push->unresolved_write = false;
 		push->result.revision = push->next_revision;
 		end_push(push, RR_PUSH_ACCEPTED, g_strdup("accepted"));
 		break;
 	case RR_STORE_CONFLICT:
-		try_again(ctx, push);
+		retry_or_end(ctx, push);
 		break;
 	case RR_STORE_UNAVAILABLE:
 		handle_failure(ctx, push);
@@ -401,9 +408,9 @@
 		end_push(push, RR_PUSH_UNAVAILABLE, g_strdup("no reply"));
 		break;
 #endif
-		push->unknown_write = true;
-		push->unknown_revision = push->step.revision;
-		try_again(ctx, push);
+		push->unresolved_write = true;
+		push->unresolved_revision = push->step.revision;
+		retry_or_end(ctx, push);
 		break;
 	}
 }
@@ -415,7 +422,7 @@
 	if (push->result.status != RR_PUSH_RUNNING)
 		return;
 	if (push->step.action == RR_PUSH_READ)
-		take_read(ctx, push, reply);
+		handle_read_reply(ctx, push, reply);
 	else
-		take_swap(ctx, push, reply);
+		handle_swap_reply(ctx, push, reply);
 }
--- a/source/settings/record-json.c
+++ b/source/settings/record-json.c
@@ -1,5 +1,5 @@
 /*
- * record-json.c - the record as stored: JSON text in and out.
+ * record-json.c - JSON encoding and decoding of the configuration record.
  */
 #include <json-glib/json-glib.h>
 #include <string.h>
@@ -7,8 +7,8 @@
 #include "ragwort/error.h"
 #include "settings/record-private.h"
 
-#define RECORD_FORMAT 1
-#define MAX_NAME 63
+#define RECORD_FORMAT_VERSION 1
+#define MAX_NAME_LENGTH 63
 #define MAX_DEPTH 8
 
 static void build_files(JsonBuilder *builder,
@@ -77,7 +77,7 @@
 	char *text;
 
 	json_builder_begin_object(builder);
-	add_int(builder, "format", RECORD_FORMAT);
+	add_int(builder, "format", RECORD_FORMAT_VERSION);
 	add_int(builder, "revision", (int64_t)record->revision);
 	build_files(builder, record);
 	build_changes(builder, record);
@@ -90,24 +90,24 @@
 	return text;
 }
 
-static bool fail(GError **error, const char *what)
+static bool set_error(GError **error, const char *message)
 {
 	g_set_error(error, RR_ERROR, RR_ERROR_SYNTAX,
-		    "configuration record: %s", what);
+		    "configuration record: %s", message);
 	return false;
 }
 
-static bool read_int(JsonObject *object, const char *name, int64_t least,
+static bool read_int(JsonObject *object, const char *name, int64_t min,
 		     int64_t *value, GError **error)
 {
 	JsonNode *node = json_object_get_member(object, name);
 
 	if (!node || json_node_get_value_type(node) != G_TYPE_INT64 ||
-	    json_node_get_int(node) < least) {
+	    json_node_get_int(node) < min) {
 		g_set_error(error, RR_ERROR, RR_ERROR_SYNTAX,
 			    "configuration record: '%s' is not a whole number "
 			    "of at least %" G_GINT64_FORMAT,
-			    name, least);
+			    name, min);
 		return false;
 	}
 	*value = json_node_get_int(node);
@@ -126,8 +126,9 @@
 	}
 	*value = json_node_get_string(node);
 	/*
-	 * json-glib takes C's octal escapes too, which can make bytes that are
-	 * no UTF-8; such a text would change when the record is written again.
+	 * json-glib also accepts C's octal escapes, which can produce bytes
+	 * that are not UTF-8; such a text would change when the record is
+	 * encoded again.
 	 */
 	if (!g_utf8_validate(*value, -1, NULL)) {
 		g_set_error(error, RR_ERROR, RR_ERROR_SYNTAX,
@@ -143,13 +144,13 @@
 				     "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
 				     "0123456789._-");
 
-	if (length && !name[length] && length <= MAX_NAME &&
+	if (length && !name[length] && length <= MAX_NAME_LENGTH &&
 	    g_ascii_isalnum(name[0]))
 		return true;
 	g_set_error(error, RR_ERROR, RR_ERROR_SYNTAX,
 		    "configuration file name '%.80s': 1 to %d of "
 		    "[A-Za-z0-9._-], a letter or digit first, are allowed",
-		    name, MAX_NAME);
+		    name, MAX_NAME_LENGTH);
 	return false;
 }
 
@@ -163,14 +164,14 @@
 	if (!rr_check_config_file_name(name, error))
 		return false;
 	if (!JSON_NODE_HOLDS_OBJECT(node))
-		return fail(error, "a file is not an object");
+		return set_error(error, "a file is not an object");
 	object = json_node_get_object(node);
 	if (!read_int(object, "revision", 1, &revision, error))
 		return false;
 	if ((uint64_t)revision > record->revision)
-		return fail(error, "a file is newer than the record");
+		return set_error(error, "a file is newer than the record");
 	if (!json_object_has_member(object, "text"))
-		return fail(error, "a file has no 'text'");
+		return set_error(error, "a file has no 'text'");
 	if (!json_object_get_null_member(object, "text") &&
 	    !read_string(object, "text", &text, error))
 		return false;
@@ -186,7 +187,7 @@
 	const char *name;
 
 	if (!node || !JSON_NODE_HOLDS_OBJECT(node))
-		return fail(error, "'files' is not an object");
+		return set_error(error, "'files' is not an object");
 	json_object_iter_init(&iter, json_node_get_object(node));
 	while (json_object_iter_next(&iter, &name, &node)) {
 		if (!read_file(record, name, node, error))
@@ -203,7 +204,7 @@
 	int64_t revision;
 
 	if (!JSON_NODE_HOLDS_OBJECT(node))
-		return fail(error, "a change is not an object");
+		return set_error(error, "a change is not an object");
 	object = json_node_get_object(node);
 	if (!read_int(object, "revision", 1, &revision, error) ||
 	    !read_string(object, "id", &change.change_id, error) ||
@@ -213,7 +214,7 @@
 		return false;
 	change.revision = (uint64_t)revision;
 	if (change.revision > record->revision)
-		return fail(error, "a change is newer than the record");
+		return set_error(error, "a change is newer than the record");
 	change.change_id = g_strdup(change.change_id);
 	change.file = g_strdup(change.file);
 	change.author = g_strdup(change.author);
@@ -228,10 +229,10 @@
 	JsonArray *array;
 
 	if (!node || !JSON_NODE_HOLDS_ARRAY(node))
-		return fail(error, "'changes' is not an array");
+		return set_error(error, "'changes' is not an array");
 	array = json_node_get_array(node);
 	if (json_array_get_length(array) > RR_MAX_CONFIG_CHANGES)
-		return fail(error, "'changes' holds more than 64");
+		return set_error(error, "'changes' holds more than 64");
 	for (guint i = 0; i < json_array_get_length(array); i++) {
 		if (!read_change(record, json_array_get_element(array, i),
 				 error))
@@ -248,12 +249,12 @@
 	int64_t revision;
 
 	if (!node || !JSON_NODE_HOLDS_OBJECT(node))
-		return fail(error, "not a JSON object");
+		return set_error(error, "not a JSON object");
 	root = json_node_get_object(node);
 	if (!read_int(root, "format", 1, &format, error))
 		return false;
-	if (format != RECORD_FORMAT)
-		return fail(error, "'format' is unknown, 1 is allowed");
+	if (format != RECORD_FORMAT_VERSION)
+		return set_error(error, "'format' is unknown, 1 is allowed");
 	if (!read_int(root, "revision", 0, &revision, error))
 		return false;
 	record->revision = (uint64_t)revision;
@@ -262,12 +263,13 @@
 }
 
 /*
- * The parser calls itself for each level: a megabyte of brackets would use up
- * the stack and end the process.  A record is four levels deep.  Only what
- * stands in JSON is let through, since the parser also knows comments, where
- * a quote would hide the brackets after it.
+ * Whether a text has only characters that JSON allows outside of strings and is
+ * nested at most MAX_DEPTH levels; a record has four levels.  The parser is
+ * recursive: a megabyte of brackets would overflow the stack and crash the
+ * process.  The parser also accepts comments, in which a quote would hide the
+ * brackets after it from this check, so other characters are rejected.
  */
-static bool is_shallow(const char *text, size_t length)
+static bool is_shallow_json(const char *text, size_t length)
 {
 	bool in_string = false;
 	int depth = 0;
@@ -301,11 +303,11 @@
 
 	if (memchr(text, '\0', length) ||
 	    !g_utf8_validate_len(text, length, NULL)) {
-		fail(error, "not UTF-8 text");
+		set_error(error, "not UTF-8 text");
 		return NULL;
 	}
-	if (!is_shallow(text, length)) {
-		fail(error, "not JSON, or nested too deep");
+	if (!is_shallow_json(text, length)) {
+		set_error(error, "not JSON, or nested too deep");
 		return NULL;
 	}
 	parser = json_parser_new_immutable();
--- a/source/settings/record.c
+++ b/source/settings/record.c
@@ -1,5 +1,5 @@
 /*
- * record.c - the accepted configuration: files, revision, last changes.
+ * record.c - configuration record: files, revision and last changes.
  */
 #include "ragwort/record.h"
 
@@ -107,7 +107,7 @@
 	for (GList *link = names; link; link = link->next) {
 		const char *text = rr_config_file_text(record, link->data);
 
-		/* With its end mark, so that "a","bc" is not "ab","c". */
+		/* Hash the NUL too, to tell "a","bc" from "ab","c". */
 		hash = XXH3_64bits_withSeed(link->data, strlen(link->data) + 1,
 					    hash);
 		if (text)
@@ -168,15 +168,15 @@
 			     const char *text, const char *change_id,
 			     const char *author, int64_t when_s)
 {
-	const size_t kept = MIN(record->n_changes, RR_MAX_CONFIG_CHANGES - 1);
+	const size_t n_kept = MIN(record->n_changes, RR_MAX_CONFIG_CHANGES - 1);
 
 	rr_invariant("config", record->revision < UINT64_MAX);
 	record->revision++;
 	rr_set_config_file(record, name, text, record->revision);
-	if (record->n_changes > kept)
-		free_change(&record->changes[kept]);
+	if (record->n_changes > n_kept)
+		free_change(&record->changes[n_kept]);
 	memmove(&record->changes[1], &record->changes[0],
-		kept * sizeof(record->changes[0]));
+		n_kept * sizeof(record->changes[0]));
 	record->changes[0] = (struct rr_config_change){
 		.revision = record->revision,
 		.change_id = g_strdup(change_id),
@@ -184,7 +184,7 @@
 		.author = g_strdup(author),
 		.when_s = when_s,
 	};
-	record->n_changes = kept + 1;
+	record->n_changes = n_kept + 1;
 }
 
 size_t rr_list_config_changes(const struct rr_config_record *record,
@@ -194,14 +194,15 @@
 	return record->n_changes;
 }
 
-static void add_fault(GPtrArray *faults, const char *file, const char *what)
+static void add_error(GPtrArray *diagnostics, const char *file,
+		      const char *message)
 {
-	struct rr_diagnostic *fault = g_new0(struct rr_diagnostic, 1);
+	struct rr_diagnostic *diagnostic = g_new0(struct rr_diagnostic, 1);
 
-	fault->file = g_strdup(file);
-	fault->line = 1;
-	fault->message = g_strdup(what);
-	g_ptr_array_add(faults, fault);
+	diagnostic->file = g_strdup(file);
+	diagnostic->line = 1;
+	diagnostic->message = g_strdup(message);
+	g_ptr_array_add(diagnostics, diagnostic);
 }
 
 static struct rr_settings_source make_source(const char *file, const char *text)
@@ -210,7 +211,7 @@
 }
 
 struct rr_config *rr_build_site_config(const struct rr_config_record *record,
-				       const char *site, GPtrArray *faults)
+				       const char *site, GPtrArray *diagnostics)
 {
 	const char *base_text =
 		rr_config_file_text(record, RR_CONFIG_BASE_FILE);
@@ -220,7 +221,8 @@
 	struct rr_config *config;
 
 	if (!base_text) {
-		add_fault(faults, RR_CONFIG_BASE_FILE, "there is no base file");
+		add_error(diagnostics, RR_CONFIG_BASE_FILE,
+			  "there is no base file");
 		return NULL;
 	}
 	if (strcmp(site, RR_CONFIG_BASE_FILE))
@@ -229,25 +231,25 @@
 	if (overlay_text)
 		overlay = make_source(site, overlay_text);
 	config = rr_parse_config(&base, overlay_text ? &overlay : NULL, site,
-				 faults);
+				 diagnostics);
 	if (config)
 		config->revision = record->revision;
 	return config;
 }
 
 bool rr_check_config_record(const struct rr_config_record *record,
-			    GPtrArray *faults)
+			    GPtrArray *diagnostics)
 {
 	char **sites = rr_list_overlay_sites(record);
-	const guint before = faults->len;
+	const guint n_before = diagnostics->len;
 	size_t i = 0;
 
-	/* Without an overlay the base is what any site runs by. */
+	/* If there is no overlay, all sites use the base alone. */
 	do {
 		const char *site = sites[i] ? sites[i] : RR_CONFIG_BASE_FILE;
 
-		rr_drop_config(rr_build_site_config(record, site, faults));
+		rr_drop_config(rr_build_site_config(record, site, diagnostics));
 	} while (sites[i] && sites[++i]);
 	g_strfreev(sites);
-	return faults->len == before;
+	return diagnostics->len == n_before;
 }
--- a/source/settings/settings-table.c
+++ b/source/settings/settings-table.c
@@ -1,5 +1,5 @@
 /*
- * settings-table.c - every key of the operators' files and the start file.
+ * settings-table.c - table of all keys of the operators' files and start files.
  */
 #include "settings/settings-table.h"
 
@@ -7,18 +7,18 @@
 
 #include <string.h>
 
-#define IN_CONFIG(member) offsetof(struct rr_config, member)
-#define IN_SERVICE(member) offsetof(struct rr_service_config, member)
-#define IN_SHARD(member) offsetof(struct rr_shard_config, member)
-#define IN_REPLICA(member) offsetof(struct rr_replica_config, member)
-#define IN_START(member) offsetof(struct rr_start_settings, member)
-#define IN_GATEWAY(member) offsetof(struct rr_gateway_settings, member)
+#define CONFIG_OFFSET(member) offsetof(struct rr_config, member)
+#define SERVICE_OFFSET(member) offsetof(struct rr_service_config, member)
+#define SHARD_OFFSET(member) offsetof(struct rr_shard_config, member)
+#define REPLICA_OFFSET(member) offsetof(struct rr_replica_config, member)
+#define START_OFFSET(member) offsetof(struct rr_start_settings, member)
+#define GATEWAY_OFFSET(member) offsetof(struct rr_gateway_settings, member)
 
-#define LONGEST_MS 600000
-#define LONGEST_S 3600
-#define MOST_COUNT 1000000
-/* More extra attempts than requests for any use. */
-#define MOST_SHARE 1000
+#define MAX_TIME_MS 600000
+#define MAX_TIME_S 3600
+#define MAX_COUNT 1000000
+/* Above any useful multiple of a service's requests. */
+#define MAX_SHARE 1000
 
 /* In the order of enum rr_answer_mode. */
 static const char *const answer_modes[] = { "coverage", "latency", NULL };
@@ -31,343 +31,374 @@
 const struct rr_setting rr_settings[] = {
 	/* The operators' files. */
 	{ "owners_per_replica", RR_SCOPE_SITE, RR_TYPE_INTEGER, 1,
-	  RR_MAX_OWNERS, .offset = IN_CONFIG(owners_per_replica),
+	  RR_MAX_OWNERS, .offset = CONFIG_OFFSET(owners_per_replica),
 	  .unit = "instances",
-	  .help = "How many instances of a replica's availability zone hold "
-		  "connections to it; the others reach it through them." },
+	  .help = "Number of instances in a replica's availability zone "
+		  "that hold connections to it; other instances reach the "
+		  "replica through them." },
 	{ "reservation_retention_s", RR_SCOPE_SITE, RR_TYPE_INTEGER, 60,
-	  2592000, .offset = IN_CONFIG(reservation_retention_s), .unit = "s",
-	  .base_only = true,
-	  .help = "How long a reservation's id is remembered; an older id is "
-		  "refused rather than run again." },
+	  2592000, .offset = CONFIG_OFFSET(reservation_retention_s),
+	  .unit = "s", .base_only = true,
+	  .help = "How long the id of a reservation is remembered. A "
+		  "request with an older id is rejected instead of being "
+		  "run again." },
 	{ "ledger_buckets", RR_SCOPE_SITE, RR_TYPE_INTEGER, 1, 4096,
-	  .offset = IN_CONFIG(ledger_buckets), .unit = "keys",
+	  .offset = CONFIG_OFFSET(ledger_buckets), .unit = "keys",
 	  .base_only = true,
-	  .help = "Keys of the platform's service that reservation ids are "
-		  "spread over. Chosen once: `config push` refuses to change "
-		  "it, because an id would be looked for under another key "
-		  "and could run twice." },
+	  .help = "Number of keys in the platform's service over which "
+		  "reservation ids are distributed. Cannot be changed once "
+		  "set: `config push` rejects a change, because an id would "
+		  "be looked up under another key and its request could run "
+		  "twice." },
 	{ "log", RR_SCOPE_SITE, RR_TYPE_MAPPING,
 	  .inner_scope = RR_SCOPE_SITE_LOG, .no_field = true,
-	  .help = "Log settings that replace those of the start files." },
+	  .help = "Log settings that override those of the start files." },
 	{ "defaults", RR_SCOPE_SITE, RR_TYPE_MAPPING,
 	  .inner_scope = RR_SCOPE_DEFAULTS, .no_field = true,
-	  .help = "Values for every service that does not set its own." },
+	  .help = "Values for services that do not set their own." },
 	{ "services", RR_SCOPE_SITE, RR_TYPE_MAPPING_LIST,
 	  .inner_scope = RR_SCOPE_SERVICE, .required = true, .no_field = true,
-	  .help = "The services that callers may ask." },
+	  .help = "Services available to callers." },
 
 	{ "level", RR_SCOPE_SITE_LOG, RR_TYPE_ENUM, .choices = log_levels,
-	  .offset = IN_CONFIG(log.level),
-	  .help = "The most detailed lines that are written; each level "
-		  "includes those before it." },
+	  .offset = CONFIG_OFFSET(log.level),
+	  .help = "Most detailed level that is logged; each level includes "
+		  "those before it." },
 	{ "format", RR_SCOPE_SITE_LOG, RR_TYPE_ENUM, .choices = log_formats,
-	  .offset = IN_CONFIG(log.format), .help = "How a line is written." },
-	{ "max_lines_per_s", RR_SCOPE_SITE_LOG, RR_TYPE_INTEGER, 0, MOST_COUNT,
-	  .offset = IN_CONFIG(log.max_lines_per_s), .unit = "lines",
-	  .help = "Most lines of one event in a second; 0 is no bound." },
+	  .offset = CONFIG_OFFSET(log.format), .help = "Format of log lines." },
+	{ "max_lines_per_s", RR_SCOPE_SITE_LOG, RR_TYPE_INTEGER, 0, MAX_COUNT,
+	  .offset = CONFIG_OFFSET(log.max_lines_per_s), .unit = "lines",
+	  .help = "Maximum number of log lines per second for each event; 0 "
+		  "for no limit." },
 
 	{ "name", RR_SCOPE_SERVICE, RR_TYPE_NAME, .required = true,
 	  .is_identity = true, .not_in_defaults = true,
-	  .offset = IN_SERVICE(name),
-	  .help = "What callers call the service." },
+	  .offset = SERVICE_OFFSET(name),
+	  .help = "Name of the service in callers' requests." },
 	{ "remove", RR_SCOPE_SERVICE, RR_TYPE_BOOL, .overlay_only = true,
 	  .not_in_defaults = true, .no_field = true,
-	  .help = "`true` takes the base's service away from this site." },
+	  .help = "`true` removes the base file's service from this site." },
 	{ "answer", RR_SCOPE_SERVICE, RR_TYPE_ENUM, .choices = answer_modes,
-	  .offset = IN_SERVICE(answer),
-	  .help = "`coverage` waits for every shard that can still come, up "
-		  "to the deadline; `latency` answers when `enough` is "
-		  "covered and `wait_ms` has passed." },
-	{ "deadline_ms", RR_SCOPE_SERVICE, RR_TYPE_INTEGER, 1, LONGEST_MS,
-	  .offset = IN_SERVICE(deadline_ms), .unit = "ms",
-	  .help = "Longest time to an answer; a caller may ask for less." },
+	  .offset = SERVICE_OFFSET(answer),
+	  .help = "`coverage` waits for every shard that can still reply, "
+		  "up to the deadline; `latency` answers once the share "
+		  "`enough` of the shards is covered and `wait_ms` has "
+		  "passed." },
+	{ "deadline_ms", RR_SCOPE_SERVICE, RR_TYPE_INTEGER, 1, MAX_TIME_MS,
+	  .offset = SERVICE_OFFSET(deadline_ms), .unit = "ms",
+	  .help = "Maximum time to answer a request; a caller can ask for "
+		  "less." },
 	{ "enough", RR_SCOPE_SERVICE, RR_TYPE_NUMBER, 0, 1,
-	  .offset = IN_SERVICE(min_coverage), .unit = "share of shards",
-	  .help = "With `answer: latency`: the share of shards that is "
-		  "enough." },
-	{ "wait_ms", RR_SCOPE_SERVICE, RR_TYPE_INTEGER, 0, LONGEST_MS,
-	  .offset = IN_SERVICE(straggler_wait_ms), .unit = "ms",
-	  .help = "With `answer: latency`: how long to wait for the other "
-		  "shards once there is enough." },
+	  .offset = SERVICE_OFFSET(min_coverage), .unit = "share of shards",
+	  .help = "With `answer: latency`: share of shards that is "
+		  "sufficient for an answer." },
+	{ "wait_ms", RR_SCOPE_SERVICE, RR_TYPE_INTEGER, 0, MAX_TIME_MS,
+	  .offset = SERVICE_OFFSET(straggler_wait_ms), .unit = "ms",
+	  .help = "With `answer: latency`: how long to wait for the "
+		  "remaining shards once enough are covered." },
 	{ "idempotent", RR_SCOPE_SERVICE, RR_TYPE_BOOL,
-	  .offset = IN_SERVICE(idempotent),
-	  .help = "Whether an attempt may be repeated; with `false` every "
+	  .offset = SERVICE_OFFSET(idempotent),
+	  .help = "Whether an attempt may be repeated. With `false`, every "
 		  "request is recorded and runs at most once." },
 	{ "costs_money", RR_SCOPE_SERVICE, RR_TYPE_BOOL,
-	  .offset = IN_SERVICE(costs_money),
-	  .help = "Whether each attempt costs money: no hedging, and every "
-		  "request is recorded and runs at most once." },
+	  .offset = SERVICE_OFFSET(costs_money),
+	  .help = "Whether each attempt costs money. If `true`, requests "
+		  "are not hedged, and each is recorded and runs at most "
+		  "once." },
 	{ "slots", RR_SCOPE_SERVICE, RR_TYPE_INTEGER, 1, 10000,
-	  .offset = IN_SERVICE(slots), .unit = "requests",
-	  .help = "How many requests one replica works on at once." },
+	  .offset = SERVICE_OFFSET(slots), .unit = "requests",
+	  .help = "Number of requests that one replica processes "
+		  "concurrently." },
 	{ "connections", RR_SCOPE_SERVICE, RR_TYPE_INTEGER, 1, 10000,
-	  .offset = IN_SERVICE(connections), .unit = "connections",
-	  .help = "How many connections one replica takes from all instances "
-		  "together." },
+	  .offset = SERVICE_OFFSET(connections), .unit = "connections",
+	  .help = "Number of connections that one replica accepts from all "
+		  "instances together." },
 	{ "connect_ms", RR_SCOPE_SERVICE, RR_TYPE_INTEGER, 0, 60000,
-	  .offset = IN_SERVICE(connect_ms), .unit = "ms",
-	  .help = "What a new connection to a replica costs." },
+	  .offset = SERVICE_OFFSET(connect_ms), .unit = "ms",
+	  .help = "Time needed to open a new connection to a replica." },
 	{ "connection_reserve", RR_SCOPE_SERVICE, RR_TYPE_INTEGER, 0, 10000,
-	  .offset = IN_SERVICE(connection_reserve), .unit = "connections",
-	  .help = "Connections of a replica left free for other availability "
-		  "zones and for tools; fewer than `connections`." },
+	  .offset = SERVICE_OFFSET(connection_reserve), .unit = "connections",
+	  .help = "Connections of a replica kept free for other "
+		  "availability zones and for tools; must be less than "
+		  "`connections`." },
 	{ "hedge_budget", RR_SCOPE_SERVICE, RR_TYPE_NUMBER, 0, 1,
-	  .offset = IN_SERVICE(hedge_budget), .unit = "share of attempts",
-	  .help = "Most second attempts at slow shards, as a share of the "
-		  "needed ones." },
+	  .offset = SERVICE_OFFSET(hedge_budget), .unit = "share of attempts",
+	  .help = "Maximum number of second attempts (hedges) at slow "
+		  "shards, as a share of the attempts that are needed." },
 	{ "retry_budget", RR_SCOPE_SERVICE, RR_TYPE_NUMBER, 0, 1,
-	  .offset = IN_SERVICE(retry_budget), .unit = "share of attempts",
-	  .help = "Most retries after failed attempts, as a share of the "
-		  "needed ones." },
+	  .offset = SERVICE_OFFSET(retry_budget), .unit = "share of attempts",
+	  .help = "Maximum number of retries after failed attempts, as a "
+		  "share of the attempts that are needed." },
 	{ "attempt_timeout_ms", RR_SCOPE_SERVICE, RR_TYPE_INTEGER, 1,
-	  LONGEST_MS, .offset = IN_SERVICE(attempt_timeout_ms), .unit = "ms",
-	  .help = "Longest time of one attempt; never longer than what is "
-		  "left of the deadline." },
-	{ "max_open_requests", RR_SCOPE_SERVICE, RR_TYPE_INTEGER, 1, MOST_COUNT,
-	  .offset = IN_SERVICE(max_open_requests), .unit = "requests",
-	  .help = "Most requests waiting or running in one instance; more "
-		  "are refused with a time to come back." },
+	  MAX_TIME_MS, .offset = SERVICE_OFFSET(attempt_timeout_ms),
+	  .unit = "ms",
+	  .help = "Maximum duration of one attempt; never longer than the "
+		  "time left until the deadline." },
+	{ "max_open_requests", RR_SCOPE_SERVICE, RR_TYPE_INTEGER, 1, MAX_COUNT,
+	  .offset = SERVICE_OFFSET(max_open_requests), .unit = "requests",
+	  .help = "Maximum number of requests waiting or running in one "
+		  "instance; further requests are rejected with a retry "
+		  "delay." },
 	{ "batch_share", RR_SCOPE_SERVICE, RR_TYPE_NUMBER, 0, 1,
-	  .offset = IN_SERVICE(batch_share), .unit = "share of capacity",
-	  .help = "How much of the capacity requests with `X-Priority: "
-		  "batch` may use." },
+	  .offset = SERVICE_OFFSET(batch_share), .unit = "share of capacity",
+	  .help = "Maximum share of the capacity for requests with "
+		  "`X-Priority: batch`." },
 	{ "max_rows", RR_SCOPE_SERVICE, RR_TYPE_INTEGER, 1, 100000,
-	  .offset = IN_SERVICE(max_rows), .unit = "rows",
-	  .help = "Most rows of one answer or of one page of a list." },
+	  .offset = SERVICE_OFFSET(max_rows), .unit = "rows",
+	  .help = "Maximum number of rows in one answer or in one page of a "
+		  "list." },
 	{ "shards", RR_SCOPE_SERVICE, RR_TYPE_MAPPING_LIST,
 	  .inner_scope = RR_SCOPE_SHARD, .required = true,
 	  .not_in_defaults = true, .no_field = true,
-	  .help = "The parts that the service's keys are spread over." },
+	  .help = "Shards over which the service's keys are distributed." },
 
 	{ "name", RR_SCOPE_SHARD, RR_TYPE_NAME, .required = true,
-	  .is_identity = true, .offset = IN_SHARD(name),
-	  .help = "Unique in the service." },
+	  .is_identity = true, .offset = SHARD_OFFSET(name),
+	  .help = "Name of the shard, unique in the service." },
 	{ "remove", RR_SCOPE_SHARD, RR_TYPE_BOOL, .overlay_only = true,
 	  .no_field = true,
-	  .help = "`true` takes the base's shard away from this site." },
-	{ "yard", RR_SCOPE_SHARD, RR_TYPE_NAME, .offset = IN_SHARD(public_name),
-	  .help = "What answers call this part where it is lacking; the "
-		  "shard's name if left out." },
+	  .help = "`true` removes the base file's shard from this site." },
+	{ "yard", RR_SCOPE_SHARD, RR_TYPE_NAME,
+	  .offset = SHARD_OFFSET(public_name),
+	  .help = "Name by which answers report this shard as missing; the "
+		  "shard's name if omitted." },
 	{ "keys", RR_SCOPE_SHARD, RR_TYPE_KEY_RANGE, .required = true,
 	  .no_field = true,
-	  .help = "The keys held, from the first up to but not including the "
-		  "second; no two shards of a service hold the same key." },
+	  .help = "Range of keys held by the shard, from the first up to "
+		  "but not including the second. No two shards of a service "
+		  "hold the same key." },
 	{ "replicas", RR_SCOPE_SHARD, RR_TYPE_MAPPING_LIST,
 	  .inner_scope = RR_SCOPE_REPLICA, .required = true, .no_field = true,
-	  .help = "The upstreams that each hold the whole shard." },
+	  .help = "Upstreams, each of which holds the whole shard." },
 
 	{ "id", RR_SCOPE_REPLICA, RR_TYPE_NAME, .required = true,
-	  .is_identity = true, .offset = IN_REPLICA(id),
-	  .help = "Unique in the whole "
+	  .is_identity = true, .offset = REPLICA_OFFSET(id),
+	  .help = "Identifier of the replica, unique in the whole "
 		  "configuration." },
 	{ "remove", RR_SCOPE_REPLICA, RR_TYPE_BOOL, .overlay_only = true,
 	  .no_field = true,
-	  .help = "`true` takes the base's replica away from this site." },
+	  .help = "`true` removes the base file's replica from this site." },
 	{ "zone", RR_SCOPE_REPLICA, RR_TYPE_NAME, .required = true,
-	  .offset = IN_REPLICA(zone),
-	  .help = "The availability zone it runs in." },
+	  .offset = REPLICA_OFFSET(zone),
+	  .help = "Availability zone in which the replica runs." },
 	{ "address", RR_SCOPE_REPLICA, RR_TYPE_ADDRESS, .required = true,
-	  .offset = IN_REPLICA(address), .help = "Where it is reached." },
+	  .offset = REPLICA_OFFSET(address),
+	  .help = "Address of the replica." },
 
-	/* The start file. */
+	/* The start file of an instance. */
 	{ "instance", RR_SCOPE_START, RR_TYPE_NAME, .required = true,
-	  .needs_restart = true, .offset = IN_START(instance),
-	  .help = "This instance's name, unlike that of any other." },
+	  .needs_restart = true, .offset = START_OFFSET(instance),
+	  .help = "Name of this instance, different from that of any other." },
 	{ "zone", RR_SCOPE_START, RR_TYPE_NAME, .required = true,
-	  .needs_restart = true, .offset = IN_START(zone),
-	  .help = "The availability zone this instance runs in." },
+	  .needs_restart = true, .offset = START_OFFSET(zone),
+	  .help = "Availability zone in which this instance runs." },
 	{ "site", RR_SCOPE_START, RR_TYPE_NAME, .required = true,
-	  .needs_restart = true, .offset = IN_START(site),
-	  .help = "The site whose overlay this instance goes by." },
+	  .needs_restart = true, .offset = START_OFFSET(site),
+	  .help = "Site whose overlay applies to this instance." },
 	{ "caller_address", RR_SCOPE_START, RR_TYPE_LISTEN_ADDRESS,
 	  .required = true, .needs_restart = true,
-	  .offset = IN_START(caller_address),
-	  .help = "Where callers and operators come to." },
+	  .offset = START_OFFSET(caller_address),
+	  .help = "Address on which to listen for callers and operators." },
 	{ "peer_address", RR_SCOPE_START, RR_TYPE_LISTEN_ADDRESS,
 	  .required = true, .needs_restart = true,
-	  .offset = IN_START(peer_address),
-	  .help = "Where other instances come to." },
+	  .offset = START_OFFSET(peer_address),
+	  .help = "Address on which to listen for other instances." },
 	{ "platform_address", RR_SCOPE_START, RR_TYPE_ADDRESS, .required = true,
-	  .needs_restart = true, .offset = IN_START(platform_address),
-	  .help = "Where the platform's key-value service is reached." },
+	  .needs_restart = true, .offset = START_OFFSET(platform_address),
+	  .help = "Address of the platform's key-value service." },
 	{ "seed_peers", RR_SCOPE_START, RR_TYPE_ADDRESS_LIST,
-	  .needs_restart = true, .offset = IN_START(seed_peers),
-	  .help = "Peers to start from while the platform's list of "
-		  "instances is out of reach." },
+	  .needs_restart = true, .offset = START_OFFSET(seed_peers),
+	  .help = "Peers to contact while the platform's list of instances "
+		  "is unavailable." },
 	{ "log", RR_SCOPE_START, RR_TYPE_MAPPING,
 	  .inner_scope = RR_SCOPE_START_LOG, .no_field = true,
-	  .help = "Log settings until the operators' files set others." },
+	  .help = "Log settings, used until the operators' files override "
+		  "them." },
 	{ "drain_timeout_ms", RR_SCOPE_START, RR_TYPE_INTEGER, 0, 3600000,
-	  .needs_restart = true, .offset = IN_START(drain_timeout_ms),
+	  .needs_restart = true, .offset = START_OFFSET(drain_timeout_ms),
 	  .unit = "ms",
-	  .help = "Longest wait for work in flight when the instance is "
-		  "stopped." },
+	  .help = "Maximum time to wait for requests in flight when the "
+		  "instance is stopped." },
 	{ "max_body_bytes", RR_SCOPE_START, RR_TYPE_INTEGER, 1024, 8388608,
-	  .needs_restart = true, .offset = IN_START(max_body_bytes),
+	  .needs_restart = true, .offset = START_OFFSET(max_body_bytes),
 	  .unit = "bytes",
-	  .help = "Longest body of a caller's request; a longer one is "
-		  "refused with 413." },
+	  .help = "Maximum size of the body of a caller's request; a larger "
+		  "one is rejected with status 413." },
 	{ "caller_idle_ms", RR_SCOPE_START, RR_TYPE_INTEGER, 1000, 3600000,
-	  .needs_restart = true, .offset = IN_START(caller_idle_ms),
+	  .needs_restart = true, .offset = START_OFFSET(caller_idle_ms),
 	  .unit = "ms",
-	  .help = "Longest time for a caller's connection to bring a whole "
-		  "request after its opening or its last answer, and to read "
-		  "an answer; it is closed then." },
+	  .help = "Maximum time for a caller to send a complete request, "
+		  "counted from the opening of the connection or its last "
+		  "answer, and to read an answer. The connection is closed "
+		  "when the time expires." },
 	{ "caller_rate_per_s", RR_SCOPE_START, RR_TYPE_INTEGER, 0, 1000000,
-	  .needs_restart = true, .offset = IN_START(caller_rate_per_s),
+	  .needs_restart = true, .offset = START_OFFSET(caller_rate_per_s),
 	  .unit = "requests",
-	  .help = "Most requests in a second from one address (an IPv6 /64 "
-		  "counts as one); more are refused with 429. 0 is no bound, "
-		  "since many callers may come through one address." },
+	  .help = "Maximum number of requests per second from one address "
+		  "(an IPv6 /64 counts as one); further requests are "
+		  "rejected with status 429. 0 for no limit, as many callers "
+		  "may share one address." },
 	{ "caller_max_connections", RR_SCOPE_START, RR_TYPE_INTEGER, 1,
-	  MOST_COUNT, .needs_restart = true,
-	  .offset = IN_START(caller_max_connections), .unit = "connections",
-	  .help = "Most connections of callers at once; a request on one more "
-		  "is refused with 503, and those far beyond are closed at "
-		  "once." },
+	  MAX_COUNT, .needs_restart = true,
+	  .offset = START_OFFSET(caller_max_connections), .unit = "connections",
+	  .help = "Maximum number of concurrent connections from callers. A "
+		  "request on a connection above the limit is rejected with "
+		  "status 503; connections far above it are closed at once." },
 	{ "tls", RR_SCOPE_START, RR_TYPE_MAPPING,
 	  .inner_scope = RR_SCOPE_START_TLS, .no_field = true,
-	  .help = "Left out: callers speak plain HTTP." },
+	  .help = "TLS for callers; plain HTTP if omitted." },
 	{ "caller_token_file", RR_SCOPE_START, RR_TYPE_FILE,
-	  .needs_restart = true, .offset = IN_START(caller_token_file),
-	  .help = "A file with the token that callers must send; left out: "
-		  "any caller is served." },
+	  .needs_restart = true, .offset = START_OFFSET(caller_token_file),
+	  .help = "File with the token that callers must send; any caller "
+		  "is served if omitted." },
 	{ "curve", RR_SCOPE_START, RR_TYPE_MAPPING,
 	  .inner_scope = RR_SCOPE_START_CURVE, .no_field = true,
-	  .help = "Left out: peers speak without encryption." },
+	  .help = "CURVE encryption between peers; no encryption if "
+		  "omitted." },
 
 	{ "level", RR_SCOPE_START_LOG, RR_TYPE_ENUM, .choices = log_levels,
-	  .needs_restart = true, .offset = IN_START(log_level),
-	  .help = "The most detailed lines that are written; `decision` has "
-		  "one for each routing decision." },
+	  .needs_restart = true, .offset = START_OFFSET(log_level),
+	  .help = "Most detailed level that is logged; `decision` logs one "
+		  "line for each routing decision." },
 	{ "format", RR_SCOPE_START_LOG, RR_TYPE_ENUM, .choices = log_formats,
-	  .needs_restart = true, .offset = IN_START(log_format),
-	  .help = "How a line is written." },
-	{ "max_lines_per_s", RR_SCOPE_START_LOG, RR_TYPE_INTEGER, 0, MOST_COUNT,
-	  .needs_restart = true, .offset = IN_START(log_max_lines_per_s),
+	  .needs_restart = true, .offset = START_OFFSET(log_format),
+	  .help = "Format of log lines." },
+	{ "max_lines_per_s", RR_SCOPE_START_LOG, RR_TYPE_INTEGER, 0, MAX_COUNT,
+	  .needs_restart = true, .offset = START_OFFSET(log_max_lines_per_s),
 	  .unit = "lines",
-	  .help = "Most lines of one event in a second; 0 is no bound." },
+	  .help = "Maximum number of log lines per second for each event; 0 "
+		  "for no limit." },
 
 	{ "certificate_file", RR_SCOPE_START_TLS, RR_TYPE_FILE,
 	  .required = true, .needs_restart = true,
-	  .offset = IN_START(tls_certificate_file),
-	  .help = "Certificate chain in PEM." },
+	  .offset = START_OFFSET(tls_certificate_file),
+	  .help = "Certificate chain in PEM format." },
 	{ "key_file", RR_SCOPE_START_TLS, RR_TYPE_FILE, .required = true,
-	  .needs_restart = true, .offset = IN_START(tls_key_file),
-	  .help = "Private key in PEM." },
+	  .needs_restart = true, .offset = START_OFFSET(tls_key_file),
+	  .help = "Private key in PEM format." },
 
 	{ "public_key", RR_SCOPE_START_CURVE, RR_TYPE_CURVE_KEY,
-	  .required = true, .offset = IN_START(peer_public_key),
-	  .help = "The public key that this instance speaks under; usually "
-		  "one pair serves a whole site." },
+	  .required = true, .offset = START_OFFSET(peer_public_key),
+	  .help = "Public key of this instance; usually all instances of a "
+		  "site share one key pair." },
 	{ "secret_key_file", RR_SCOPE_START_CURVE, RR_TYPE_FILE,
-	  .required = true, .offset = IN_START(peer_secret_key_file),
-	  .help = "A file with the secret key to it." },
+	  .required = true, .offset = START_OFFSET(peer_secret_key_file),
+	  .help = "File with the matching secret key." },
 	{ "allowed_keys", RR_SCOPE_START_CURVE, RR_TYPE_CURVE_KEY_LIST,
-	  .offset = IN_START(peer_allowed_keys),
-	  .help = "Public keys of the peers that are let in, 1 to 8." },
+	  .offset = START_OFFSET(peer_allowed_keys),
+	  .help = "Public keys of the peers that may connect, 1 to 8." },
 
 	/* The gateway's start file. */
 	{ "instance", RR_SCOPE_GATEWAY, RR_TYPE_NAME, .required = true,
-	  .offset = IN_GATEWAY(instance),
-	  .help = "This instance's name, unlike that of any other." },
+	  .offset = GATEWAY_OFFSET(instance),
+	  .help = "Name of this instance, different from that of any other." },
 	{ "zone", RR_SCOPE_GATEWAY, RR_TYPE_NAME, .required = true,
-	  .offset = IN_GATEWAY(zone),
-	  .help = "The availability zone this instance runs in; replicas of "
-		  "it are asked first." },
+	  .offset = GATEWAY_OFFSET(zone),
+	  .help = "Availability zone in which this instance runs; its "
+		  "replicas are tried first." },
 	{ "caller_address", RR_SCOPE_GATEWAY, RR_TYPE_LISTEN_ADDRESS,
-	  .required = true, .offset = IN_GATEWAY(caller_address),
-	  .help = "Where callers come to." },
+	  .required = true, .offset = GATEWAY_OFFSET(caller_address),
+	  .help = "Address on which to listen for callers." },
 	{ "ready_address", RR_SCOPE_GATEWAY, RR_TYPE_LISTEN_ADDRESS,
-	  .required = true, .offset = IN_GATEWAY(ready_address),
-	  .help = "Where the platform asks whether callers may come." },
+	  .required = true, .offset = GATEWAY_OFFSET(ready_address),
+	  .help = "Address on which the platform checks whether the "
+		  "instance is ready for callers." },
 	{ "metrics_address", RR_SCOPE_GATEWAY, RR_TYPE_LISTEN_ADDRESS,
-	  .offset = IN_GATEWAY(metrics_address),
-	  .help = "Where counters and histograms are read, as Prometheus "
-		  "text under any path. Left out: nowhere." },
+	  .offset = GATEWAY_OFFSET(metrics_address),
+	  .help = "Address on which counters and histograms are served as "
+		  "Prometheus text under any path; not served if omitted." },
 	{ "store_address", RR_SCOPE_GATEWAY, RR_TYPE_ADDRESS, .required = true,
-	  .offset = IN_GATEWAY(store_address),
-	  .help = "Where the platform's key-value store is reached." },
+	  .offset = GATEWAY_OFFSET(store_address),
+	  .help = "Address of the platform's key-value store." },
 	{ "peer_address", RR_SCOPE_GATEWAY, RR_TYPE_LISTEN_ADDRESS,
-	  .default_if_invalid = true, .offset = IN_GATEWAY(peer_address),
-	  .help = "Where other instances come to: weaker ones hand searches "
-		  "over, others ask for the store's news. Left out: they do "
-		  "not." },
+	  .default_if_invalid = true, .offset = GATEWAY_OFFSET(peer_address),
+	  .help = "Address on which to listen for other instances: weaker "
+		  "ones forward searches to this one, others request "
+		  "changes of the store from it. If omitted, they do "
+		  "neither." },
 	{ "seed_peers", RR_SCOPE_GATEWAY, RR_TYPE_ADDRESS_LIST,
-	  .default_if_invalid = true, .offset = IN_GATEWAY(seed_peers),
-	  .help = "Peer addresses of instances to start from while the store "
-		  "is out of reach." },
+	  .default_if_invalid = true, .offset = GATEWAY_OFFSET(seed_peers),
+	  .help = "Peer addresses of instances to contact while the store "
+		  "is unreachable." },
 	{ "zone_regions", RR_SCOPE_GATEWAY, RR_TYPE_ZONE_REGION_LIST,
-	  .default_if_invalid = true, .offset = IN_GATEWAY(zone_regions),
-	  .help = "The region of each availability zone. A route that names "
-		  "regions is sent to no zone that is not listed here." },
+	  .default_if_invalid = true, .offset = GATEWAY_OFFSET(zone_regions),
+	  .help = "Region of each availability zone. A route that names "
+		  "regions is not sent to any zone that is not listed here." },
 	{ "strength", RR_SCOPE_GATEWAY, RR_TYPE_NUMBER, 0, 1024,
-	  .default_if_invalid = true, .offset = IN_GATEWAY(strength),
+	  .default_if_invalid = true, .offset = GATEWAY_OFFSET(strength),
 	  .unit = "cores",
-	  .help = "What this instance has of a processor. One that has half "
-		  "of another's of its zone, or less, hands searches over." },
-	{ "news_bound_ms", RR_SCOPE_GATEWAY, RR_TYPE_DURATION, 100, LONGEST_MS,
+	  .help = "Number of processor cores available to this instance. An "
+		  "instance with at most half the cores of another one in "
+		  "its zone forwards searches to it." },
+	{ "news_bound_ms", RR_SCOPE_GATEWAY, RR_TYPE_DURATION, 100, MAX_TIME_MS,
 	  .ms_per_unit = 1, .default_if_invalid = true,
-	  .offset = IN_GATEWAY(news_bound_ms), .unit = "ms",
-	  .help = "Longest time until a change in the store has to be known "
-		  "here; the more there is of it, the fewer calls are made." },
-	{ "extra_share", RR_SCOPE_GATEWAY, RR_TYPE_NUMBER, 0, MOST_SHARE,
-	  .default_if_invalid = true, .offset = IN_GATEWAY(extra_share),
+	  .offset = GATEWAY_OFFSET(news_bound_ms), .unit = "ms",
+	  .help = "Maximum time until a change in the store is known to "
+		  "this instance; a higher value causes fewer calls." },
+	{ "extra_share", RR_SCOPE_GATEWAY, RR_TYPE_NUMBER, 0, MAX_SHARE,
+	  .default_if_invalid = true, .offset = GATEWAY_OFFSET(extra_share),
 	  .unit = "share of requests",
-	  .help = "Most attempts on top of the first that a service gets from "
-		  "all instances together, as a share of its requests." },
-	{ "extra_slack", RR_SCOPE_GATEWAY, RR_TYPE_NUMBER, 0, MOST_COUNT,
-	  .default_if_invalid = true, .offset = IN_GATEWAY(extra_slack),
+	  .help = "Maximum number of attempts beyond the first that a "
+		  "service gets from all instances together, as a share of "
+		  "its requests." },
+	{ "extra_slack", RR_SCOPE_GATEWAY, RR_TYPE_NUMBER, 0, MAX_COUNT,
+	  .default_if_invalid = true, .offset = GATEWAY_OFFSET(extra_slack),
 	  .unit = "attempts",
-	  .help = "So many more in any window, from all instances together." },
-	{ "extra_window_s", RR_SCOPE_GATEWAY, RR_TYPE_DURATION, 0.1, LONGEST_S,
+	  .help = "Attempts allowed in addition to `extra_share` in any "
+		  "window, from all instances together." },
+	{ "extra_window_s", RR_SCOPE_GATEWAY, RR_TYPE_DURATION, 0.1, MAX_TIME_S,
 	  .ms_per_unit = 1000, .default_if_invalid = true,
-	  .offset = IN_GATEWAY(extra_window_ms), .unit = "s",
-	  .help = "Length of that window." },
-	{ "cold_overage", RR_SCOPE_GATEWAY, RR_TYPE_NUMBER, 0, MOST_SHARE,
-	  .default_if_invalid = true, .offset = IN_GATEWAY(cold_overage),
+	  .offset = GATEWAY_OFFSET(extra_window_ms), .unit = "s",
+	  .help = "Length of the window for `extra_share` and "
+		  "`extra_slack`." },
+	{ "cold_overage", RR_SCOPE_GATEWAY, RR_TYPE_NUMBER, 0, MAX_SHARE,
+	  .default_if_invalid = true, .offset = GATEWAY_OFFSET(cold_overage),
 	  .unit = "times",
-	  .help = "What a cold replica may get in any second from all "
-		  "instances together, as a multiple of what its service is "
-		  "said to bear." },
-	{ "cold_slack", RR_SCOPE_GATEWAY, RR_TYPE_NUMBER, 0, MOST_COUNT,
-	  .default_if_invalid = true, .offset = IN_GATEWAY(cold_slack),
+	  .help = "Maximum number of requests that a cold replica gets in "
+		  "any second from all instances together, as a multiple of "
+		  "the rate declared for cold replicas of its service." },
+	{ "cold_slack", RR_SCOPE_GATEWAY, RR_TYPE_NUMBER, 0, MAX_COUNT,
+	  .default_if_invalid = true, .offset = GATEWAY_OFFSET(cold_slack),
 	  .unit = "requests",
-	  .help = "So many more in any second, from all instances together." },
+	  .help = "Requests allowed in addition to `cold_overage` in any "
+		  "second, from all instances together." },
 	{ "evacuation_bound_ms", RR_SCOPE_GATEWAY, RR_TYPE_DURATION, 100,
-	  LONGEST_MS, .ms_per_unit = 1, .default_if_invalid = true,
-	  .offset = IN_GATEWAY(evacuation_bound_ms), .unit = "ms",
-	  .help = "Longest time until an evacuation in the store has to be "
-		  "known here, if that is less than `news_bound_ms`." },
-	{ "stop_timeout_s", RR_SCOPE_GATEWAY, RR_TYPE_DURATION, 0, LONGEST_S,
+	  MAX_TIME_MS, .ms_per_unit = 1, .default_if_invalid = true,
+	  .offset = GATEWAY_OFFSET(evacuation_bound_ms), .unit = "ms",
+	  .help = "Maximum time until an evacuation in the store is known "
+		  "to this instance, if less than `news_bound_ms`." },
+	{ "stop_timeout_s", RR_SCOPE_GATEWAY, RR_TYPE_DURATION, 0, MAX_TIME_S,
 	  .ms_per_unit = 1000, .default_if_invalid = true,
-	  .offset = IN_GATEWAY(stop_timeout_ms), .unit = "s",
+	  .offset = GATEWAY_OFFSET(stop_timeout_ms), .unit = "s",
 	  .help = "Time from SIGTERM until the platform kills the process." },
-	{ "max_connections", RR_SCOPE_GATEWAY, RR_TYPE_INTEGER, 1, MOST_COUNT,
-	  .default_if_invalid = true, .offset = IN_GATEWAY(max_connections),
+	{ "max_connections", RR_SCOPE_GATEWAY, RR_TYPE_INTEGER, 1, MAX_COUNT,
+	  .default_if_invalid = true, .offset = GATEWAY_OFFSET(max_connections),
 	  .unit = "connections",
-	  .help = "Most connections of callers at once; one more waits until "
-		  "another ends." },
+	  .help = "Maximum number of concurrent connections from callers; a "
+		  "further one waits until another one closes." },
 	{ "log", RR_SCOPE_GATEWAY, RR_TYPE_MAPPING,
 	  .inner_scope = RR_SCOPE_GATEWAY_LOG, .no_field = true,
-	  .help = "What is written to standard output." },
+	  .help = "Log settings; log lines are written to standard output." },
 
 	{ "level", RR_SCOPE_GATEWAY_LOG, RR_TYPE_ENUM, .choices = log_levels,
-	  .offset = IN_GATEWAY(log_level),
-	  .help = "The most detailed lines that are written." },
+	  .offset = GATEWAY_OFFSET(log_level),
+	  .help = "Most detailed level that is logged." },
 	{ "format", RR_SCOPE_GATEWAY_LOG, RR_TYPE_ENUM, .choices = log_formats,
-	  .offset = IN_GATEWAY(log_format), .help = "How a line is written." },
+	  .offset = GATEWAY_OFFSET(log_format),
+	  .help = "Format of log lines." },
 	{ "request_lines_per_s", RR_SCOPE_GATEWAY_LOG, RR_TYPE_INTEGER, 0,
-	  MOST_COUNT, .offset = IN_GATEWAY(log_request_lines_per_s),
+	  MAX_COUNT, .offset = GATEWAY_OFFSET(log_request_lines_per_s),
 	  .unit = "lines",
-	  .help = "Lines for what was decided for requests. A request is told "
-		  "whole or by its end only: first those that failed, came "
-		  "late or lack a part, then one in 64 of the others." },
+	  .help = "Maximum number of lines per second about decisions on "
+		  "requests. A request is logged completely, or only by its "
+		  "result and the steps of its missing parts. Requests that "
+		  "failed, were late or lack a part take precedence, "
+		  "followed by one in 64 of the others." },
 	{ "max_lines_per_s", RR_SCOPE_GATEWAY_LOG, RR_TYPE_INTEGER, 0,
-	  MOST_COUNT, .offset = IN_GATEWAY(log_max_lines_per_s),
+	  MAX_COUNT, .offset = GATEWAY_OFFSET(log_max_lines_per_s),
 	  .unit = "lines",
-	  .help = "Most lines of one event in a second; 0 is no bound." },
+	  .help = "Maximum number of log lines per second for each event; 0 "
+		  "for no limit." },
 };
 
 const size_t rr_n_settings = G_N_ELEMENTS(rr_settings);
--- a/source/settings/settings-value.c
+++ b/source/settings/settings-value.c
@@ -1,5 +1,5 @@
 /*
- * settings-value.c - check single values by their setting and store them.
+ * settings-value.c - check, storage and formatting of single values.
  */
 #include "settings/settings-table.h"
 
@@ -7,10 +7,10 @@
 
 #include "net/address-private.h"
 
-#define LONGEST_NAME 63
-#define LONGEST_FILE_NAME 4096
+#define MAX_NAME_LENGTH 63
+#define MAX_FILE_NAME_LENGTH 4096
 #define CURVE_KEY_CHARACTERS 40
-/* Keys are below 2^63; the end of a range may be 2^63 itself. */
+/* Keys are less than 2^63; the end of a range may be 2^63. */
 #define KEY_END_MAX (UINT64_C(1) << 63)
 
 char *rr_describe_allowed_values(const struct rr_setting *setting)
@@ -68,7 +68,7 @@
 {
 	size_t length = strlen(text);
 
-	if (!length || length > LONGEST_NAME || !g_ascii_isalnum(*text))
+	if (!length || length > MAX_NAME_LENGTH || !g_ascii_isalnum(*text))
 		return false;
 	for (; *text; text++) {
 		if (!g_ascii_isalnum(*text) && !strchr("._-", *text))
@@ -77,18 +77,21 @@
 	return true;
 }
 
-static bool is_place(const char *text)
+static bool is_zone_region(const char *text)
 {
 	char **words = g_strsplit(text, "/", -1);
-	bool good = g_strv_length(words) == 2 && is_name(words[0]) &&
-		    is_name(words[1]);
+	bool valid = g_strv_length(words) == 2 && is_name(words[0]) &&
+		     is_name(words[1]);
 
 	g_strfreev(words);
-	return good;
+	return valid;
 }
 
-/* Decimal digits without sign or leading zero, which YAML 1.1 calls octal. */
-static bool read_whole(const char *text, uint64_t max, uint64_t *value)
+/*
+ * Parse decimal digits.  No sign, and no leading zero, which in YAML 1.1 means
+ * octal.
+ */
+static bool parse_unsigned(const char *text, uint64_t max, uint64_t *value)
 {
 	if (text[0] == '0' && text[1])
 		return false;
@@ -99,17 +102,17 @@
 	return g_ascii_string_to_unsigned(text, 10, 0, max, value, NULL);
 }
 
-static bool is_address(const char *text, uint16_t lowest_port)
+static bool is_address(const char *text, uint16_t min_port)
 {
 	GSocketAddress *address = rr_parse_address(text, NULL);
-	bool fine;
+	bool valid;
 
 	if (!address)
 		return false;
-	fine = g_inet_socket_address_get_port(G_INET_SOCKET_ADDRESS(address)) >=
-	       lowest_port;
+	valid = g_inet_socket_address_get_port(
+			G_INET_SOCKET_ADDRESS(address)) >= min_port;
 	g_object_unref(address);
-	return fine;
+	return valid;
 }
 
 static bool is_curve_key(const char *text)
@@ -122,20 +125,20 @@
 	       strspn(text, z85) == CURVE_KEY_CHARACTERS;
 }
 
-/* Digits with an optional fraction: no exponent, no sign, no "nan". */
-static bool read_number(const char *text, double *value)
+/* Parse digits with an optional fraction: no exponent, sign or "nan". */
+static bool parse_decimal(const char *text, double *value)
 {
-	size_t whole = strspn(text, "0123456789");
-	const char *rest = text + whole;
+	size_t integer_digits = strspn(text, "0123456789");
+	const char *rest = text + integer_digits;
 
-	if (!whole)
+	if (!integer_digits)
 		return false;
 	if (*rest == '.') {
-		size_t fraction = strspn(rest + 1, "0123456789");
+		size_t fraction_digits = strspn(rest + 1, "0123456789");
 
-		if (!fraction)
+		if (!fraction_digits)
 			return false;
-		rest += 1 + fraction;
+		rest += 1 + fraction_digits;
 	}
 	if (*rest)
 		return false;
@@ -143,7 +146,7 @@
 	return true;
 }
 
-static bool read_bool(const char *text, bool *value)
+static bool parse_bool(const char *text, bool *value)
 {
 	*value = !strcmp(text, "true");
 	return *value || !strcmp(text, "false");
@@ -171,23 +174,23 @@
 	if (first->kind != RR_YAML_SCALAR || second->kind != RR_YAML_SCALAR)
 		return false;
 	return !first->quoted && !second->quoted &&
-	       read_whole(first->text, KEY_END_MAX, from) &&
-	       read_whole(second->text, KEY_END_MAX, to) && *from < *to;
+	       parse_unsigned(first->text, KEY_END_MAX, from) &&
+	       parse_unsigned(second->text, KEY_END_MAX, to) && *from < *to;
 }
 
-static bool allows_scalar(const struct rr_setting *setting,
-			  const struct rr_yaml_node *node)
+static bool is_scalar_allowed(const struct rr_setting *setting,
+			      const struct rr_yaml_node *node)
 {
 	const char *text = node->text;
-	uint64_t whole;
+	uint64_t integer;
 	double number;
-	bool truth;
+	bool boolean;
 
 	switch (setting->type) {
 	case RR_TYPE_NAME:
 		return is_name(text);
 	case RR_TYPE_FILE:
-		return *text && strlen(text) < LONGEST_FILE_NAME;
+		return *text && strlen(text) < MAX_FILE_NAME_LENGTH;
 	case RR_TYPE_ADDRESS:
 	case RR_TYPE_ADDRESS_LIST:
 		return is_address(text, 1);
@@ -197,17 +200,17 @@
 	case RR_TYPE_CURVE_KEY_LIST:
 		return is_curve_key(text);
 	case RR_TYPE_ZONE_REGION_LIST:
-		return is_place(text);
+		return is_zone_region(text);
 	case RR_TYPE_INTEGER:
 		return !node->quoted &&
-		       read_whole(text, (uint64_t)setting->max, &whole) &&
-		       whole >= (uint64_t)setting->min;
+		       parse_unsigned(text, (uint64_t)setting->max, &integer) &&
+		       integer >= (uint64_t)setting->min;
 	case RR_TYPE_NUMBER:
 	case RR_TYPE_DURATION:
-		return !node->quoted && read_number(text, &number) &&
+		return !node->quoted && parse_decimal(text, &number) &&
 		       number >= setting->min && number <= setting->max;
 	case RR_TYPE_BOOL:
-		return !node->quoted && read_bool(text, &truth);
+		return !node->quoted && parse_bool(text, &boolean);
 	case RR_TYPE_ENUM:
 		return find_choice(setting->choices, text) >= 0;
 	default:
@@ -221,8 +224,8 @@
 	       type == RR_TYPE_ZONE_REGION_LIST;
 }
 
-static bool allows_value(const struct rr_setting *setting,
-			 const struct rr_yaml_node *node)
+static bool is_value_allowed(const struct rr_setting *setting,
+			     const struct rr_yaml_node *node)
 {
 	uint64_t from;
 	uint64_t to;
@@ -236,103 +239,105 @@
 		return rr_parse_key_range(node, &from, &to);
 	default:
 		return node->kind == RR_YAML_SCALAR &&
-		       allows_scalar(setting, node);
+		       is_scalar_allowed(setting, node);
 	}
 }
 
-static void add_value_fault(const struct rr_setting *setting,
-			    const struct rr_yaml_node *node, GPtrArray *faults)
+static void report_invalid_value(const struct rr_setting *setting,
+				 const struct rr_yaml_node *node,
+				 GPtrArray *diagnostics)
 {
 	char *found = rr_quote_value(node);
 	char *allowed = rr_describe_allowed_values(setting);
 	bool quoted = node->kind == RR_YAML_SCALAR && node->quoted;
-	bool number = setting->type == RR_TYPE_INTEGER ||
-		      setting->type == RR_TYPE_NUMBER ||
-		      setting->type == RR_TYPE_DURATION ||
-		      setting->type == RR_TYPE_BOOL;
+	bool unquoted_type = setting->type == RR_TYPE_INTEGER ||
+			     setting->type == RR_TYPE_NUMBER ||
+			     setting->type == RR_TYPE_DURATION ||
+			     setting->type == RR_TYPE_BOOL;
 
 	rr_add_diagnostic(
-		faults, node->file, node->line,
+		diagnostics, node->file, node->line,
 		"%s: found %s%s, allowed is %s%s%s%s", setting->name, found,
-		quoted && number ? " in quotes" : "", allowed,
+		quoted && unquoted_type ? " in quotes" : "", allowed,
 		setting->unit ? ", " : "", setting->unit ? setting->unit : "",
-		setting->default_if_invalid ? "; its default holds" : "");
+		setting->default_if_invalid ? "; the default is used" : "");
 	if (setting->default_if_invalid)
-		rr_mark_as_warning(faults);
+		rr_mark_as_warning(diagnostics);
 	g_free(found);
 	g_free(allowed);
 }
 
 bool rr_check_setting_value(const struct rr_setting *setting,
-			    const struct rr_yaml_node *node, GPtrArray *faults)
+			    const struct rr_yaml_node *node,
+			    GPtrArray *diagnostics)
 {
-	bool fine = true;
+	bool valid = true;
 
 	if (is_scalar_list(setting->type) && node->kind == RR_YAML_LIST) {
 		for (guint i = 0; i < node->items->len; i++) {
 			const struct rr_yaml_node *item = node->items->pdata[i];
 
 			if (item->kind == RR_YAML_SCALAR &&
-			    allows_scalar(setting, item))
+			    is_scalar_allowed(setting, item))
 				continue;
-			add_value_fault(setting, item, faults);
-			fine = false;
+			report_invalid_value(setting, item, diagnostics);
+			valid = false;
 		}
-		return fine;
+		return valid;
 	}
-	if (!is_scalar_list(setting->type) && allows_value(setting, node))
+	if (!is_scalar_list(setting->type) && is_value_allowed(setting, node))
 		return true;
-	add_value_fault(setting, node, faults);
+	report_invalid_value(setting, node, diagnostics);
 	return false;
 }
 
-static char **copy_list(const struct rr_yaml_node *list)
+static char **copy_string_list(const struct rr_yaml_node *list)
 {
-	char **texts = g_new0(char *, list->items->len + 1);
+	char **strings = g_new0(char *, list->items->len + 1);
 
 	for (guint i = 0; i < list->items->len; i++) {
 		const struct rr_yaml_node *item = list->items->pdata[i];
 
-		texts[i] = g_strdup(item->text);
+		strings[i] = g_strdup(item->text);
 	}
-	return texts;
+	return strings;
 }
 
 void rr_assign_setting_value(const struct rr_setting *setting,
 			     const struct rr_yaml_node *node, void *target)
 {
-	void *place = (char *)target + setting->offset;
-	uint64_t whole = 0;
+	void *field = (char *)target + setting->offset;
+	uint64_t integer = 0;
 	double number = 0;
 
 	switch (setting->type) {
 	case RR_TYPE_DURATION:
-		read_number(node->text, &number);
-		*(uint32_t *)place =
+		parse_decimal(node->text, &number);
+		*(uint32_t *)field =
 			(uint32_t)(number * setting->ms_per_unit + 0.5);
 		break;
 	case RR_TYPE_INTEGER:
-		read_whole(node->text, (uint64_t)setting->max, &whole);
-		*(uint32_t *)place = (uint32_t)whole;
+		parse_unsigned(node->text, (uint64_t)setting->max, &integer);
+		*(uint32_t *)field = (uint32_t)integer;
 		break;
 	case RR_TYPE_NUMBER:
-		read_number(node->text, place);
+		parse_decimal(node->text, field);
 		break;
 	case RR_TYPE_BOOL:
-		read_bool(node->text, place);
+		parse_bool(node->text, field);
 		break;
 	case RR_TYPE_ENUM:
-		*(int *)place = find_choice(setting->choices, node->text);
+		*(int *)field = find_choice(setting->choices, node->text);
 		break;
 	case RR_TYPE_ADDRESS_LIST:
 	case RR_TYPE_CURVE_KEY_LIST:
 	case RR_TYPE_ZONE_REGION_LIST:
-		g_strfreev(*(char ***)place);
-		*(char ***)place = copy_list(node);
+		g_strfreev(*(char ***)field);
+		*(char ***)field = copy_string_list(node);
 		break;
 	default:
-		g_free(*(char **)place);
-		*(char **)place = g_strdup(node->text);
+		g_free(*(char **)field);
+		*(char **)field = g_strdup(node->text);
 		break;
 	}
 }
@@ -340,7 +345,7 @@
 void rr_assign_setting_mapping(enum rr_setting_scope scope,
 			       const struct rr_yaml_node *mapping, void *target)
 {
-	GPtrArray *faults = rr_new_diagnostics();
+	GPtrArray *diagnostics = rr_new_diagnostics();
 
 	for (guint i = 0; i < mapping->entries->len; i++) {
 		const struct rr_yaml_entry *entry = mapping->entries->pdata[i];
@@ -349,50 +354,50 @@
 
 		if (!setting || setting->no_field)
 			continue;
-		if (rr_check_setting_value(setting, entry->value, faults))
+		if (rr_check_setting_value(setting, entry->value, diagnostics))
 			rr_assign_setting_value(setting, entry->value, target);
 	}
-	g_ptr_array_unref(faults);
+	g_ptr_array_unref(diagnostics);
 }
 
 void rr_format_setting_value(const struct rr_setting *setting,
 			     const void *source, GString *out)
 {
-	const void *place = (const char *)source + setting->offset;
+	const void *field = (const char *)source + setting->offset;
 	const char *text;
 
 	switch (setting->type) {
 	case RR_TYPE_INTEGER:
-		if (*(const uint32_t *)place == UINT32_MAX)
+		if (*(const uint32_t *)field == UINT32_MAX)
 			g_string_append(out, RR_START_FILE_VALUE_TEXT);
 		else
 			g_string_append_printf(out, "%u",
-					       *(const uint32_t *)place);
+					       *(const uint32_t *)field);
 		break;
 	case RR_TYPE_NUMBER:
-		g_string_append_printf(out, "%g", *(const double *)place);
+		g_string_append_printf(out, "%g", *(const double *)field);
 		break;
 	case RR_TYPE_DURATION:
 		g_string_append_printf(out, "%g",
-				       *(const uint32_t *)place /
+				       *(const uint32_t *)field /
 					       setting->ms_per_unit);
 		break;
 	case RR_TYPE_BOOL:
-		g_string_append(out, *(const bool *)place ? "true" : "false");
+		g_string_append(out, *(const bool *)field ? "true" : "false");
 		break;
 	case RR_TYPE_ENUM:
-		if (*(const int *)place < 0)
+		if (*(const int *)field < 0)
 			g_string_append(out, RR_START_FILE_VALUE_TEXT);
 		else
 			g_string_append(out,
-					setting->choices[*(const int *)place]);
+					setting->choices[*(const int *)field]);
 		break;
 	case RR_TYPE_ADDRESS_LIST:
 	case RR_TYPE_CURVE_KEY_LIST:
 		g_string_append(out, "none");
 		break;
 	default:
-		text = *(char *const *)place;
+		text = *(char *const *)field;
 		g_string_append(out, text ? text : "none");
 		break;
 	}
--- a/source/settings/start-settings.c
+++ b/source/settings/start-settings.c
@@ -1,5 +1,5 @@
 /*
- * start-settings.c - an instance's start file.
+ * start-settings.c - defaults and parser of an instance's start file.
  */
 #include "settings/settings-table.h"
 
@@ -7,8 +7,8 @@
 #define DEFAULT_DRAIN_TIMEOUT_MS 30000
 #define DEFAULT_MAX_BODY_BYTES 65536
 #define DEFAULT_CALLER_IDLE_MS 60000
-/* The gateway's; a caller needs one or two. */
-#define DEFAULT_CALLER_CONNECTIONS 2000
+/* As the gateway's; a caller needs one or two. */
+#define DEFAULT_MAX_CALLER_CONNECTIONS 2000
 
 void rr_init_start_settings(struct rr_start_settings *settings)
 {
@@ -21,12 +21,12 @@
 		.peer_allowed_keys = g_new0(char *, 1),
 		.max_body_bytes = DEFAULT_MAX_BODY_BYTES,
 		.caller_idle_ms = DEFAULT_CALLER_IDLE_MS,
-		.caller_max_connections = DEFAULT_CALLER_CONNECTIONS,
+		.caller_max_connections = DEFAULT_MAX_CALLER_CONNECTIONS,
 	};
 }
 
-static void store_nested(const struct rr_yaml_node *root,
-			 enum rr_setting_scope scope, void *target)
+static void assign_nested_mappings(const struct rr_yaml_node *root,
+				   enum rr_setting_scope scope, void *target)
 {
 	for (size_t i = 0; i < rr_n_settings; i++) {
 		const struct rr_setting *setting = &rr_settings[i];
@@ -43,33 +43,33 @@
 
 bool rr_parse_start_file(const struct rr_settings_source *file,
 			 enum rr_setting_scope scope, void *target,
-			 GPtrArray *faults)
+			 GPtrArray *diagnostics)
 {
-	guint before = faults->len;
-	struct rr_yaml_node *root = rr_parse_yaml(file, faults);
+	guint n_before = diagnostics->len;
+	struct rr_yaml_node *root = rr_parse_yaml(file, diagnostics);
 
 	if (!root)
 		return false;
-	rr_check_settings_tree(root, scope, false, faults);
-	rr_check_required_keys(root, scope, faults);
+	rr_check_settings_tree(root, scope, false, diagnostics);
+	rr_check_required_keys(root, scope, diagnostics);
 	if (root->kind == RR_YAML_MAPPING) {
 		rr_assign_setting_mapping(scope, root, target);
-		store_nested(root, scope, target);
+		assign_nested_mappings(root, scope, target);
 	}
 	rr_drop_yaml_node(root);
-	rr_sort_diagnostics(faults, before);
-	return !rr_has_errors(faults, before);
+	rr_sort_diagnostics(diagnostics, n_before);
+	return !rr_has_errors(diagnostics, n_before);
 }
 
 struct rr_start_settings *
 rr_parse_start_settings(const struct rr_settings_source *file,
-			GPtrArray *faults)
+			GPtrArray *diagnostics)
 {
 	struct rr_start_settings *settings =
 		g_new0(struct rr_start_settings, 1);
 
 	rr_init_start_settings(settings);
-	if (rr_parse_start_file(file, RR_SCOPE_START, settings, faults))
+	if (rr_parse_start_file(file, RR_SCOPE_START, settings, diagnostics))
 		return settings;
 	rr_drop_start_settings(settings);
 	return NULL;
