--- a/source/settings/site-config.c
+++ b/source/settings/site-config.c
@@ -1,5 +1,5 @@
 /*
- * site-config.c - base and overlay to the checked configuration of a site.
+ * site-config.c - checked configuration of a site from base file and overlay.
  */
 #include "settings/settings-table.h"
 
@@ -13,8 +13,8 @@
 	return list && list->kind == RR_YAML_LIST ? list : NULL;
 }
 
-/* A shard's keys, with where they stand. */
-struct placed_range {
+/* Key range of a shard, with the nodes for messages. */
+struct shard_range {
 	uint64_t from;
 	uint64_t to;
 	const struct rr_yaml_node *shard;
@@ -23,19 +23,18 @@
 
 static int compare_ranges(gconstpointer a, gconstpointer b)
 {
-	const struct placed_range *first = a;
-	const struct placed_range *second = b;
+	const struct shard_range *first = a;
+	const struct shard_range *second = b;
 
 	return (first->from > second->from) - (first->from < second->from);
 }
 
 static GArray *collect_ranges(const struct rr_yaml_node *shards)
 {
-	GArray *ranges = g_array_new(FALSE, TRUE, sizeof(struct placed_range));
+	GArray *ranges = g_array_new(FALSE, TRUE, sizeof(struct shard_range));
 
 	for (guint i = 0; i < shards->items->len; i++) {
-		struct placed_range range = { .shard =
-						      shards->items->pdata[i] };
+		struct shard_range range = { .shard = shards->items->pdata[i] };
 
 		range.keys = rr_find_yaml_value(range.shard, "keys");
 		if (range.keys &&
@@ -47,21 +46,23 @@
 }
 
 /*
- * Two shards with the same key would each be asked for it and the answer
- * would show its rows twice.
+ * Report shards whose key ranges overlap.  Both would be queried for a key that
+ * they share, and the answer would contain its rows twice.
  */
-static void check_overlaps(const struct rr_yaml_node *shards, GPtrArray *faults)
+static void check_overlaps(const struct rr_yaml_node *shards,
+			   GPtrArray *diagnostics)
 {
 	GArray *ranges = collect_ranges(shards);
-	const struct placed_range *widest = NULL;
+	const struct shard_range *last_ending = NULL;
 
 	for (guint i = 0; i < ranges->len; i++) {
-		const struct placed_range *range =
-			&g_array_index(ranges, struct placed_range, i);
+		const struct shard_range *range =
+			&g_array_index(ranges, struct shard_range, i);
 
-		if (widest && range->from < widest->to)
+		if (last_ending && range->from < last_ending->to)
 			rr_add_diagnostic(
-				faults, range->keys->file, range->keys->line,
+				diagnostics, range->keys->file,
+				range->keys->line,
 				"keys: found [%" G_GUINT64_FORMAT
 				", %" G_GUINT64_FORMAT "] of shard '%s', "
 				"which overlaps [%" G_GUINT64_FORMAT
@@ -69,11 +70,12 @@
 				"%s:%u",
 				range->from, range->to,
 				rr_find_yaml_text(range->shard, "name"),
-				widest->from, widest->to,
-				rr_find_yaml_text(widest->shard, "name"),
-				widest->keys->file, widest->keys->line);
-		if (!widest || range->to > widest->to)
-			widest = range;
+				last_ending->from, last_ending->to,
+				rr_find_yaml_text(last_ending->shard, "name"),
+				last_ending->keys->file,
+				last_ending->keys->line);
+		if (!last_ending || range->to > last_ending->to)
+			last_ending = range;
 	}
 	g_array_unref(ranges);
 }
@@ -83,15 +85,18 @@
 	GHashTable *shards;   /* id to its shard's node */
 };
 
-/* Within one shard a doubled id was told of by the file's own check. */
+/*
+ * Report a replica id that is used in two shards.  Duplicates within a shard
+ * are reported by rr_check_settings_tree().
+ */
 static void check_replica_id(struct replica_index *index,
 			     const struct rr_yaml_node *shard,
 			     const struct rr_yaml_node *replica,
-			     GPtrArray *faults)
+			     GPtrArray *diagnostics)
 {
 	const char *id = rr_find_yaml_text(replica, "id");
 	const struct rr_yaml_node *first;
-	char *shown;
+	char *quoted;
 
 	if (!id)
 		return;
@@ -105,18 +110,16 @@
 	}
 	if (g_hash_table_lookup(index->shards, id) == shard)
 		return;
-	shown = rr_quote_text(id);
-	rr_add_diagnostic(
-		faults, replica->file, replica->line,
-		"replicas: found id %s a second time, it stands at %s:%u "
-		"already",
-		shown, first->file, first->line);
-	g_free(shown);
+	quoted = rr_quote_text(id);
+	rr_add_diagnostic(diagnostics, replica->file, replica->line,
+			  "replicas: duplicate id %s, first defined at %s:%u",
+			  quoted, first->file, first->line);
+	g_free(quoted);
 }
 
-/* Two replicas at one address are one upstream counted twice. */
+/* Report replicas with the same address: one upstream would count twice. */
 static void check_shard_addresses(const struct rr_yaml_node *replicas,
-				  GPtrArray *faults)
+				  GPtrArray *diagnostics)
 {
 	GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
 
@@ -124,7 +127,7 @@
 		const struct rr_yaml_node *replica = replicas->items->pdata[i];
 		const char *address = rr_find_yaml_text(replica, "address");
 		const struct rr_yaml_node *first;
-		char *shown;
+		char *quoted;
 
 		if (!address)
 			continue;
@@ -134,21 +137,21 @@
 					    (gpointer)replica);
 			continue;
 		}
-		shown = rr_quote_text(address);
+		quoted = rr_quote_text(address);
 		rr_add_diagnostic(
-			faults, replica->file, replica->line,
-			"address: found %s a second time in one shard, "
-			"it stands at %s:%u already",
-			shown, first->file, first->line);
-		g_free(shown);
+			diagnostics, replica->file, replica->line,
+			"address: duplicate %s in one shard, first defined at "
+			"%s:%u",
+			quoted, first->file, first->line);
+		g_free(quoted);
 	}
 	g_hash_table_destroy(seen);
 }
 
 static void check_shards(const struct rr_yaml_node *shards,
-			 struct replica_index *index, GPtrArray *faults)
+			 struct replica_index *index, GPtrArray *diagnostics)
 {
-	check_overlaps(shards, faults);
+	check_overlaps(shards, diagnostics);
 	for (guint i = 0; i < shards->items->len; i++) {
 		const struct rr_yaml_node *shard = shards->items->pdata[i];
 		const struct rr_yaml_node *replicas =
@@ -156,17 +159,21 @@
 
 		if (!replicas)
 			continue;
-		check_shard_addresses(replicas, faults);
+		check_shard_addresses(replicas, diagnostics);
 		for (guint j = 0; j < replicas->items->len; j++)
 			check_replica_id(index, shard,
-					 replicas->items->pdata[j], faults);
+					 replicas->items->pdata[j],
+					 diagnostics);
 	}
 }
 
-/* Where a service's value comes from: itself, the defaults, or nowhere. */
+/*
+ * Find the node that sets a service's value: in the service or in `defaults`;
+ * the service itself if neither has it.
+ */
 static const struct rr_yaml_node *
-value_place(const struct rr_yaml_node *root, const struct rr_yaml_node *service,
-	    const char *key)
+find_value_node(const struct rr_yaml_node *root,
+		const struct rr_yaml_node *service, const char *key)
 {
 	const struct rr_yaml_node *defaults =
 		rr_find_yaml_value(root, "defaults");
@@ -177,25 +184,25 @@
 	return value ? value : service;
 }
 
-/* Limits that hold between two keys. */
-static void check_pairs(const struct rr_yaml_node *root,
-			const struct rr_yaml_node *node,
-			const struct rr_service_config *service,
-			GPtrArray *faults)
+/* Check values whose limits depend on another key. */
+static void check_related_values(const struct rr_yaml_node *root,
+				 const struct rr_yaml_node *node,
+				 const struct rr_service_config *service,
+				 GPtrArray *diagnostics)
 {
-	const struct rr_yaml_node *place;
+	const struct rr_yaml_node *value;
 
 	if (service->connection_reserve >= service->connections) {
-		place = value_place(root, node, "connection_reserve");
+		value = find_value_node(root, node, "connection_reserve");
 		rr_add_diagnostic(
-			faults, place->file, place->line,
+			diagnostics, value->file, value->line,
 			"connection_reserve: found %u, allowed is less "
 			"than connections, which is %u",
 			service->connection_reserve, service->connections);
 	}
 	if (service->straggler_wait_ms > service->deadline_ms) {
-		place = value_place(root, node, "wait_ms");
-		rr_add_diagnostic(faults, place->file, place->line,
+		value = find_value_node(root, node, "wait_ms");
+		rr_add_diagnostic(diagnostics, value->file, value->line,
 				  "wait_ms: found %u, allowed is at most "
 				  "deadline_ms, which is %u",
 				  service->straggler_wait_ms,
@@ -237,7 +244,7 @@
 static void build_service(const struct rr_yaml_node *root,
 			  const struct rr_yaml_node *node,
 			  struct rr_service_config *service,
-			  struct replica_index *index, GPtrArray *faults)
+			  struct replica_index *index, GPtrArray *diagnostics)
 {
 	const struct rr_yaml_node *defaults =
 		rr_find_yaml_value(root, "defaults");
@@ -249,10 +256,10 @@
 	if (defaults && defaults->kind == RR_YAML_MAPPING)
 		rr_assign_setting_mapping(RR_SCOPE_DEFAULTS, defaults, service);
 	rr_assign_setting_mapping(RR_SCOPE_SERVICE, node, service);
-	check_pairs(root, node, service, faults);
+	check_related_values(root, node, service, diagnostics);
 	if (!shards)
 		return;
-	check_shards(shards, index, faults);
+	check_shards(shards, index, diagnostics);
 	service->n_shards = shards->items->len;
 	service->shards = g_new0(struct rr_shard_config, service->n_shards);
 	for (guint i = 0; i < shards->items->len; i++)
@@ -260,7 +267,7 @@
 }
 
 static struct rr_config *build_config(const struct rr_yaml_node *root,
-				      const char *site, GPtrArray *faults)
+				      const char *site, GPtrArray *diagnostics)
 {
 	struct rr_config *config = rr_new_config();
 	const struct rr_yaml_node *services = find_list(root, "services");
@@ -281,7 +288,7 @@
 	config->services = g_new0(struct rr_service_config, config->n_services);
 	for (guint i = 0; i < services->items->len; i++)
 		build_service(root, services->items->pdata[i],
-			      &config->services[i], &index, faults);
+			      &config->services[i], &index, diagnostics);
 	g_hash_table_destroy(index.replicas);
 	g_hash_table_destroy(index.shards);
 	return config;
@@ -289,30 +296,35 @@
 
 struct rr_config *rr_parse_config(const struct rr_settings_source *base,
 				  const struct rr_settings_source *overlay,
-				  const char *site, GPtrArray *faults)
+				  const char *site, GPtrArray *diagnostics)
 {
-	guint before = faults->len;
-	struct rr_yaml_node *root = rr_parse_yaml(base, faults);
-	struct rr_yaml_node *upper = NULL;
+	guint n_before = diagnostics->len;
+	struct rr_yaml_node *root = rr_parse_yaml(base, diagnostics);
+	struct rr_yaml_node *overlay_root = NULL;
 	struct rr_config *config = NULL;
 
 	if (overlay)
-		upper = rr_parse_yaml(overlay, faults);
+		overlay_root = rr_parse_yaml(overlay, diagnostics);
 	if (root)
-		rr_check_settings_tree(root, RR_SCOPE_SITE, false, faults);
-	if (upper)
-		rr_check_settings_tree(upper, RR_SCOPE_SITE, true, faults);
-	/* Half a merge would report faults that the other half mends. */
-	if (root && (upper || !overlay)) {
-		if (upper)
-			rr_merge_overlay(root, upper, RR_SCOPE_SITE, faults);
-		rr_check_required_keys(root, RR_SCOPE_SITE, faults);
-		config = build_config(root, site, faults);
+		rr_check_settings_tree(root, RR_SCOPE_SITE, false, diagnostics);
+	if (overlay_root)
+		rr_check_settings_tree(overlay_root, RR_SCOPE_SITE, true,
+				       diagnostics);
+	/*
+	 * Merge only if both files were parsed: one alone may have errors that
+	 * the other one corrects.
+	 */
+	if (root && (overlay_root || !overlay)) {
+		if (overlay_root)
+			rr_merge_overlay(root, overlay_root, RR_SCOPE_SITE,
+					 diagnostics);
+		rr_check_required_keys(root, RR_SCOPE_SITE, diagnostics);
+		config = build_config(root, site, diagnostics);
 	}
 	rr_drop_yaml_node(root);
-	rr_drop_yaml_node(upper);
-	rr_sort_diagnostics(faults, before);
-	if (config && faults->len > before) {
+	rr_drop_yaml_node(overlay_root);
+	rr_sort_diagnostics(diagnostics, n_before);
+	if (config && diagnostics->len > n_before) {
 		rr_drop_config(config);
 		config = NULL;
 	}
--- a/source/settings/yaml-tree.c
+++ b/source/settings/yaml-tree.c
@@ -1,5 +1,5 @@
 /*
- * yaml-tree.c - read YAML events into a bounded tree with line numbers.
+ * yaml-tree.c - parser of YAML files into a tree with line numbers.
  */
 #include "settings/yaml-tree.h"
 
@@ -9,7 +9,7 @@
 struct tree_reader {
 	yaml_parser_t parser;
 	const struct rr_settings_source *source;
-	GPtrArray *faults;
+	GPtrArray *diagnostics;
 	uint32_t nodes;
 };
 
@@ -76,26 +76,26 @@
 	return line;
 }
 
-/* Whether a line is indented by a tab, which YAML does not allow. */
+/* Whether a line is indented with a tab, which YAML does not allow. */
 static bool has_tab_indent(const struct rr_settings_source *source,
 			   uint32_t line)
 {
 	const char *end = source->text + source->length;
-	const char *at = source->text;
+	const char *next = source->text;
 
-	for (uint32_t i = 1; i < line && at < end; i++) {
-		const char *feed = memchr(at, '\n', (size_t)(end - at));
+	for (uint32_t i = 1; i < line && next < end; i++) {
+		const char *newline = memchr(next, '\n', (size_t)(end - next));
 
-		if (!feed)
+		if (!newline)
 			return false;
-		at = feed + 1;
+		next = newline + 1;
 	}
-	while (at < end && *at == ' ')
-		at++;
-	return at < end && *at == '\t';
+	while (next < end && *next == ' ')
+		next++;
+	return next < end && *next == '\t';
 }
 
-static void add_syntax_fault(struct tree_reader *reader)
+static void report_syntax_error(struct tree_reader *reader)
 {
 	const yaml_parser_t *parser = &reader->parser;
 	uint32_t line = (uint32_t)parser->problem_mark.line + 1;
@@ -106,8 +106,8 @@
 	if (!problem)
 		problem = "unreadable";
 	if (has_tab_indent(reader->source, line))
-		problem = "found a tab, indentation is by spaces only";
-	rr_add_diagnostic(reader->faults, reader->source->file, line,
+		problem = "found a tab, indent with spaces only";
+	rr_add_diagnostic(reader->diagnostics, reader->source->file, line,
 			  "not YAML: %s; the rest of the file was not checked",
 			  problem);
 }
@@ -116,34 +116,36 @@
 {
 	if (yaml_parser_parse(&reader->parser, event))
 		return true;
-	add_syntax_fault(reader);
+	report_syntax_error(reader);
 	return false;
 }
 
 /*
- * Anchors and aliases are refused: a few nested aliases stand for billions of
- * nodes, and a tag could change what a value means.
+ * Report an anchor or a tag.  Anchors are rejected because a few nested aliases
+ * can expand to billions of nodes, and tags because a tag could change the
+ * meaning of a value.
  */
-static void check_decoration(struct tree_reader *reader, uint32_t line,
-			     const yaml_char_t *anchor, const yaml_char_t *tag)
+static void report_anchor_or_tag(struct tree_reader *reader, uint32_t line,
+				 const yaml_char_t *anchor,
+				 const yaml_char_t *tag)
 {
-	char *shown;
+	char *quoted;
 
 	if (anchor) {
-		shown = rr_quote_text((const char *)anchor);
+		quoted = rr_quote_text((const char *)anchor);
 		rr_add_diagnostic(
-			reader->faults, reader->source->file, line,
+			reader->diagnostics, reader->source->file, line,
 			"found an anchor %s, anchors and aliases are not "
 			"allowed: write the value out",
-			shown);
-		g_free(shown);
+			quoted);
+		g_free(quoted);
 	}
 	if (tag) {
-		shown = rr_quote_text((const char *)tag);
-		rr_add_diagnostic(reader->faults, reader->source->file, line,
-				  "found a tag %s, tags are not allowed",
-				  shown);
-		g_free(shown);
+		quoted = rr_quote_text((const char *)tag);
+		rr_add_diagnostic(reader->diagnostics, reader->source->file,
+				  line, "found a tag %s, tags are not allowed",
+				  quoted);
+		g_free(quoted);
 	}
 }
 
@@ -158,11 +160,11 @@
 	size_t length = event->data.scalar.length;
 	struct rr_yaml_node *node = new_node(reader, RR_YAML_SCALAR, line);
 
-	check_decoration(reader, line, event->data.scalar.anchor,
-			 event->data.scalar.tag);
+	report_anchor_or_tag(reader, line, event->data.scalar.anchor,
+			     event->data.scalar.tag);
 	if (memchr(value, '\0', length))
-		rr_add_diagnostic(reader->faults, reader->source->file, line,
-				  "found a NUL character in a text");
+		rr_add_diagnostic(reader->diagnostics, reader->source->file,
+				  line, "found a NUL character in a value");
 	node->text = g_strndup(value, length);
 	node->quoted = event->data.scalar.style != YAML_PLAIN_SCALAR_STYLE;
 	return node;
@@ -175,8 +177,9 @@
 		new_node(reader, RR_YAML_LIST, event_line(start));
 	yaml_event_t event;
 
-	check_decoration(reader, list->line, start->data.sequence_start.anchor,
-			 start->data.sequence_start.tag);
+	report_anchor_or_tag(reader, list->line,
+			     start->data.sequence_start.anchor,
+			     start->data.sequence_start.tag);
 	while (next_event(reader, &event)) {
 		struct rr_yaml_node *item;
 
@@ -195,27 +198,26 @@
 }
 
 /*
- * Put an entry into a mapping.  A doubled key is a fault: the writer thinks
- * that both are in force, and YAML readers differ in which one they take.
+ * Add an entry to a mapping.  A duplicate key is an error: the author assumes
+ * that both values apply, and YAML parsers differ in which one they use.
  */
 static void add_entry(struct tree_reader *reader, struct rr_yaml_node *mapping,
 		      GHashTable *seen, struct rr_yaml_entry *entry)
 {
 	struct rr_yaml_entry *first = g_hash_table_lookup(seen, entry->key);
-	char *shown;
+	char *quoted;
 
 	if (!first) {
 		g_hash_table_insert(seen, entry->key, entry);
 		g_ptr_array_add(mapping->entries, entry);
 		return;
 	}
-	shown = rr_quote_text(entry->key);
-	rr_add_diagnostic(
-		reader->faults, reader->source->file, entry->line,
-		"found the key %s a second time, it stands at line %u "
-		"already",
-		shown, first->line);
-	g_free(shown);
+	quoted = rr_quote_text(entry->key);
+	rr_add_diagnostic(reader->diagnostics, reader->source->file,
+			  entry->line,
+			  "duplicate key %s, first defined at line %u", quoted,
+			  first->line);
+	g_free(quoted);
 	rr_drop_yaml_entry(entry);
 }
 
@@ -227,9 +229,9 @@
 
 	if (key_event->type != YAML_SCALAR_EVENT) {
 		rr_add_diagnostic(
-			reader->faults, reader->source->file,
+			reader->diagnostics, reader->source->file,
 			event_line(key_event),
-			"found a key that is no plain text; the rest of "
+			"found a key that is not a scalar; the rest of "
 			"the file was not checked");
 		return NULL;
 	}
@@ -239,8 +241,8 @@
 	entry->line = event_line(key_event);
 	entry->key = g_strndup((const char *)key_event->data.scalar.value,
 			       key_event->data.scalar.length);
-	check_decoration(reader, entry->line, key_event->data.scalar.anchor,
-			 key_event->data.scalar.tag);
+	report_anchor_or_tag(reader, entry->line, key_event->data.scalar.anchor,
+			     key_event->data.scalar.tag);
 	entry->value = read_node(reader, &event, depth + 1);
 	yaml_event_delete(&event);
 	if (entry->value)
@@ -255,17 +257,17 @@
 	struct rr_yaml_node *mapping =
 		new_node(reader, RR_YAML_MAPPING, event_line(start));
 	GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
-	bool whole = false;
+	bool complete = false;
 	yaml_event_t event;
 
-	check_decoration(reader, mapping->line,
-			 start->data.mapping_start.anchor,
-			 start->data.mapping_start.tag);
-	while (!whole && next_event(reader, &event)) {
+	report_anchor_or_tag(reader, mapping->line,
+			     start->data.mapping_start.anchor,
+			     start->data.mapping_start.tag);
+	while (!complete && next_event(reader, &event)) {
 		struct rr_yaml_entry *entry = NULL;
 
-		whole = event.type == YAML_MAPPING_END_EVENT;
-		if (!whole)
+		complete = event.type == YAML_MAPPING_END_EVENT;
+		if (!complete)
 			entry = read_entry(reader, &event, depth);
 		yaml_event_delete(&event);
 		if (entry)
@@ -274,7 +276,7 @@
 			break;
 	}
 	g_hash_table_destroy(seen);
-	if (whole)
+	if (complete)
 		return mapping;
 	rr_drop_yaml_node(mapping);
 	return NULL;
@@ -287,7 +289,7 @@
 		new_node(reader, RR_YAML_SCALAR, event_line(event));
 
 	rr_add_diagnostic(
-		reader->faults, reader->source->file, node->line,
+		reader->diagnostics, reader->source->file, node->line,
 		"found an alias, anchors and aliases are not allowed: "
 		"write the value out");
 	node->text = g_strdup("");
@@ -299,7 +301,8 @@
 {
 	if (depth > RR_MAX_SETTINGS_DEPTH) {
 		rr_add_diagnostic(
-			reader->faults, reader->source->file, event_line(event),
+			reader->diagnostics, reader->source->file,
+			event_line(event),
 			"nested deeper than %d levels; the rest of the "
 			"file was not checked",
 			RR_MAX_SETTINGS_DEPTH);
@@ -307,7 +310,8 @@
 	}
 	if (++reader->nodes > RR_MAX_SETTINGS_NODES) {
 		rr_add_diagnostic(
-			reader->faults, reader->source->file, event_line(event),
+			reader->diagnostics, reader->source->file,
+			event_line(event),
 			"more than %d values; the rest of the file was "
 			"not checked",
 			RR_MAX_SETTINGS_NODES);
@@ -325,28 +329,29 @@
 	}
 }
 
-/* The events between the start of the stream and the first node. */
+/* Read the start of the stream and of the document, then the root node. */
 static struct rr_yaml_node *read_document(struct tree_reader *reader)
 {
 	struct rr_yaml_node *root = NULL;
 	yaml_event_t event;
-	bool before = true;
+	bool before_root = true;
 
-	while (before && next_event(reader, &event)) {
-		before = event.type == YAML_STREAM_START_EVENT ||
-			 event.type == YAML_DOCUMENT_START_EVENT;
+	while (before_root && next_event(reader, &event)) {
+		before_root = event.type == YAML_STREAM_START_EVENT ||
+			      event.type == YAML_DOCUMENT_START_EVENT;
 		if (event.type == YAML_STREAM_END_EVENT)
-			rr_add_diagnostic(reader->faults, reader->source->file,
-					  1, "the file holds no settings");
-		else if (!before)
+			rr_add_diagnostic(reader->diagnostics,
+					  reader->source->file, 1,
+					  "the file holds no settings");
+		else if (!before_root)
 			root = read_node(reader, &event, 0);
 		yaml_event_delete(&event);
 	}
 	return root;
 }
 
-/* Whether nothing but the end of the stream follows. */
-static bool ends_here(struct tree_reader *reader)
+/* Report a second document; true if the end of the stream follows. */
+static bool check_stream_end(struct tree_reader *reader)
 {
 	yaml_event_t event;
 
@@ -359,36 +364,39 @@
 			return true;
 		if (type == YAML_DOCUMENT_END_EVENT)
 			continue;
-		rr_add_diagnostic(reader->faults, reader->source->file, line,
-				  "found a second document, a settings file is "
-				  "one");
+		rr_add_diagnostic(reader->diagnostics, reader->source->file,
+				  line,
+				  "found a second document, a settings file "
+				  "has only one");
 		return false;
 	}
 	return false;
 }
 
 struct rr_yaml_node *rr_parse_yaml(const struct rr_settings_source *source,
-				   GPtrArray *faults)
+				   GPtrArray *diagnostics)
 {
-	struct tree_reader reader = { .source = source, .faults = faults };
+	struct tree_reader reader = { .source = source,
+				      .diagnostics = diagnostics };
 	struct rr_yaml_node *root;
 
 	if (source->length > RR_MAX_SETTINGS_BYTES) {
 		rr_add_diagnostic(
-			faults, source->file, 1,
+			diagnostics, source->file, 1,
 			"found %zu bytes, a settings file has at most %u",
 			source->length, RR_MAX_SETTINGS_BYTES);
 		return NULL;
 	}
 	if (!yaml_parser_initialize(&reader.parser)) {
-		rr_add_diagnostic(faults, source->file, 1, "out of memory");
+		rr_add_diagnostic(diagnostics, source->file, 1,
+				  "out of memory");
 		return NULL;
 	}
 	yaml_parser_set_input_string(&reader.parser,
 				     (const unsigned char *)source->text,
 				     source->length);
 	root = read_document(&reader);
-	if (root && !ends_here(&reader)) {
+	if (root && !check_stream_end(&reader)) {
 		rr_drop_yaml_node(root);
 		root = NULL;
 	}
