--- a/tests/test-push.c
+++ b/tests/test-push.c
@@ -1,5 +1,5 @@
 /*
- * test-push.c - pushes of editors at several sites, on a store that fails.
+ * test-push.c - tests of configuration pushes to a store that fails.
  *
  * `--seed N --steps N` repeats one random run.
  */
@@ -27,19 +27,19 @@
 	"        replicas:\n"      \
 	"          - {id: banco-01-a, zone: sala, address: 127.0.0.1:1}\n"
 #define MAX_TRIES 6
-#define EDITORS 3
+#define N_EDITORS 3
 
-/* One push with the calls it has on the store. */
+/* One editor's push and its call to the store. */
 struct editor {
 	struct fake_client client;
 	struct rr_context *ctx;
 	struct rr_push *push;
 	uint64_t last_call;
-	bool waiting; /* for a reply */
-	int64_t wake_us;
+	bool waiting;	 /* for a reply */
+	int64_t wake_us; /* time of the next step */
 };
 
-static void take_reply(void *data, const struct rr_store_reply *reply)
+static void handle_reply(void *data, const struct rr_store_reply *reply)
 {
 	struct editor *editor = data;
 
@@ -50,7 +50,7 @@
 
 static void init_editor(struct editor *editor, struct fake_store *store)
 {
-	editor->client = (struct fake_client){ store, take_reply, editor };
+	editor->client = (struct fake_client){ store, handle_reply, editor };
 	editor->ctx = rr_new_context(NULL);
 }
 
@@ -61,8 +61,8 @@
 	rr_drop_context(editor->ctx);
 }
 
-static void start_options(struct editor *editor,
-			  const struct rr_push_options *options)
+static void start_push_with(struct editor *editor,
+			    const struct rr_push_options *options)
 {
 	rr_drop_push(editor->push);
 	editor->push = rr_new_push(editor->ctx, options);
@@ -83,11 +83,11 @@
 		.max_tries = MAX_TRIES,
 	};
 
-	start_options(editor, &options);
+	start_push_with(editor, &options);
 }
 
-/* Do the next steps of a push; returns whether it has ended. */
-static bool drive(struct editor *editor)
+/* Run the steps that are due; returns whether the push has ended. */
+static bool run_due_steps(struct editor *editor)
 {
 	struct fake_store *store = editor->client.store;
 	struct rr_store_port port = fake_client_port(&editor->client);
@@ -116,7 +116,7 @@
 {
 	struct fake_store *store = editor->client.store;
 
-	while (!drive(editor)) {
+	while (!run_due_steps(editor)) {
 		if (editor->waiting)
 			run_fake_store_event(store);
 		else
@@ -140,42 +140,42 @@
 	return record;
 }
 
-struct scene {
+struct fixture {
 	struct fake_store *store;
 	struct editor a;
 	struct editor b;
 };
 
-/* The store holds a base file as revision 1. */
+/* Create a store that holds a base file at revision 1. */
 static int set_up(void **state)
 {
-	struct scene *scene = g_new0(struct scene, 1);
-
-	scene->store = new_fake_store(1);
-	init_editor(&scene->a, scene->store);
-	init_editor(&scene->b, scene->store);
-	start_push(&scene->a, RR_CONFIG_BASE_FILE, BASE, 0, "c-1");
-	assert_int_equal(run_push(&scene->a), RR_PUSH_ACCEPTED);
-	assert_int_equal(rr_push_result(scene->a.push)->revision, 1);
-	*state = scene;
+	struct fixture *fixture = g_new0(struct fixture, 1);
+
+	fixture->store = new_fake_store(1);
+	init_editor(&fixture->a, fixture->store);
+	init_editor(&fixture->b, fixture->store);
+	start_push(&fixture->a, RR_CONFIG_BASE_FILE, BASE, 0, "c-1");
+	assert_int_equal(run_push(&fixture->a), RR_PUSH_ACCEPTED);
+	assert_int_equal(rr_push_result(fixture->a.push)->revision, 1);
+	*state = fixture;
 	return 0;
 }
 
 static int tear_down(void **state)
 {
-	struct scene *scene = *state;
+	struct fixture *fixture = *state;
 
-	clear_editor(&scene->a);
-	clear_editor(&scene->b);
-	drop_fake_store(scene->store);
-	g_free(scene);
+	clear_editor(&fixture->a);
+	clear_editor(&fixture->b);
+	drop_fake_store(fixture->store);
+	g_free(fixture);
 	return 0;
 }
 
-static void assert_file(struct scene *scene, const char *file, const char *text,
-			uint64_t revision)
+static void assert_file(struct fixture *fixture, const char *file,
+			const char *text, uint64_t revision)
 {
-	struct rr_config_record *record = peek_record(scene->store);
+	struct rr_config_record *record = peek_record(fixture->store);
 
 	if (text)
 		assert_string_equal(rr_config_file_text(record, file), text);
@@ -186,143 +186,142 @@
 }
 
 /*
- * Story: an editor's change was in force for a minute, then gone.  Another
- * site's editor had read the configuration before and pushed after it.
- * Cause: the whole record was written as it had been read.
+ * Guards against a lost update.  An editor's change takes effect and is then
+ * undone by the push of another site's editor, who read the record before the
+ * change and writes it back whole after it.
  */
 static void test_racing_edits(void **state)
 {
-	struct scene *scene = *state;
+	struct fixture *fixture = *state;
 	const struct rr_push_result *result;
 
-	start_push(&scene->a, "sala", "owners_per_replica: 3\n", 0, "c-2");
-	start_push(&scene->b, "athi", "owners_per_replica: 4\n", 0, "c-3");
-	drive(&scene->a);
-	assert_int_equal(run_push(&scene->b), RR_PUSH_ACCEPTED);
-	assert_int_equal(run_push(&scene->a), RR_PUSH_ACCEPTED);
-	assert_file(scene, "sala", "owners_per_replica: 3\n", 3);
-	assert_file(scene, "athi", "owners_per_replica: 4\n", 3);
-	start_push(&scene->b, "sala", "owners_per_replica: 5\n", 1, "c-4");
-	assert_int_equal(run_push(&scene->b), RR_PUSH_CONFLICT);
-	result = rr_push_result(scene->b.push);
+	start_push(&fixture->a, "sala", "owners_per_replica: 3\n", 0, "c-2");
+	start_push(&fixture->b, "athi", "owners_per_replica: 4\n", 0, "c-3");
+	run_due_steps(&fixture->a);
+	assert_int_equal(run_push(&fixture->b), RR_PUSH_ACCEPTED);
+	assert_int_equal(run_push(&fixture->a), RR_PUSH_ACCEPTED);
+	assert_file(fixture, "sala", "owners_per_replica: 3\n", 3);
+	assert_file(fixture, "athi", "owners_per_replica: 4\n", 3);
+	start_push(&fixture->b, "sala", "owners_per_replica: 5\n", 1, "c-4");
+	assert_int_equal(run_push(&fixture->b), RR_PUSH_CONFLICT);
+	result = rr_push_result(fixture->b.push);
 	assert_non_null(strstr(result->message, "sala was changed"));
 	assert_non_null(strstr(result->message, "revision 3 by anna (c-2)"));
-	assert_file(scene, "sala", "owners_per_replica: 3\n", 3);
-	start_push(&scene->b, "sala", NULL, 3, "c-5");
-	assert_int_equal(run_push(&scene->b), RR_PUSH_ACCEPTED);
-	assert_file(scene, "sala", NULL, 4);
+	assert_file(fixture, "sala", "owners_per_replica: 3\n", 3);
+	start_push(&fixture->b, "sala", NULL, 3, "c-5");
+	assert_int_equal(run_push(&fixture->b), RR_PUSH_ACCEPTED);
+	assert_file(fixture, "sala", NULL, 4);
 }
 
-static void test_lost_reply_is_settled(void **state)
+static void test_lost_reply_is_resolved(void **state)
 {
-	struct scene *scene = *state;
-
-	scene->store->next_outcome = FAKE_LOST_AFTER_EFFECT;
-	scene->store->n_next_outcomes = 1;
-	start_push(&scene->a, "sala", "owners_per_replica: 3\n", 1, "c-2");
-	assert_int_equal(run_push(&scene->a), RR_PUSH_ACCEPTED);
-	assert_int_equal(rr_push_result(scene->a.push)->revision, 2);
-	assert_int_equal(scene->store->writes, 2);
-	assert_file(scene, "sala", "owners_per_replica: 3\n", 2);
+	struct fixture *fixture = *state;
+
+	fixture->store->next_outcome = FAKE_LOST_AFTER_EFFECT;
+	fixture->store->n_next_outcomes = 1;
+	start_push(&fixture->a, "sala", "owners_per_replica: 3\n", 1, "c-2");
+	assert_int_equal(run_push(&fixture->a), RR_PUSH_ACCEPTED);
+	assert_int_equal(rr_push_result(fixture->a.push)->revision, 2);
+	assert_int_equal(fixture->store->writes, 2);
+	assert_file(fixture, "sala", "owners_per_replica: 3\n", 2);
 }
 
 /*
- * Story: the tool said "nothing was written", the editor went home, and
- * the change came into force a minute later.  The swap had no reply, a read
- * showed the old record, then the store went down.  Cause: the read was
- * taken as proof while the swap was still on its way.
+ * Guards against a push that reports "nothing was written" but takes effect
+ * later.  The swap gets no reply, a read returns the old record and then the
+ * store goes down.  The read is no proof, as the swap may still be in flight.
  */
-static void test_late_write_is_not_denied(void **state)
+static void test_late_write_is_not_reported_unwritten(void **state)
 {
-	struct scene *scene = *state;
-
-	scene->store->max_late_us = 60000000;
-	scene->store->next_outcome = FAKE_LATE_EFFECT;
-	scene->store->n_next_outcomes = 1;
-	start_push(&scene->a, "sala", "owners_per_replica: 3\n", 1, "c-2");
-	while (scene->store->writes < 2) {
-		drive(&scene->a);
-		run_fake_store_event(scene->store);
+	struct fixture *fixture = *state;
+
+	fixture->store->max_late_us = 60000000;
+	fixture->store->next_outcome = FAKE_LATE_EFFECT;
+	fixture->store->n_next_outcomes = 1;
+	start_push(&fixture->a, "sala", "owners_per_replica: 3\n", 1, "c-2");
+	while (fixture->store->writes < 2) {
+		run_due_steps(&fixture->a);
+		run_fake_store_event(fixture->store);
 	}
-	scene->store->next_outcome = FAKE_UNAVAILABLE;
-	scene->store->n_next_outcomes = MAX_TRIES;
-	assert_int_equal(run_push(&scene->a), RR_PUSH_UNRESOLVED);
-	while (fake_store_due_us(scene->store) < INT64_MAX)
-		run_fake_store_event(scene->store);
-	assert_file(scene, "sala", "owners_per_replica: 3\n", 2);
-	/* As the message says: the same change id again finds it accepted. */
-	scene->store->n_next_outcomes = 0;
-	start_push(&scene->a, "sala", "owners_per_replica: 3\n", 1, "c-2");
-	assert_int_equal(run_push(&scene->a), RR_PUSH_ACCEPTED);
-	assert_file(scene, "sala", "owners_per_replica: 3\n", 2);
+	fixture->store->next_outcome = FAKE_UNAVAILABLE;
+	fixture->store->n_next_outcomes = MAX_TRIES;
+	assert_int_equal(run_push(&fixture->a), RR_PUSH_UNRESOLVED);
+	while (fake_store_due_us(fixture->store) < INT64_MAX)
+		run_fake_store_event(fixture->store);
+	assert_file(fixture, "sala", "owners_per_replica: 3\n", 2);
+	/* As the message says: a retry with the same id finds the change. */
+	fixture->store->n_next_outcomes = 0;
+	start_push(&fixture->a, "sala", "owners_per_replica: 3\n", 1, "c-2");
+	assert_int_equal(run_push(&fixture->a), RR_PUSH_ACCEPTED);
+	assert_file(fixture, "sala", "owners_per_replica: 3\n", 2);
 }
 
 static void test_store_down(void **state)
 {
-	struct scene *scene = *state;
+	struct fixture *fixture = *state;
 
-	scene->store->per_mille[FAKE_UNAVAILABLE] = 1000;
-	start_push(&scene->a, "sala", "owners_per_replica: 3\n", 1, "c-2");
-	assert_int_equal(run_push(&scene->a), RR_PUSH_UNAVAILABLE);
-	assert_file(scene, "sala", NULL, 1);
+	fixture->store->per_mille[FAKE_UNAVAILABLE] = 1000;
+	start_push(&fixture->a, "sala", "owners_per_replica: 3\n", 1, "c-2");
+	assert_int_equal(run_push(&fixture->a), RR_PUSH_UNAVAILABLE);
+	assert_file(fixture, "sala", NULL, 1);
 }
 
 static void test_invalid_is_not_written(void **state)
 {
-	struct scene *scene = *state;
-
-	start_push(&scene->a, "sala", "nonsense: 1\n", 1, "c-2");
-	assert_int_equal(run_push(&scene->a), RR_PUSH_INVALID);
-	assert_true(rr_push_result(scene->a.push)->diagnostics->len > 0);
-	start_push(&scene->a, "no/name", "", 1, "c-3");
-	assert_int_equal(run_push(&scene->a), RR_PUSH_INVALID);
-	start_push(&scene->a, RR_CONFIG_BASE_FILE, NULL, 1, "c-4");
-	assert_int_equal(run_push(&scene->a), RR_PUSH_INVALID);
-	start_push(&scene->a, RR_CONFIG_BASE_FILE, "ledger_buckets: 32\n" BASE,
-		   1, "c-5");
-	assert_int_equal(run_push(&scene->a), RR_PUSH_INVALID);
-	assert_non_null(strstr(rr_push_result(scene->a.push)->message,
+	struct fixture *fixture = *state;
+
+	start_push(&fixture->a, "sala", "nonsense: 1\n", 1, "c-2");
+	assert_int_equal(run_push(&fixture->a), RR_PUSH_INVALID);
+	assert_true(rr_push_result(fixture->a.push)->diagnostics->len > 0);
+	start_push(&fixture->a, "no/name", "", 1, "c-3");
+	assert_int_equal(run_push(&fixture->a), RR_PUSH_INVALID);
+	start_push(&fixture->a, RR_CONFIG_BASE_FILE, NULL, 1, "c-4");
+	assert_int_equal(run_push(&fixture->a), RR_PUSH_INVALID);
+	start_push(&fixture->a, RR_CONFIG_BASE_FILE,
+		   "ledger_buckets: 32\n" BASE, 1, "c-5");
+	assert_int_equal(run_push(&fixture->a), RR_PUSH_INVALID);
+	assert_non_null(strstr(rr_push_result(fixture->a.push)->message,
 			       "ledger_buckets"));
-	assert_file(scene, RR_CONFIG_BASE_FILE, BASE, 1);
+	assert_file(fixture, RR_CONFIG_BASE_FILE, BASE, 1);
 }
 
-static void test_unusable_record_is_left_alone(void **state)
+static void test_bad_record_is_not_overwritten(void **state)
 {
-	struct scene *scene = *state;
-
-	/* A record older than the one that was edited: changes were lost. */
-	start_push(&scene->a, "sala", "owners_per_replica: 3\n", 7, "c-2");
-	assert_int_equal(run_push(&scene->a), RR_PUSH_BAD_RECORD);
-	poke_fake_value(scene->store, RR_CONFIG_RECORD_KEY, "nonsense", 8);
-	start_push(&scene->a, "sala", "owners_per_replica: 3\n", 1, "c-3");
-	assert_int_equal(run_push(&scene->a), RR_PUSH_BAD_RECORD);
-	assert_int_equal(scene->store->writes, 1);
+	struct fixture *fixture = *state;
+
+	/* The record is older than the edited one: the store lost changes. */
+	start_push(&fixture->a, "sala", "owners_per_replica: 3\n", 7, "c-2");
+	assert_int_equal(run_push(&fixture->a), RR_PUSH_BAD_RECORD);
+	poke_fake_value(fixture->store, RR_CONFIG_RECORD_KEY, "nonsense", 8);
+	start_push(&fixture->a, "sala", "owners_per_replica: 3\n", 1, "c-3");
+	assert_int_equal(run_push(&fixture->a), RR_PUSH_BAD_RECORD);
+	assert_int_equal(fixture->store->writes, 1);
 }
 
-/* What the test knows of one change id. */
+/* Expected state of one change id. */
 struct change {
 	char *id;
 	char *file;
 	char *text;
 	uint64_t base_revision;
-	uint64_t revision; /* found in the store at; 0: not */
-	bool denied;	   /* the editor was told "nothing was written" */
+	uint64_t revision;	 /* of the record that has it; 0: none */
+	bool reported_unwritten; /* the push ended as not written */
 };
 
-struct world {
+struct simulation {
 	GRand *random;
 	struct fake_store *store;
-	struct editor editors[EDITORS];
-	struct change *current[EDITORS];
+	struct editor editors[N_EDITORS];
+	struct change *current[N_EDITORS];
 	GHashTable *changes;
-	struct rr_config_record *last;
+	struct rr_config_record *last_record;
 	uint64_t key_revision;
-	uint64_t ended[RR_PUSH_BAD_RECORD + 1];
+	uint64_t status_counts[RR_PUSH_BAD_RECORD + 1];
 };
 
-static int draw(struct world *world, int limit)
+static int random_below(struct simulation *simulation, int limit)
 {
-	return g_rand_int_range(world->random, 0, limit);
+	return g_rand_int_range(simulation->random, 0, limit);
 }
 
 static void free_change(gpointer data)
@@ -340,8 +339,12 @@
 	return a && b ? !strcmp(a, b) : a == b;
 }
 
-/* Each version in the store: one change, its own, once, not denied. */
-static void watch_store(struct world *world)
+/*
+ * Check that each new record in the store has exactly one new change, that the
+ * change is of a known push, appears once, has the right base and text, and was
+ * not reported as unwritten.
+ */
+static void check_store(struct simulation *simulation)
 {
 	const struct rr_config_change *changes;
 	struct rr_config_record *record;
@@ -349,65 +352,71 @@
 	uint64_t revision;
 	size_t length;
 
-	peek_fake_value(world->store, RR_CONFIG_RECORD_KEY, &length, &revision);
-	if (revision == world->key_revision)
+	peek_fake_value(simulation->store, RR_CONFIG_RECORD_KEY, &length,
+			&revision);
+	if (revision == simulation->key_revision)
 		return;
-	assert_int_equal(revision, world->key_revision + 1);
-	world->key_revision = revision;
-	record = peek_record(world->store);
+	assert_int_equal(revision, simulation->key_revision + 1);
+	simulation->key_revision = revision;
+	record = peek_record(simulation->store);
 	assert_int_equal(rr_config_record_revision(record),
-			 rr_config_record_revision(world->last) + 1);
+			 rr_config_record_revision(simulation->last_record) +
+				 1);
 	assert_true(rr_list_config_changes(record, &changes) > 0);
-	change = g_hash_table_lookup(world->changes, changes[0].change_id);
+	change = g_hash_table_lookup(simulation->changes, changes[0].change_id);
 	assert_non_null(change);
 	assert_int_equal(change->revision, 0);
-	assert_false(change->denied);
-	assert_true(rr_config_file_revision(world->last, change->file) <=
+	assert_false(change->reported_unwritten);
+	assert_true(rr_config_file_revision(simulation->last_record,
+					    change->file) <=
 		    change->base_revision);
 	assert_true(same_text(rr_config_file_text(record, change->file),
 			      change->text));
 	change->revision = rr_config_record_revision(record);
-	rr_drop_config_record(world->last);
-	world->last = record;
+	rr_drop_config_record(simulation->last_record);
+	simulation->last_record = record;
 }
 
-static char *draw_text(struct world *world, const char *file)
+static char *generate_text(struct simulation *simulation, const char *file)
 {
-	int draws = draw(world, 20);
+	int kind = random_below(simulation, 20);
 
-	if (draws == 0)
+	if (kind == 0)
 		return g_strdup("nonsense: 1\n");
-	if (draws == 1 && strcmp(file, RR_CONFIG_BASE_FILE) != 0)
+	if (kind == 1 && strcmp(file, RR_CONFIG_BASE_FILE) != 0)
 		return NULL;
 	if (strcmp(file, RR_CONFIG_BASE_FILE) != 0)
 		return g_strdup_printf("owners_per_replica: %d\n",
-				       1 + draw(world, 8));
+				       1 + random_below(simulation, 8));
 	return g_strdup_printf("owners_per_replica: %d\n" BASE,
-			       1 + draw(world, 8));
+			       1 + random_below(simulation, 8));
 }
 
-static void start_change(struct world *world, int i)
+static void start_change(struct simulation *simulation, int i)
 {
 	static const char *const files[] = { RR_CONFIG_BASE_FILE, "sala",
 					     "athi" };
 	struct change *change = g_new0(struct change, 1);
 
-	change->id = g_strdup_printf("c-%u", g_hash_table_size(world->changes));
-	change->file = g_strdup(files[draw(world, G_N_ELEMENTS(files))]);
-	change->text = draw_text(world, change->file);
-	change->base_revision = rr_config_record_revision(world->last);
-	if (change->base_revision && !draw(world, 4))
+	change->id =
+		g_strdup_printf("c-%u", g_hash_table_size(simulation->changes));
+	change->file =
+		g_strdup(files[random_below(simulation, G_N_ELEMENTS(files))]);
+	change->text = generate_text(simulation, change->file);
+	change->base_revision =
+		rr_config_record_revision(simulation->last_record);
+	if (change->base_revision && !random_below(simulation, 4))
 		change->base_revision--;
-	g_hash_table_insert(world->changes, change->id, change);
-	world->current[i] = change;
-	start_push(&world->editors[i], change->file, change->text,
+	g_hash_table_insert(simulation->changes, change->id, change);
+	simulation->current[i] = change;
+	start_push(&simulation->editors[i], change->file, change->text,
 		   change->base_revision, change->id);
 }
 
-/* After "unsettled", with the same change id. */
-static void push_again(struct world *world, int i)
+/* Retry with the same change id after RR_PUSH_UNRESOLVED. */
+static void retry_change(struct simulation *simulation, int i)
 {
-	const struct change *change = world->current[i];
+	const struct change *change = simulation->current[i];
 	const struct rr_push_options options = {
 		.file = change->file,
 		.text = change->text,
@@ -418,110 +427,116 @@
 		.max_tries = MAX_TRIES,
 	};
 
-	start_options(&world->editors[i], &options);
+	start_push_with(&simulation->editors[i], &options);
 }
 
-static void end_change(struct world *world, int i)
+static void finish_change(struct simulation *simulation, int i)
 {
-	struct change *change = world->current[i];
+	struct change *change = simulation->current[i];
 	const struct rr_push_result *result =
-		rr_push_result(world->editors[i].push);
+		rr_push_result(simulation->editors[i].push);
 
-	world->ended[result->status]++;
+	simulation->status_counts[result->status]++;
 	if (result->status == RR_PUSH_ACCEPTED) {
-		/* The text is in force, by this change or by an equal one. */
+		/* The text is in effect, by this change or by an equal one. */
 		assert_true(result->revision <=
-			    rr_config_record_revision(world->last));
+			    rr_config_record_revision(simulation->last_record));
 		if (change->revision)
 			assert_int_equal(change->revision, result->revision);
-	} else if (result->status == RR_PUSH_UNRESOLVED && draw(world, 3)) {
-		push_again(world, i);
+	} else if (result->status == RR_PUSH_UNRESOLVED &&
+		   random_below(simulation, 3)) {
+		retry_change(simulation, i);
 		return;
 	} else if (result->status != RR_PUSH_UNRESOLVED) {
 		assert_int_equal(change->revision, 0);
-		change->denied = true;
+		change->reported_unwritten = true;
 	}
-	world->current[i] = NULL;
+	simulation->current[i] = NULL;
 }
 
-static void change_weather(struct world *world)
+static void change_store_faults(struct simulation *simulation)
 {
-	struct fake_store *store = world->store;
+	struct fake_store *store = simulation->store;
 
 	memset(store->per_mille, 0, sizeof(store->per_mille));
-	if (draw(world, 2))
+	if (random_below(simulation, 2))
 		return;
-	store->max_late_us = 2000u << draw(world, 8);
-	store->per_mille[FAKE_UNAVAILABLE] = draw(world, 400);
-	store->per_mille[FAKE_LOST_AFTER_EFFECT] = draw(world, 300);
-	store->per_mille[FAKE_LOST_WITHOUT_EFFECT] = draw(world, 200);
-	store->per_mille[FAKE_LATE_EFFECT] = draw(world, 300);
+	store->max_late_us = 2000u << random_below(simulation, 8);
+	store->per_mille[FAKE_UNAVAILABLE] = random_below(simulation, 400);
+	store->per_mille[FAKE_LOST_AFTER_EFFECT] =
+		random_below(simulation, 300);
+	store->per_mille[FAKE_LOST_WITHOUT_EFFECT] =
+		random_below(simulation, 200);
+	store->per_mille[FAKE_LATE_EFFECT] = random_below(simulation, 300);
 }
 
-static void step(struct world *world)
+static void run_step(struct simulation *simulation)
 {
-	int i = draw(world, EDITORS);
-
-	if (!world->current[i] && !draw(world, 3))
-		start_change(world, i);
-	else if (world->current[i] && drive(&world->editors[i]))
-		end_change(world, i);
-	if (!draw(world, 200))
-		change_weather(world);
-	if (fake_store_due_us(world->store) <= world->store->now_us) {
-		run_fake_store_event(world->store);
-		watch_store(world);
+	int i = random_below(simulation, N_EDITORS);
+
+	if (!simulation->current[i] && !random_below(simulation, 3))
+		start_change(simulation, i);
+	else if (simulation->current[i] &&
+		 run_due_steps(&simulation->editors[i]))
+		finish_change(simulation, i);
+	if (!random_below(simulation, 200))
+		change_store_faults(simulation);
+	if (fake_store_due_us(simulation->store) <= simulation->store->now_us) {
+		run_fake_store_event(simulation->store);
+		check_store(simulation);
 	} else {
-		world->store->now_us += draw(world, 1500);
+		simulation->store->now_us += random_below(simulation, 1500);
 	}
 }
 
 static void run_random(uint32_t seed, uint64_t steps)
 {
-	struct world world = { 0 };
-
-	world.random = g_rand_new_with_seed(seed);
-	world.store = new_fake_store(seed);
-	world.store->max_late_us = 100000;
-	world.changes = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-					      free_change);
-	world.last = rr_new_config_record();
-	for (int i = 0; i < EDITORS; i++)
-		init_editor(&world.editors[i], world.store);
+	struct simulation simulation = { 0 };
+
+	simulation.random = g_rand_new_with_seed(seed);
+	simulation.store = new_fake_store(seed);
+	simulation.store->max_late_us = 100000;
+	simulation.changes = g_hash_table_new_full(g_str_hash, g_str_equal,
+						   NULL, free_change);
+	simulation.last_record = rr_new_config_record();
+	for (int i = 0; i < N_EDITORS; i++)
+		init_editor(&simulation.editors[i], simulation.store);
 	for (uint64_t i = 0; i < steps; i++)
-		step(&world);
+		run_step(&simulation);
 	printf("push: ok seed=%u steps=%" G_GUINT64_FORMAT
 	       " accepted=%" G_GUINT64_FORMAT " changed=%" G_GUINT64_FORMAT
 	       " invalid=%" G_GUINT64_FORMAT " unavailable=%" G_GUINT64_FORMAT
 	       " unsettled=%" G_GUINT64_FORMAT " revision=%" G_GUINT64_FORMAT
 	       "\n",
-	       seed, steps, world.ended[RR_PUSH_ACCEPTED],
-	       world.ended[RR_PUSH_CONFLICT], world.ended[RR_PUSH_INVALID],
-	       world.ended[RR_PUSH_UNAVAILABLE],
-	       world.ended[RR_PUSH_UNRESOLVED],
-	       rr_config_record_revision(world.last));
-	assert_true(rr_config_record_revision(world.last) > steps / 1000);
-	for (int i = 0; i < EDITORS; i++)
-		clear_editor(&world.editors[i]);
-	g_hash_table_destroy(world.changes);
-	rr_drop_config_record(world.last);
-	drop_fake_store(world.store);
-	g_rand_free(world.random);
+	       seed, steps, simulation.status_counts[RR_PUSH_ACCEPTED],
+	       simulation.status_counts[RR_PUSH_CONFLICT],
+	       simulation.status_counts[RR_PUSH_INVALID],
+	       simulation.status_counts[RR_PUSH_UNAVAILABLE],
+	       simulation.status_counts[RR_PUSH_UNRESOLVED],
+	       rr_config_record_revision(simulation.last_record));
+	assert_true(rr_config_record_revision(simulation.last_record) >
+		    steps / 1000);
+	for (int i = 0; i < N_EDITORS; i++)
+		clear_editor(&simulation.editors[i]);
+	g_hash_table_destroy(simulation.changes);
+	rr_drop_config_record(simulation.last_record);
+	drop_fake_store(simulation.store);
+	g_rand_free(simulation.random);
 }
 
-static uint32_t only_seed;
-static uint64_t only_steps;
+static uint32_t given_seed;
+static uint64_t given_steps;
 
 /*
- * Story: editors at three sites push at the same time to a store that
- * loses replies; a change told "accepted" was later gone, or one told
- * "nothing was written" came into force.
+ * Guards against wrong results of concurrent pushes to a store that loses
+ * replies: a change reported as accepted that is lost later, or one reported as
+ * not written that takes effect.
  */
 static void test_random_editors(void **state)
 {
 	(void)state;
-	if (only_steps) {
-		run_random(only_seed, only_steps);
+	if (given_steps) {
+		run_random(given_seed, given_steps);
 		return;
 	}
 	for (uint32_t seed = 1; seed <= 6; seed++)
@@ -534,20 +549,20 @@
 {
 	const struct CMUnitTest tests[] = {
 		TEST(test_racing_edits),
-		TEST(test_lost_reply_is_settled),
-		TEST(test_late_write_is_not_denied),
+		TEST(test_lost_reply_is_resolved),
+		TEST(test_late_write_is_not_reported_unwritten),
 		TEST(test_store_down),
 		TEST(test_invalid_is_not_written),
-		TEST(test_unusable_record_is_left_alone),
+		TEST(test_bad_record_is_not_overwritten),
 		cmocka_unit_test(test_random_editors),
 	};
 
 	for (int i = 1; i + 1 < argc; i += 2) {
 		if (!strcmp(argv[i], "--seed"))
-			only_seed = (uint32_t)g_ascii_strtoull(argv[i + 1],
-							       NULL, 10);
+			given_seed = (uint32_t)g_ascii_strtoull(argv[i + 1],
+								NULL, 10);
 		if (!strcmp(argv[i], "--steps"))
-			only_steps = g_ascii_strtoull(argv[i + 1], NULL, 10);
+			given_steps = g_ascii_strtoull(argv[i + 1], NULL, 10);
 	}
 	return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test-settings-regressions.c
+++ b/tests/test-settings-regressions.c
@@ -1,5 +1,5 @@
 /*
- * test-settings-regressions.c - settings files that fuzzing found.
+ * test-settings-regressions.c - tests of settings files found by fuzzing.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,10 +12,10 @@
 #include "ragwort/settings.h"
 
 /*
- * Story: an operator writes a dash too many, so that `defaults` is a list,
- * in the base and in the overlay.  `ragwort check` crashes and says nothing;
- * so does an instance that is handed the record.  Cause: lists are laid over
- * each other by the name of their elements, which defaults have none of.
+ * Guards against a crash of `ragwort check`, and of an instance that reads the
+ * record, if an extra dash makes `defaults` a list in both base and overlay.
+ * Lists are merged by the identity of their elements, and elements of
+ * `defaults` have no identity.
  */
 static void test_defaults_as_lists(void **state)
 {
@@ -23,14 +23,14 @@
 	struct rr_settings_source base = { "base.yaml", text, strlen(text) };
 	struct rr_settings_source overlay = { "overlay.yaml", text,
 					      strlen(text) };
-	GPtrArray *faults = rr_new_diagnostics();
+	GPtrArray *diagnostics = rr_new_diagnostics();
 	struct rr_config *config =
-		rr_parse_config(&base, &overlay, "nairobi", faults);
+		rr_parse_config(&base, &overlay, "nairobi", diagnostics);
 
 	(void)state;
 	assert_null(config);
-	assert_true(faults->len > 0);
-	g_ptr_array_unref(faults);
+	assert_true(diagnostics->len > 0);
+	g_ptr_array_unref(diagnostics);
 }
 
 int main(void)
