--- a/include/ragwort/net-peer.h
+++ b/include/ragwort/net-peer.h
@@ -1,9 +1,9 @@
 /*
  * net-peer.h - messages between instances over ZeroMQ, on the GLib main loop.
  *
- * One ROUTER is bound at the peer address and only receives; one DEALER for
- * each peer's address only sends.  A message handed to rr_send_to_peer() counts
- * as sent: it may be lost, and nothing tells.
+ * One ROUTER socket, bound to the peer address, only receives; one DEALER
+ * socket per peer address only sends. A message passed to rr_send_to_peer()
+ * counts as sent: it may be lost without any notification.
  */
 #ifndef RAGWORT_NET_PEER_H
 #define RAGWORT_NET_PEER_H
@@ -29,46 +29,49 @@
 };
 
 struct rr_peer_transport_options {
-	const char *address;		 /* IP:PORT; port 0 takes a free one */
-	const struct rr_peer_keys *keys; /* NULL: plain */
-	/* A message came; it is freed after the call. */
+	const char *address;		 /* IP:PORT; port 0 picks a free one */
+	const struct rr_peer_keys *keys; /* NULL: no encryption */
+	/* Handles a message, which is freed after the call. */
 	void (*received)(void *data, const struct rr_peer_message *message);
 	void *data;
 };
 
 /*
- * Bind the port; everything is copied.  It works on the thread's default
- * main context.  NULL with an error when the address or a key is bad or the
- * address is taken.
+ * Bind the peer address. The options are copied. The transport runs on the
+ * default main context of the thread. Returns NULL with an error if the address
+ * or a key is invalid or the address is in use.
  */
 struct rr_peer_transport *
 rr_new_peer_transport(struct rr_context *ctx,
 		      const struct rr_peer_transport_options *options,
 		      GError **error);
-/* Close at once; what is not yet written is lost.  NULL is allowed. */
-void rr_drop_peer_transport(struct rr_peer_transport *port);
+/* Close immediately; unwritten messages are lost. NULL is allowed. */
+void rr_drop_peer_transport(struct rr_peer_transport *transport);
 
-/* The bound IP:PORT, owned by the port. */
-const char *rr_peer_transport_address(const struct rr_peer_transport *port);
+/* Return the bound IP:PORT, owned by the transport. */
+const char *
+rr_peer_transport_address(const struct rr_peer_transport *transport);
 
 /*
- * Send a message to the instance at an address; never blocks.  The message
- * stays the caller's.  One that cannot be written waits for the connection
- * for a second at most; it is dropped then, or when too many wait, and
- * counted in RR_N_PEER_MESSAGES_DROPPED.
+ * Send a message to the instance at an address; never blocks. The caller keeps
+ * ownership of the message. A message that cannot be written is queued for the
+ * connection for one second at most. It is dropped after that, or at once if
+ * the queue is full, and counted in RR_N_PEER_MESSAGES_DROPPED.
  */
-void rr_send_to_peer(struct rr_context *ctx, struct rr_peer_transport *port,
-		     const char *instance, const char *address,
+void rr_send_to_peer(struct rr_context *ctx,
+		     struct rr_peer_transport *transport, const char *instance,
+		     const char *address,
 		     const struct rr_peer_message *message);
 
 /*
- * Replace the keys of a running port.  Connections that stand go on; new
- * ones use the new keys.  Replace a key pair in three steps, each on all
- * instances: allow both keys, change the pair, allow the new one only.
- * False with an error, and nothing changed, when a key is malformed or the
- * port was made without keys.
+ * Replace the keys of a running transport. Established connections are kept;
+ * new ones use the new keys. Replace a key pair in three steps, each on all
+ * instances: allow both keys, change the pair, allow only the new one. Returns
+ * false with an error, and changes nothing, if a key is malformed or the
+ * transport was created without keys.
  */
-bool rr_set_peer_keys(struct rr_context *ctx, struct rr_peer_transport *port,
+bool rr_set_peer_keys(struct rr_context *ctx,
+		      struct rr_peer_transport *transport,
 		      const struct rr_peer_keys *keys, GError **error);
 
 #endif
--- a/source/net/address-private.h
+++ b/source/net/address-private.h
@@ -1,5 +1,5 @@
 /*
- * address-private.h - IP:PORT texts as socket addresses.
+ * address-private.h - IP:PORT strings as socket addresses.
  */
 #ifndef RAGWORT_ADDRESS_PRIVATE_H
 #define RAGWORT_ADDRESS_PRIVATE_H
@@ -7,9 +7,9 @@
 #include <gio/gio.h>
 #include <stdbool.h>
 
-/* Whether text is IP:PORT ([IP]:PORT for IPv6), with a port from 1. */
+/* Return whether text is IP:PORT ([IP]:PORT for IPv6) with a non-zero port. */
 bool rr_is_address(const char *text);
-/* NULL with an error for anything but IP:PORT. */
+/* Parse IP:PORT. Returns NULL with an error for any other text. */
 GSocketAddress *rr_parse_address(const char *text, GError **error);
 
 #endif
--- a/source/net/address.c
+++ b/source/net/address.c
@@ -1,5 +1,5 @@
 /*
- * address.c - parse IP:PORT; no name is ever looked up.
+ * address.c - IP:PORT parser; does no name lookup.
  */
 #include "net/address-private.h"
 
@@ -9,7 +9,7 @@
 
 #include "ragwort/error.h"
 
-/* Digits without sign or leading zero. */
+/* Accepts digits without a sign or leading zero. */
 static bool parse_port(const char *text, guint64 *port)
 {
 	if (text[0] == '0' && text[1])
@@ -17,7 +17,10 @@
 	return g_ascii_string_to_unsigned(text, 10, 0, UINT16_MAX, port, NULL);
 }
 
-/* The host of IP:PORT, for g_free(); NULL: it has no port. */
+/*
+ * Returns the host of IP:PORT, to be freed with g_free(); NULL if there is no
+ * port.
+ */
 static char *split_address(const char *text, guint64 *port)
 {
 	const char *colon = strrchr(text, ':');
@@ -32,7 +35,7 @@
 		host[length - 1] = '\0';
 		memmove(host, host + 1, length - 1);
 	} else if (strchr(host, ':')) {
-		host[0] = '\0'; /* IPv6 needs its brackets */
+		host[0] = '\0'; /* IPv6 requires brackets */
 	}
 	return host;
 }
@@ -41,10 +44,10 @@
 {
 	guint64 port = 0;
 	char *host = split_address(text, &port);
-	bool is_one = host && port && g_hostname_is_ip_address(host);
+	bool valid = host && port && g_hostname_is_ip_address(host);
 
 	g_free(host);
-	return is_one;
+	return valid;
 }
 
 GSocketAddress *rr_parse_address(const char *text, GError **error)
--- a/source/net/caller-answer.c
+++ b/source/net/caller-answer.c
@@ -1,5 +1,6 @@
 /*
- * caller-answer.c - answers as JSON, written straight into the reply's text.
+ * caller-answer.c - answers to callers in JSON, appended directly to the text
+ * of the reply.
  */
 #include "net/caller-private.h"
 
--- a/source/net/caller-connections.c
+++ b/source/net/caller-connections.c
@@ -1,6 +1,6 @@
 /*
- * caller-connections.c - callers' connections, bounded in their number and in
- * the time that a caller may keep one waiting.
+ * caller-connections.c - limits on the number of caller connections and on the
+ * time they may stay idle.
  */
 #include "net/caller-connections.h"
 
@@ -8,33 +8,34 @@
 #include "ragwort/log.h"
 
 #define CONNECTION_KEY "ragwort-connection"
-#define SWEEP_S 1
+#define TIMEOUT_CHECK_PERIOD_S 1
 /*
- * Connections over the bound that are kept until their request is there, to
- * be told that nothing ran; those beyond are closed at once.
+ * Connections above the limit that are kept open until their request has
+ * arrived, to be answered with a rejection that says that nothing ran; further
+ * ones are closed immediately.
  */
-#define MOST_TOLD 64
+#define MAX_REJECTED_CONNECTIONS 64
 
 struct rr_caller_connections {
 	struct rr_context *ctx;
 	SoupServer *server;
 	int64_t idle_us;
-	uint32_t max_connections; /* 0: no bound */
-	guint sweep_source;
+	uint32_t max_connections; /* 0: no limit */
+	guint timeout_source;
 	GHashTable *open; /* set of struct connection */
 };
 
-/* Lives as long as its socket. */
+/* Data of a socket, freed with it. */
 struct connection {
-	struct rr_caller_connections *owner; /* NULL once that is dropped */
+	struct rr_caller_connections *owner; /* NULL after that is freed */
 	GSocket *socket;
-	bool works; /* the request is read, its reply not begun */
-	bool ended;
-	bool over;	  /* the bound on their number */
-	int64_t since_us; /* when the caller's turn began */
+	bool in_progress; /* request read, reply not started */
+	bool shut_down;
+	bool over_limit;  /* opened above max_connections */
+	int64_t since_us; /* when the wait for the caller started */
 };
 
-static struct connection *connection_of(SoupServerMessage *message)
+static struct connection *get_connection(SoupServerMessage *message)
 {
 	GSocket *socket = soup_server_message_get_socket(message);
 
@@ -42,33 +43,33 @@
 			NULL;
 }
 
-static void set_turn(SoupServerMessage *message, bool works)
+static void set_in_progress(SoupServerMessage *message, bool in_progress)
 {
-	struct connection *connection = connection_of(message);
+	struct connection *connection = get_connection(message);
 
 	if (!connection)
 		return;
-	connection->works = works;
+	connection->in_progress = in_progress;
 	connection->since_us = g_get_monotonic_time();
 }
 
 void rr_mark_reply_ready(SoupServerMessage *message)
 {
-	set_turn(message, false);
+	set_in_progress(message, false);
 }
 
-static void note_read(SoupServer *server, SoupServerMessage *message,
-		      gpointer data)
+static void on_request_read(SoupServer *server, SoupServerMessage *message,
+			    gpointer data)
 {
-	/* A refusal may have been given before the body was read. */
+	/* A request may have been rejected before its body was read. */
 	if (!soup_server_message_get_status(message))
-		set_turn(message, true);
+		set_in_progress(message, true);
 }
 
-static void note_end(SoupServer *server, SoupServerMessage *message,
-		     gpointer data)
+static void on_request_finished(SoupServer *server, SoupServerMessage *message,
+				gpointer data)
 {
-	set_turn(message, false);
+	set_in_progress(message, false);
 }
 
 static void free_connection(gpointer data)
@@ -80,15 +81,15 @@
 	g_free(connection);
 }
 
-/* The library finds it closed and frees it. */
-static void end_connection(struct connection *connection)
+/* libsoup notices the shutdown and frees the connection. */
+static void shut_down_connection(struct connection *connection)
 {
-	connection->ended = true;
+	connection->shut_down = true;
 	g_socket_shutdown(connection->socket, TRUE, TRUE, NULL);
 }
 
-/* The library may keep a socket's object for a while after closing it. */
-static void forget_closed(struct rr_caller_connections *callers)
+/* libsoup may keep the object of a socket for a while after closing it. */
+static void remove_closed(struct rr_caller_connections *callers)
 {
 	GHashTableIter iter;
 	gpointer key;
@@ -105,70 +106,74 @@
 }
 
 /*
- * Guards against callers that hold connections without using them: one that
- * never ends its request, or one that does not read its answer.  The time
- * runs for the whole of it, so a byte now and then does not help.
+ * Closes connections that callers keep open without using them: those that
+ * never complete a request, and those that do not read their answer. The limit
+ * applies to the whole request or answer, so sending a byte now and then does
+ * not extend it.
  */
-static gboolean sweep(gpointer data)
+static gboolean close_timed_out(gpointer data)
 {
 	struct rr_caller_connections *callers = data;
 	int64_t now_us = g_get_monotonic_time();
 	GHashTableIter iter;
 	gpointer key;
 
-	forget_closed(callers);
+	remove_closed(callers);
 	g_hash_table_iter_init(&iter, callers->open);
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
 		struct connection *connection = key;
 
-		if (connection->works || connection->ended ||
+		if (connection->in_progress || connection->shut_down ||
 		    now_us - connection->since_us <= callers->idle_us)
 			continue;
 		rr_count(callers->ctx, RR_N_CALLER_CONNS_TIMED_OUT, 1);
-		end_connection(connection);
+		shut_down_connection(connection);
 	}
 	return G_SOURCE_CONTINUE;
 }
 
 /*
- * Guards against callers, or one script, that open connections without end:
- * each holds a descriptor and memory here, until accepting fails for all.
+ * Rejects connections above the limit. A caller or script that opens
+ * connections without end would use up descriptors and memory until accept()
+ * fails for all callers.
  */
-static void judge_number(struct rr_caller_connections *callers,
-			 struct connection *connection)
+static void check_connection_limit(struct rr_caller_connections *callers,
+				   struct connection *connection)
 {
 	guint open = g_hash_table_size(callers->open);
 
 	if (!callers->max_connections || open <= callers->max_connections)
 		return;
-	forget_closed(callers);
+	remove_closed(callers);
 	open = g_hash_table_size(callers->open);
 	if (open <= callers->max_connections)
 		return;
-	connection->over = true;
+	connection->over_limit = true;
 	rr_count(callers->ctx, RR_N_CALLER_CONNS_REJECTED, 1);
 	rr_log(callers->ctx, RR_LOG_WARNING, "caller-over-bound",
 	       RR_FIELD_U64("connections", open),
 	       RR_FIELD_U64("caller_max_connections",
 			    callers->max_connections));
-	if (open > callers->max_connections + MOST_TOLD)
-		end_connection(connection);
+	if (open > callers->max_connections + MAX_REJECTED_CONNECTIONS)
+		shut_down_connection(connection);
 }
 
 bool rr_is_over_connection_limit(SoupServerMessage *message)
 {
-	const struct connection *connection = connection_of(message);
+	const struct connection *connection = get_connection(message);
 
-	return connection && connection->over;
+	return connection && connection->over_limit;
 }
 
-/* For a connection's first message the library tells this on accepting. */
-static void note_start(SoupServer *server, SoupServerMessage *message,
-		       gpointer data)
+/*
+ * For the first message of a connection libsoup emits this signal on accepting.
+ */
+static void on_request_started(SoupServer *server, SoupServerMessage *message,
+			       gpointer data)
 {
 	struct rr_caller_connections *callers = data;
 	GSocket *socket = soup_server_message_get_socket(message);
-	struct connection *connection = connection_of(message);
+	struct connection *connection = get_connection(message);
 
 	if (!socket || connection)
 		return;
@@ -179,7 +184,7 @@
 	g_object_set_data_full(G_OBJECT(socket), CONNECTION_KEY, connection,
 			       free_connection);
 	g_hash_table_add(callers->open, connection);
-	judge_number(callers, connection);
+	check_connection_limit(callers, connection);
 }
 
 struct rr_caller_connections *
@@ -194,13 +199,14 @@
 	callers->idle_us = (int64_t)idle_ms * 1000;
 	callers->max_connections = max_connections;
 	callers->open = g_hash_table_new(NULL, NULL);
-	g_signal_connect(server, "request-started", G_CALLBACK(note_start),
-			 callers);
-	g_signal_connect(server, "request-read", G_CALLBACK(note_read),
-			 callers);
-	g_signal_connect(server, "request-finished", G_CALLBACK(note_end),
+	g_signal_connect(server, "request-started",
+			 G_CALLBACK(on_request_started), callers);
+	g_signal_connect(server, "request-read", G_CALLBACK(on_request_read),
 			 callers);
-	callers->sweep_source = g_timeout_add_seconds(SWEEP_S, sweep, callers);
+	g_signal_connect(server, "request-finished",
+			 G_CALLBACK(on_request_finished), callers);
+	callers->timeout_source = g_timeout_add_seconds(
+		TIMEOUT_CHECK_PERIOD_S, close_timed_out, callers);
 	return callers;
 }
 
@@ -211,7 +217,7 @@
 
 	if (!callers)
 		return;
-	g_source_remove(callers->sweep_source);
+	g_source_remove(callers->timeout_source);
 	g_signal_handlers_disconnect_by_data(callers->server, callers);
 	g_hash_table_iter_init(&iter, callers->open);
 	while (g_hash_table_iter_next(&iter, &key, NULL))
--- a/source/net/caller-connections.h
+++ b/source/net/caller-connections.h
@@ -1,5 +1,6 @@
 /*
- * caller-connections.h - callers' connections, bounded in time and number.
+ * caller-connections.h - limits on the number and idle time of caller
+ * connections.
  */
 #ifndef RAGWORT_CALLER_CONNECTIONS_H
 #define RAGWORT_CALLER_CONNECTIONS_H
@@ -13,19 +14,19 @@
 struct rr_caller_connections;
 
 /*
- * Watch the connections of a server, which has to live longer.  Both bounds
- * are those of struct rr_caller_server_options.
+ * Track the connections of a server, which must outlive this object. Both
+ * limits are those of struct rr_caller_server_options.
  */
 struct rr_caller_connections *
 rr_new_caller_connections(struct rr_context *ctx, SoupServer *server,
 			  uint32_t idle_ms, uint32_t max_connections);
-/* Watch no more; connections are the server's. NULL is allowed. */
+/* Stop tracking; the connections belong to the server. NULL is allowed. */
 void rr_drop_caller_connections(struct rr_caller_connections *callers);
 
-/* Whether a message came on a connection over the bound on their number. */
+/* Return whether a message arrived on a connection above the limit. */
 bool rr_is_over_connection_limit(SoupServerMessage *message);
 
-/* The reply is there: from now on it is the caller's turn to read it. */
+/* Mark the reply as ready: the time limit for reading it starts now. */
 void rr_mark_reply_ready(SoupServerMessage *message);
 
 #endif
--- a/source/net/caller-private.h
+++ b/source/net/caller-private.h
@@ -1,5 +1,5 @@
 /*
- * caller-private.h - callers' JSON: requests parsed, answers written.
+ * caller-private.h - JSON of callers: request parser and answer formatter.
  */
 #ifndef RAGWORT_CALLER_PRIVATE_H
 #define RAGWORT_CALLER_PRIVATE_H
@@ -21,8 +21,8 @@
 };
 
 /*
- * Parse a call to `path`.  On false *status is the HTTP status to refuse it
- * with and the error says why.
+ * Parse a call to `path`. Returns false with an error and sets *status to the
+ * HTTP status of the rejection.
  */
 bool rr_parse_call(struct rr_context *ctx, SoupServerMessage *message,
 		   const char *path, GHashTable *query,
@@ -32,26 +32,31 @@
 
 /* Append an answer as JSON. */
 void rr_format_answer(const struct rr_answer *answer, GString *out);
-/* Append the JSON of a call refused by the adapter itself. */
+/* Append the JSON of a call that the adapter itself rejects. */
 void rr_format_rejection(enum rr_outcome outcome, const char *reason,
 			 GString *out);
-/* The HTTP status of an answer. */
+/* Return the HTTP status of an answer. */
 uint32_t rr_answer_http_status(const struct rr_answer *answer);
 
-/* A token bucket for each address; what is over the rate is refused. */
+/* A token bucket per address; requests above the rate are rejected. */
 struct rr_caller_rate_limiter;
 
 struct rr_caller_rate_limiter *rr_new_caller_rate_limiter(uint32_t per_s);
 /* NULL is allowed. */
-void rr_drop_caller_rate_limiter(struct rr_caller_rate_limiter *rate);
-/* Whether one more request from the address is within the rate. */
-bool rr_consume_rate_token(struct rr_caller_rate_limiter *rate,
+void rr_drop_caller_rate_limiter(struct rr_caller_rate_limiter *limiter);
+/*
+ * Take a token for a request from the address. Returns whether the request is
+ * within the rate.
+ */
+bool rr_consume_rate_token(struct rr_caller_rate_limiter *limiter,
 			   GInetAddress *address, int64_t now_us);
 
-/* The lines of a token file; NULL with an error if it can't be read or has
- * none. Freed with g_strfreev(). */
+/*
+ * Read the lines of a token file. Returns NULL with an error if it cannot be
+ * read or contains no token. Free the result with g_strfreev().
+ */
 char **rr_read_tokens(const char *file, GError **error);
-/* Whether a header "Bearer TOKEN" has one of the tokens. */
+/* Return whether a header "Bearer TOKEN" contains one of the tokens. */
 bool rr_check_token(char **tokens, const char *header);
 
 #endif
--- a/source/net/caller-rate-limit.c
+++ b/source/net/caller-rate-limit.c
@@ -1,80 +1,86 @@
 /*
- * caller-rate-limit.c - a token bucket for each address that callers come from.
+ * caller-rate-limit.c - token bucket per caller address.
  */
 #include "net/caller-private.h"
 
 #include <string.h>
 
-/* Addresses kept; more share one bucket, so that memory stays bounded. */
+/*
+ * Addresses with a bucket of their own; further ones share one bucket, so that
+ * memory stays bounded.
+ */
 #define MAX_ADDRESSES 10000
-/* A network hands a whole /64 to one site: it counts as one address. */
+/* A site usually has a whole /64, so it counts as one address. */
 #define IPV6_PREFIX_BYTES 8
 #define US_PER_S 1000000
 
 struct bucket {
 	double tokens;
-	int64_t filled_us;
+	int64_t refilled_us;
 };
 
 struct rr_caller_rate_limiter {
 	uint32_t per_s;
-	GHashTable *buckets; /* address as GBytes to struct bucket */
+	GHashTable *buckets; /* address (GBytes) -> struct bucket */
 	struct bucket shared;
-	int64_t swept_us;
+	int64_t last_sweep_us;
 };
 
 struct rr_caller_rate_limiter *rr_new_caller_rate_limiter(uint32_t per_s)
 {
-	struct rr_caller_rate_limiter *rate =
+	struct rr_caller_rate_limiter *limiter =
 		g_new0(struct rr_caller_rate_limiter, 1);
 
-	rate->per_s = per_s;
-	rate->shared.tokens = per_s;
-	rate->buckets =
+	limiter->per_s = per_s;
+	limiter->shared.tokens = per_s;
+	limiter->buckets =
 		g_hash_table_new_full(g_bytes_hash, g_bytes_equal,
 				      (GDestroyNotify)g_bytes_unref, g_free);
-	return rate;
+	return limiter;
 }
 
-void rr_drop_caller_rate_limiter(struct rr_caller_rate_limiter *rate)
+void rr_drop_caller_rate_limiter(struct rr_caller_rate_limiter *limiter)
 {
-	if (!rate)
+	if (!limiter)
 		return;
-	g_hash_table_destroy(rate->buckets);
-	g_free(rate);
+	g_hash_table_destroy(limiter->buckets);
+	g_free(limiter);
 }
 
-/* One second's worth is the most that a bucket holds. */
-static void fill(const struct rr_caller_rate_limiter *rate,
-		 struct bucket *bucket, int64_t now_us)
+/* A bucket holds the tokens of one second at most. */
+static void refill(const struct rr_caller_rate_limiter *limiter,
+		   struct bucket *bucket, int64_t now_us)
 {
-	double more =
-		(double)(now_us - bucket->filled_us) * rate->per_s / US_PER_S;
+	double earned = (double)(now_us - bucket->refilled_us) *
+			limiter->per_s / US_PER_S;
 
-	bucket->tokens = MIN(bucket->tokens + more, (double)rate->per_s);
-	bucket->filled_us = now_us;
+	bucket->tokens = MIN(bucket->tokens + earned, (double)limiter->per_s);
+	bucket->refilled_us = now_us;
 }
 
-/* Full buckets need not be kept; once a second, as it looks at all. */
-static void sweep(struct rr_caller_rate_limiter *rate, int64_t now_us)
+/*
+ * Removes full buckets, which need not be stored; at most once per second, as
+ * it visits all of them.
+ */
+static void sweep(struct rr_caller_rate_limiter *limiter, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	if (now_us - rate->swept_us < US_PER_S)
+	if (now_us - limiter->last_sweep_us < US_PER_S)
 		return;
-	rate->swept_us = now_us;
-	g_hash_table_iter_init(&iter, rate->buckets);
+	limiter->last_sweep_us = now_us;
+	g_hash_table_iter_init(&iter, limiter->buckets);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct bucket *bucket = value;
 
-		fill(rate, bucket, now_us);
-		if (bucket->tokens >= rate->per_s)
+		refill(limiter, bucket, now_us);
+		if (bucket->tokens >= limiter->per_s)
 			g_hash_table_iter_remove(&iter);
 	}
 }
 
-static struct bucket *find_bucket(struct rr_caller_rate_limiter *rate,
+static struct bucket *find_bucket(struct rr_caller_rate_limiter *limiter,
 				  GInetAddress *address, int64_t now_us)
 {
 	bool is_ipv6 =
@@ -83,27 +89,27 @@
 		g_bytes_new(g_inet_address_to_bytes(address),
 			    is_ipv6 ? IPV6_PREFIX_BYTES :
 				      g_inet_address_get_native_size(address));
-	struct bucket *bucket = g_hash_table_lookup(rate->buckets, key);
+	struct bucket *bucket = g_hash_table_lookup(limiter->buckets, key);
 
-	if (!bucket && g_hash_table_size(rate->buckets) >= MAX_ADDRESSES)
-		sweep(rate, now_us);
-	if (bucket || g_hash_table_size(rate->buckets) >= MAX_ADDRESSES) {
+	if (!bucket && g_hash_table_size(limiter->buckets) >= MAX_ADDRESSES)
+		sweep(limiter, now_us);
+	if (bucket || g_hash_table_size(limiter->buckets) >= MAX_ADDRESSES) {
 		g_bytes_unref(key);
-		return bucket ? bucket : &rate->shared;
+		return bucket ? bucket : &limiter->shared;
 	}
 	bucket = g_new0(struct bucket, 1);
-	bucket->tokens = rate->per_s;
-	bucket->filled_us = now_us;
-	g_hash_table_insert(rate->buckets, key, bucket);
+	bucket->tokens = limiter->per_s;
+	bucket->refilled_us = now_us;
+	g_hash_table_insert(limiter->buckets, key, bucket);
 	return bucket;
 }
 
-bool rr_consume_rate_token(struct rr_caller_rate_limiter *rate,
+bool rr_consume_rate_token(struct rr_caller_rate_limiter *limiter,
 			   GInetAddress *address, int64_t now_us)
 {
-	struct bucket *bucket = find_bucket(rate, address, now_us);
+	struct bucket *bucket = find_bucket(limiter, address, now_us);
 
-	fill(rate, bucket, now_us);
+	refill(limiter, bucket, now_us);
 	if (bucket->tokens < 1)
 		return false;
 	bucket->tokens -= 1;
--- a/source/net/caller-request.c
+++ b/source/net/caller-request.c
@@ -1,5 +1,5 @@
 /*
- * caller-request.c - callers' requests, checked before the core sees them.
+ * caller-request.c - parser and validation of callers' requests.
  */
 #include "net/caller-private.h"
 
@@ -14,15 +14,16 @@
 #define MAX_ROWS_LIMIT 1000000
 #define MAX_NESTING 64
 /*
- * A query goes to other instances in one peer message, which is dropped when
- * it is too long: its shards would be lost each time.  The rest of a message,
- * names and ranges of the shards, is far under the room left.  Written out, a
- * query can be longer than it came, for control characters are escaped.
+ * A query is forwarded to other instances in one peer message, which is dropped
+ * when it is too long, so the shards of those instances would be missing each
+ * time. The rest of a message, names and ranges of the shards, is far smaller
+ * than the remaining space. A query can grow when it is serialised, because
+ * control characters are escaped.
  */
 #define MAX_QUERY_BYTES (RR_MAX_PEER_BYTES - (1u << 20))
 
 struct action {
-	const char *word;
+	const char *name;
 	const char *method;
 	enum rr_request_kind kind;
 };
@@ -34,11 +35,11 @@
 	{ "list", "GET", RR_LIST },
 };
 
-static bool refuse(uint32_t *status, uint32_t code, GError **error,
-		   const char *format, ...) G_GNUC_PRINTF(4, 5);
+static bool set_call_error(uint32_t *status, uint32_t code, GError **error,
+			   const char *format, ...) G_GNUC_PRINTF(4, 5);
 
-static bool refuse(uint32_t *status, uint32_t code, GError **error,
-		   const char *format, ...)
+static bool set_call_error(uint32_t *status, uint32_t code, GError **error,
+			   const char *format, ...)
 {
 	va_list args;
 	char *text;
@@ -64,7 +65,7 @@
 	if (!slash || slash == name)
 		return NULL;
 	for (size_t i = 0; i < G_N_ELEMENTS(actions); i++) {
-		if (strcmp(slash + 1, actions[i].word))
+		if (strcmp(slash + 1, actions[i].name))
 			continue;
 		*service = g_strndup(name, (gsize)(slash - name));
 		return &actions[i];
@@ -72,8 +73,8 @@
 	return NULL;
 }
 
-/* Ids go into logs and upstream headers: printable, no spaces. */
-static bool is_id(const char *text)
+/* Ids are written to logs and upstream headers: printable, no spaces. */
+static bool is_valid_id(const char *text)
 {
 	size_t length = strlen(text);
 
@@ -92,9 +93,9 @@
 	guint64 number;
 
 	if (!g_ascii_string_to_unsigned(text, 10, 1, max, &number, NULL))
-		return refuse(status, SOUP_STATUS_BAD_REQUEST, error,
-			      "%s: an integer from 1 to %u is needed", name,
-			      max);
+		return set_call_error(status, SOUP_STATUS_BAD_REQUEST, error,
+				      "%s: an integer from 1 to %u is needed",
+				      name, max);
 	*value = (uint32_t)number;
 	return true;
 }
@@ -111,44 +112,47 @@
 	const char *priority =
 		soup_message_headers_get_one(headers, "X-Priority");
 
-	if (id && !is_id(id))
-		return refuse(status, SOUP_STATUS_BAD_REQUEST, error,
-			      "X-Request-Id: 1 to %d printable characters "
-			      "without spaces are allowed",
-			      MAX_ID_BYTES);
+	if (id && !is_valid_id(id))
+		return set_call_error(
+			status, SOUP_STATUS_BAD_REQUEST, error,
+			"X-Request-Id: 1 to %d printable characters "
+			"without spaces are allowed",
+			MAX_ID_BYTES);
 	call->request_id = id ? g_strdup(id) :
 				g_strdup_printf("%016" G_GINT64_MODIFIER "x",
 						rr_random_u64(ctx));
-	if (key && !is_id(key))
-		return refuse(status, SOUP_STATUS_BAD_REQUEST, error,
-			      "Idempotency-Key: "
-			      "<unix-seconds>-<8 to 64 of A-Za-z0-9_.-> "
-			      "is needed");
+	if (key && !is_valid_id(key))
+		return set_call_error(
+			status, SOUP_STATUS_BAD_REQUEST, error,
+			"Idempotency-Key: "
+			"<unix-seconds>-<8 to 64 of A-Za-z0-9_.-> "
+			"is needed");
 	if (!key && call->request.kind == RR_RESERVE)
-		return refuse(status, SOUP_STATUS_BAD_REQUEST, error,
-			      "Idempotency-Key: needed for reserve");
+		return set_call_error(status, SOUP_STATUS_BAD_REQUEST, error,
+				      "Idempotency-Key: needed for reserve");
 	call->idempotency_key = g_strdup(key);
 	if (deadline && !parse_u32("X-Deadline-Ms", deadline, G_MAXINT32,
 				   &call->request.deadline_ms, status, error))
 		return false;
 	if (priority && strcmp(priority, "batch") != 0)
-		return refuse(status, SOUP_STATUS_BAD_REQUEST, error,
-			      "X-Priority: only \"batch\" is allowed");
+		return set_call_error(status, SOUP_STATUS_BAD_REQUEST, error,
+				      "X-Priority: only \"batch\" is allowed");
 	call->request.priority = priority ? RR_BATCH : RR_INTERACTIVE;
 	return true;
 }
 
-static bool may_stand_outside_strings(char c)
+static bool is_allowed_outside_strings(char c)
 {
 	return g_ascii_isalnum(c) || (c && strchr(" \t\r\n[]{}:,+-.", c));
 }
 
 /*
- * The JSON parser recurses: a body of nothing but brackets would use up the
- * stack and end the process.  Brackets in strings don't count, so it must be
- * sure where strings are.  The parser also takes comments, which JSON has not:
- * a quote in one would seem to open a string and hide the brackets after it.
- * So whatever JSON has only in strings is refused outside them.
+ * Limits nesting before parsing: the JSON parser is recursive, so a body of
+ * nothing but brackets would overflow the stack and crash the process. Brackets
+ * in strings don't count, so the scan must know exactly where strings are. The
+ * parser also accepts comments, which JSON does not have: a quote in a comment
+ * would seem to open a string and hide the brackets after it. Any character
+ * that JSON allows only in strings is therefore rejected outside them.
  */
 static bool check_nesting(const char *text, size_t length, uint32_t *status,
 			  GError **error)
@@ -166,17 +170,18 @@
 				in_string = false;
 		} else if (c == '"') {
 			in_string = true;
-		} else if (!may_stand_outside_strings(c)) {
-			return refuse(status, SOUP_STATUS_BAD_REQUEST, error,
-				      "body: not JSON: byte 0x%02x outside a "
-				      "string",
-				      (unsigned char)c);
+		} else if (!is_allowed_outside_strings(c)) {
+			return set_call_error(
+				status, SOUP_STATUS_BAD_REQUEST, error,
+				"body: not JSON: byte 0x%02x outside a "
+				"string",
+				(unsigned char)c);
 		} else if (c == '[' || c == '{') {
 			if (++depth > MAX_NESTING)
-				return refuse(status, SOUP_STATUS_BAD_REQUEST,
-					      error,
-					      "body: nested deeper than %d",
-					      MAX_NESTING);
+				return set_call_error(
+					status, SOUP_STATUS_BAD_REQUEST, error,
+					"body: nested deeper than %d",
+					MAX_NESTING);
 		} else if (c == ']' || c == '}') {
 			depth--;
 		}
@@ -184,8 +189,8 @@
 	return true;
 }
 
-static bool take_integer(JsonNode *node, const char *name, gint64 min,
-			 gint64 max, gint64 *value, GError **error)
+static bool parse_integer(JsonNode *node, const char *name, gint64 min,
+			  gint64 max, gint64 *value, GError **error)
 {
 	if (JSON_NODE_HOLDS_VALUE(node) &&
 	    json_node_get_value_type(node) == G_TYPE_INT64) {
@@ -200,10 +205,10 @@
 	return false;
 }
 
-static bool take_member(struct rr_call_request *call, const char *name,
-			JsonNode *node, bool *has_key, GError **error)
+static bool parse_member(struct rr_call_request *call, const char *name,
+			 JsonNode *node, bool *has_key, GError **error)
 {
-	bool keyed = call->request.kind != RR_SEARCH;
+	bool has_shard_key = call->request.kind != RR_SEARCH;
 	gint64 value;
 
 	if (!strcmp(name, "query")) {
@@ -211,26 +216,28 @@
 		return true;
 	}
 	if (!strcmp(name, "max_rows")) {
-		if (!take_integer(node, name, 1, MAX_ROWS_LIMIT, &value, error))
+		if (!parse_integer(node, name, 1, MAX_ROWS_LIMIT, &value,
+				   error))
 			return false;
 		call->request.max_rows = (uint32_t)value;
 		return true;
 	}
-	if (keyed && !strcmp(name, "key")) {
+	if (has_shard_key && !strcmp(name, "key")) {
 		*has_key = true;
-		if (!take_integer(node, name, 0, G_MAXINT64 - 1, &value, error))
+		if (!parse_integer(node, name, 0, G_MAXINT64 - 1, &value,
+				   error))
 			return false;
 		call->request.key = (uint64_t)value;
 		return true;
 	}
 	g_set_error(error, RR_ERROR, RR_ERROR_UNSUPPORTED,
 		    "%s: unknown member; query, max_rows%s are allowed", name,
-		    keyed ? ", key" : "");
+		    has_shard_key ? ", key" : "");
 	return false;
 }
 
-static bool take_object(JsonNode *root, struct rr_call_request *call,
-			GError **error)
+static bool parse_object(JsonNode *root, struct rr_call_request *call,
+			 GError **error)
 {
 	JsonObjectIter iter;
 	const char *name;
@@ -244,7 +251,7 @@
 	}
 	json_object_iter_init(&iter, json_node_get_object(root));
 	while (json_object_iter_next(&iter, &name, &node)) {
-		if (!take_member(call, name, node, &has_key, error))
+		if (!parse_member(call, name, node, &has_key, error))
 			return false;
 	}
 	if (call->request.kind == RR_SEARCH || has_key)
@@ -262,27 +269,29 @@
 	gsize length;
 	const char *text = g_bytes_get_data(bytes, &length);
 	JsonParser *parser = json_parser_new_immutable();
-	GError *fault = NULL;
+	GError *parse_error = NULL;
 	bool ok = false;
 
 	if (length == 0 || !g_utf8_validate(text, (gssize)length, NULL))
-		refuse(status, SOUP_STATUS_BAD_REQUEST, error,
-		       "body: JSON in UTF-8 is needed");
+		set_call_error(status, SOUP_STATUS_BAD_REQUEST, error,
+			       "body: JSON in UTF-8 is needed");
 	else if (!check_nesting(text, length, status, error))
 		;
 	else if (!json_parser_load_from_data(parser, text, (gssize)length,
-					     &fault))
-		refuse(status, SOUP_STATUS_BAD_REQUEST, error,
-		       "body: not JSON: %s", fault->message);
-	else if (!take_object(json_parser_get_root(parser), call, &fault))
-		refuse(status, SOUP_STATUS_BAD_REQUEST, error, "%s",
-		       fault->message);
+					     &parse_error))
+		set_call_error(status, SOUP_STATUS_BAD_REQUEST, error,
+			       "body: not JSON: %s", parse_error->message);
+	else if (!parse_object(json_parser_get_root(parser), call,
+			       &parse_error))
+		set_call_error(status, SOUP_STATUS_BAD_REQUEST, error, "%s",
+			       parse_error->message);
 	else if (call->body && strlen(call->body) > MAX_QUERY_BYTES)
-		refuse(status, SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE, error,
-		       "query: over %u bytes as written out", MAX_QUERY_BYTES);
+		set_call_error(status, SOUP_STATUS_REQUEST_ENTITY_TOO_LARGE,
+			       error, "query: over %u bytes as written out",
+			       MAX_QUERY_BYTES);
 	else
 		ok = true;
-	g_clear_error(&fault);
+	g_clear_error(&parse_error);
 	g_object_unref(parser);
 	g_bytes_unref(bytes);
 	return ok;
@@ -306,10 +315,11 @@
 				       &call->request.max_rows, status, error))
 				return false;
 		} else {
-			return refuse(status, SOUP_STATUS_BAD_REQUEST, error,
-				      "%s: unknown; max_rows and cursor are "
-				      "allowed",
-				      (const char *)name);
+			return set_call_error(
+				status, SOUP_STATUS_BAD_REQUEST, error,
+				"%s: unknown; max_rows and cursor are "
+				"allowed",
+				(const char *)name);
 		}
 	}
 	return true;
@@ -326,15 +336,16 @@
 	memset(call, 0, sizeof(*call));
 	action = find_action(path, &call->service);
 	if (!action)
-		return refuse(status, SOUP_STATUS_NOT_FOUND, error,
-			      "no such path; "
-			      "/v1/services/SERVICE/search, lookup, reserve "
-			      "and list, /healthz, /readyz, /metrics and "
-			      "/status are served");
+		return set_call_error(
+			status, SOUP_STATUS_NOT_FOUND, error,
+			"no such path; "
+			"/v1/services/SERVICE/search, lookup, reserve "
+			"and list, /healthz, /readyz, /metrics and "
+			"/status are served");
 	if (strcmp(soup_server_message_get_method(message), action->method) !=
 	    0)
-		return refuse(status, SOUP_STATUS_METHOD_NOT_ALLOWED, error,
-			      "%s is needed", action->method);
+		return set_call_error(status, SOUP_STATUS_METHOD_NOT_ALLOWED,
+				      error, "%s is needed", action->method);
 	call->request.kind = action->kind;
 	if (!parse_headers(ctx,
 			   soup_server_message_get_request_headers(message),
--- a/source/net/caller-token.c
+++ b/source/net/caller-token.c
@@ -1,5 +1,5 @@
 /*
- * caller-token.c - callers' bearer tokens.
+ * caller-token.c - bearer tokens of callers.
  */
 #include "net/caller-private.h"
 
@@ -37,8 +37,8 @@
 }
 
 /*
- * Compares in a time that depends on the length of what the caller sent
- * only: one that stopped at the first wrong byte would let a caller find a
+ * Compares in a time that depends only on the length of what the caller sent: a
+ * comparison that stopped at the first wrong byte would let a caller find a
  * token byte by byte.
  */
 static bool tokens_equal(const char *token, const char *sent)
--- a/source/net/exchange.c
+++ b/source/net/exchange.c
@@ -1,11 +1,12 @@
 /*
- * exchange.c - HTTP exchanges over kept connections, one send each.
+ * exchange.c - HTTP exchanges over persistent connections, each request sent
+ * only once.
  */
 #include "net/exchange-private.h"
 
 /*
- * The core bounds how many attempts are open; the library's own bounds (2 a
- * host, 10 in all) would queue attempts where they can't be withdrawn.
+ * The core limits the number of open attempts; the limits of libsoup (2 per
+ * host, 10 in total) would queue attempts where they cannot be cancelled.
  */
 #define MAX_CONNECTIONS 65535
 #define READ_BYTES 16384u
@@ -16,13 +17,13 @@
 };
 
 struct rr_exchange {
-	struct rr_http_session *exchanger;
+	struct rr_http_session *session;
 	SoupMessage *message;
 	GCancellable *cancellable;
 	GInputStream *stream;
 	GByteArray *body;
 	guint timer;
-	bool started; /* a connection was had, bytes may have left */
+	bool started; /* a connection exists, so bytes may have been sent */
 	uint32_t max_reply_bytes;
 	void (*done)(void *data, const struct rr_exchange_result *result);
 	void *data;
@@ -30,48 +31,48 @@
 
 struct rr_http_session *rr_new_http_session(uint32_t idle_s)
 {
-	struct rr_http_session *exchanger = g_new0(struct rr_http_session, 1);
+	struct rr_http_session *session = g_new0(struct rr_http_session, 1);
 
-	exchanger->session = g_object_new(
+	session->session = g_object_new(
 		SOUP_TYPE_SESSION, "max-conns", MAX_CONNECTIONS,
 		"max-conns-per-host", MAX_CONNECTIONS, "timeout", 0u,
 		"idle-timeout", idle_s, "proxy-resolver", NULL, NULL);
 	/*
-	 * The authentication manager sends a request again after a 401: a
-	 * reservation would run twice.  Without it a 401 is just a reply.
+	 * The authentication manager resends a request after a 401, so a
+	 * reservation would run twice. Without it a 401 is an ordinary reply.
 	 */
-	soup_session_remove_feature_by_type(exchanger->session,
+	soup_session_remove_feature_by_type(session->session,
 					    SOUP_TYPE_AUTH_MANAGER);
-	soup_session_remove_feature_by_type(exchanger->session,
+	soup_session_remove_feature_by_type(session->session,
 					    SOUP_TYPE_CONTENT_DECODER);
-	exchanger->open = g_hash_table_new(NULL, NULL);
-	return exchanger;
+	session->open = g_hash_table_new(NULL, NULL);
+	return session;
 }
 
-void rr_drop_http_session(struct rr_http_session *exchanger)
+void rr_drop_http_session(struct rr_http_session *session)
 {
 	GHashTableIter iter;
 	gpointer key;
 
-	if (!exchanger)
+	if (!session)
 		return;
-	g_hash_table_iter_init(&iter, exchanger->open);
+	g_hash_table_iter_init(&iter, session->open);
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
 		struct rr_exchange *exchange = key;
 
-		/* It frees itself when the main loop next runs. */
+		/* Freed by its own completion callback in the main loop. */
 		exchange->done = NULL;
-		exchange->exchanger = NULL;
+		exchange->session = NULL;
 		g_cancellable_cancel(exchange->cancellable);
 	}
-	g_hash_table_destroy(exchanger->open);
-	g_object_unref(exchanger->session);
-	g_free(exchanger);
+	g_hash_table_destroy(session->open);
+	g_object_unref(session->session);
+	g_free(session);
 }
 
-uint32_t rr_count_exchanges(const struct rr_http_session *exchanger)
+uint32_t rr_count_exchanges(const struct rr_http_session *session)
 {
-	return g_hash_table_size(exchanger->open);
+	return g_hash_table_size(session->open);
 }
 
 static void free_exchange(struct rr_exchange *exchange)
@@ -98,8 +99,8 @@
 
 	g_byte_array_append(exchange->body, (const guint8 *)"", 1);
 	result.body = (const char *)exchange->body->data;
-	if (exchange->exchanger)
-		g_hash_table_remove(exchange->exchanger->open, exchange);
+	if (exchange->session)
+		g_hash_table_remove(exchange->session->open, exchange);
 	if (exchange->done)
 		exchange->done(exchange->data, &result);
 	free_exchange(exchange);
@@ -107,14 +108,17 @@
 
 static void read_more(struct rr_exchange *exchange);
 
-/* `length` bytes were read behind the body, 0 at its end; -1: error. */
-static bool take_bytes(struct rr_exchange *exchange, gssize length,
-		       const GError *error)
+/*
+ * Processes the result of a read at the end of the body: `length` bytes, 0 at
+ * the end of the reply, -1 on an error. Returns whether to read on.
+ */
+static bool process_read(struct rr_exchange *exchange, gssize length,
+			 const GError *error)
 {
-	guint kept = exchange->body->len - READ_BYTES;
+	guint received = exchange->body->len - READ_BYTES;
 
 	g_byte_array_set_size(exchange->body,
-			      kept + (length > 0 ? (guint)length : 0));
+			      received + (length > 0 ? (guint)length : 0));
 	if (length < 0)
 		finish_exchange(exchange, error->message);
 	else if (length == 0)
@@ -126,7 +130,7 @@
 	return false;
 }
 
-static void take_async_bytes(GObject *source, GAsyncResult *async,
+static void on_read_finished(GObject *source, GAsyncResult *async,
 			     gpointer data)
 {
 	struct rr_exchange *exchange = data;
@@ -135,27 +139,27 @@
 
 	length = g_input_stream_read_finish(G_INPUT_STREAM(source), async,
 					    &error);
-	if (take_bytes(exchange, length, error))
+	if (process_read(exchange, length, error))
 		read_more(exchange);
 	g_clear_error(&error);
 }
 
 /*
- * Reads to the end of the body, also when its length is known: only then
- * does the library keep the connection for reuse.  A reply is mostly there
- * whole, so it is read at once as far as it has come; each round by the main
- * loop costs as much as the rest of the reading.
+ * Reads to the end of the body even when its length is known, because libsoup
+ * keeps the connection for reuse only then. Usually the complete reply is
+ * available, so it is read without blocking as far as it has arrived; one pass
+ * through the main loop costs as much as the rest of the reading.
  */
 static void read_more(struct rr_exchange *exchange)
 {
 	GError *error = NULL;
 	guint length;
-	gssize got;
+	gssize n_read;
 
 	do {
 		length = exchange->body->len;
 		g_byte_array_set_size(exchange->body, length + READ_BYTES);
-		got = g_pollable_input_stream_read_nonblocking(
+		n_read = g_pollable_input_stream_read_nonblocking(
 			G_POLLABLE_INPUT_STREAM(exchange->stream),
 			exchange->body->data + length, READ_BYTES,
 			exchange->cancellable, &error);
@@ -165,15 +169,15 @@
 			g_input_stream_read_async(
 				exchange->stream, exchange->body->data + length,
 				READ_BYTES, G_PRIORITY_DEFAULT,
-				exchange->cancellable, take_async_bytes,
+				exchange->cancellable, on_read_finished,
 				exchange);
 			return;
 		}
-	} while (take_bytes(exchange, got, error));
+	} while (process_read(exchange, n_read, error));
 	g_clear_error(&error);
 }
 
-static void take_headers(GObject *source, GAsyncResult *async, gpointer data)
+static void on_headers(GObject *source, GAsyncResult *async, gpointer data)
 {
 	struct rr_exchange *exchange = data;
 	GError *error = NULL;
@@ -188,14 +192,14 @@
 	read_more(exchange);
 }
 
-static void note_start(SoupMessage *message, gpointer data)
+static void on_starting(SoupMessage *message, gpointer data)
 {
 	struct rr_exchange *exchange = data;
 
 	exchange->started = true;
 }
 
-static gboolean time_out(gpointer data)
+static gboolean on_timeout(gpointer data)
 {
 	struct rr_exchange *exchange = data;
 
@@ -208,7 +212,7 @@
 {
 	if (exchange->timer)
 		g_source_remove(exchange->timer);
-	exchange->timer = g_timeout_add(timeout_ms, time_out, exchange);
+	exchange->timer = g_timeout_add(timeout_ms, on_timeout, exchange);
 }
 
 void rr_abort_exchange(struct rr_exchange *exchange)
@@ -227,9 +231,10 @@
 	if (!message)
 		return NULL;
 	/*
-	 * IDEMPOTENT keeps a POST on a reused connection (each new one costs
-	 * the brief's 6 ms); unlike GET and PUT a POST is not sent again when
-	 * that connection closes.  tests/test-upstream.c counts the sends.
+	 * IDEMPOTENT allows a POST on a reused connection (a new one costs 6 ms
+	 * according to the brief); unlike GET and PUT, a POST is not resent
+	 * when that connection closes. tests/test-upstream.c counts the
+	 * requests sent.
 	 */
 	soup_message_set_flags(message, SOUP_MESSAGE_IDEMPOTENT |
 						SOUP_MESSAGE_NO_REDIRECT);
@@ -240,13 +245,13 @@
 	return message;
 }
 
-struct rr_exchange *rr_start_exchange(struct rr_http_session *exchanger,
+struct rr_exchange *rr_start_exchange(struct rr_http_session *session,
 				      const struct rr_exchange_options *options)
 {
 	struct rr_exchange *exchange = g_new0(struct rr_exchange, 1);
 	GBytes *body = NULL;
 
-	exchange->exchanger = exchanger;
+	exchange->session = session;
 	exchange->cancellable = g_cancellable_new();
 	exchange->body = g_byte_array_new();
 	exchange->max_reply_bytes = options->max_reply_bytes;
@@ -256,7 +261,7 @@
 	if (options->body)
 		body = g_bytes_new_take(options->body, options->body_length);
 	if (!exchange->message) {
-		/* An address that is no address: ends like a refused one. */
+		/* An invalid address ends like a refused connection. */
 		exchange->message = soup_message_new("GET", "http://0.0.0.0/");
 		g_cancellable_cancel(exchange->cancellable);
 	}
@@ -265,13 +270,13 @@
 			exchange->message, "application/json", body);
 		g_bytes_unref(body);
 	}
-	g_signal_connect(exchange->message, "starting", G_CALLBACK(note_start),
+	g_signal_connect(exchange->message, "starting", G_CALLBACK(on_starting),
 			 exchange);
-	g_hash_table_add(exchanger->open, exchange);
+	g_hash_table_add(session->open, exchange);
 	if (options->timeout_ms)
 		rr_set_exchange_timeout(exchange, options->timeout_ms);
-	soup_session_send_async(exchanger->session, exchange->message,
+	soup_session_send_async(session->session, exchange->message,
 				G_PRIORITY_DEFAULT, exchange->cancellable,
-				take_headers, exchange);
+				on_headers, exchange);
 	return exchange;
 }
--- a/source/net/http-listener.c
+++ b/source/net/http-listener.c
@@ -1,5 +1,5 @@
 /*
- * http-listener.c - the server end of the data path.
+ * http-listener.c - HTTP server connections of the data path.
  */
 #define _GNU_SOURCE /* accept4() */
 #include "net/http-listener.h"
@@ -18,40 +18,41 @@
 #include "ragwort/log.h"
 
 #define BACKLOG 512
-/* Until the operators' configuration is known. */
-#define FIRST_HEADER_BYTES 16384
-#define FIRST_BODY_BYTES 262144
-#define FIRST_HEADER_TIMEOUT_MS 3000
-#define FIRST_IDLE_TIMEOUT_MS 15000
-/* A body may take so many times as long as the headers. */
-#define BODY_FACTOR 4
-/* A caller that does not read its answer is let go after this. */
-#define UNREAD_US (10 * G_USEC_PER_SEC)
+/* Limits until the configuration of the operators is known. */
+#define INITIAL_HEADER_BYTES 16384
+#define INITIAL_BODY_BYTES 262144
+#define INITIAL_HEADER_TIMEOUT_MS 3000
+#define INITIAL_IDLE_TIMEOUT_MS 15000
+/* A body may take this many times as long as the headers. */
+#define BODY_TIMEOUT_FACTOR 4
+/* A caller that does not read its answer is disconnected after this time. */
+#define WRITE_TIMEOUT_US (10 * G_USEC_PER_SEC)
 /*
- * After a refusal that leaves bytes unread, so that the answer is read
- * before a reset: one way and back with room.
+ * How long a connection is kept after a rejection that leaves bytes unread, so
+ * that the caller reads the answer before a reset: a round trip with a margin.
  */
 #define LINGER_US (200 * 1000)
 
 enum caller_state {
-	CALLER_READING, /* a request, or waiting for one */
-	CALLER_OPEN,	/* a request is with the owner */
-	CALLER_WRITING, /* the answer is not out yet */
-	CALLER_CLOSING, /* the answer is out; the peer is to close */
+	CALLER_READING, /* reading a request, or waiting for one */
+	CALLER_OPEN,	/* the owner is processing a request */
+	CALLER_WRITING, /* the answer is not completely sent */
+	CALLER_CLOSING, /* answer sent; waiting for the peer to close */
 };
 
 struct rr_caller_conn {
-	struct rr_http_listener *port;
+	struct rr_http_listener *listener;
 	struct rr_stream *stream;
 	struct rr_http_reader *reader;
-	GByteArray *rest; /* bytes behind the request under way */
+	GByteArray *pending; /* bytes received after the current request */
 	enum caller_state state;
 	bool half_closed;
-	bool close; /* behind the answer under way */
+	bool close; /* close after the current answer */
 	bool http_1_0;
-	bool head;	  /* the request wants no body */
-	int64_t since_us; /* of this state; of the first byte while reading */
-	uint64_t mark;
+	bool is_head_request; /* HEAD request: no body in the answer */
+	/* start of this state; while reading, time of the first byte */
+	int64_t since_us;
+	uint64_t user_data;
 	GList link;
 	uint64_t n_requests; /* read on this connection so far */
 };
@@ -59,13 +60,13 @@
 struct rr_http_listener {
 	struct rr_context *ctx;
 	struct rr_poller *poller;
-	struct rr_io_watcher listener;
+	struct rr_io_watcher watcher;
 	struct rr_http_listener_options options;
 	struct rr_caller_limits limits;
-	GQueue callers; /* struct rr_caller_conn, about by the time of their turn */
+	GQueue callers; /* struct rr_caller_conn, in the order of accepting */
 	int64_t checked_us;
-	bool closing;
-	bool full;
+	bool draining;
+	bool at_connection_limit;
 };
 
 static int64_t now_us(void)
@@ -73,28 +74,28 @@
 	return g_get_monotonic_time();
 }
 
-/* End and free a connection that is off the port's list. */
-static void end_caller(struct rr_caller_conn *caller)
+/* Closes and frees a connection that is not in the listener's list. */
+static void destroy_caller(struct rr_caller_conn *caller)
 {
 	rr_drop_stream(caller->stream);
 	rr_drop_http_reader(caller->reader);
-	g_byte_array_unref(caller->rest);
+	g_byte_array_unref(caller->pending);
 	g_free(caller);
 }
 
 static void free_caller(struct rr_caller_conn *caller)
 {
-	g_queue_unlink(&caller->port->callers, &caller->link);
-	end_caller(caller);
+	g_queue_unlink(&caller->listener->callers, &caller->link);
+	destroy_caller(caller);
 }
 
-/* The connection is gone; the owner forgets what it had with it. */
-static void lose_caller(struct rr_caller_conn *caller)
+/* Handles a closed connection; the owner drops its request. */
+static void handle_disconnect(struct rr_caller_conn *caller)
 {
-	struct rr_http_listener *port = caller->port;
+	struct rr_http_listener *listener = caller->listener;
 
-	if (caller->state == CALLER_OPEN && port->options.disconnected)
-		port->options.disconnected(port->options.data, caller);
+	if (caller->state == CALLER_OPEN && listener->options.disconnected)
+		listener->options.disconnected(listener->options.data, caller);
 	free_caller(caller);
 }
 
@@ -104,38 +105,39 @@
 	caller->since_us = now_us();
 }
 
-static void append_head(GString *out, const struct rr_caller_conn *caller,
-			const struct rr_http_response *answer, bool has_length)
+static void append_headers(GString *out, const struct rr_caller_conn *caller,
+			   const struct rr_http_response *response,
+			   bool has_length)
 {
-	const char *reason = answer->reason;
+	const char *reason = response->reason;
 
 	if (!reason)
-		reason = http_status_str((enum http_status)answer->status);
-	g_string_append_printf(out, "HTTP/1.1 %u %s\r\n", answer->status,
+		reason = http_status_str((enum http_status)response->status);
+	g_string_append_printf(out, "HTTP/1.1 %u %s\r\n", response->status,
 			       reason);
-	for (size_t i = 0; i < answer->n_headers; i++) {
-		g_string_append(out, answer->headers[i].name);
+	for (size_t i = 0; i < response->n_headers; i++) {
+		g_string_append(out, response->headers[i].name);
 		g_string_append(out, ": ");
-		g_string_append(out, answer->headers[i].value);
+		g_string_append(out, response->headers[i].value);
 		g_string_append(out, "\r\n");
 	}
 	if (has_length)
 		g_string_append_printf(
 			out, "Content-Length: %" G_GSIZE_FORMAT "\r\n",
-			answer->length);
+			response->length);
 	if (caller->close)
 		g_string_append(out, "Connection: close\r\n");
 	g_string_append(out, "\r\n");
 }
 
-static void read_on(struct rr_caller_conn *caller);
+static void read_next_request(struct rr_caller_conn *caller);
 
-/* The answer is with the system: the next request, or the end. */
-static void end_answer(struct rr_caller_conn *caller)
+/* The kernel has the whole answer: read the next request, or close. */
+static void finish_response(struct rr_caller_conn *caller)
 {
 	if (!caller->close) {
 		set_state(caller, CALLER_READING);
-		read_on(caller);
+		read_next_request(caller);
 		return;
 	}
 	if (caller->half_closed) {
@@ -143,36 +145,36 @@
 		return;
 	}
 	/*
-	 * The peer closes first.  Guards against a reset that overtakes the
-	 * answer where bytes of the peer are unread.
+	 * Let the peer close first: closing while bytes of the peer are unread
+	 * would send a reset that can overtake the answer.
 	 */
 	set_state(caller, CALLER_CLOSING);
 	rr_shutdown_stream_write(caller->stream);
 	rr_set_stream_paused(caller->stream, false);
 }
 
-static void take_flushed(void *data)
+static void on_flushed(void *data)
 {
 	struct rr_caller_conn *caller = data;
 
 	if (caller->state == CALLER_WRITING)
-		end_answer(caller);
+		finish_response(caller);
 }
 
-/* Send an answer; false if the connection is gone. */
-static void send_answer(struct rr_caller_conn *caller,
-			const struct rr_http_response *answer)
+/* Sends an answer; the connection may be freed afterwards. */
+static void send_response(struct rr_caller_conn *caller,
+			  const struct rr_http_response *response)
 {
-	bool bodiless =
-		caller->head || answer->status == 204 || answer->status == 304;
-	GString *out = g_string_sized_new(512 + answer->length);
+	bool bodiless = caller->is_head_request || response->status == 204 ||
+			response->status == 304;
+	GString *out = g_string_sized_new(512 + response->length);
 	bool taken;
 	bool sent;
 
-	append_head(out, caller, answer, !bodiless);
-	if (!bodiless && answer->length)
-		g_string_append_len(out, (const char *)answer->body,
-				    (gssize)answer->length);
+	append_headers(out, caller, response, !bodiless);
+	if (!bodiless && response->length)
+		g_string_append_len(out, (const char *)response->body,
+				    (gssize)response->length);
 	set_state(caller, CALLER_WRITING);
 	sent = rr_write_stream(caller->stream, (const uint8_t *)out->str,
 			       out->len, &taken);
@@ -180,64 +182,68 @@
 	if (!sent)
 		free_caller(caller);
 	else if (!rr_unsent_bytes(caller->stream))
-		end_answer(caller);
+		finish_response(caller);
 }
 
 void rr_send_http_response(struct rr_caller_conn *caller,
-			   const struct rr_http_response *answer)
+			   const struct rr_http_response *response)
 {
 	const struct rr_http_message *message = rr_http_message(caller->reader);
 
-	caller->close = answer->close || !message->keep_alive ||
-			caller->half_closed || caller->port->closing;
-	send_answer(caller, answer);
+	caller->close = response->close || !message->keep_alive ||
+			caller->half_closed || caller->listener->draining;
+	send_response(caller, response);
 }
 
-/* What cannot be read is answered and ends the connection. */
-static void refuse(struct rr_caller_conn *caller, enum rr_http_result result)
+/*
+ * Answers a request that cannot be parsed or is too large, and closes the
+ * connection.
+ */
+static void reject_request(struct rr_caller_conn *caller,
+			   enum rr_http_result result)
 {
-	struct rr_http_response answer = { .status = 400, .close = true };
+	struct rr_http_response response = { .status = 400, .close = true };
 
 	if (result == RR_HTTP_HEADERS_TOO_LARGE)
-		answer.status = 431;
+		response.status = 431;
 	else if (result == RR_HTTP_BODY_TOO_LARGE)
-		answer.status = 413;
-	rr_count(caller->port->ctx, RR_N_CALLS_INVALID, 1);
-	rr_log(caller->port->ctx, RR_LOG_DECISION, "call-refused",
-	       RR_FIELD_U64("status", answer.status));
+		response.status = 413;
+	rr_count(caller->listener->ctx, RR_N_CALLS_INVALID, 1);
+	rr_log(caller->listener->ctx, RR_LOG_DECISION, "call-refused",
+	       RR_FIELD_U64("status", response.status));
 	caller->close = true;
 	rr_set_stream_paused(caller->stream, true);
-	send_answer(caller, &answer);
+	send_response(caller, &response);
 }
 
-static void open_request(struct rr_caller_conn *caller)
+static void pass_request(struct rr_caller_conn *caller)
 {
-	struct rr_http_listener *port = caller->port;
+	struct rr_http_listener *listener = caller->listener;
 	const struct rr_http_message *message = rr_http_message(caller->reader);
 
-	caller->head = !strcmp(message->method, "HEAD");
-	caller->mark = 0;
+	caller->is_head_request = !strcmp(message->method, "HEAD");
+	caller->user_data = 0;
 	caller->n_requests++;
 	set_state(caller, CALLER_OPEN);
 	rr_set_stream_paused(caller->stream, true);
-	port->options.request(port->options.data, caller, message);
+	listener->options.request(listener->options.data, caller, message);
 }
 
-/* A caller that asks first is told to send its body. */
-static void ask_for_body(struct rr_caller_conn *caller)
+/* Answers an Expect: 100-continue header, so that the caller sends its body. */
+static void send_continue(struct rr_caller_conn *caller)
 {
-	static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
+	static const char text[] = "HTTP/1.1 100 Continue\r\n\r\n";
 	bool taken;
 
-	rr_write_stream(caller->stream, (const uint8_t *)go_on,
-			sizeof(go_on) - 1, &taken);
+	rr_write_stream(caller->stream, (const uint8_t *)text, sizeof(text) - 1,
+			&taken);
 }
 
-/* Read bytes of the next request; what is behind it is kept. */
-static void read_bytes(struct rr_caller_conn *caller, const uint8_t *bytes,
-		       size_t length)
+/* Parses bytes of the next request; bytes after it are kept in `pending`. */
+static void parse_bytes(struct rr_caller_conn *caller, const uint8_t *bytes,
+			size_t length)
 {
-	bool head_was_read = rr_http_has_headers(caller->reader);
+	bool had_headers = rr_http_has_headers(caller->reader);
 	enum rr_http_result result;
 	size_t used;
 
@@ -245,134 +251,136 @@
 		caller->since_us = now_us();
 	result = rr_parse_http(caller->reader, bytes, length, &used);
 	if (result == RR_HTTP_INCOMPLETE) {
-		if (!head_was_read && rr_http_has_headers(caller->reader) &&
+		if (!had_headers && rr_http_has_headers(caller->reader) &&
 		    rr_http_message(caller->reader)->expects_continue)
-			ask_for_body(caller);
+			send_continue(caller);
 		return;
 	}
 	if (result != RR_HTTP_COMPLETE) {
-		refuse(caller, result);
+		reject_request(caller, result);
 		return;
 	}
 	if (used < length)
-		g_byte_array_append(caller->rest, bytes + used,
+		g_byte_array_append(caller->pending, bytes + used,
 				    (guint)(length - used));
-	open_request(caller);
+	pass_request(caller);
 }
 
-/* Begin with the next request, from what has come already. */
-static void read_on(struct rr_caller_conn *caller)
+/* Starts on the next request, with the bytes already received. */
+static void read_next_request(struct rr_caller_conn *caller)
 {
-	GByteArray *rest = caller->rest;
+	GByteArray *pending = caller->pending;
 
 	rr_reset_http_reader(caller->reader, false);
-	if (rest->len) {
-		caller->rest = g_byte_array_new();
-		read_bytes(caller, rest->data, rest->len);
-		g_byte_array_unref(rest);
+	if (pending->len) {
+		caller->pending = g_byte_array_new();
+		parse_bytes(caller, pending->data, pending->len);
+		g_byte_array_unref(pending);
 		return;
 	}
 	rr_set_stream_paused(caller->stream, false);
 }
 
-static void take_bytes(void *data, const uint8_t *bytes, size_t length)
+static void on_received(void *data, const uint8_t *bytes, size_t length)
 {
 	struct rr_caller_conn *caller = data;
 
 	switch (caller->state) {
 	case CALLER_READING:
-		read_bytes(caller, bytes, length);
+		parse_bytes(caller, bytes, length);
 		return;
 	case CALLER_OPEN:
 	case CALLER_WRITING:
-		g_byte_array_append(caller->rest, bytes, (guint)length);
+		g_byte_array_append(caller->pending, bytes, (guint)length);
 		return;
 	case CALLER_CLOSING:
 		return;
 	}
 }
 
-static void take_end(void *data, enum rr_stream_end end)
+static void on_ended(void *data, enum rr_stream_end end)
 {
 	struct rr_caller_conn *caller = data;
-	struct rr_http_listener *port = caller->port;
+	struct rr_http_listener *listener = caller->listener;
 
 	if (end == RR_STREAM_ERROR || caller->state == CALLER_READING ||
 	    caller->state == CALLER_CLOSING) {
-		lose_caller(caller);
+		handle_disconnect(caller);
 		return;
 	}
 	caller->half_closed = true;
 	caller->close = true;
-	if (caller->state == CALLER_OPEN && port->options.half_closed)
-		port->options.half_closed(port->options.data, caller);
+	if (caller->state == CALLER_OPEN && listener->options.half_closed)
+		listener->options.half_closed(listener->options.data, caller);
 }
 
-static bool add_caller(struct rr_http_listener *port, int fd)
+static bool add_caller(struct rr_http_listener *listener, int fd)
 {
 	struct rr_caller_conn *caller = g_new0(struct rr_caller_conn, 1);
-	struct rr_stream_callbacks owner = {
-		.received = take_bytes,
-		.ended = take_end,
-		.flushed = take_flushed,
+	struct rr_stream_callbacks callbacks = {
+		.received = on_received,
+		.ended = on_ended,
+		.flushed = on_flushed,
 		.data = caller,
 	};
-	struct rr_http_reader_options reading = {
-		.max_header_bytes = port->limits.max_header_bytes,
-		.max_body_bytes = port->limits.max_body_bytes,
+	struct rr_http_reader_options reader_options = {
+		.max_header_bytes = listener->limits.max_header_bytes,
+		.max_body_bytes = listener->limits.max_body_bytes,
 	};
 
-	caller->stream = rr_new_accepted_stream(port->poller, fd, &owner);
+	caller->stream =
+		rr_new_accepted_stream(listener->poller, fd, &callbacks);
 	if (!caller->stream) {
 		g_free(caller);
 		return false;
 	}
-	caller->port = port;
-	caller->reader = rr_new_http_reader(&reading);
-	caller->rest = g_byte_array_new();
+	caller->listener = listener;
+	caller->reader = rr_new_http_reader(&reader_options);
+	caller->pending = g_byte_array_new();
 	caller->link.data = caller;
 	set_state(caller, CALLER_READING);
-	g_queue_push_tail_link(&port->callers, &caller->link);
+	g_queue_push_tail_link(&listener->callers, &caller->link);
 	return true;
 }
 
-static bool has_room(const struct rr_http_listener *port)
+static bool is_below_connection_limit(const struct rr_http_listener *listener)
 {
-	return !port->options.max_connections ||
-	       port->callers.length < port->options.max_connections;
+	return !listener->options.max_connections ||
+	       listener->callers.length < listener->options.max_connections;
 }
 
 static void accept_callers(void *data, uint32_t events)
 {
-	struct rr_http_listener *port = data;
+	struct rr_http_listener *listener = data;
 
 	for (;;) {
 		int fd;
 
-		port->full = !has_room(port);
-		if (port->full)
+		listener->at_connection_limit =
+			!is_below_connection_limit(listener);
+		if (listener->at_connection_limit)
 			return;
-		fd = accept4(port->listener.fd, NULL, NULL,
+		fd = accept4(listener->watcher.fd, NULL, NULL,
 			     SOCK_NONBLOCK | SOCK_CLOEXEC);
 		if (fd < 0) {
 			if (errno == EINTR || errno == ECONNABORTED)
 				continue;
 			if (errno != EAGAIN && errno != EWOULDBLOCK)
-				rr_log(port->ctx, RR_LOG_WARNING,
+				rr_log(listener->ctx, RR_LOG_WARNING,
 				       "accept-failed",
 				       RR_FIELD_STRING("reason",
 						       g_strerror(errno)));
 			return;
 		}
-		if (!add_caller(port, fd))
+		if (!add_caller(listener, fd))
 			close(fd);
 	}
 }
 
-static bool listen_at(struct rr_http_listener *port, GError **error)
+static bool start_listening(struct rr_http_listener *listener, GError **error)
 {
 	GSocketAddress *address =
-		rr_parse_address(port->options.address, error);
+		rr_parse_address(listener->options.address, error);
 	struct sockaddr_storage native;
 	gssize length;
 	int on = 1;
@@ -396,16 +404,16 @@
 	    listen(fd, BACKLOG) < 0) {
 		g_set_error(error, G_IO_ERROR,
 			    (gint)g_io_error_from_errno(errno),
-			    "listen at %s: %s", port->options.address,
+			    "listen at %s: %s", listener->options.address,
 			    g_strerror(errno));
 		if (fd >= 0)
 			close(fd);
 		return false;
 	}
-	port->listener.fd = fd;
-	port->listener.ready = accept_callers;
-	port->listener.data = port;
-	return rr_add_io_watcher(port->poller, &port->listener);
+	listener->watcher.fd = fd;
+	listener->watcher.ready = accept_callers;
+	listener->watcher.data = listener;
+	return rr_add_io_watcher(listener->poller, &listener->watcher);
 }
 
 struct rr_http_listener *
@@ -413,53 +421,53 @@
 		     const struct rr_http_listener_options *options,
 		     GError **error)
 {
-	struct rr_http_listener *port = g_new0(struct rr_http_listener, 1);
+	struct rr_http_listener *listener = g_new0(struct rr_http_listener, 1);
 
-	port->ctx = rr_keep_context(ctx);
-	port->poller = options->poller;
-	port->options = *options;
-	port->limits = (struct rr_caller_limits){
-		.max_header_bytes = FIRST_HEADER_BYTES,
-		.max_body_bytes = FIRST_BODY_BYTES,
-		.header_timeout_ms = FIRST_HEADER_TIMEOUT_MS,
-		.idle_timeout_ms = FIRST_IDLE_TIMEOUT_MS,
+	listener->ctx = rr_keep_context(ctx);
+	listener->poller = options->poller;
+	listener->options = *options;
+	listener->limits = (struct rr_caller_limits){
+		.max_header_bytes = INITIAL_HEADER_BYTES,
+		.max_body_bytes = INITIAL_BODY_BYTES,
+		.header_timeout_ms = INITIAL_HEADER_TIMEOUT_MS,
+		.idle_timeout_ms = INITIAL_IDLE_TIMEOUT_MS,
 	};
-	port->listener.fd = -1;
-	g_queue_init(&port->callers);
-	if (listen_at(port, error))
-		return port;
-	rr_drop_http_listener(port);
+	listener->watcher.fd = -1;
+	g_queue_init(&listener->callers);
+	if (start_listening(listener, error))
+		return listener;
+	rr_drop_http_listener(listener);
 	return NULL;
 }
 
-void rr_stop_accepting(struct rr_http_listener *port)
+void rr_stop_accepting(struct rr_http_listener *listener)
 {
-	if (port->listener.fd < 0)
+	if (listener->watcher.fd < 0)
 		return;
-	rr_remove_io_watcher(port->poller, &port->listener);
-	close(port->listener.fd);
-	port->listener.fd = -1;
-	port->full = false;
+	rr_remove_io_watcher(listener->poller, &listener->watcher);
+	close(listener->watcher.fd);
+	listener->watcher.fd = -1;
+	listener->at_connection_limit = false;
 }
 
-void rr_drop_http_listener(struct rr_http_listener *port)
+void rr_drop_http_listener(struct rr_http_listener *listener)
 {
 	GList *link;
 
-	if (!port)
+	if (!listener)
 		return;
-	while ((link = g_queue_pop_head_link(&port->callers)))
-		end_caller(link->data);
-	rr_stop_accepting(port);
-	rr_drop_context(port->ctx);
-	g_free(port);
+	while ((link = g_queue_pop_head_link(&listener->callers)))
+		destroy_caller(link->data);
+	rr_stop_accepting(listener);
+	rr_drop_context(listener->ctx);
+	g_free(listener);
 }
 
-void rr_set_http_listener_limits(struct rr_http_listener *port,
+void rr_set_http_listener_limits(struct rr_http_listener *listener,
 				 const struct rr_caller_limits *limits)
 {
-	port->limits = *limits;
-	for (GList *l = port->callers.head; l; l = l->next) {
+	listener->limits = *limits;
+	for (GList *l = listener->callers.head; l; l = l->next) {
 		struct rr_caller_conn *caller = l->data;
 
 		rr_set_http_reader_limits(caller->reader,
@@ -468,14 +476,14 @@
 	}
 }
 
-void rr_set_caller_user_data(struct rr_caller_conn *caller, uint64_t mark)
+void rr_set_caller_user_data(struct rr_caller_conn *caller, uint64_t user_data)
 {
-	caller->mark = mark;
+	caller->user_data = user_data;
 }
 
 uint64_t rr_caller_user_data(const struct rr_caller_conn *caller)
 {
-	return caller->mark;
+	return caller->user_data;
 }
 
 bool rr_is_first_request(const struct rr_caller_conn *caller)
@@ -488,67 +496,72 @@
 	return rr_stream_rtt_us(caller->stream);
 }
 
-void rr_drain_http_listener(struct rr_http_listener *port)
+void rr_drain_http_listener(struct rr_http_listener *listener)
 {
-	port->closing = true;
+	listener->draining = true;
 }
 
-static bool is_quiet(const struct rr_caller_conn *caller)
+static bool is_idle(const struct rr_caller_conn *caller)
 {
 	return caller->state == CALLER_READING &&
 	       !rr_http_is_started(caller->reader);
 }
 
-void rr_close_idle_caller_conns(struct rr_http_listener *port)
+void rr_close_idle_caller_conns(struct rr_http_listener *listener)
 {
 	GList *next;
 
-	for (GList *l = port->callers.head; l; l = next) {
+	for (GList *l = listener->callers.head; l; l = next) {
 		struct rr_caller_conn *caller = l->data;
 
 		next = l->next;
-		if (is_quiet(caller) || caller->state == CALLER_CLOSING)
+		if (is_idle(caller) || caller->state == CALLER_CLOSING)
 			free_caller(caller);
 	}
 }
 
-size_t rr_count_caller_conns(const struct rr_http_listener *port)
+size_t rr_count_caller_conns(const struct rr_http_listener *listener)
 {
-	return port->callers.length;
+	return listener->callers.length;
 }
 
-/* When a connection has taken too long over what it is at. */
-static int64_t bound_of(const struct rr_caller_conn *caller)
+/*
+ * Returns when the current state of a connection times out, INT64_MAX for
+ * never.
+ */
+static int64_t get_deadline(const struct rr_caller_conn *caller)
 {
-	const struct rr_caller_limits *limits = &caller->port->limits;
-	int64_t bound_ms = 0;
+	const struct rr_caller_limits *limits = &caller->listener->limits;
+	int64_t timeout_ms = 0;
 
 	switch (caller->state) {
 	case CALLER_READING:
 		if (!rr_http_is_started(caller->reader))
-			bound_ms = limits->idle_timeout_ms;
+			timeout_ms = limits->idle_timeout_ms;
 		else if (!rr_http_has_headers(caller->reader))
-			bound_ms = limits->header_timeout_ms;
+			timeout_ms = limits->header_timeout_ms;
 		else
-			bound_ms = (int64_t)limits->header_timeout_ms *
-				   BODY_FACTOR;
+			timeout_ms = (int64_t)limits->header_timeout_ms *
+				     BODY_TIMEOUT_FACTOR;
 		break;
 	case CALLER_OPEN:
 		break;
 	case CALLER_WRITING:
-		return caller->since_us + UNREAD_US;
+		return caller->since_us + WRITE_TIMEOUT_US;
 	case CALLER_CLOSING:
 		return caller->since_us + LINGER_US;
 	}
-	return bound_ms ? caller->since_us + bound_ms * 1000 : INT64_MAX;
+	return timeout_ms ? caller->since_us + timeout_ms * 1000 : INT64_MAX;
 }
 
-/* A request that is too slow is told so; a connection at rest just ends. */
-static void end_overdue(struct rr_caller_conn *caller)
+/*
+ * Closes a connection that timed out, with a 408 if it has started a request.
+ */
+static void close_overdue(struct rr_caller_conn *caller)
 {
-	struct rr_http_response answer = { .status = 408, .close = true };
+	struct rr_http_response response = { .status = 408, .close = true };
 
-	rr_count(caller->port->ctx, RR_N_CALLER_CONNS_TIMED_OUT, 1);
+	rr_count(caller->listener->ctx, RR_N_CALLER_CONNS_TIMED_OUT, 1);
 	if (caller->state != CALLER_READING ||
 	    !rr_http_is_started(caller->reader)) {
 		free_caller(caller);
@@ -556,38 +569,40 @@
 	}
 	caller->close = true;
 	rr_set_stream_paused(caller->stream, true);
-	send_answer(caller, &answer);
+	send_response(caller, &response);
 }
 
-/* How often connections are looked over: bounds are of seconds. */
-#define CHECK_US (250 * 1000)
+/* Period of the timeout check; the timeouts are of the order of seconds. */
+#define CHECK_PERIOD_US (250 * 1000)
 
-void rr_tick_http_listener(struct rr_http_listener *port, int64_t now)
+void rr_tick_http_listener(struct rr_http_listener *listener, int64_t now)
 {
 	GList *next;
 
-	if (now < port->checked_us + CHECK_US)
+	if (now < listener->checked_us + CHECK_PERIOD_US)
 		return;
-	port->checked_us = now;
-	for (GList *l = port->callers.head; l; l = next) {
+	listener->checked_us = now;
+	for (GList *l = listener->callers.head; l; l = next) {
 		struct rr_caller_conn *caller = l->data;
 
 		next = l->next;
-		if (bound_of(caller) <= now)
-			end_overdue(caller);
+		if (get_deadline(caller) <= now)
+			close_overdue(caller);
 	}
-	if (port->full && has_room(port))
-		accept_callers(port, EPOLLIN);
+	if (listener->at_connection_limit &&
+	    is_below_connection_limit(listener))
+		accept_callers(listener, EPOLLIN);
 }
 
-int64_t rr_http_listener_wake_us(const struct rr_http_listener *port)
+int64_t rr_http_listener_wake_us(const struct rr_http_listener *listener)
 {
 	int64_t wake_us = INT64_MAX;
 
-	for (GList *l = port->callers.head; l; l = l->next)
-		wake_us = MIN(wake_us, bound_of(l->data));
-	if (port->full)
-		wake_us = MIN(wake_us, port->checked_us + CHECK_US);
-	return wake_us == INT64_MAX ? wake_us :
-				      MAX(wake_us, port->checked_us + CHECK_US);
+	for (GList *l = listener->callers.head; l; l = l->next)
+		wake_us = MIN(wake_us, get_deadline(l->data));
+	if (listener->at_connection_limit)
+		wake_us = MIN(wake_us, listener->checked_us + CHECK_PERIOD_US);
+	return wake_us == INT64_MAX ?
+		       wake_us :
+		       MAX(wake_us, listener->checked_us + CHECK_PERIOD_US);
 }
--- a/source/net/http-listener.h
+++ b/source/net/http-listener.h
@@ -1,6 +1,8 @@
 /*
- * http-listener.h - callers' connections of the gateway: requests read whole,
- * one at a time on each connection, answered in order.
+ * http-listener.h - HTTP server for the gateway's callers.
+ *
+ * Requests are read completely before they are passed on, one at a time per
+ * connection, and answered in order.
  */
 #ifndef RAGWORT_NET_HTTP_LISTENER_H
 #define RAGWORT_NET_HTTP_LISTENER_H
@@ -15,66 +17,74 @@
 #include "ragwort/route.h"
 
 struct rr_http_listener;
-/* One caller's connection, valid until it is answered or has gone. */
+/* A caller's connection, valid until it is answered or disconnected. */
 struct rr_caller_conn;
 
 struct rr_http_listener_options {
 	struct rr_poller *poller;
 	const char *address; /* IP:PORT */
-	/* Connections at once; one more waits with the system.  0: no bound */
+	/*
+	 * Open connections; further ones stay in the kernel's backlog. 0: no
+	 * limit.
+	 */
 	uint32_t max_connections;
 	/*
-	 * A whole request.  It is answered by rr_send_http_response(), now or
-	 * later; the message is valid until then.
+	 * Handles a complete request, which is answered by
+	 * rr_send_http_response(), now or later; the message is valid until
+	 * then.
 	 */
 	void (*request)(void *data, struct rr_caller_conn *caller,
 			const struct rr_http_message *message);
-	/* The caller sends no more; it may still read. NULL allowed. */
+	/*
+	 * The caller closed its sending side; it may still read. NULL is
+	 * allowed.
+	 */
 	void (*half_closed)(void *data, struct rr_caller_conn *caller);
-	/* The connection is gone, and with it the caller. NULL allowed. */
+	/* The caller disconnected. NULL is allowed. */
 	void (*disconnected)(void *data, struct rr_caller_conn *caller);
 	void *data;
 };
 
-/* An answer; the bytes are copied. */
+/* A response; the body is copied when it is sent. */
 struct rr_http_response {
 	uint16_t status;
-	const char *reason;		      /* NULL: the usual phrase */
-	const struct rr_http_header *headers; /* without framing */
+	const char *reason; /* NULL: the standard phrase */
+	/* excluding Content-Length and Connection */
+	const struct rr_http_header *headers;
 	size_t n_headers;
 	const uint8_t *body;
 	size_t length;
-	bool close; /* end the connection behind it */
+	bool close; /* close the connection after the response */
 };
 
-/* Listen; NULL with an error. */
+/* Start to listen. Returns NULL with an error. */
 struct rr_http_listener *
 rr_new_http_listener(struct rr_context *ctx,
 		     const struct rr_http_listener_options *options,
 		     GError **error);
-void rr_drop_http_listener(struct rr_http_listener *port);
-void rr_set_http_listener_limits(struct rr_http_listener *port,
+void rr_drop_http_listener(struct rr_http_listener *listener);
+void rr_set_http_listener_limits(struct rr_http_listener *listener,
 				 const struct rr_caller_limits *limits);
 
 void rr_send_http_response(struct rr_caller_conn *caller,
-			   const struct rr_http_response *answer);
-/* What the owner keeps with a caller while its request is open. */
-void rr_set_caller_user_data(struct rr_caller_conn *caller, uint64_t mark);
+			   const struct rr_http_response *response);
+/* Store a value of the owner with a caller while its request is open. */
+void rr_set_caller_user_data(struct rr_caller_conn *caller, uint64_t user_data);
 uint64_t rr_caller_user_data(const struct rr_caller_conn *caller);
 int64_t rr_caller_rtt_us(const struct rr_caller_conn *caller);
-/* Whether its connection was made for the request that it waits for. */
+/* Return whether the current request is the first of its connection. */
 bool rr_is_first_request(const struct rr_caller_conn *caller);
 
-/* Answers end their connections from now on: the instance is leaving. */
-void rr_drain_http_listener(struct rr_http_listener *port);
-/* Connections are refused from now on. */
-void rr_stop_accepting(struct rr_http_listener *port);
-/* Close connections on which nothing is under way. */
-void rr_close_idle_caller_conns(struct rr_http_listener *port);
-size_t rr_count_caller_conns(const struct rr_http_listener *port);
+/* Start a planned shutdown: each answer closes its connection from now on. */
+void rr_drain_http_listener(struct rr_http_listener *listener);
+/* Close the listening socket, so that new connections are refused. */
+void rr_stop_accepting(struct rr_http_listener *listener);
+/* Close connections without a request in progress. */
+void rr_close_idle_caller_conns(struct rr_http_listener *listener);
+size_t rr_count_caller_conns(const struct rr_http_listener *listener);
 
-/* Connections that take too long. */
-void rr_tick_http_listener(struct rr_http_listener *port, int64_t now_us);
-int64_t rr_http_listener_wake_us(const struct rr_http_listener *port);
+/* Close connections that have timed out. */
+void rr_tick_http_listener(struct rr_http_listener *listener, int64_t now_us);
+int64_t rr_http_listener_wake_us(const struct rr_http_listener *listener);
 
 #endif
--- a/source/net/http-reader.c
+++ b/source/net/http-reader.c
@@ -1,16 +1,19 @@
 /*
- * http-reader.c - HTTP/1.1 messages, split by http_parser.
+ * http-reader.c - HTTP/1.1 message reader on top of http_parser.
  */
 #include "net/http-reader.h"
 
 #include <http_parser.h>
 #include <string.h>
 
-/* Far more than any caller sends: a bound where none is configured. */
-#define MOST_HEADERS 200
-#define NO_BOUND UINT32_MAX
+/*
+ * Limit on the number of headers, which is not configurable; far above what
+ * callers send.
+ */
+#define MAX_HEADERS 200
+#define NO_LIMIT UINT32_MAX
 
-/* Where a header's strings begin in `text`. */
+/* Offsets of the strings of a header in `text`. */
 struct span {
 	uint32_t name;
 	uint32_t value;
@@ -22,55 +25,56 @@
 	uint32_t max_header_bytes;
 	uint32_t max_body_bytes;
 	bool no_body;
-	bool begun;
-	bool head_read;
-	bool whole;
-	bool in_value; /* the last piece belonged to a value */
+	bool started;
+	bool has_headers;
+	bool complete;
+	bool in_value; /* the last callback was for a value */
 	bool in_trailer;
-	uint32_t head_bytes;
-	enum rr_http_result fault;
+	uint32_t n_header_bytes;
+	enum rr_http_result error_result;
 	GString *target;
 	GString *reason;
-	GString *text; /* names and values, each with its zero byte */
+	GString *text; /* names and values, each NUL-terminated */
 	GArray *spans; /* struct span */
 	GByteArray *body;
-	GArray *headers; /* struct rr_http_header, made at the end */
+	/* struct rr_http_header, filled after the last header */
+	GArray *headers;
 	struct rr_http_message message;
 };
 
-static struct rr_http_reader *reader_of(struct http_parser *parser)
+static struct rr_http_reader *get_reader(struct http_parser *parser)
 {
 	return parser->data;
 }
 
-static int begin_message(struct http_parser *parser)
+static int on_message_begin(struct http_parser *parser)
 {
-	reader_of(parser)->begun = true;
+	get_reader(parser)->started = true;
 	return 0;
 }
 
-static int add_target(struct http_parser *parser, const char *at, size_t n)
+static int on_target(struct http_parser *parser, const char *at, size_t n)
 {
-	g_string_append_len(reader_of(parser)->target, at, (gssize)n);
+	g_string_append_len(get_reader(parser)->target, at, (gssize)n);
 	return 0;
 }
 
-static int add_reason(struct http_parser *parser, const char *at, size_t n)
+static int on_reason(struct http_parser *parser, const char *at, size_t n)
 {
-	g_string_append_len(reader_of(parser)->reason, at, (gssize)n);
+	g_string_append_len(get_reader(parser)->reason, at, (gssize)n);
 	return 0;
 }
 
-static int add_name(struct http_parser *parser, const char *at, size_t n)
+static int on_header_name(struct http_parser *parser, const char *at, size_t n)
 {
-	struct rr_http_reader *reader = reader_of(parser);
+	struct rr_http_reader *reader = get_reader(parser);
 	struct span span = { 0 };
 
 	if (reader->in_trailer)
 		return 0;
 	if (reader->in_value || !reader->spans->len) {
-		if (reader->spans->len >= MOST_HEADERS) {
-			reader->fault = RR_HTTP_HEADERS_TOO_LARGE;
+		if (reader->spans->len >= MAX_HEADERS) {
+			reader->error_result = RR_HTTP_HEADERS_TOO_LARGE;
 			return -1;
 		}
 		if (reader->spans->len)
@@ -83,9 +87,9 @@
 	return 0;
 }
 
-static int add_value(struct http_parser *parser, const char *at, size_t n)
+static int on_header_value(struct http_parser *parser, const char *at, size_t n)
 {
-	struct rr_http_reader *reader = reader_of(parser);
+	struct rr_http_reader *reader = get_reader(parser);
 	struct span *last;
 
 	if (reader->in_trailer)
@@ -120,7 +124,7 @@
 	reader->message.n_headers = reader->headers->len;
 }
 
-/* Characters of a header's name, as HTTP has them. */
+/* Returns whether a header name is a token (RFC 9110, 5.6.2). */
 static bool is_token(const char *name)
 {
 	if (!*name)
@@ -134,10 +138,11 @@
 }
 
 /*
- * The parser library lets blanks into names.  Guards against a header that
- * the next server reads as another one: "Content-Length :" hides a request.
+ * Rejects blanks in names, which http_parser accepts. Otherwise a header such
+ * as "Content-Length :" could be read differently by the next server, which
+ * allows request smuggling.
  */
-static bool has_good_names(const struct rr_http_reader *reader)
+static bool has_valid_names(const struct rr_http_reader *reader)
 {
 	for (size_t i = 0; i < reader->message.n_headers; i++) {
 		if (!is_token(reader->message.headers[i].name))
@@ -146,7 +151,7 @@
 	return true;
 }
 
-/* Whether a response has no body, whatever its headers say. */
+/* Returns whether a message has no body, whatever its headers say. */
 static bool is_bodiless(const struct rr_http_reader *reader)
 {
 	unsigned int status = reader->parser.status_code;
@@ -157,24 +162,27 @@
 	       (status < 200 || status == 204 || status == 304);
 }
 
-static int end_head(struct http_parser *parser)
+static int on_headers_complete(struct http_parser *parser)
 {
-	struct rr_http_reader *reader = reader_of(parser);
+	struct rr_http_reader *reader = get_reader(parser);
 	const char *expect;
 
 	make_headers(reader);
 #ifndef RR_MUTANT_READER_ANY_NAME
-	if (!has_good_names(reader))
+	if (!has_valid_names(reader))
 		return -1;
 #endif
 	if (reader->target->len + reader->text->len >
 	    reader->max_header_bytes) {
-		reader->fault = RR_HTTP_HEADERS_TOO_LARGE;
+		reader->error_result = RR_HTTP_HEADERS_TOO_LARGE;
 		return -1;
 	}
-	reader->head_read = true;
+	reader->has_headers = true;
 	reader->in_trailer = true;
-	/* No other protocol is spoken: what follows is HTTP or nothing. */
+	/*
+	 * Ignore Upgrade: no other protocol is supported, so the bytes that
+	 * follow are parsed as HTTP.
+	 */
 	parser->upgrade = 0;
 	expect = rr_find_http_header(&reader->message, "Expect");
 	reader->message.expects_continue =
@@ -182,44 +190,44 @@
 	if ((parser->flags & F_CONTENTLENGTH) &&
 	    parser->content_length > reader->max_body_bytes &&
 	    !is_bodiless(reader)) {
-		reader->fault = RR_HTTP_BODY_TOO_LARGE;
+		reader->error_result = RR_HTTP_BODY_TOO_LARGE;
 		return -1;
 	}
 	return is_bodiless(reader) ? 1 : 0;
 }
 
-static int add_body(struct http_parser *parser, const char *at, size_t n)
+static int on_body(struct http_parser *parser, const char *at, size_t n)
 {
-	struct rr_http_reader *reader = reader_of(parser);
+	struct rr_http_reader *reader = get_reader(parser);
 
 	if (reader->body->len + n > reader->max_body_bytes) {
-		reader->fault = RR_HTTP_BODY_TOO_LARGE;
+		reader->error_result = RR_HTTP_BODY_TOO_LARGE;
 		return -1;
 	}
 	g_byte_array_append(reader->body, (const guint8 *)at, (guint)n);
 	return 0;
 }
 
-static int end_message(struct http_parser *parser)
+static int on_message_complete(struct http_parser *parser)
 {
-	struct rr_http_reader *reader = reader_of(parser);
+	struct rr_http_reader *reader = get_reader(parser);
 
-	reader->whole = true;
+	reader->complete = true;
 	reader->message.keep_alive = http_should_keep_alive(parser);
-	/* Stop here: what follows is another message. */
+	/* Stop here: the bytes after it belong to the next message. */
 	http_parser_pause(parser, 1);
 	return 0;
 }
 
 static const struct http_parser_settings callbacks = {
-	.on_message_begin = begin_message,
-	.on_url = add_target,
-	.on_status = add_reason,
-	.on_header_field = add_name,
-	.on_header_value = add_value,
-	.on_headers_complete = end_head,
-	.on_body = add_body,
-	.on_message_complete = end_message,
+	.on_message_begin = on_message_begin,
+	.on_url = on_target,
+	.on_status = on_reason,
+	.on_header_field = on_header_name,
+	.on_header_value = on_header_value,
+	.on_headers_complete = on_headers_complete,
+	.on_body = on_body,
+	.on_message_complete = on_message_complete,
 };
 
 struct rr_http_reader *
@@ -259,8 +267,8 @@
 			       uint32_t max_body_bytes)
 {
 	reader->max_header_bytes =
-		max_header_bytes ? max_header_bytes : NO_BOUND;
-	reader->max_body_bytes = max_body_bytes ? max_body_bytes : NO_BOUND;
+		max_header_bytes ? max_header_bytes : NO_LIMIT;
+	reader->max_body_bytes = max_body_bytes ? max_body_bytes : NO_LIMIT;
 }
 
 void rr_reset_http_reader(struct rr_http_reader *reader, bool no_body)
@@ -268,13 +276,13 @@
 	http_parser_init(&reader->parser, reader->type);
 	reader->parser.data = reader;
 	reader->no_body = no_body;
-	reader->begun = false;
-	reader->head_read = false;
-	reader->whole = false;
+	reader->started = false;
+	reader->has_headers = false;
+	reader->complete = false;
 	reader->in_value = false;
 	reader->in_trailer = false;
-	reader->head_bytes = 0;
-	reader->fault = RR_HTTP_MALFORMED;
+	reader->n_header_bytes = 0;
+	reader->error_result = RR_HTTP_MALFORMED;
 	g_string_truncate(reader->target, 0);
 	g_string_truncate(reader->reason, 0);
 	g_string_truncate(reader->text, 0);
@@ -298,7 +306,10 @@
 	message->body_length = reader->body->len;
 }
 
-/* An interim response was read: the real one is still to come. */
+/*
+ * Returns whether the message is an interim response (1xx), before the final
+ * one.
+ */
 static bool is_interim(const struct rr_http_reader *reader)
 {
 	return reader->type == HTTP_RESPONSE &&
@@ -317,11 +328,11 @@
 		enum http_errno error = HTTP_PARSER_ERRNO(&reader->parser);
 
 		*used += n;
-		if (!reader->head_read)
-			reader->head_bytes += (uint32_t)n;
-		if (reader->head_bytes > reader->max_header_bytes)
+		if (!reader->has_headers)
+			reader->n_header_bytes += (uint32_t)n;
+		if (reader->n_header_bytes > reader->max_header_bytes)
 			return RR_HTTP_HEADERS_TOO_LARGE;
-		if (reader->whole && error == HPE_PAUSED) {
+		if (reader->complete && error == HPE_PAUSED) {
 			if (is_interim(reader)) {
 				rr_reset_http_reader(reader, reader->no_body);
 				continue;
@@ -330,17 +341,17 @@
 			return RR_HTTP_COMPLETE;
 		}
 		if (error != HPE_OK)
-			return reader->fault;
+			return reader->error_result;
 	}
 	return RR_HTTP_INCOMPLETE;
 }
 
 enum rr_http_result rr_finish_http(struct rr_http_reader *reader)
 {
-	if (!reader->head_read || reader->type != HTTP_RESPONSE)
+	if (!reader->has_headers || reader->type != HTTP_RESPONSE)
 		return RR_HTTP_MALFORMED;
 	http_parser_execute(&reader->parser, &callbacks, NULL, 0);
-	if (!reader->whole)
+	if (!reader->complete)
 		return RR_HTTP_MALFORMED;
 	fill_message(reader);
 	reader->message.close_delimited = true;
@@ -350,12 +361,12 @@
 
 bool rr_http_is_started(const struct rr_http_reader *reader)
 {
-	return reader->begun;
+	return reader->started;
 }
 
 bool rr_http_has_headers(const struct rr_http_reader *reader)
 {
-	return reader->head_read;
+	return reader->has_headers;
 }
 
 const struct rr_http_message *rr_http_message(struct rr_http_reader *reader)
@@ -373,8 +384,8 @@
 	return NULL;
 }
 
-/* Whether a comma-separated list has a word, whatever its case. */
-static bool lists_word(const char *list, const char *word)
+/* Returns whether a comma-separated list contains a word, ignoring case. */
+static bool list_contains(const char *list, const char *word)
 {
 	size_t length = strlen(word);
 
@@ -414,7 +425,7 @@
 	for (size_t i = 0; i < message->n_headers; i++) {
 		if (!g_ascii_strcasecmp(message->headers[i].name,
 					"Connection") &&
-		    lists_word(message->headers[i].value, name))
+		    list_contains(message->headers[i].value, name))
 			return true;
 	}
 	return false;
--- a/source/net/net-peer-router.c
+++ b/source/net/net-peer-router.c
@@ -1,6 +1,8 @@
 /*
- * net-peer-router.c - the listening end of the peer port: a ROUTER under one
- * key pair, and for a while a second one when the pair is replaced.
+ * net-peer-router.c - receiving side of the peer transport: a ROUTER per key
+ * pair.
+ *
+ * There is a second ROUTER for a while when the key pair is replaced.
  */
 #include <errno.h>
 #include <gio/gio.h>
@@ -16,38 +18,45 @@
 #include "ragwort/log.h"
 #include "ragwort/wire.h"
 
-/* Messages of one peer that wait unread; TCP holds back the rest. */
+/* Unread messages of one peer; TCP flow control holds back the rest. */
 #define RECEIVE_HIGH_WATER_MARK 1000
-/* Messages handled in one turn of the loop, so that callers get theirs. */
-#define MAX_MESSAGES_A_TURN 64
+/*
+ * Messages handled in one turn of the main loop, so that callers are served in
+ * between.
+ */
+#define MAX_MESSAGES_PER_TURN 64
 #define BACKLOG 1024
-/* A router under a removed pair is closed when it was quiet for so long. */
-#define QUIET_US 5000000
+/*
+ * A router under a removed key pair is closed when it has received nothing for
+ * this time.
+ */
+#define OLD_ROUTER_IDLE_US 5000000
 
-static void handle_payload(struct rr_peer_transport *port, zmq_msg_t *payload)
+static void handle_payload(struct rr_peer_transport *transport,
+			   zmq_msg_t *payload)
 {
 	GError *error = NULL;
 	struct rr_peer_message *message = rr_decode_peer_message(
 		zmq_msg_data(payload), zmq_msg_size(payload), &error);
 
 	if (!message) {
-		rr_count(port->ctx, RR_N_PEER_MESSAGES_BAD, 1);
-		rr_log(port->ctx, RR_LOG_WARNING, "peer_message_bad",
+		rr_count(transport->ctx, RR_N_PEER_MESSAGES_BAD, 1);
+		rr_log(transport->ctx, RR_LOG_WARNING, "peer_message_bad",
 		       RR_FIELD_STRING("reason", error->message));
 		g_error_free(error);
 		return;
 	}
-	port->received(port->data, message);
+	transport->received(transport->data, message);
 	rr_drop_peer_message(message);
 }
 
 /*
- * Read one message whole, which has the sender's routing id and one frame.
- * False when none waits.
+ * Reads one complete message: the routing id of the sender and one frame.
+ * Returns false when none is waiting.
  */
-static bool receive_one(struct peer_router *router)
+static bool receive_message(struct peer_router *router)
 {
-	struct rr_peer_transport *port = router->transport;
+	struct rr_peer_transport *transport = router->transport;
 	zmq_msg_t payload;
 	int frames = 0;
 	bool more = true;
@@ -59,62 +68,62 @@
 		frames++;
 		more = zmq_msg_more(&payload);
 	}
-	if (frames && !rr_is_sender_allowed(port, &payload)) {
-		rr_log_rejected_peer(port);
+	if (frames && !rr_is_sender_allowed(transport, &payload)) {
+		rr_log_rejected_peer(transport);
 	} else if (frames == 2) {
-		handle_payload(port, &payload);
+		handle_payload(transport, &payload);
 	} else if (frames) {
-		rr_count(port->ctx, RR_N_PEER_MESSAGES_BAD, 1);
-		rr_log(port->ctx, RR_LOG_WARNING, "peer_message_bad",
-		       RR_FIELD_STRING("reason", "not one frame"),
+		rr_count(transport->ctx, RR_N_PEER_MESSAGES_BAD, 1);
+		rr_log(transport->ctx, RR_LOG_WARNING, "peer_message_bad",
+		       RR_FIELD_STRING("reason", "expected one frame"),
 		       RR_FIELD_I64("frames", frames - 1));
 	}
 	zmq_msg_close(&payload);
 	return frames > 0;
 }
 
-static gboolean receive(void *data);
+static gboolean receive_messages(void *data);
 
-static gboolean receive_again(void *data)
+static gboolean resume_receive(void *data)
 {
 	struct peer_router *router = data;
 
 	rr_drop_source(&router->resume_source);
-	receive(router);
+	receive_messages(router);
 	return G_SOURCE_REMOVE;
 }
 
 /*
- * ZMQ_FD tells a change once only.  Guards against a message that lies
- * unread until the next one comes: ZMQ_EVENTS is read again after each
- * receive, and when the turn's share is used up another turn is asked for.
+ * ZMQ_FD is edge-triggered, so a message could stay unread until the next one
+ * arrives. Therefore ZMQ_EVENTS is read again after each message, and another
+ * turn is scheduled when the limit of this turn is reached.
  */
-static gboolean receive(void *data)
+static gboolean receive_messages(void *data)
 {
 	struct peer_router *router = data;
-	int left = MAX_MESSAGES_A_TURN;
+	int remaining = MAX_MESSAGES_PER_TURN;
 
 	router->last_receive_us = g_get_monotonic_time();
 	while (rr_get_zmq_events(router->socket) & ZMQ_POLLIN) {
-		if (!left--) {
+		if (!remaining--) {
 			if (router->resume_source)
 				break;
 			router->resume_source = g_idle_source_new();
 			g_source_set_priority(router->resume_source,
 					      G_PRIORITY_DEFAULT);
 			g_source_set_callback(router->resume_source,
-					      receive_again, router, NULL);
+					      resume_receive, router, NULL);
 			g_source_attach(router->resume_source,
 					g_main_context_get_thread_default());
 			break;
 		}
-		if (!receive_one(router))
+		if (!receive_message(router))
 			break;
 	}
 	return G_SOURCE_CONTINUE;
 }
 
-/* "" for an address that is none; g_free() it. */
+/* Returns the bound address, "" on failure; to be freed with g_free(). */
 static char *read_bound_address(int fd)
 {
 	struct sockaddr_storage name;
@@ -130,18 +139,18 @@
 	return text;
 }
 
-static void share_address(int fd, int share)
+static void set_port_sharing(int fd, int shared)
 {
-	setsockopt(fd, SOL_SOCKET, SO_REUSEPORT, &share, sizeof(share));
+	setsockopt(fd, SOL_SOCKET, SO_REUSEPORT, &shared, sizeof(shared));
 }
 
-/* A listening socket, or -1 and errno. */
-static int listen_at(const char *text, bool shared, GError **error)
+/* Returns a listening socket, or -1 with an error. */
+static int open_listening_socket(const char *text, bool shared, GError **error)
 {
 	GSocketAddress *address = rr_parse_address(text, error);
 	struct sockaddr_storage name;
 	gssize size;
-	int yes = 1;
+	int on = 1;
 	int fd = -1;
 
 	if (!address)
@@ -152,8 +161,8 @@
 			    SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 	g_object_unref(address);
 	if (fd >= 0) {
-		setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof(yes));
-		share_address(fd, shared);
+		setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
+		set_port_sharing(fd, shared);
 	}
 	if (fd >= 0 && !bind(fd, (struct sockaddr *)&name, (socklen_t)size) &&
 	    !listen(fd, BACKLOG))
@@ -166,10 +175,10 @@
 	return -1;
 }
 
-static void *make_socket(struct rr_peer_transport *port, int fd,
+static void *make_socket(struct rr_peer_transport *transport, int fd,
 			 const char *address)
 {
-	void *socket = zmq_socket(port->zmq, ZMQ_ROUTER);
+	void *socket = zmq_socket(transport->zmq, ZMQ_ROUTER);
 	char *endpoint = g_strdup_printf("tcp://%s", address);
 
 	rr_set_zmq_int_option(socket, ZMQ_LINGER, 0);
@@ -177,7 +186,7 @@
 	rr_set_zmq_int_option(socket, ZMQ_RCVHWM, RECEIVE_HIGH_WATER_MARK);
 	rr_set_zmq_int_option(socket, ZMQ_SNDHWM, 1);
 	rr_set_zmq_int_option(socket, ZMQ_USE_FD, fd);
-	rr_set_server_keys(socket, &port->keys);
+	rr_set_server_keys(socket, &transport->keys);
 	zmq_setsockopt(socket, ZMQ_MAXMSGSIZE, &(int64_t){ RR_MAX_PEER_BYTES },
 		       sizeof(int64_t));
 	if (socket && zmq_bind(socket, endpoint)) {
@@ -188,21 +197,22 @@
 	return socket;
 }
 
-struct peer_router *rr_new_peer_router(struct rr_peer_transport *port,
+struct peer_router *rr_new_peer_router(struct rr_peer_transport *transport,
 				       const char *address, bool shared,
 				       GError **error)
 {
-	int fd = listen_at(address, shared, error);
+	int fd = open_listening_socket(address, shared, error);
 	struct peer_router *router;
 
 	if (fd < 0)
 		return NULL;
 	router = g_new0(struct peer_router, 1);
-	router->transport = port;
+	router->transport = transport;
 	router->fd = fd;
 	router->address = read_bound_address(fd);
-	memcpy(router->public_key, port->keys.public_key, RR_CURVE_KEY_BYTES);
-	router->socket = make_socket(port, fd, router->address);
+	memcpy(router->public_key, transport->keys.public_key,
+	       RR_CURVE_KEY_BYTES);
+	router->socket = make_socket(transport, fd, router->address);
 	if (!router->socket) {
 		g_set_error(error, RR_ERROR, RR_ERROR_SYSTEM,
 			    "cannot listen at the peer address %s: %s", address,
@@ -213,7 +223,7 @@
 	}
 	router->last_receive_us = g_get_monotonic_time();
 	router->read_source =
-		rr_watch_zmq_socket(router->socket, receive, router);
+		rr_watch_zmq_socket(router->socket, receive_messages, router);
 	return router;
 }
 
@@ -230,36 +240,37 @@
 }
 
 /*
- * Guards against relays that are lost when the pair changes: a ROUTER takes
- * its key when it is bound, and unbinding ends the connections it accepted.
- * So a second one listens at the same address, under the new pair; the kernel
- * spreads new connections over both, and a peer that reached the wrong one
- * tries again.  Only while the second one binds may the address be shared:
- * two instances with one address must not come up.
+ * Keeps forwarded requests from being lost when the key pair changes: a ROUTER
+ * reads its key when it is bound, and unbinding closes the connections it
+ * accepted. So a second one listens at the same address under the new pair; the
+ * kernel spreads new connections over both, and a peer that reaches the wrong
+ * one tries again. The address may be shared only while the second one binds,
+ * because two instances must not start with the same address.
  */
-bool rr_rekey_peer_router(struct rr_peer_transport *port, GError **error)
+bool rr_rekey_peer_router(struct rr_peer_transport *transport, GError **error)
 {
-	struct peer_router *renewed;
+	struct peer_router *new_router;
 
-	share_address(port->router->fd, 1);
-	renewed = rr_new_peer_router(port, port->router->address, true, error);
-	share_address(port->router->fd, 0);
-	if (!renewed)
+	set_port_sharing(transport->router->fd, 1);
+	new_router = rr_new_peer_router(transport, transport->router->address,
+					true, error);
+	set_port_sharing(transport->router->fd, 0);
+	if (!new_router)
 		return false;
-	share_address(renewed->fd, 0);
-	rr_drop_peer_router(port->old_router);
-	port->old_router = port->router;
-	port->router = renewed;
+	set_port_sharing(new_router->fd, 0);
+	rr_drop_peer_router(transport->old_router);
+	transport->old_router = transport->router;
+	transport->router = new_router;
 	return true;
 }
 
-void rr_close_old_router(struct rr_peer_transport *port)
+void rr_close_old_router(struct rr_peer_transport *transport)
 {
-	struct peer_router *old = port->old_router;
+	struct peer_router *old = transport->old_router;
 
-	if (!old || rr_is_peer_key_allowed(&port->keys, old->public_key) ||
-	    g_get_monotonic_time() - old->last_receive_us < QUIET_US)
+	if (!old || rr_is_peer_key_allowed(&transport->keys, old->public_key) ||
+	    g_get_monotonic_time() - old->last_receive_us < OLD_ROUTER_IDLE_US)
 		return;
 	rr_drop_peer_router(old);
-	port->old_router = NULL;
+	transport->old_router = NULL;
 }
--- a/source/net/net-peer.c
+++ b/source/net/net-peer.c
@@ -1,5 +1,5 @@
 /*
- * net-peer.c - the port peers come to: a ROUTER that receives.
+ * net-peer.c - peer transport: creation, key replacement and ZeroMQ helpers.
  */
 #include <errno.h>
 #include <glib-unix.h>
@@ -70,7 +70,7 @@
 	zmq_setsockopt(socket, option, &value, sizeof(value));
 }
 
-static bool address_valid(const char *address, GError **error)
+static bool check_address(const char *address, GError **error)
 {
 	const char *colon = strrchr(address, ':');
 	char *host = colon ? g_strndup(address, (gsize)(colon - address)) :
@@ -89,12 +89,12 @@
 	return valid;
 }
 
-static gboolean check_idle(void *data)
+static gboolean close_idle(void *data)
 {
-	struct rr_peer_transport *port = data;
+	struct rr_peer_transport *transport = data;
 
-	rr_close_idle_links(port);
-	rr_close_old_router(port);
+	rr_close_idle_links(transport);
+	rr_close_old_router(transport);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -103,93 +103,97 @@
 		      const struct rr_peer_transport_options *options,
 		      GError **error)
 {
-	struct rr_peer_transport *port;
+	struct rr_peer_transport *transport;
 	struct peer_keys keys = { 0 };
 
-	if (!address_valid(options->address, error))
+	if (!check_address(options->address, error))
 		return NULL;
 	if (options->keys && !rr_parse_peer_keys(options->keys, &keys, error))
 		return NULL;
-	port = g_new0(struct rr_peer_transport, 1);
-	port->ctx = rr_keep_context(ctx);
-	port->keys = keys;
-	port->received = options->received;
-	port->data = options->data;
-	port->links = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-					    rr_drop_peer_link);
-	port->zmq = zmq_ctx_new();
-	zmq_ctx_set(port->zmq, ZMQ_MAX_SOCKETS, MAX_SOCKETS);
-	if ((port->keys.configured && !rr_start_zap_handler(port, error)) ||
-	    !(port->router = rr_new_peer_router(port, options->address, false,
-						error))) {
-		rr_drop_peer_transport(port);
+	transport = g_new0(struct rr_peer_transport, 1);
+	transport->ctx = rr_keep_context(ctx);
+	transport->keys = keys;
+	transport->received = options->received;
+	transport->data = options->data;
+	transport->links = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
+						 rr_drop_peer_link);
+	transport->zmq = zmq_ctx_new();
+	zmq_ctx_set(transport->zmq, ZMQ_MAX_SOCKETS, MAX_SOCKETS);
+	if ((transport->keys.configured &&
+	     !rr_start_zap_handler(transport, error)) ||
+	    !(transport->router = rr_new_peer_router(
+		      transport, options->address, false, error))) {
+		rr_drop_peer_transport(transport);
 		return NULL;
 	}
-	port->idle_timer = g_timeout_source_new_seconds(IDLE_CHECK_S);
-	g_source_set_callback(port->idle_timer, check_idle, port, NULL);
-	g_source_attach(port->idle_timer, g_main_context_get_thread_default());
-	return port;
+	transport->idle_timer = g_timeout_source_new_seconds(IDLE_CHECK_S);
+	g_source_set_callback(transport->idle_timer, close_idle, transport,
+			      NULL);
+	g_source_attach(transport->idle_timer,
+			g_main_context_get_thread_default());
+	return transport;
 }
 
-void rr_drop_peer_transport(struct rr_peer_transport *port)
+void rr_drop_peer_transport(struct rr_peer_transport *transport)
 {
-	if (!port)
+	if (!transport)
 		return;
-	rr_drop_source(&port->zap_source);
-	rr_drop_source(&port->link_timer);
-	rr_drop_source(&port->idle_timer);
-	g_hash_table_unref(port->links);
-	rr_drop_peer_router(port->router);
-	rr_drop_peer_router(port->old_router);
-	if (port->zap_socket)
-		zmq_close(port->zap_socket);
-	zmq_ctx_shutdown(port->zmq);
-	zmq_ctx_term(port->zmq);
-	explicit_bzero(&port->keys, sizeof(port->keys));
-	rr_drop_context(port->ctx);
-	g_free(port);
+	rr_drop_source(&transport->zap_source);
+	rr_drop_source(&transport->link_timer);
+	rr_drop_source(&transport->idle_timer);
+	g_hash_table_unref(transport->links);
+	rr_drop_peer_router(transport->router);
+	rr_drop_peer_router(transport->old_router);
+	if (transport->zap_socket)
+		zmq_close(transport->zap_socket);
+	zmq_ctx_shutdown(transport->zmq);
+	zmq_ctx_term(transport->zmq);
+	explicit_bzero(&transport->keys, sizeof(transport->keys));
+	rr_drop_context(transport->ctx);
+	g_free(transport);
 }
 
-const char *rr_peer_transport_address(const struct rr_peer_transport *port)
+const char *rr_peer_transport_address(const struct rr_peer_transport *transport)
 {
-	return port->router->address;
+	return transport->router->address;
 }
 
-bool rr_set_peer_keys(struct rr_context *ctx, struct rr_peer_transport *port,
+bool rr_set_peer_keys(struct rr_context *ctx,
+		      struct rr_peer_transport *transport,
 		      const struct rr_peer_keys *keys, GError **error)
 {
-	struct peer_keys parsed;
-	struct peer_keys before;
-	bool new_pair;
+	struct peer_keys new_keys;
+	struct peer_keys old_keys;
+	bool pair_changed;
 	bool removed;
 	bool done = false;
 
-	if (!port->keys.configured) {
+	if (!transport->keys.configured) {
 		g_set_error(error, RR_ERROR, RR_ERROR_RESTART_REQUIRED,
-			    "the peer port was started without keys");
+			    "peer transport was started without keys");
 		return false;
 	}
-	if (!rr_parse_peer_keys(keys, &parsed, error))
+	if (!rr_parse_peer_keys(keys, &new_keys, error))
 		return false;
-	before = port->keys;
-	new_pair = memcmp(parsed.secret_key, before.secret_key,
-			  RR_CURVE_KEY_BYTES) != 0;
-	removed = !rr_are_keys_still_allowed(&before, &parsed);
-	port->keys = parsed;
-	if (new_pair && !rr_rekey_peer_router(port, error)) {
-		port->keys = before;
+	old_keys = transport->keys;
+	pair_changed = memcmp(new_keys.secret_key, old_keys.secret_key,
+			      RR_CURVE_KEY_BYTES) != 0;
+	removed = !rr_are_keys_still_allowed(&old_keys, &new_keys);
+	transport->keys = new_keys;
+	if (pair_changed && !rr_rekey_peer_router(transport, error)) {
+		transport->keys = old_keys;
 		goto failed;
 	}
-	port->keys_removed |= removed;
-	if (new_pair || removed)
-		rr_rekey_peer_links(port);
+	transport->keys_removed |= removed;
+	if (pair_changed || removed)
+		rr_rekey_peer_links(transport);
 	rr_log(ctx, RR_LOG_INFO, "peer_keys",
-	       RR_FIELD_U64("allowed", parsed.n_allowed),
-	       RR_FIELD_BOOL("new_pair", new_pair),
+	       RR_FIELD_U64("allowed", new_keys.n_allowed),
+	       RR_FIELD_BOOL("new_pair", pair_changed),
 	       RR_FIELD_BOOL("removed", removed));
 	done = true;
 failed:
-	explicit_bzero(&parsed, sizeof(parsed));
-	explicit_bzero(&before, sizeof(before));
+	explicit_bzero(&new_keys, sizeof(new_keys));
+	explicit_bzero(&old_keys, sizeof(old_keys));
 	return done;
 }
--- a/source/net/poller.c
+++ b/source/net/poller.c
@@ -1,5 +1,5 @@
 /*
- * poller.c - one epoll descriptor as a source of the main loop.
+ * poller.c - an epoll descriptor as a GLib main loop source.
  */
 #include "net/poller.h"
 
@@ -7,15 +7,18 @@
 #include <gio/gio.h>
 #include <unistd.h>
 
-#define MOST_EVENTS 64
+#define MAX_EVENTS 64
 
 struct rr_poller {
-	GSource source; /* first: GLib makes and frees it */
+	GSource source; /* first, as GLib allocates and frees it */
 	int fd;
-	/* Of the turn under way, so that a removed one is passed over. */
-	struct epoll_event events[MOST_EVENTS];
+	/*
+	 * Events of the current dispatch, kept so that those of a removed
+	 * watcher can be skipped.
+	 */
+	struct epoll_event events[MAX_EVENTS];
 	int n_events;
-	int at;
+	int next;
 };
 
 static gboolean dispatch(GSource *source, GSourceFunc callback, gpointer data)
@@ -23,13 +26,14 @@
 	struct rr_poller *poller = (struct rr_poller *)source;
 
 	poller->n_events =
-		epoll_wait(poller->fd, poller->events, MOST_EVENTS, 0);
-	for (poller->at = 0; poller->at < poller->n_events; poller->at++) {
-		struct epoll_event *event = &poller->events[poller->at];
-		struct rr_io_watcher *poll = event->data.ptr;
-
-		if (poll)
-			poll->ready(poll->data, event->events);
+		epoll_wait(poller->fd, poller->events, MAX_EVENTS, 0);
+	for (poller->next = 0; poller->next < poller->n_events;
+	     poller->next++) {
+		struct epoll_event *event = &poller->events[poller->next];
+		struct rr_io_watcher *watcher = event->data.ptr;
+
+		if (watcher)
+			watcher->ready(watcher->data, event->events);
 	}
 	poller->n_events = 0;
 	return G_SOURCE_CONTINUE;
@@ -75,27 +79,28 @@
 	g_source_unref(&poller->source);
 }
 
-bool rr_add_io_watcher(struct rr_poller *poller, struct rr_io_watcher *poll)
+bool rr_add_io_watcher(struct rr_poller *poller, struct rr_io_watcher *watcher)
 {
 	struct epoll_event event = {
 		.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET,
-		.data.ptr = poll,
+		.data.ptr = watcher,
 	};
 
-	return epoll_ctl(poller->fd, EPOLL_CTL_ADD, poll->fd, &event) == 0;
+	return epoll_ctl(poller->fd, EPOLL_CTL_ADD, watcher->fd, &event) == 0;
 }
 
 /*
- * An event taken in this turn may be for a descriptor that another one's
- * handler closes: it must not be handed on to freed memory.
+ * The handler of one event may close the descriptor of another event of the
+ * same dispatch, which must not be passed on to freed memory.
  */
-void rr_remove_io_watcher(struct rr_poller *poller, struct rr_io_watcher *poll)
+void rr_remove_io_watcher(struct rr_poller *poller,
+			  struct rr_io_watcher *watcher)
 {
 	struct epoll_event unused = { 0 };
 
-	epoll_ctl(poller->fd, EPOLL_CTL_DEL, poll->fd, &unused);
-	for (int i = poller->at; i < poller->n_events; i++) {
-		if (poller->events[i].data.ptr == poll)
+	epoll_ctl(poller->fd, EPOLL_CTL_DEL, watcher->fd, &unused);
+	for (int i = poller->next; i < poller->n_events; i++) {
+		if (poller->events[i].data.ptr == watcher)
 			poller->events[i].data.ptr = NULL;
 	}
 }
--- a/source/net/replica-client.c
+++ b/source/net/replica-client.c
@@ -1,5 +1,5 @@
 /*
- * replica-client.c - the client end of the data path.
+ * replica-client.c - HTTP client connections of the data path.
  */
 #include "net/replica-client.h"
 
@@ -8,125 +8,135 @@
 #include "net/replica-conn.h"
 
 /*
- * A connection not made by then goes to a replica that is gone or cut off:
- * ten times what a slow one needs, under the first resend of a lost packet.
+ * A replica that does not accept a connection within this time is down or
+ * unreachable: ten times what a slow one needs, and less than the first
+ * retransmission timeout of a lost packet.
  */
 #define CONNECT_TIMEOUT_US (400 * 1000)
-/* What may run once is waited for so much longer than its deadline. */
+/*
+ * Time after the deadline during which a non-idempotent request is still waited
+ * for.
+ */
 #define DEADLINE_GRACE_US (500 * 1000)
 #define NO_DEADLINE_US (60 * G_USEC_PER_SEC)
 
-/* A reply given from inside a send: it is handed out at the next tick. */
-struct owed {
-	uint64_t attempt; /* 0: a probe that failed */
-	char *lifetime;
+/*
+ * A result that arises while a request is being sent; reported at the next
+ * tick.
+ */
+struct deferred_reply {
+	uint64_t attempt; /* 0: failed probe */
+	char *incarnation;
 };
 
-static void free_owed(gpointer data)
+static void free_deferred(gpointer data)
 {
-	struct owed *owed = data;
+	struct deferred_reply *deferred_reply = data;
 
-	g_free(owed->lifetime);
-	g_free(owed);
+	g_free(deferred_reply->incarnation);
+	g_free(deferred_reply);
 }
 
-static void free_replica(gpointer data)
+static void free_pool(gpointer data)
 {
-	struct rr_conn_pool *replica = data;
+	struct rr_conn_pool *pool = data;
 
-	g_free(replica->incarnation);
-	g_free(replica->address);
-	g_free(replica);
+	g_free(pool->incarnation);
+	g_free(pool->address);
+	g_free(pool);
 }
 
 struct rr_replica_client *
 rr_new_replica_client(struct rr_context *ctx,
 		      const struct rr_replica_client_options *options)
 {
-	struct rr_replica_client *port = g_new0(struct rr_replica_client, 1);
-
-	port->ctx = rr_keep_context(ctx);
-	port->poller = options->poller;
-	port->request_id_header = g_strdup(options->request_id_header);
-	port->signature_header = g_strdup(options->signature_header);
-	port->not_run_header = g_strdup(options->not_run_header);
-	port->load_header = g_strdup(options->load_header);
-	port->parse_load = options->parse_load;
-	port->replied = options->replied;
-	port->probed = options->probed;
-	port->data = options->data;
-	port->pools = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-					    free_replica);
-	port->attempts = g_hash_table_new(g_int64_hash, g_int64_equal);
-	g_queue_init(&port->active);
-	g_queue_init(&port->deferred);
-	return port;
+	struct rr_replica_client *client = g_new0(struct rr_replica_client, 1);
+
+	client->ctx = rr_keep_context(ctx);
+	client->poller = options->poller;
+	client->request_id_header = g_strdup(options->request_id_header);
+	client->signature_header = g_strdup(options->signature_header);
+	client->not_run_header = g_strdup(options->not_run_header);
+	client->load_header = g_strdup(options->load_header);
+	client->parse_load = options->parse_load;
+	client->replied = options->replied;
+	client->probed = options->probed;
+	client->data = options->data;
+	client->pools =
+		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_pool);
+	client->attempts = g_hash_table_new(g_int64_hash, g_int64_equal);
+	g_queue_init(&client->active);
+	g_queue_init(&client->deferred);
+	return client;
 }
 
-void rr_drop_replica_client(struct rr_replica_client *port)
+void rr_drop_replica_client(struct rr_replica_client *client)
 {
 	GHashTableIter iter;
 	gpointer value;
 	GList *link;
 
-	if (!port)
+	if (!client)
 		return;
-	while ((link = g_queue_pop_head_link(&port->active))) {
+	while ((link = g_queue_pop_head_link(&client->active))) {
 		struct rr_replica_conn *conn = link->data;
 
 		conn->is_active = false;
 		rr_free_conn(conn);
 	}
-	g_hash_table_iter_init(&iter, port->pools);
+	g_hash_table_iter_init(&iter, client->pools);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct rr_conn_pool *replica = value;
+		struct rr_conn_pool *pool = value;
 		struct rr_replica_conn *conn;
 
-		replica->closing = false;
-		while ((conn = g_queue_pop_head(&replica->idle)))
+		pool->closing = false;
+		while ((conn = g_queue_pop_head(&pool->idle)))
 			rr_free_conn(conn);
 	}
-	g_queue_clear_full(&port->deferred, free_owed);
-	g_hash_table_unref(port->attempts);
-	g_hash_table_unref(port->pools);
-	g_free(port->request_id_header);
-	g_free(port->signature_header);
-	g_free(port->not_run_header);
-	g_free(port->load_header);
-	rr_drop_context(port->ctx);
-	g_free(port);
+	g_queue_clear_full(&client->deferred, free_deferred);
+	g_hash_table_unref(client->attempts);
+	g_hash_table_unref(client->pools);
+	g_free(client->request_id_header);
+	g_free(client->signature_header);
+	g_free(client->not_run_header);
+	g_free(client->load_header);
+	rr_drop_context(client->ctx);
+	g_free(client);
 }
 
-static struct rr_conn_pool *replica_of(struct rr_replica_client *port,
-				       const char *lifetime,
-				       const char *address)
+static struct rr_conn_pool *get_pool(struct rr_replica_client *client,
+				     const char *incarnation,
+				     const char *address)
 {
-	struct rr_conn_pool *replica =
-		g_hash_table_lookup(port->pools, lifetime);
-
-	if (!replica) {
-		replica = g_new0(struct rr_conn_pool, 1);
-		replica->incarnation = g_strdup(lifetime);
-		replica->address = g_strdup(address);
-		g_queue_init(&replica->idle);
-		g_hash_table_insert(port->pools, replica->incarnation, replica);
+	struct rr_conn_pool *pool =
+		g_hash_table_lookup(client->pools, incarnation);
+
+	if (!pool) {
+		pool = g_new0(struct rr_conn_pool, 1);
+		pool->incarnation = g_strdup(incarnation);
+		pool->address = g_strdup(address);
+		g_queue_init(&pool->idle);
+		g_hash_table_insert(client->pools, pool->incarnation, pool);
 	}
-	return replica;
+	return pool;
 }
 
-/* An idle connection that may be used; those that may not are closed. */
-static struct rr_replica_conn *take_idle(struct rr_replica_client *port,
-					 struct rr_conn_pool *replica,
-					 bool idempotent)
+/*
+ * Returns an idle connection that may be reused, NULL if there is none; closes
+ * those that may not.
+ */
+static struct rr_replica_conn *take_idle_conn(struct rr_replica_client *client,
+					      struct rr_conn_pool *pool,
+					      bool idempotent)
 {
 	struct rr_replica_conn *conn;
 
-	while ((conn = g_queue_pop_head(&replica->idle))) {
+	while ((conn = g_queue_pop_head(&pool->idle))) {
 		/*
-		 * What may run once is not sent where an end or stray bytes
-		 * wait to be read already.
+		 * A non-idempotent request is not sent on a connection with
+		 * unread input: an end of stream or unexpected bytes.
 		 */
-		if (conn->reuse_until_us > port->now_us &&
+		if (conn->reuse_until_us > client->now_us &&
 		    (idempotent || !rr_stream_has_input(conn->stream))) {
 			rr_add_active_conn(conn);
 			rr_mark_conn_busy(conn);
@@ -150,87 +160,92 @@
 	return bytes;
 }
 
-static void owe_unsent(struct rr_replica_client *port, uint64_t attempt)
+static void defer_unsent(struct rr_replica_client *client, uint64_t attempt)
 {
-	struct owed *owed = g_new0(struct owed, 1);
+	struct deferred_reply *deferred_reply =
+		g_new0(struct deferred_reply, 1);
 
-	owed->attempt = attempt;
-	g_queue_push_tail(&port->deferred, owed);
+	deferred_reply->attempt = attempt;
+	g_queue_push_tail(&client->deferred, deferred_reply);
 }
 
-static void owe_probe(struct rr_replica_client *port, const char *lifetime)
+static void defer_probe_failure(struct rr_replica_client *client,
+				const char *incarnation)
 {
-	struct owed *owed = g_new0(struct owed, 1);
+	struct deferred_reply *deferred_reply =
+		g_new0(struct deferred_reply, 1);
 
-	owed->lifetime = g_strdup(lifetime);
-	g_queue_push_tail(&port->deferred, owed);
+	deferred_reply->incarnation = g_strdup(incarnation);
+	g_queue_push_tail(&client->deferred, deferred_reply);
 }
 
 static void bind_attempt(struct rr_replica_conn *conn,
-			 const struct rr_gate_attempt_info *send,
+			 const struct rr_gate_attempt_info *info,
 			 const struct rr_raw_request *request)
 {
-	conn->attempt = send->attempt;
-	conn->idempotent = send->idempotent;
+	conn->attempt = info->attempt;
+	conn->idempotent = info->idempotent;
 	conn->no_body = request->no_body;
 	conn->n_mismatched = 0;
 	conn->no_reuse = false;
 	conn->request_id = g_strdup(request->request_id);
 	conn->deadline_us =
 		conn->client->now_us +
-		(send->deadline_ms >= 0 ?
-			 send->deadline_ms * 1000 + DEADLINE_GRACE_US :
+		(info->deadline_ms >= 0 ?
+			 info->deadline_ms * 1000 + DEADLINE_GRACE_US :
 			 NO_DEADLINE_US);
 	g_hash_table_insert(conn->client->attempts, &conn->attempt, conn);
 }
 
-void rr_send_to_replica(struct rr_replica_client *port, int64_t now_us,
-			const struct rr_gate_attempt_info *send,
+void rr_send_to_replica(struct rr_replica_client *client, int64_t now_us,
+			const struct rr_gate_attempt_info *info,
 			const struct rr_raw_request *request)
 {
-	struct rr_conn_pool *replica =
-		replica_of(port, send->incarnation, send->address);
+	struct rr_conn_pool *pool =
+		get_pool(client, info->incarnation, info->address);
 	GByteArray *bytes = join_request(request);
 	struct rr_replica_conn *conn;
 	bool taken;
 
-	port->now_us = now_us;
-	replica->max_idle = send->max_idle_connections;
-	while ((conn = take_idle(port, replica, send->idempotent))) {
+	client->now_us = now_us;
+	pool->max_idle = info->max_idle_connections;
+	while ((conn = take_idle_conn(client, pool, info->idempotent))) {
 		conn->no_body = request->no_body;
 		rr_reset_http_reader(conn->reader, conn->no_body);
 		if (rr_write_stream(conn->stream, bytes->data, bytes->len,
 				    &taken)) {
-			bind_attempt(conn, send, request);
+			bind_attempt(conn, info, request);
 			g_byte_array_unref(bytes);
 			return;
 		}
-		/* No byte left: another connection may be tried. */
+		/* No byte was sent: another connection may be tried. */
 		rr_free_conn(conn);
 	}
-	conn = rr_open_replica_conn(port, replica);
+	conn = rr_open_replica_conn(client, pool);
 	if (!conn) {
 		g_byte_array_unref(bytes);
-		owe_unsent(port, send->attempt);
+		defer_unsent(client, info->attempt);
 		return;
 	}
-	bind_attempt(conn, send, request);
+	bind_attempt(conn, info, request);
 	conn->pending_request = bytes;
 }
 
-void rr_cancel_replica_attempt(struct rr_replica_client *port, uint64_t attempt)
+void rr_cancel_replica_attempt(struct rr_replica_client *client,
+			       uint64_t attempt)
 {
 	struct rr_replica_conn *conn =
-		g_hash_table_lookup(port->attempts, &attempt);
+		g_hash_table_lookup(client->attempts, &attempt);
 
 	if (conn)
 		rr_free_conn(conn);
 }
 
-bool rr_cancel_unsent_attempt(struct rr_replica_client *port, uint64_t attempt)
+bool rr_cancel_unsent_attempt(struct rr_replica_client *client,
+			      uint64_t attempt)
 {
 	struct rr_replica_conn *conn =
-		g_hash_table_lookup(port->attempts, &attempt);
+		g_hash_table_lookup(client->attempts, &attempt);
 
 	if (!conn || conn->state != CONN_CONNECTING)
 		return false;
@@ -238,83 +253,88 @@
 	return true;
 }
 
-void rr_preconnect_replica(struct rr_replica_client *port, int64_t now_us,
-			   const char *lifetime, const char *address)
+void rr_preconnect_replica(struct rr_replica_client *client, int64_t now_us,
+			   const char *incarnation, const char *address)
 {
-	struct rr_conn_pool *replica = replica_of(port, lifetime, address);
+	struct rr_conn_pool *pool = get_pool(client, incarnation, address);
 
-	port->now_us = now_us;
-	replica->closing = false;
-	if (!replica->n_conns)
-		rr_open_replica_conn(port, replica);
+	client->now_us = now_us;
+	pool->closing = false;
+	if (!pool->n_conns)
+		rr_open_replica_conn(client, pool);
 }
 
-void rr_probe_replica(struct rr_replica_client *port, int64_t now_us,
-		      const char *lifetime, const char *address)
+void rr_probe_replica(struct rr_replica_client *client, int64_t now_us,
+		      const char *incarnation, const char *address)
 {
-	struct rr_conn_pool *replica = replica_of(port, lifetime, address);
+	struct rr_conn_pool *pool = get_pool(client, incarnation, address);
 	struct rr_replica_conn *conn;
 
-	port->now_us = now_us;
-	conn = rr_open_replica_conn(port, replica);
+	client->now_us = now_us;
+	conn = rr_open_replica_conn(client, pool);
 	if (conn)
 		conn->is_probe = true;
 	else
-		owe_probe(port, lifetime);
+		defer_probe_failure(client, incarnation);
 }
 
-void rr_close_replica_conns(struct rr_replica_client *port,
-			    const char *lifetime)
+void rr_close_replica_conns(struct rr_replica_client *client,
+			    const char *incarnation)
 {
-	struct rr_conn_pool *replica =
-		g_hash_table_lookup(port->pools, lifetime);
+	struct rr_conn_pool *pool =
+		g_hash_table_lookup(client->pools, incarnation);
 
-	if (!replica)
+	if (!pool)
 		return;
-	replica->closing = true;
-	if (!replica->n_conns) {
-		g_hash_table_remove(port->pools, lifetime);
+	pool->closing = true;
+	if (!pool->n_conns) {
+		g_hash_table_remove(client->pools, incarnation);
 		return;
 	}
-	/* With the last connection the replica goes as well. */
-	for (guint n = replica->idle.length; n; n--)
-		rr_free_conn(g_queue_pop_head(&replica->idle));
+	/* The pool is freed with its last connection. */
+	for (guint n = pool->idle.length; n; n--)
+		rr_free_conn(g_queue_pop_head(&pool->idle));
 }
 
-static void give_owed(struct rr_replica_client *port)
+static void report_deferred(struct rr_replica_client *client)
 {
-	struct owed *owed;
+	struct deferred_reply *deferred_reply;
 
-	while ((owed = g_queue_pop_head(&port->deferred))) {
+	while ((deferred_reply = g_queue_pop_head(&client->deferred))) {
 		struct rr_gate_reply reply = {
-			.attempt = owed->attempt,
+			.attempt = deferred_reply->attempt,
 			.outcome = RR_GATE_UNSENT,
 			.unreachable = true,
 		};
 
-		if (owed->lifetime)
-			port->probed(port->data, owed->lifetime, false);
+		if (deferred_reply->incarnation)
+			client->probed(client->data,
+				       deferred_reply->incarnation, false);
 		else
-			port->replied(port->data, &reply);
-		free_owed(owed);
+			client->replied(client->data, &reply);
+		free_deferred(deferred_reply);
 	}
 }
 
-/* When a connection in use is given up. */
-static int64_t bound_of(const struct rr_replica_conn *conn)
+/* Returns when a connection in use times out. */
+static int64_t get_deadline(const struct rr_replica_conn *conn)
 {
 	if (conn->state == CONN_CONNECTING)
 		return conn->connect_started_us + CONNECT_TIMEOUT_US;
 	return conn->idempotent ? INT64_MAX : conn->deadline_us;
 }
 
-/* One that is given up, taken off the list; NULL if there is none. */
-static struct rr_replica_conn *take_overdue(struct rr_replica_client *port)
+/*
+ * Removes a timed-out connection from the active list and returns it; NULL if
+ * there is none.
+ */
+static struct rr_replica_conn *
+take_overdue_conn(struct rr_replica_client *client)
 {
-	for (GList *l = port->active.head; l; l = l->next) {
+	for (GList *l = client->active.head; l; l = l->next) {
 		struct rr_replica_conn *conn = l->data;
 
-		if (bound_of(conn) > port->now_us)
+		if (get_deadline(conn) > client->now_us)
 			continue;
 		rr_remove_active_conn(conn);
 		return conn;
@@ -322,14 +342,14 @@
 	return NULL;
 }
 
-void rr_tick_replica_client(struct rr_replica_client *port, int64_t now_us)
+void rr_tick_replica_client(struct rr_replica_client *client, int64_t now_us)
 {
 	struct rr_replica_conn *conn;
 
-	port->now_us = now_us;
-	give_owed(port);
-	/* One at a time: its end may change what the others wait for. */
-	conn = take_overdue(port);
+	client->now_us = now_us;
+	report_deferred(client);
+	/* One per tick, because its end may change what the others wait for. */
+	conn = take_overdue_conn(client);
 	if (conn)
 		rr_fail_conn(conn,
 			     conn->state == CONN_CONNECTING ? RR_GATE_UNSENT :
@@ -339,13 +359,13 @@
 				     "silent");
 }
 
-int64_t rr_replica_client_wake_us(const struct rr_replica_client *port)
+int64_t rr_replica_client_wake_us(const struct rr_replica_client *client)
 {
 	int64_t wake_us = INT64_MAX;
 
-	if (port->deferred.length)
+	if (client->deferred.length)
 		return 0;
-	for (GList *l = port->active.head; l; l = l->next)
-		wake_us = MIN(wake_us, bound_of(l->data));
+	for (GList *l = client->active.head; l; l = l->next)
+		wake_us = MIN(wake_us, get_deadline(l->data));
 	return wake_us;
 }
--- a/source/net/replica-conn.c
+++ b/source/net/replica-conn.c
@@ -1,6 +1,5 @@
 /*
- * replica-conn.c - one connection to a replica: what comes on it, and whether
- * it may be used again.
+ * replica-conn.c - a connection to a replica: reading of answers, and reuse.
  */
 #include "net/replica-conn.h"
 
@@ -10,18 +9,18 @@
 #include "ragwort/log.h"
 
 /*
- * A kept connection is used until so long before the replica would close it.
- * Guards against a request that crosses the close and is lost.
+ * A connection is reused until this long before the replica would close it.
+ * Otherwise a request could cross the close and be lost.
  */
-#define KEEP_MARGIN_US (700 * 1000)
-/* Where the replica does not say how long it keeps one. */
-#define KEEP_GUESS_US (2 * G_USEC_PER_SEC)
-#define KEEP_MOST_US (60 * G_USEC_PER_SEC)
-/* Answers of replicas are kept whole in memory up to this. */
-#define MOST_ANSWER_BYTES (8 * 1024 * 1024)
-#define MOST_ANSWER_HEAD_BYTES (64 * 1024)
-/* Foreign answers that are passed over before ours is given up. */
-#define MOST_FOREIGN 2
+#define KEEP_ALIVE_MARGIN_US (700 * 1000)
+/* Used if the replica sends no keep-alive timeout. */
+#define DEFAULT_KEEP_ALIVE_US (2 * G_USEC_PER_SEC)
+#define MAX_KEEP_ALIVE_US (60 * G_USEC_PER_SEC)
+/* Size limits for answers, which are buffered completely. */
+#define MAX_ANSWER_BYTES (8 * 1024 * 1024)
+#define MAX_ANSWER_HEADER_BYTES (64 * 1024)
+/* Mismatched answers that are skipped before the attempt fails. */
+#define MAX_MISMATCHED_ANSWERS 2
 
 void rr_add_active_conn(struct rr_replica_conn *conn)
 {
@@ -36,46 +35,46 @@
 	conn->is_active = false;
 }
 
-/* Close a connection and forget it. */
+/* Closes and frees a connection. */
 void rr_free_conn(struct rr_replica_conn *conn)
 {
-	struct rr_replica_client *port = conn->client;
-	struct rr_conn_pool *replica = conn->pool;
+	struct rr_replica_client *client = conn->client;
+	struct rr_conn_pool *pool = conn->pool;
 
 	if (conn->attempt)
-		g_hash_table_remove(port->attempts, &conn->attempt);
+		g_hash_table_remove(client->attempts, &conn->attempt);
 	rr_remove_active_conn(conn);
 	if (conn->state == CONN_IDLE)
-		g_queue_remove(&replica->idle, conn);
+		g_queue_remove(&pool->idle, conn);
 	rr_drop_stream(conn->stream);
 	rr_drop_http_reader(conn->reader);
 	if (conn->pending_request)
 		g_byte_array_unref(conn->pending_request);
 	g_free(conn->request_id);
 	g_free(conn);
-	if (!--replica->n_conns && replica->closing)
-		g_hash_table_remove(port->pools, replica->incarnation);
+	if (!--pool->n_conns && pool->closing)
+		g_hash_table_remove(client->pools, pool->incarnation);
 }
 
-/* Give the reply of a connection's attempt, which is then over. */
-static void give_reply(struct rr_replica_conn *conn,
-		       struct rr_gate_reply *reply)
+/* Reports the reply of the attempt of a connection and ends the attempt. */
+static void report_reply(struct rr_replica_conn *conn,
+			 struct rr_gate_reply *reply)
 {
-	struct rr_replica_client *port = conn->client;
+	struct rr_replica_client *client = conn->client;
 
 	reply->attempt = conn->attempt;
 	if (!conn->attempt)
 		return;
-	g_hash_table_remove(port->attempts, &conn->attempt);
+	g_hash_table_remove(client->attempts, &conn->attempt);
 	conn->attempt = 0;
-	port->replied(port->data, reply);
+	client->replied(client->data, reply);
 }
 
-static void break_conn(struct rr_replica_conn *conn,
-		       enum rr_gate_outcome outcome, const char *reason,
-		       bool closed)
+static void close_failed_conn(struct rr_replica_conn *conn,
+			      enum rr_gate_outcome outcome, const char *reason,
+			      bool closed)
 {
-	struct rr_replica_client *port = conn->client;
+	struct rr_replica_client *client = conn->client;
 	struct rr_gate_reply reply = {
 		.attempt = conn->attempt,
 		.outcome = outcome,
@@ -89,113 +88,118 @@
 	bool reached = conn->peer_reachable;
 
 	if (conn->attempt)
-		rr_log(port->ctx, RR_LOG_DECISION, "connection-broken",
+		rr_log(client->ctx, RR_LOG_DECISION, "connection-broken",
 		       RR_FIELD_U64("attempt", conn->attempt),
 		       RR_FIELD_STRING("lifetime", conn->pool->incarnation),
 		       RR_FIELD_STRING("reason", reason));
 	rr_free_conn(conn);
 	if (probed)
-		port->probed(port->data, probed, reached);
+		client->probed(client->data, probed, reached);
 	g_free(probed);
 	if (reply.attempt)
-		port->replied(port->data, &reply);
+		client->replied(client->data, &reply);
 }
 
 void rr_fail_conn(struct rr_replica_conn *conn, enum rr_gate_outcome outcome,
 		  const char *reason)
 {
-	break_conn(conn, outcome, reason, false);
+	close_failed_conn(conn, outcome, reason, false);
 }
 
-/* A probe's connection stands. */
-static void tell_reached(struct rr_replica_conn *conn)
+/* Reports that the connection of a probe is established. */
+static void report_probe_success(struct rr_replica_conn *conn)
 {
 	conn->is_probe = false;
 	conn->client->probed(conn->client->data, conn->pool->incarnation, true);
 }
 
-static int64_t keep_us_of(const struct rr_http_message *message)
+static int64_t get_keep_alive_us(const struct rr_http_message *message)
 {
 	const char *value = rr_find_http_header(message, "Keep-Alive");
 	const char *timeout = value ? strstr(value, "timeout=") : NULL;
-	int64_t keep_us = KEEP_GUESS_US;
+	int64_t keep_alive_us = DEFAULT_KEEP_ALIVE_US;
 
 	if (timeout) {
-		guint64 keep_s = g_ascii_strtoull(timeout + strlen("timeout="),
-						  NULL, 10);
+		guint64 keep_alive_s = g_ascii_strtoull(
+			timeout + strlen("timeout="), NULL, 10);
 
-		keep_us = MIN((int64_t)keep_s * G_USEC_PER_SEC, KEEP_MOST_US);
+		keep_alive_us = MIN((int64_t)keep_alive_s * G_USEC_PER_SEC,
+				    MAX_KEEP_ALIVE_US);
 	}
-	return MAX(keep_us - KEEP_MARGIN_US, keep_us / 4);
+	return MAX(keep_alive_us - KEEP_ALIVE_MARGIN_US, keep_alive_us / 4);
 }
 
 /*
- * Connections of instances that lost power count at a replica until it finds
- * out.  Guards against a cap that is full of them when the instances are back:
- * each keeps so few at rest that as many again find room.
+ * Limits idle connections. A replica counts the connections of instances that
+ * lost power until it detects their loss. So each instance keeps only so few
+ * idle connections that as many new ones fit below the replica's connection
+ * limit when the instances restart.
  */
-static bool may_keep(const struct rr_replica_conn *conn)
+static bool is_below_idle_limit(const struct rr_replica_conn *conn)
 {
 	return conn->pool->idle.length < MAX(1, conn->pool->max_idle);
 }
 
-static void start_idle(struct rr_replica_conn *conn, int64_t keep_us)
+static void start_idle(struct rr_replica_conn *conn, int64_t keep_alive_us)
 {
 	rr_remove_active_conn(conn);
 	conn->state = CONN_IDLE;
-	conn->reuse_until_us = conn->client->now_us + keep_us;
+	conn->reuse_until_us = conn->client->now_us + keep_alive_us;
 	g_clear_pointer(&conn->request_id, g_free);
 	rr_reset_http_reader(conn->reader, false);
 	g_queue_push_head(&conn->pool->idle, conn);
 }
 
-static const char *value_of(const struct rr_http_message *message,
-			    const char *name)
+static const char *find_header(const struct rr_http_message *message,
+			       const char *name)
 {
 	return name ? rr_find_http_header(message, name) : NULL;
 }
 
-/* A report that cannot be read is no fault of the answer it came with. */
-static void fill_load(const struct rr_replica_client *port,
+/* A malformed load report does not invalidate the answer. */
+static void fill_load(const struct rr_replica_client *client,
 		      const struct rr_http_message *message,
 		      struct rr_gate_load *load)
 {
-	const char *text = value_of(message, port->load_header);
+	const char *text = find_header(message, client->load_header);
 
-	if (text && !port->parse_load(text, load))
-		rr_count(port->ctx, RR_N_BAD_LOAD_REPORTS, 1);
+	if (text && !client->parse_load(text, load))
+		rr_count(client->ctx, RR_N_BAD_LOAD_REPORTS, 1);
 }
 
 static void fill_reply(const struct rr_replica_conn *conn,
 		       const struct rr_http_message *message,
 		       struct rr_gate_reply *reply)
 {
-	const struct rr_replica_client *port = conn->client;
+	const struct rr_replica_client *client = conn->client;
 
 	reply->status = message->status;
-	reply->signature = value_of(message, port->signature_header);
+	reply->signature = find_header(message, client->signature_header);
 	reply->body = message->body;
 	reply->length = message->body_length;
 	reply->message = message;
-	fill_load(port, message, &reply->load);
+	fill_load(client, message, &reply->load);
 	reply->outcome = RR_GATE_ANSWERED;
 	if (message->status == 421) {
 		reply->outcome = RR_GATE_REJECTED;
 		reply->wrong_incarnation = true;
-	} else if (value_of(message, port->not_run_header)) {
+	} else if (find_header(message, client->not_run_header)) {
 		reply->outcome = RR_GATE_REJECTED;
-	} else if (message->status < 300 && port->signature_header &&
+	} else if (message->status < 300 && client->signature_header &&
 		   !reply->signature) {
-		/* A success counts only with its signature. */
+		/* A success without its signature is not accepted. */
 		reply->outcome = RR_GATE_BROKEN;
 	}
 }
 
-/* Whether an answer is to another request, by the id that it echoes. */
-static bool is_foreign(const struct rr_replica_conn *conn,
-		       const struct rr_http_message *message)
+/*
+ * Returns whether an answer belongs to another request, by the request id that
+ * it echoes.
+ */
+static bool is_mismatched(const struct rr_replica_conn *conn,
+			  const struct rr_http_message *message)
 {
-	const char *id = value_of(message, conn->client->request_id_header);
+	const char *id = find_header(message, conn->client->request_id_header);
 
 #ifdef RR_MUTANT_PORT_TAKES_FOREIGN
 	return false;
@@ -204,41 +208,41 @@
 }
 
 /*
- * Take a whole answer; `rest` bytes came behind it.  The connection may be
- * gone afterwards.
+ * Handles a complete answer, which was followed by `n_extra` bytes. The
+ * connection may be freed afterwards.
  */
-static void take_answer(struct rr_replica_conn *conn, size_t rest)
+static void handle_answer(struct rr_replica_conn *conn, size_t n_extra)
 {
 	const struct rr_http_message *message = rr_http_message(conn->reader);
 	struct rr_gate_reply reply = { 0 };
-	int64_t keep_us = keep_us_of(message);
-	bool reusable = message->keep_alive && !conn->no_reuse && !rest &&
+	int64_t keep_alive_us = get_keep_alive_us(message);
+	bool reusable = message->keep_alive && !conn->no_reuse && !n_extra &&
 			!rr_unsent_bytes(conn->stream);
 
 	fill_reply(conn, message, &reply);
-	if (rest)
+	if (n_extra)
 		rr_log(conn->client->ctx, RR_LOG_DECISION,
 		       "bytes-behind-answer",
 		       RR_FIELD_U64("attempt", conn->attempt),
 		       RR_FIELD_STRING("lifetime", conn->pool->incarnation),
-		       RR_FIELD_U64("bytes", rest));
-	give_reply(conn, &reply);
-	if (reusable && !conn->pool->closing && may_keep(conn))
-		start_idle(conn, keep_us);
+		       RR_FIELD_U64("bytes", n_extra));
+	report_reply(conn, &reply);
+	if (reusable && !conn->pool->closing && is_below_idle_limit(conn))
+		start_idle(conn, keep_alive_us);
 	else
 		rr_free_conn(conn);
 }
 
 /*
- * An answer to an earlier request stands where ours is expected.  It is
- * passed over: ours comes behind it, and what may run once is not to be lost
- * for it.  The connection is not used again.
+ * Skips an answer to an earlier request: the expected one follows it, and a
+ * non-idempotent request must not be lost because of it. The connection is not
+ * reused. Returns false if the connection was closed.
  */
-static bool pass_over(struct rr_replica_conn *conn)
+static bool skip_answer(struct rr_replica_conn *conn)
 {
 	rr_count(conn->client->ctx, RR_N_BAD_REPLIES, 1);
 	conn->no_reuse = true;
-	if (++conn->n_mismatched > MOST_FOREIGN ||
+	if (++conn->n_mismatched > MAX_MISMATCHED_ANSWERS ||
 	    rr_http_message(conn->reader)->close_delimited) {
 		rr_fail_conn(conn, RR_GATE_BROKEN, "foreign-answers");
 		return false;
@@ -247,7 +251,7 @@
 	return true;
 }
 
-static void take_bytes(void *data, const uint8_t *bytes, size_t length)
+static void on_received(void *data, const uint8_t *bytes, size_t length)
 {
 	struct rr_replica_conn *conn = data;
 	size_t at = 0;
@@ -272,22 +276,25 @@
 			rr_fail_conn(conn, RR_GATE_BROKEN, "no-answer");
 			return;
 		}
-		if (!is_foreign(conn, rr_http_message(conn->reader))) {
-			take_answer(conn, length - at);
+		if (!is_mismatched(conn, rr_http_message(conn->reader))) {
+			handle_answer(conn, length - at);
 			return;
 		}
-		if (!pass_over(conn))
+		if (!skip_answer(conn))
 			return;
 	}
 }
 
-static void take_end(void *data, enum rr_stream_end end)
+static void on_ended(void *data, enum rr_stream_end end)
 {
 	struct rr_replica_conn *conn = data;
-	bool begun;
+	bool started;
 
 	if (conn->state == CONN_CONNECTING) {
-		/* A reset shows that somebody is there, with no room. */
+		/*
+		 * A reset shows that the peer is reachable but accepts no
+		 * connection.
+		 */
 		conn->peer_reachable = end != RR_STREAM_REFUSED;
 		rr_fail_conn(conn, RR_GATE_UNSENT,
 			     conn->peer_reachable ? "reset" : "refused");
@@ -297,16 +304,17 @@
 		rr_free_conn(conn);
 		return;
 	}
-	begun = rr_http_is_started(conn->reader);
-	if (end == RR_STREAM_EOF && begun &&
+	started = rr_http_is_started(conn->reader);
+	if (end == RR_STREAM_EOF && started &&
 	    rr_finish_http(conn->reader) == RR_HTTP_COMPLETE) {
-		if (is_foreign(conn, rr_http_message(conn->reader)))
+		if (is_mismatched(conn, rr_http_message(conn->reader)))
 			rr_fail_conn(conn, RR_GATE_BROKEN, "foreign-answer");
 		else
-			take_answer(conn, 0);
+			handle_answer(conn, 0);
 		return;
 	}
-	break_conn(conn, RR_GATE_BROKEN, begun ? "cut-short" : "closed", true);
+	close_failed_conn(conn, RR_GATE_BROKEN,
+			  started ? "cut-short" : "closed", true);
 }
 
 void rr_mark_conn_busy(struct rr_replica_conn *conn)
@@ -315,56 +323,56 @@
 	rr_reset_http_reader(conn->reader, conn->no_body);
 }
 
-static void take_connected(void *data)
+static void on_connected(void *data)
 {
 	struct rr_replica_conn *conn = data;
 	bool taken;
 
 	if (!conn->attempt) {
-		start_idle(conn, KEEP_GUESS_US);
+		start_idle(conn, DEFAULT_KEEP_ALIVE_US);
 		if (conn->is_probe)
-			tell_reached(conn);
+			report_probe_success(conn);
 		return;
 	}
 	rr_mark_conn_busy(conn);
 	if (!rr_write_stream(conn->stream, conn->pending_request->data,
 			     conn->pending_request->len, &taken)) {
-		break_conn(conn, taken ? RR_GATE_BROKEN : RR_GATE_UNSENT,
-			   "write", taken);
+		close_failed_conn(conn, taken ? RR_GATE_BROKEN : RR_GATE_UNSENT,
+				  "write", taken);
 		return;
 	}
 	g_clear_pointer(&conn->pending_request, g_byte_array_unref);
 }
 
-struct rr_replica_conn *rr_open_replica_conn(struct rr_replica_client *port,
-					     struct rr_conn_pool *replica)
+struct rr_replica_conn *rr_open_replica_conn(struct rr_replica_client *client,
+					     struct rr_conn_pool *pool)
 {
 	struct rr_replica_conn *conn = g_new0(struct rr_replica_conn, 1);
-	struct rr_stream_callbacks owner = {
-		.connected = take_connected,
-		.received = take_bytes,
-		.ended = take_end,
+	struct rr_stream_callbacks callbacks = {
+		.connected = on_connected,
+		.received = on_received,
+		.ended = on_ended,
 		.data = conn,
 	};
-	struct rr_http_reader_options reading = {
+	struct rr_http_reader_options reader_options = {
 		.parse_responses = true,
-		.max_header_bytes = MOST_ANSWER_HEAD_BYTES,
-		.max_body_bytes = MOST_ANSWER_BYTES,
+		.max_header_bytes = MAX_ANSWER_HEADER_BYTES,
+		.max_body_bytes = MAX_ANSWER_BYTES,
 	};
 
 	conn->stream =
-		rr_connect_stream(port->poller, replica->address, &owner);
+		rr_connect_stream(client->poller, pool->address, &callbacks);
 	if (!conn->stream) {
 		g_free(conn);
 		return NULL;
 	}
-	conn->client = port;
-	conn->pool = replica;
-	conn->reader = rr_new_http_reader(&reading);
+	conn->client = client;
+	conn->pool = pool;
+	conn->reader = rr_new_http_reader(&reader_options);
 	conn->state = CONN_CONNECTING;
-	conn->connect_started_us = port->now_us;
+	conn->connect_started_us = client->now_us;
 	conn->link.data = conn;
 	rr_add_active_conn(conn);
-	replica->n_conns++;
+	pool->n_conns++;
 	return conn;
 }
--- a/source/net/replica-conn.h
+++ b/source/net/replica-conn.h
@@ -1,5 +1,5 @@
 /*
- * replica-conn.h - one connection to a replica, for the port that has many.
+ * replica-conn.h - a connection to a replica, as used by the replica client.
  */
 #ifndef RAGWORT_NET_REPLICA_CONN_H
 #define RAGWORT_NET_REPLICA_CONN_H
@@ -15,13 +15,13 @@
 enum conn_state {
 	CONN_CONNECTING,
 	CONN_IDLE,
-	CONN_BUSY, /* its attempt's request was sent, at least in part */
+	CONN_BUSY, /* the request of its attempt was sent, at least in part */
 };
 
 struct rr_conn_pool {
 	char *incarnation;
 	char *address;
-	GQueue idle; /* struct conn, the one used last at the head */
+	GQueue idle; /* struct rr_replica_conn, most recently used first */
 	uint32_t max_idle;
 	uint32_t n_conns;
 	bool closing;
@@ -33,51 +33,56 @@
 	struct rr_stream *stream;
 	struct rr_http_reader *reader;
 	enum conn_state state;
-	int64_t connect_started_us; /* connecting */
+	int64_t connect_started_us; /* start of connecting */
 	int64_t reuse_until_us;
 	uint64_t attempt; /* 0: none */
 	int64_t deadline_us;
 	bool idempotent;
 	bool no_body;
-	bool is_probe;	     /* its connecting is waited for */
-	bool peer_reachable; /* though it did not come to stand */
-	bool no_reuse;	     /* not to be used again after this answer */
+	bool is_probe;	     /* opened for rr_probe_replica() */
+	bool peer_reachable; /* the peer answered, even if with a reset */
+	bool no_reuse;	     /* close after the current answer */
 	uint32_t n_mismatched;
 	char *request_id;
-	GByteArray *pending_request; /* waits for the connection */
-	GList link; /* in the port's list of connections in use */
+	GByteArray *pending_request; /* sent once connected */
+	GList link;		     /* element of the client's `active` list */
 	bool is_active;
 };
 
 struct rr_replica_client {
 	struct rr_context *ctx;
 	struct rr_poller *poller;
-	char *request_id_header; /* headers' names; NULL: not looked at */
+	char *request_id_header; /* header names; NULL: not checked */
 	char *signature_header;
 	char *not_run_header;
 	char *load_header;
 	bool (*parse_load)(const char *text, struct rr_gate_load *load);
 	void (*replied)(void *data, const struct rr_gate_reply *reply);
-	void (*probed)(void *data, const char *lifetime, bool reached);
+	void (*probed)(void *data, const char *incarnation, bool reached);
 	void *data;
 	int64_t now_us;
-	GHashTable *pools;    /* lifetime -> struct rr_conn_pool */
+	GHashTable *pools;    /* incarnation -> struct rr_conn_pool */
 	GHashTable *attempts; /* id -> struct rr_replica_conn */
-	GQueue active;	      /* struct conn: connecting or busy */
-	GQueue deferred;      /* struct owed */
+	GQueue active;	      /* struct rr_replica_conn: connecting or busy */
+	GQueue deferred;      /* struct deferred_reply */
 };
 
-/* In the port's list of connections in use, or out of it. */
+/* Add a connection to the client's active list, or remove it. */
 void rr_add_active_conn(struct rr_replica_conn *conn);
 void rr_remove_active_conn(struct rr_replica_conn *conn);
-/* Begin to connect; NULL if that fails at once. */
-struct rr_replica_conn *rr_open_replica_conn(struct rr_replica_client *port,
-					     struct rr_conn_pool *replica);
-/* Its next request is sent on it now. */
+/* Start to connect; NULL if that fails immediately. */
+struct rr_replica_conn *rr_open_replica_conn(struct rr_replica_client *client,
+					     struct rr_conn_pool *pool);
+/* Mark a connection as busy, before the next request is sent on it. */
 void rr_mark_conn_busy(struct rr_replica_conn *conn);
-/* Close and forget it; with the last one a forgotten replica goes as well. */
+/*
+ * Close and free a connection; the last one of a closing pool frees the pool.
+ */
 void rr_free_conn(struct rr_replica_conn *conn);
-/* It is of no more use; its attempt and its probe, if any, are told so. */
+/*
+ * Close a failed connection and report the failure of its attempt or probe, if
+ * any.
+ */
 void rr_fail_conn(struct rr_replica_conn *conn, enum rr_gate_outcome outcome,
 		  const char *reason);
 
--- a/source/net/stream.c
+++ b/source/net/stream.c
@@ -1,5 +1,5 @@
 /*
- * stream.c - one TCP connection on the poller.
+ * stream.c - non-blocking TCP connection on the poller.
  */
 #include "net/stream.h"
 
@@ -13,34 +13,34 @@
 
 #define READ_BYTES 16384
 /*
- * A peer behind a cut network neither answers nor resets.  Guards against a
- * connection that hangs for minutes: probes find an idle one, the user
- * timeout one with bytes under way.  Shorter than the shortest bound that an
- * operator sets (three seconds for a change to be in force), longer than any
- * pause of a sound peer's system.
+ * A peer behind a partitioned network neither answers nor resets, so a
+ * connection would hang for minutes. TCP keepalive detects this on an idle
+ * connection, the user timeout on one with unacknowledged data. Both are
+ * shorter than the shortest limit that an operator sets (three seconds for a
+ * change to take effect), and longer than any pause of a healthy peer system.
  */
-#define PROBE_IDLE_S 1
-#define PROBE_INTERVAL_S 1
-#define PROBES 2
+#define KEEPALIVE_IDLE_S 1
+#define KEEPALIVE_INTERVAL_S 1
+#define KEEPALIVE_PROBES 2
 #define USER_TIMEOUT_MS 2000
 
 struct rr_stream {
-	int refs; /* of callbacks under way, and the owner's */
+	int refs; /* running callbacks, plus one for the owner */
 	struct rr_poller *poller;
-	struct rr_io_watcher poll;
-	struct rr_stream_callbacks owner;
-	GByteArray *out; /* what the system did not take yet */
+	struct rr_io_watcher watcher;
+	struct rr_stream_callbacks callbacks;
+	GByteArray *send_buffer; /* data that the kernel has not accepted yet */
 	bool connecting;
 	bool paused;
-	bool more;     /* reading stopped before all was read */
-	bool end_seen; /* the peer's end is announced */
-	bool ended;    /* the owner knows */
-	bool finishing;
+	bool has_unread;  /* reading stopped with data left */
+	bool hangup_seen; /* the poller reported a hangup or error */
+	bool ended;	  /* the owner was notified of the end */
+	bool shutdown_pending;
 };
 
 static void set_option(int fd, int level, int name, int value)
 {
-	/* Without it the connection works, only slower to notice its end. */
+	/* If it fails, the connection works but detects its end later. */
 	(void)setsockopt(fd, level, name, &value, sizeof(value));
 }
 
@@ -48,9 +48,9 @@
 {
 	set_option(fd, IPPROTO_TCP, TCP_NODELAY, 1);
 	set_option(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
-	set_option(fd, IPPROTO_TCP, TCP_KEEPIDLE, PROBE_IDLE_S);
-	set_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, PROBE_INTERVAL_S);
-	set_option(fd, IPPROTO_TCP, TCP_KEEPCNT, PROBES);
+	set_option(fd, IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_S);
+	set_option(fd, IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S);
+	set_option(fd, IPPROTO_TCP, TCP_KEEPCNT, KEEPALIVE_PROBES);
 	set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT_MS);
 }
 
@@ -58,24 +58,24 @@
 {
 	if (--stream->refs)
 		return;
-	g_byte_array_unref(stream->out);
+	g_byte_array_unref(stream->send_buffer);
 	g_free(stream);
 }
 
 static bool is_dropped(const struct rr_stream *stream)
 {
-	return stream->poll.fd < 0;
+	return stream->watcher.fd < 0;
 }
 
-static void end_stream(struct rr_stream *stream, enum rr_stream_end end)
+static void report_end(struct rr_stream *stream, enum rr_stream_end end)
 {
 	if (stream->ended || is_dropped(stream))
 		return;
 	stream->ended = true;
-	stream->owner.ended(stream->owner.data, end);
+	stream->callbacks.ended(stream->callbacks.data, end);
 }
 
-static void read_all(struct rr_stream *stream)
+static void read_available(struct rr_stream *stream)
 {
 	uint8_t bytes[READ_BYTES];
 
@@ -83,15 +83,18 @@
 		ssize_t n;
 
 		if (stream->paused) {
-			stream->more = true;
+			stream->has_unread = true;
 			return;
 		}
-		n = recv(stream->poll.fd, bytes, sizeof(bytes), 0);
+		n = recv(stream->watcher.fd, bytes, sizeof(bytes), 0);
 		if (n > 0) {
-			stream->owner.received(stream->owner.data, bytes,
-					       (size_t)n);
-			/* A short read took all there was, but for an end. */
-			if (n < (ssize_t)sizeof(bytes) && !stream->end_seen)
+			stream->callbacks.received(stream->callbacks.data,
+						   bytes, (size_t)n);
+			/*
+			 * A short read emptied the buffer; only an end of
+			 * stream can follow.
+			 */
+			if (n < (ssize_t)sizeof(bytes) && !stream->hangup_seen)
 				return;
 			continue;
 		}
@@ -99,11 +102,11 @@
 			continue;
 		if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
 			return;
-		end_stream(stream, n ? RR_STREAM_ERROR : RR_STREAM_EOF);
+		report_end(stream, n ? RR_STREAM_ERROR : RR_STREAM_EOF);
 	}
 }
 
-/* False when the connection is broken. */
+/* Returns false if the connection failed. */
 static bool send_some(struct rr_stream *stream, const uint8_t *bytes,
 		      size_t length, size_t *sent)
 {
@@ -111,7 +114,7 @@
 
 	*sent = 0;
 	do {
-		n = send(stream->poll.fd, bytes, length, MSG_NOSIGNAL);
+		n = send(stream->watcher.fd, bytes, length, MSG_NOSIGNAL);
 	} while (n < 0 && errno == EINTR);
 	if (n >= 0) {
 		*sent = (size_t)n;
@@ -120,88 +123,88 @@
 	return errno == EAGAIN || errno == EWOULDBLOCK;
 }
 
-static void flush_out(struct rr_stream *stream)
+static void flush_send_buffer(struct rr_stream *stream)
 {
 	size_t sent;
 
-	while (stream->out->len) {
-		if (!send_some(stream, stream->out->data, stream->out->len,
-			       &sent)) {
-			end_stream(stream, RR_STREAM_ERROR);
+	while (stream->send_buffer->len) {
+		if (!send_some(stream, stream->send_buffer->data,
+			       stream->send_buffer->len, &sent)) {
+			report_end(stream, RR_STREAM_ERROR);
 			return;
 		}
 		if (!sent)
 			return;
-		g_byte_array_remove_range(stream->out, 0, (guint)sent);
+		g_byte_array_remove_range(stream->send_buffer, 0, (guint)sent);
 	}
-	if (stream->finishing)
-		shutdown(stream->poll.fd, SHUT_WR);
-	if (stream->owner.flushed)
-		stream->owner.flushed(stream->owner.data);
+	if (stream->shutdown_pending)
+		shutdown(stream->watcher.fd, SHUT_WR);
+	if (stream->callbacks.flushed)
+		stream->callbacks.flushed(stream->callbacks.data);
 }
 
-/* Whether the connection that was begun stands. */
-static bool end_connecting(struct rr_stream *stream)
+/* Returns whether the pending connection was established and is still open. */
+static bool finish_connect(struct rr_stream *stream)
 {
 	int error = 0;
 	socklen_t length = sizeof(error);
 
 	stream->connecting = false;
-	if (getsockopt(stream->poll.fd, SOL_SOCKET, SO_ERROR, &error, &length) <
-	    0)
+	if (getsockopt(stream->watcher.fd, SOL_SOCKET, SO_ERROR, &error,
+		       &length) < 0)
 		error = errno;
 	if (error) {
-		end_stream(stream, error == ECONNREFUSED ? RR_STREAM_REFUSED :
+		report_end(stream, error == ECONNREFUSED ? RR_STREAM_REFUSED :
 							   RR_STREAM_ERROR);
 		return false;
 	}
-	if (stream->owner.connected)
-		stream->owner.connected(stream->owner.data);
+	if (stream->callbacks.connected)
+		stream->callbacks.connected(stream->callbacks.data);
 	return !is_dropped(stream);
 }
 
-static void take_events(void *data, uint32_t events)
+static void on_events(void *data, uint32_t events)
 {
 	struct rr_stream *stream = data;
 
 	stream->refs++;
 	if (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR))
-		stream->end_seen = true;
+		stream->hangup_seen = true;
 	if (stream->connecting) {
 		if (!(events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) ||
-		    !end_connecting(stream))
+		    !finish_connect(stream))
 			goto done;
 	}
-	if ((events & EPOLLOUT) && stream->out->len)
-		flush_out(stream);
+	if ((events & EPOLLOUT) && stream->send_buffer->len)
+		flush_send_buffer(stream);
 	if (is_dropped(stream))
 		goto done;
 	if (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR))
-		read_all(stream);
-	/* While paused, an end is told all the same. */
-	if (stream->paused && stream->end_seen && !is_dropped(stream))
-		end_stream(stream, events & (EPOLLHUP | EPOLLERR) ?
+		read_available(stream);
+	/* An end is reported even while paused. */
+	if (stream->paused && stream->hangup_seen && !is_dropped(stream))
+		report_end(stream, events & (EPOLLHUP | EPOLLERR) ?
 					   RR_STREAM_ERROR :
 					   RR_STREAM_EOF);
 done:
 	unref(stream);
 }
 
-static struct rr_stream *watch_fd(struct rr_poller *poller, int fd,
-				  const struct rr_stream_callbacks *owner)
+static struct rr_stream *new_stream(struct rr_poller *poller, int fd,
+				    const struct rr_stream_callbacks *callbacks)
 {
 	struct rr_stream *stream = g_new0(struct rr_stream, 1);
 
 	stream->refs = 1;
 	stream->poller = poller;
-	stream->owner = *owner;
-	stream->out = g_byte_array_new();
-	stream->poll.fd = fd;
-	stream->poll.ready = take_events;
-	stream->poll.data = stream;
-	if (rr_add_io_watcher(poller, &stream->poll))
+	stream->callbacks = *callbacks;
+	stream->send_buffer = g_byte_array_new();
+	stream->watcher.fd = fd;
+	stream->watcher.ready = on_events;
+	stream->watcher.data = stream;
+	if (rr_add_io_watcher(poller, &stream->watcher))
 		return stream;
-	stream->poll.fd = -1;
+	stream->watcher.fd = -1;
 	unref(stream);
 	return NULL;
 }
@@ -233,14 +236,14 @@
 
 struct rr_stream *rr_connect_stream(struct rr_poller *poller,
 				    const char *address,
-				    const struct rr_stream_callbacks *owner)
+				    const struct rr_stream_callbacks *callbacks)
 {
 	int fd = open_socket(address);
 	struct rr_stream *stream;
 
 	if (fd < 0)
 		return NULL;
-	stream = watch_fd(poller, fd, owner);
+	stream = new_stream(poller, fd, callbacks);
 	if (!stream) {
 		close(fd);
 		return NULL;
@@ -251,19 +254,19 @@
 
 struct rr_stream *
 rr_new_accepted_stream(struct rr_poller *poller, int fd,
-		       const struct rr_stream_callbacks *owner)
+		       const struct rr_stream_callbacks *callbacks)
 {
 	set_options(fd);
-	return watch_fd(poller, fd, owner);
+	return new_stream(poller, fd, callbacks);
 }
 
 void rr_drop_stream(struct rr_stream *stream)
 {
 	if (!stream || is_dropped(stream))
 		return;
-	rr_remove_io_watcher(stream->poller, &stream->poll);
-	close(stream->poll.fd);
-	stream->poll.fd = -1;
+	rr_remove_io_watcher(stream->poller, &stream->watcher);
+	close(stream->watcher.fd);
+	stream->watcher.fd = -1;
 	unref(stream);
 }
 
@@ -273,44 +276,44 @@
 	size_t sent = 0;
 
 	*taken = true;
-	if (!stream->out->len && !stream->connecting &&
+	if (!stream->send_buffer->len && !stream->connecting &&
 	    !send_some(stream, bytes, length, &sent)) {
 		*taken = false;
 		return false;
 	}
 	if (sent < length)
-		g_byte_array_append(stream->out, bytes + sent,
+		g_byte_array_append(stream->send_buffer, bytes + sent,
 				    (guint)(length - sent));
 	return true;
 }
 
 size_t rr_unsent_bytes(const struct rr_stream *stream)
 {
-	return stream->out->len;
+	return stream->send_buffer->len;
 }
 
 void rr_shutdown_stream_write(struct rr_stream *stream)
 {
-	stream->finishing = true;
-	if (!stream->out->len)
-		shutdown(stream->poll.fd, SHUT_WR);
+	stream->shutdown_pending = true;
+	if (!stream->send_buffer->len)
+		shutdown(stream->watcher.fd, SHUT_WR);
 }
 
 void rr_set_stream_paused(struct rr_stream *stream, bool paused)
 {
 	stream->paused = paused;
-	if (paused || !stream->more)
+	if (paused || !stream->has_unread)
 		return;
-	stream->more = false;
+	stream->has_unread = false;
 	stream->refs++;
-	read_all(stream);
+	read_available(stream);
 	unref(stream);
 }
 
 bool rr_stream_has_input(const struct rr_stream *stream)
 {
 	uint8_t byte;
-	ssize_t n = recv(stream->poll.fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+	ssize_t n = recv(stream->watcher.fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 
 	return n >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
 }
@@ -320,8 +323,8 @@
 	struct tcp_info info = { 0 };
 	socklen_t length = sizeof(info);
 
-	if (getsockopt(stream->poll.fd, IPPROTO_TCP, TCP_INFO, &info, &length) <
-	    0)
+	if (getsockopt(stream->watcher.fd, IPPROTO_TCP, TCP_INFO, &info,
+		       &length) < 0)
 		return 0;
 	return info.tcpi_rtt;
 }
--- a/source/net/stream.h
+++ b/source/net/stream.h
@@ -1,8 +1,7 @@
 /*
- * stream.h - one TCP connection without blocking: bytes in, bytes out, its
- * end.
+ * stream.h - a non-blocking TCP connection.
  *
- * The owner drops a stream whenever it likes, inside its callbacks too.
+ * The owner may drop a stream at any time, even inside its callbacks.
  */
 #ifndef RAGWORT_NET_STREAM_H
 #define RAGWORT_NET_STREAM_H
@@ -17,54 +16,60 @@
 struct rr_stream;
 
 enum rr_stream_end {
-	RR_STREAM_EOF,	   /* the peer sends no more; it may still read */
+	RR_STREAM_EOF, /* the peer closed its sending side; it may still read */
 	RR_STREAM_ERROR,   /* reset, timed out or unreachable */
-	RR_STREAM_REFUSED, /* nobody listens there */
+	RR_STREAM_REFUSED, /* connection refused */
 };
 
 struct rr_stream_callbacks {
-	/* The connection that was asked for stands; NULL if not needed. */
+	/* The connection is established; NULL if not needed. */
 	void (*connected)(void *data);
 	void (*received)(void *data, const uint8_t *bytes, size_t length);
-	/* Once; nothing comes afterwards. */
+	/* The stream ended; called once, as the last callback. */
 	void (*ended)(void *data, enum rr_stream_end end);
-	/* All bytes that waited were handed to the system; NULL allowed. */
+	/* All buffered bytes were passed to the kernel; NULL is allowed. */
 	void (*flushed)(void *data);
 	void *data;
 };
 
 /*
- * Begin to connect to IP:PORT.  NULL when that fails at once, or for what is
- * no such address.
+ * Start to connect to IP:PORT. Returns NULL if that fails immediately or the
+ * address is invalid.
+ */
+struct rr_stream *
+rr_connect_stream(struct rr_poller *poller, const char *address,
+		  const struct rr_stream_callbacks *callbacks);
+/*
+ * Create a stream for an accepted descriptor, which must be non-blocking.
+ * Returns NULL on failure.
  */
-struct rr_stream *rr_connect_stream(struct rr_poller *poller,
-				    const char *address,
-				    const struct rr_stream_callbacks *owner);
-/* Take over an accepted descriptor, without blocking.  NULL on failure. */
 struct rr_stream *
 rr_new_accepted_stream(struct rr_poller *poller, int fd,
-		       const struct rr_stream_callbacks *owner);
-/* Close it.  Bytes that were not sent yet are lost.  NULL is allowed. */
+		       const struct rr_stream_callbacks *callbacks);
+/* Close a stream; unsent bytes are lost. NULL is allowed. */
 void rr_drop_stream(struct rr_stream *stream);
 
 /*
- * Send bytes, keeping what the system does not take at once.  False when the
- * connection is found broken; *taken tells then whether any byte of these
- * may have left.
+ * Send bytes; those that the kernel does not accept at once are buffered.
+ * Returns false if the connection has failed; *taken is then whether any of
+ * these bytes may have been sent.
  */
 bool rr_write_stream(struct rr_stream *stream, const uint8_t *bytes,
 		     size_t length, bool *taken);
 size_t rr_unsent_bytes(const struct rr_stream *stream);
-/* Close the sending side once all bytes are out. */
+/* Close the sending side after all buffered bytes are sent. */
 void rr_shutdown_stream_write(struct rr_stream *stream);
 /*
- * Stop or go on reading: what a peer sends meanwhile waits with the system,
- * and then with the peer.
+ * Pause or resume reading. Meanwhile, data from the peer stays in the kernel
+ * buffers, and then TCP flow control holds back the peer.
  */
 void rr_set_stream_paused(struct rr_stream *stream, bool paused);
-/* Whether bytes or an end wait to be read: nothing should, when idle. */
+/*
+ * Return whether data or an end of stream is waiting to be read, which should
+ * not be the case on an idle connection.
+ */
 bool rr_stream_has_input(const struct rr_stream *stream);
-/* The measured time there and back; 0 if the system does not tell. */
+/* Return the round-trip time measured by the kernel; 0 if not available. */
 int64_t rr_stream_rtt_us(const struct rr_stream *stream);
 
 #endif
--- a/source/net/upstream-private.h
+++ b/source/net/upstream-private.h
@@ -1,5 +1,5 @@
 /*
- * upstream-private.h - what HTTP results of upstreams mean.
+ * upstream-private.h - decoding of HTTP results from upstreams.
  */
 #ifndef RAGWORT_UPSTREAM_PRIVATE_H
 #define RAGWORT_UPSTREAM_PRIVATE_H
@@ -10,16 +10,15 @@
 #include "ragwort/wire.h"
 
 /*
- * Fill *reply from what came of an attempt.  *body holds what the reply
- * points into and is dropped by the caller after use; NULL where there is
- * none.
+ * Fill *reply from the result of an attempt. *body owns the data that the reply
+ * refers to and is freed by the caller after use; NULL if there is none.
  */
 void rr_decode_upstream_result(struct rr_context *ctx,
 			       const struct rr_exchange_result *result,
 			       struct rr_reply *reply,
 			       struct rr_upstream_body **body);
 
-/* Fill *health from what came of a poll; its replica is set already. */
+/* Fill *health from the result of a poll; health->replica is already set. */
 void rr_decode_health_result(struct rr_context *ctx,
 			     const struct rr_exchange_result *result,
 			     struct rr_health *health);
--- a/source/net/upstream-reply.c
+++ b/source/net/upstream-reply.c
@@ -1,5 +1,6 @@
 /*
- * upstream-reply.c - from HTTP results to replies: what proves "not run".
+ * upstream-reply.c - conversion of HTTP results to replies; decides which
+ * results prove that an attempt was not run.
  */
 #include "net/upstream-private.h"
 
@@ -9,7 +10,7 @@
 #include "ragwort/counters.h"
 #include "ragwort/log.h"
 
-/* A header's number, 0 where it is absent or malformed. */
+/* Returns the number in a header, 0 if it is absent or malformed. */
 static uint64_t header_u64(SoupMessageHeaders *headers, const char *name)
 {
 	const char *text = soup_message_headers_get_one(headers, name);
@@ -21,34 +22,37 @@
 	return value;
 }
 
-struct refusal {
-	const char *word;
+struct rejection {
+	const char *name;
 	enum rr_reply_status status;
 	enum rr_upstream_state state;
 };
 
-/* Words of X-Not-Run. */
-static const struct refusal refusals[] = {
+/* Values of X-Not-Run. */
+static const struct rejection rejections[] = {
 	{ "shed", RR_REPLY_SHED, RR_UPSTREAM_UNKNOWN },
 	{ "draining", RR_REPLY_DRAINING, RR_UPSTREAM_DRAINING },
 	{ "no-version", RR_REPLY_NO_VERSION, RR_UPSTREAM_UNKNOWN },
 	{ "refused", RR_REPLY_REFUSED, RR_UPSTREAM_UNKNOWN },
 };
 
-/* Only a 503 or 409 with a known word is proof; false for all else. */
-static bool read_refusal(const struct rr_exchange_result *result,
-			 struct rr_reply *reply)
+/*
+ * Returns whether the result proves that the attempt was not run: only a 503 or
+ * 409 with a known X-Not-Run value does.
+ */
+static bool read_rejection(const struct rr_exchange_result *result,
+			   struct rr_reply *reply)
 {
-	const char *word;
+	const char *name;
 
 	if (result->status != 503 && result->status != 409)
 		return false;
-	word = soup_message_headers_get_one(result->headers, "X-Not-Run");
-	for (size_t i = 0; word && i < G_N_ELEMENTS(refusals); i++) {
-		if (strcmp(word, refusals[i].word))
+	name = soup_message_headers_get_one(result->headers, "X-Not-Run");
+	for (size_t i = 0; name && i < G_N_ELEMENTS(rejections); i++) {
+		if (strcmp(name, rejections[i].name))
 			continue;
-		reply->status = refusals[i].status;
-		reply->state = refusals[i].state;
+		reply->status = rejections[i].status;
+		reply->state = rejections[i].state;
 		reply->retry_after_ms = (uint32_t)MIN(
 			header_u64(result->headers, "X-Retry-After-Ms"),
 			G_MAXUINT32);
@@ -81,7 +85,7 @@
 		reply->state = RR_UPSTREAM_DOWN;
 		return;
 	}
-	if (result->status && read_refusal(result, reply))
+	if (result->status && read_rejection(result, reply))
 		return;
 	if (result->status != SOUP_STATUS_OK) {
 		if (result->status)
@@ -89,9 +93,9 @@
 		return;
 	}
 	/*
-	 * The upstream ran it and its body is unusable: cut short by a lost
-	 * connection or a full disk.  Without the end mark the core takes no
-	 * row of it and names the shard "truncated".
+	 * The upstream ran the attempt but its body is unusable: truncated by a
+	 * lost connection or a full disk. Without the end mark the core uses
+	 * none of its rows and reports the shard as "truncated".
 	 */
 	reply->status = RR_REPLY_OK;
 	if (result->complete)
@@ -107,7 +111,7 @@
 	*reply = *rr_get_upstream_reply(*body);
 }
 
-static const char *const state_words[] = {
+static const char *const state_names[] = {
 	[RR_UPSTREAM_READY] = "ready",
 	[RR_UPSTREAM_COLD] = "cold",
 	[RR_UPSTREAM_DRAINING] = "draining",
@@ -134,12 +138,12 @@
 static enum rr_upstream_state member_state(JsonObject *object)
 {
 	JsonNode *node = json_object_get_member(object, "state");
-	const char *word = NULL;
+	const char *name = NULL;
 
 	if (node && JSON_NODE_HOLDS_VALUE(node))
-		word = json_node_get_string(node);
-	for (size_t i = 0; word && i < G_N_ELEMENTS(state_words); i++) {
-		if (state_words[i] && !strcmp(word, state_words[i]))
+		name = json_node_get_string(node);
+	for (size_t i = 0; name && i < G_N_ELEMENTS(state_names); i++) {
+		if (state_names[i] && !strcmp(name, state_names[i]))
 			return (enum rr_upstream_state)i;
 	}
 	return RR_UPSTREAM_UNKNOWN;
@@ -172,7 +176,7 @@
 		health->newest_version = member_u64(object, "newest");
 		health->map_epoch = member_u64(object, "epoch");
 	} else {
-		count_bad_reply(ctx, "health is no JSON object");
+		count_bad_reply(ctx, "health is not a JSON object");
 	}
 	g_object_unref(parser);
 }
