--- a/source/net/caller-connections.c
+++ b/source/net/caller-connections.c
@@ -25,7 +25,7 @@
 	GHashTable *open; /* set of struct connection */
 };
 
-/* Data of a socket, freed with it. */
+/* A caller's connection; data of its socket and freed with it. */
 struct connection {
 	struct rr_caller_connections *owner; /* NULL after that is freed */
 	GSocket *socket;
--- a/source/net/stream.h
+++ b/source/net/stream.h
@@ -40,8 +40,9 @@
 rr_connect_stream(struct rr_poller *poller, const char *address,
 		  const struct rr_stream_callbacks *callbacks);
 /*
- * Create a stream for an accepted descriptor, which must be non-blocking.
- * Returns NULL on failure.
+ * Create a stream for an accepted descriptor, which must be non-blocking and is
+ * owned by the stream from then on. Returns NULL on failure; the descriptor
+ * then stays with the caller.
  */
 struct rr_stream *
 rr_new_accepted_stream(struct rr_poller *poller, int fd,
--- a/tests/support/caller-fixture.c
+++ b/tests/support/caller-fixture.c
@@ -1,5 +1,6 @@
 /*
- * caller-fixture.c - a callers' server whose requests the test answers itself.
+ * caller-fixture.c - test fixture with a caller server whose requests the test
+ * answers.
  */
 #include "support/caller-fixture.h"
 
@@ -19,7 +20,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-static uint64_t take_request(void *data, const struct rr_request *request)
+static uint64_t on_request(void *data, const struct rr_request *request)
 {
 	struct caller_fixture *f = data;
 
@@ -37,7 +38,7 @@
 	return f->requests;
 }
 
-static void take_leaver(void *data, uint64_t query_id)
+static void on_disconnected(void *data, uint64_t query_id)
 {
 	struct caller_fixture *f = data;
 
@@ -45,29 +46,29 @@
 	f->disconnected = true;
 }
 
-static bool tell_ready(void *data, const char **reason)
+static bool is_ready(void *data, const char **reason)
 {
 	*reason = "no configuration";
 	return false;
 }
 
-static void tell_status(void *data, GString *out)
+static void append_status(void *data, GString *out)
 {
 	g_string_append(out, "{\"instance\":\"x\"}");
 }
 
-static void listen_at(struct caller_fixture *f, uint32_t max_body_bytes,
-		      const char *token_file)
+static void start_server(struct caller_fixture *f, uint32_t max_body_bytes,
+			 const char *token_file)
 {
 	struct rr_caller_server_options options = {
 		.address = "127.0.0.1:0",
 		.max_body_bytes = max_body_bytes,
 		.io_timeout_ms = 60000,
 		.token_file = token_file,
-		.request = take_request,
-		.disconnected = take_leaver,
-		.is_ready = tell_ready,
-		.append_status = tell_status,
+		.request = on_request,
+		.disconnected = on_disconnected,
+		.is_ready = is_ready,
+		.append_status = append_status,
 		.data = f,
 	};
 	GError *error = NULL;
@@ -82,7 +83,7 @@
 	struct caller_fixture *f = g_new0(struct caller_fixture, 1);
 
 	f->ctx = rr_new_context(NULL);
-	listen_at(f, 4096, NULL);
+	start_server(f, 4096, NULL);
 	*state = f;
 	return 0;
 }
@@ -106,5 +107,5 @@
 			  const char *token_file)
 {
 	rr_drop_caller_server(f->server);
-	listen_at(f, max_body_bytes, token_file);
+	start_server(f, max_body_bytes, token_file);
 }
--- a/tests/support/caller-fixture.h
+++ b/tests/support/caller-fixture.h
@@ -1,5 +1,6 @@
 /*
- * caller-fixture.h - a callers' server whose requests the test answers itself.
+ * caller-fixture.h - test fixture with a caller server whose requests the test
+ * answers.
  */
 #ifndef TESTS_SUPPORT_CALLER_FIXTURE_H
 #define TESTS_SUPPORT_CALLER_FIXTURE_H
@@ -14,7 +15,7 @@
 	struct rr_context *ctx;
 	struct rr_caller_server *server;
 	uint16_t tcp_port;
-	/* The last request, and how to answer it. */
+	/* The last request, and the answer to send. */
 	struct rr_request request;
 	char *body;
 	char *service;
@@ -25,14 +26,20 @@
 	struct rr_answer answer;
 };
 
-/* For cmocka: *state becomes a scene with a port for short bodies. */
+/*
+ * Setup and teardown for cmocka: *state is a fixture whose server accepts only
+ * short bodies.
+ */
 int caller_set_up(void **state);
 int caller_tear_down(void **state);
 
-/* A port of its own for the scene, in place of the one it has. */
-void caller_reopen_server(struct caller_fixture *scene, uint32_t max_body_bytes,
-			  const char *token_file);
-/* Answer the request that is held; for g_idle_add() as well. */
-gboolean caller_send_answer(gpointer scene);
+/* Replace the server of the fixture by one with other options. */
+void caller_reopen_server(struct caller_fixture *fixture,
+			  uint32_t max_body_bytes, const char *token_file);
+/*
+ * Answer the last request, which hold_answers kept open; also usable with
+ * g_idle_add().
+ */
+gboolean caller_send_answer(gpointer fixture);
 
 #endif
--- a/tests/support/port.c
+++ b/tests/support/port.c
@@ -1,5 +1,6 @@
 /*
- * port.c - ports are held by sockets that are bound and never listen.
+ * port.c - TCP port reservation for tests, by sockets that are bound but never
+ * listen.
  */
 #define _GNU_SOURCE /* SOCK_CLOEXEC */
 #include "support/port.h"
@@ -13,23 +14,24 @@
 #include <unistd.h>
 
 /*
- * Below the ports that the system gives to outgoing connections: any
- * connection of the machine could take one of those.
+ * Below the ephemeral port range: any outgoing connection on the machine could
+ * use a port of that range.
  */
 #define FIRST_PORT 12000
 #define LAST_PORT 31999
 /*
- * As many as a whole fleet opens at once: a stand-in that connects to another
- * one of its own loop would wait for itself.
+ * As many connections as a whole fleet opens at once: a stand-in that connects
+ * to another one on the same main loop would block waiting for itself.
  */
 #define BACKLOG 4096
 
 /*
- * Bound without SO_REUSEADDR, so that it fails where anyone holds, listens
- * at or was connected from the port; marked as reusable only then, so that a
- * listener that sets the option, as all servers do, can be bound beside it.
+ * Binds without SO_REUSEADDR, so that it fails if another socket is bound to
+ * the port, listens on it or was connected from it. The option is set only
+ * afterwards, so that a listener that sets it, as all servers do, can bind to
+ * the same port.
  */
-static bool hold_port(uint16_t port)
+static bool reserve_port(uint16_t port)
 {
 	struct sockaddr_in address = {
 		.sin_family = AF_INET,
@@ -37,17 +39,17 @@
 		.sin_addr.s_addr = htonl(INADDR_LOOPBACK),
 	};
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-	int yes = 1;
+	int on = 1;
 
 	if (fd < 0) {
-		perror("no socket to hold a port with");
+		perror("cannot create a socket to reserve a port");
 		exit(1);
 	}
 	if (bind(fd, (const struct sockaddr *)&address, sizeof(address)) < 0) {
 		close(fd);
 		return false;
 	}
-	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof(yes));
+	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
 	return true;
 }
 
@@ -57,7 +59,7 @@
 
 	do {
 		port = (uint16_t)g_random_int_range(FIRST_PORT, LAST_PORT + 1);
-	} while (!hold_port(port));
+	} while (!reserve_port(port));
 	return port;
 }
 
--- a/tests/support/port.h
+++ b/tests/support/port.h
@@ -1,5 +1,5 @@
 /*
- * port.h - TCP ports of 127.0.0.1 that nobody else is given.
+ * port.h - TCP port reservation on 127.0.0.1 for tests.
  */
 #ifndef TESTS_SUPPORT_PORT_H
 #define TESTS_SUPPORT_PORT_H
@@ -8,18 +8,18 @@
 #include <stdint.h>
 
 /*
- * A port that is this process's until it ends: no other call here or in
- * another process that takes its ports here is given it, while whoever is
- * told of it (a daemon, a listener) can listen there.
+ * Reserve a port for this process until it ends. No other call here, or in
+ * another process that reserves its ports with this function, returns it, but a
+ * daemon or listener that is given the port can listen on it.
  */
 uint16_t test_reserve_port(void);
-/* IP:PORT of such a port, for g_free(). */
+/* Return IP:PORT of such a port, to be freed with g_free(). */
 char *test_reserve_address(void);
 
 /*
- * Listen at `*port`, or at a port taken for it where that is 0.  The socket
- * does not block and is the caller's.  The program ends with a message if
- * the port cannot be had.
+ * Listen on `*port`, or on a port reserved and stored there if it is 0. The
+ * socket is non-blocking and owned by the caller. On failure the program exits
+ * with a message.
  */
 GSocket *test_open_listener(uint16_t *port);
 
--- a/tests/support/raw-http.c
+++ b/tests/support/raw-http.c
@@ -1,5 +1,5 @@
 /*
- * raw-http.c - HTTP/1.1 on plain sockets, on the default main context.
+ * raw-http.c - HTTP/1.1 server on plain sockets, on the default main context.
  */
 #include "support/raw-http.h"
 
@@ -86,7 +86,7 @@
 	return headers;
 }
 
-/* Hands out a whole request from the input if there is one. */
+/* Passes on a complete request from the input, if there is one. */
 static void parse_input(struct test_connection *connection)
 {
 	char *end = strstr(connection->input->str, "\r\n\r\n");
@@ -152,8 +152,8 @@
 	parse_input(connection);
 }
 
-static gboolean read_input(GSocket *socket, GIOCondition condition,
-			   gpointer data)
+static gboolean on_readable(GSocket *socket, GIOCondition condition,
+			    gpointer data)
 {
 	struct test_connection *connection = data;
 	char bytes[16384];
@@ -190,7 +190,7 @@
 	g_socket_set_blocking(socket, FALSE);
 	g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, NULL);
 	connection->source = g_socket_create_source(socket, G_IO_IN, NULL);
-	g_source_set_callback(connection->source, G_SOURCE_FUNC(read_input),
+	g_source_set_callback(connection->source, G_SOURCE_FUNC(on_readable),
 			      connection, NULL);
 	g_source_attach(connection->source, NULL);
 	g_ptr_array_add(server->connections, connection);
--- a/tests/support/raw-http.h
+++ b/tests/support/raw-http.h
@@ -1,6 +1,7 @@
 /*
- * raw-http.h - a small HTTP/1.1 server on plain sockets, for stand-ins that
- * have to break off anywhere: refuse, reset, hang up, cut a body.
+ * raw-http.h - small HTTP/1.1 server on plain sockets, for stand-ins that have
+ * to fail at any point: refuse or reset connections, close without a reply,
+ * truncate a body.
  */
 #ifndef TESTS_SUPPORT_RAW_HTTP_H
 #define TESTS_SUPPORT_RAW_HTTP_H
@@ -11,12 +12,12 @@
 
 struct test_server;
 
-/* One connection and the request on it, one at a time. */
+/* A connection and the request on it; one request at a time. */
 struct test_connection {
 	struct test_server *server;
-	void *user; /* freed with g_free() at the end */
-	bool busy;  /* a request was handed out and not replied to */
-	bool held;  /* requests wait until test_release_connection() */
+	void *user; /* freed with g_free() on close */
+	bool busy;  /* a request was passed on and not answered yet */
+	bool held;  /* requests are queued until test_release_connection() */
 	char *method;
 	char *path;
 	GHashTable *headers; /* names in lower case */
@@ -27,38 +28,40 @@
 };
 
 struct test_server {
-	uint16_t port; /* 0 takes a free one */
+	uint16_t port; /* 0 picks a free one */
 	void *data;
-	/* Close each connection as soon as it is made. */
+	/* Close each connection immediately after accepting it. */
 	bool reset;
 	void (*accepted)(struct test_connection *connection);
 	void (*request)(struct test_connection *connection);
-	/* It is about to go; nothing may be sent any more. */
+	/*
+	 * The connection is about to be closed; nothing may be sent any more.
+	 */
 	void (*closing)(struct test_connection *connection);
-	/* It is gone. */
+	/* A connection was closed. */
 	void (*closed)(struct test_server *server);
 	GPtrArray *connections;
 	GSocket *listener;
 	GSource *source;
 };
 
-/* Open or close the listener; with a closed one connections are refused. */
+/* Open or close the listener; connections are refused while it is closed. */
 void test_set_listening(struct test_server *server, bool open);
-/* As when its process ends: no listener, and no connections. */
+/* Stop as if the process had ended: close the listener and all connections. */
 void test_stop_server(struct test_server *server);
-/* The same, and it is not opened again. */
+/* Stop for good, and free the connection list. */
 void test_destroy_server(struct test_server *server);
 
-/* A header of the request, NULL if absent. */
+/* Return a header of the request, NULL if absent. */
 const char *test_request_header(struct test_connection *connection,
 				const char *name);
 int64_t test_request_header_i64(struct test_connection *connection,
 				const char *name);
 
 /*
- * Reply; `extra` holds further header lines, each ended by CRLF.  With
- * `half` the connection closes in the middle of the body.  The connection may
- * be gone afterwards, or have handed out its next request.
+ * Send a reply. `extra` holds further header lines, each terminated by CRLF.
+ * With `half` the connection is closed in the middle of the body. Afterwards
+ * the connection may be freed, or its next request may have been passed on.
  */
 void test_reply_to(struct test_connection *connection, int status,
 		   const char *extra, const char *body, bool half);
--- a/tests/support/raw-peer.c
+++ b/tests/support/raw-peer.c
@@ -1,5 +1,5 @@
 /*
- * raw-peer.c - the other end of a TCP connection, on plain sockets.
+ * raw-peer.c - remote end of a TCP connection for tests, on plain sockets.
  */
 #include "support/raw-peer.h"
 
@@ -10,7 +10,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-static void turn(void)
+static void iterate(void)
 {
 	if (!g_main_context_iteration(NULL, FALSE))
 		g_usleep(200);
@@ -18,20 +18,20 @@
 
 void raw_run_for(int64_t us)
 {
-	int64_t end_us = g_get_monotonic_time() + us;
+	int64_t deadline_us = g_get_monotonic_time() + us;
 
-	while (g_get_monotonic_time() < end_us)
-		turn();
+	while (g_get_monotonic_time() < deadline_us)
+		iterate();
 }
 
 void raw_run_until(const int *flag, int n)
 {
-	int64_t end_us = g_get_monotonic_time() + RAW_TIMEOUT_US;
+	int64_t deadline_us = g_get_monotonic_time() + RAW_TIMEOUT_US;
 
 	while (*flag < n) {
-		turn();
-		if (g_get_monotonic_time() > end_us)
-			g_error("nothing came");
+		iterate();
+		if (g_get_monotonic_time() > deadline_us)
+			g_error("timed out waiting for an event");
 	}
 }
 
@@ -80,7 +80,7 @@
 
 struct raw_peer *raw_accept(struct raw_listener *listener)
 {
-	int64_t end_us = g_get_monotonic_time() + RAW_TIMEOUT_US;
+	int64_t deadline_us = g_get_monotonic_time() + RAW_TIMEOUT_US;
 
 	for (;;) {
 		int fd = accept(listener->fd, NULL, NULL);
@@ -88,8 +88,8 @@
 		if (fd >= 0)
 			return new_peer(fd);
 		g_assert_true(errno == EAGAIN);
-		g_assert_cmpint(g_get_monotonic_time(), <, end_us);
-		turn();
+		g_assert_cmpint(g_get_monotonic_time(), <, deadline_us);
+		iterate();
 	}
 }
 
@@ -104,7 +104,7 @@
 	return fd >= 0;
 }
 
-/* Below 0 if it is refused. */
+/* Returns a negative value if the connection is refused. */
 static int connect_to(const char *address)
 {
 	struct sockaddr_in target = {
@@ -182,26 +182,26 @@
 
 void raw_expect(struct raw_peer *peer, const char *text)
 {
-	int64_t end_us = g_get_monotonic_time() + RAW_TIMEOUT_US;
+	int64_t deadline_us = g_get_monotonic_time() + RAW_TIMEOUT_US;
 
 	while (!strstr(peer->received->str, text)) {
 		read_some(peer);
-		if (g_get_monotonic_time() > end_us || peer->closed)
-			g_error("'%s' did not come, but '%s'", text,
+		if (g_get_monotonic_time() > deadline_us || peer->closed)
+			g_error("expected '%s', received '%s'", text,
 				peer->received->str);
-		turn();
+		iterate();
 	}
 }
 
 void raw_expect_end(struct raw_peer *peer)
 {
-	int64_t end_us = g_get_monotonic_time() + RAW_TIMEOUT_US;
+	int64_t deadline_us = g_get_monotonic_time() + RAW_TIMEOUT_US;
 
 	while (!peer->closed) {
 		read_some(peer);
-		if (g_get_monotonic_time() > end_us)
-			g_error("no end came");
-		turn();
+		if (g_get_monotonic_time() > deadline_us)
+			g_error("timed out waiting for the end of the connection");
+		iterate();
 	}
 }
 
--- a/tests/support/standin-replica.c
+++ b/tests/support/standin-replica.c
@@ -1,13 +1,13 @@
 /*
- * standin-replica.c - faults, rows and counts of the upstream stand-in's
- * replicas.
+ * standin-replica.c - options, rows and counters of the replicas of the
+ * stand-in upstream.
  */
 #include "support/standin-replica.h"
 
 #include <stddef.h>
 #include <string.h>
 
-static const char *const cut_names[] = {
+static const char *const fault_names[] = {
 	"none",	    "reset",  "hang-up",  "half",
 	"truncate", "refuse", "redirect", "challenge",
 };
@@ -29,7 +29,7 @@
 				(2.0 * replica->slots));
 }
 
-/* What a row holds; tests compute the same. */
+/* Appends a row; tests compute the same content. */
 static void append_row(GString *out, const char *shard, int64_t key,
 		       int64_t version)
 {
@@ -60,12 +60,12 @@
 	return n;
 }
 
-/* What POST /control can set by name. */
-static const struct fault {
+/* Numeric options that POST /control can set. */
+static const struct option {
 	const char *name;
 	bool is_double;
-	size_t offset; /* in struct test_replica */
-} faults[] = {
+	size_t offset; /* offset in struct test_replica */
+} options[] = {
 	{ "slots", false, offsetof(struct test_replica, slots) },
 	{ "queue", false, offsetof(struct test_replica, queue) },
 	{ "connections", false,
@@ -91,32 +91,32 @@
 	if (!strcmp(name, "cold_ms"))
 		replica->cold_until_us =
 			g_get_monotonic_time() + (int64_t)number * 1000;
-	for (guint i = 0; i < G_N_ELEMENTS(faults); i++) {
-		char *place = (char *)replica + faults[i].offset;
+	for (guint i = 0; i < G_N_ELEMENTS(options); i++) {
+		char *field = (char *)replica + options[i].offset;
 
-		if (strcmp(name, faults[i].name) != 0)
+		if (strcmp(name, options[i].name) != 0)
 			continue;
-		if (faults[i].is_double)
-			*(double *)(void *)place = number;
+		if (options[i].is_double)
+			*(double *)(void *)field = number;
 		else
-			*(int64_t *)(void *)place = (int64_t)number;
+			*(int64_t *)(void *)field = (int64_t)number;
 	}
 }
 
-static void set_word(struct test_replica *replica, const char *name,
-		     const char *word)
+static void set_string(struct test_replica *replica, const char *name,
+		       const char *value)
 {
-	bool draining = !strcmp(word, "draining");
+	bool draining = !strcmp(value, "draining");
 
 	if (!strcmp(name, "told_state")) {
-		replica->reported_state = g_intern_string(word);
+		replica->reported_state = g_intern_string(value);
 	} else if (!strcmp(name, "state")) {
-		replica->state = g_intern_string(word);
+		replica->state = g_intern_string(value);
 		replica->draining_since_us =
 			draining ? g_get_monotonic_time() : 0;
 	} else if (!strcmp(name, "cut")) {
-		for (guint i = 0; i < G_N_ELEMENTS(cut_names); i++) {
-			if (!strcmp(word, cut_names[i]))
+		for (guint i = 0; i < G_N_ELEMENTS(fault_names); i++) {
+			if (!strcmp(value, fault_names[i]))
 				replica->fault = (enum test_fault_kind)i;
 		}
 	}
@@ -130,7 +130,7 @@
 			     G_TYPE_INVALID;
 
 	if (type == G_TYPE_STRING)
-		set_word(replica, name, json_node_get_string(node));
+		set_string(replica, name, json_node_get_string(node));
 	else if (type == G_TYPE_BOOLEAN)
 		set_number(replica, name, json_node_get_boolean(node));
 	else if (type != G_TYPE_INVALID)
--- a/tests/support/standin-replica.h
+++ b/tests/support/standin-replica.h
@@ -1,6 +1,6 @@
 /*
- * standin-replica.h - one replica of the upstream stand-in: its settings and
- * faults, what it tells of itself and the rows it makes up.
+ * standin-replica.h - a replica of the stand-in upstream: its options and
+ * faults, the state it reports and the rows it generates.
  */
 #ifndef TESTS_SUPPORT_STANDIN_REPLICA_H
 #define TESTS_SUPPORT_STANDIN_REPLICA_H
@@ -11,21 +11,22 @@
 
 enum test_fault_kind {
 	TEST_FAULT_NONE,
-	TEST_FAULT_RESET,    /* close each connection as soon as it is made */
-	TEST_FAULT_NO_REPLY, /* read and run the request, close without a reply */
-	TEST_FAULT_HALF_BODY, /* close in the middle of the reply's body */
-	TEST_FAULT_TRUNCATED_JSON, /* a well-framed reply whose JSON stops in the middle */
-	TEST_FAULT_REFUSED,  /* close the listening socket */
-	TEST_FAULT_REDIRECT, /* run the request, answer 307 to the same place */
+	/* close each connection immediately after accepting it */
+	TEST_FAULT_RESET,
+	TEST_FAULT_NO_REPLY,	   /* run the request, close without a reply */
+	TEST_FAULT_HALF_BODY,	   /* close in the middle of the reply body */
+	TEST_FAULT_TRUNCATED_JSON, /* complete reply whose JSON is truncated */
+	TEST_FAULT_REFUSED,	   /* close the listening socket */
+	TEST_FAULT_REDIRECT,  /* run the request, answer 307 to the same URL */
 	TEST_FAULT_CHALLENGE, /* run the request, answer 401 with a challenge */
 };
 
 struct test_replica {
 	int index;
 	struct test_server server;
-	GQueue waiting; /* struct test_connection, for a slot */
+	GQueue waiting; /* struct test_connection, waiting for a slot */
 	int running;
-	/* Settings and faults; all whole numbers are of 64 bits. */
+	/* Options and faults; all integers are 64 bits wide. */
 	int64_t slots;
 	int64_t queue;
 	int64_t max_connections;
@@ -40,14 +41,14 @@
 	int64_t range_to;
 	double service_time_factor;
 	double slow_share;
-	double reported_load; /* negative: the truth */
+	double reported_load; /* negative: the true load */
 	enum test_fault_kind fault;
 	const char *state;
-	const char *
-		reported_state; /* health's and replies' lie; NULL: the truth */
+	/* state in health and replies; NULL: the true state */
+	const char *reported_state;
 	int64_t cold_until_us;
 	int64_t draining_since_us;
-	/* Counts. */
+	/* Counters. */
 	int64_t requests;
 	int64_t ran;
 	int64_t cancelled;
@@ -58,17 +59,20 @@
 	int64_t last_after_drain_ms;
 };
 
-/* State and load as replies and health tell them: true, or set to lie. */
+/*
+ * State and load as reported in replies and health: the true ones, or the
+ * overrides.
+ */
 const char *test_reported_state(const struct test_replica *replica);
 double test_reported_load(const struct test_replica *replica);
-/* Appends the rows of [from, to) as JSON; returns their number. */
+/* Append the rows of [from, to) as JSON; returns their number. */
 int64_t test_append_rows(GString *out, const char *shard, int64_t from,
 			 int64_t to, int64_t step, int64_t version,
 			 int64_t limit, bool *more);
-/* Take one member of what POST /control sets; unknown ones do nothing. */
+/* Set an option from a member of POST /control; unknown names are ignored. */
 void test_set_replica_option(struct test_replica *replica, const char *name,
 			     JsonNode *node);
-/* Appends one replica's counts as a JSON object. */
+/* Append the counters of a replica as a JSON object. */
 void test_append_replica_counts(GString *out,
 				const struct test_replica *replica);
 
--- a/tests/support/standin-store-private.h
+++ b/tests/support/standin-store-private.h
@@ -1,5 +1,6 @@
 /*
- * standin-store-private.h - what the parts of the stand-in store share.
+ * standin-store-private.h - internals shared by the source files of the
+ * stand-in store.
  */
 #ifndef TESTS_SUPPORT_STANDIN_STORE_PRIVATE_H
 #define TESTS_SUPPORT_STANDIN_STORE_PRIVATE_H
@@ -20,13 +21,16 @@
 };
 
 void test_append_store_item(GString *out, const struct test_store_item *item);
-/* Answer now, or later where the store is slow. */
+/* Answer a call at once, or after answer_delay_ms. */
 void test_answer_store_call(struct test_store *store,
 			    struct test_connection *connection, int status,
 			    const char *body);
-/* Answer the watches that there is news for, and what was slow. */
+/*
+ * Answer the watches that have changes to report, and delayed calls that are
+ * due.
+ */
 void test_answer_due_store_calls(struct test_store *store);
-/* Where a call on a key is counted. */
+/* Return the counters for calls on a key. */
 struct test_prefix_counts *test_find_store_counts(struct test_store *store,
 						  const char *key);
 
--- a/tests/support/standin-store-write.c
+++ b/tests/support/standin-store-write.c
@@ -1,6 +1,6 @@
 /*
- * standin-store-write.c - what changes the stand-in store: writes, leases,
- * transactions.
+ * standin-store-write.c - writes, leases and transactions of the stand-in
+ * store.
  */
 #include "support/standin-store-private.h"
 
@@ -44,10 +44,10 @@
 void test_store_put(struct test_store *store, const char *key,
 		    const char *value)
 {
-	char *coded = g_base64_encode((const guchar *)value, strlen(value));
+	char *encoded = g_base64_encode((const guchar *)value, strlen(value));
 
-	write_item(store, key, coded, 0);
-	g_free(coded);
+	write_item(store, key, encoded, 0);
+	g_free(encoded);
 	test_answer_due_store_calls(store);
 }
 
@@ -59,7 +59,7 @@
 	test_answer_due_store_calls(store);
 }
 
-static void end_lease(struct test_store *store, uint64_t id)
+static void revoke_lease(struct test_store *store, uint64_t id)
 {
 	GList *keys = g_hash_table_get_keys(store->items);
 
@@ -86,20 +86,24 @@
 		struct test_store_lease *lease = l->data;
 
 		if (lease->expires_us <= g_get_monotonic_time())
-			end_lease(store, lease->id);
+			revoke_lease(store, lease->id);
 	}
 	g_list_free(leases);
 }
 
-static uint64_t path_number(const char *path)
+static uint64_t parse_path_number(const char *path)
 {
 	const char *slash = strrchr(path, '/');
 
 	return g_ascii_strtoull(slash + 1, NULL, 10);
 }
 
-/* Whether the answer to a write is lost: its connection ends. */
-static bool loses(struct test_store *store, struct test_connection *connection)
+/*
+ * Closes the connection of a write instead of answering it, if that is to be
+ * simulated. Returns whether it did.
+ */
+static bool lose_answer(struct test_store *store,
+			struct test_connection *connection)
 {
 	if (store->lose_next_writes)
 		store->lose_next_writes--;
@@ -123,7 +127,7 @@
 	lease->expires_us = g_get_monotonic_time() + lease->ttl_us;
 	g_hash_table_insert(store->leases, &lease->id, lease);
 	json_node_unref(root);
-	if (loses(store, connection))
+	if (lose_answer(store, connection))
 		return;
 	body = g_strdup_printf("{\"lease\":%" G_GUINT64_FORMAT ",\"ttlMs\":%d}",
 			       lease->id, (int)(lease->ttl_us / 1000));
@@ -134,7 +138,7 @@
 void test_handle_lease_renew(struct test_store *store,
 			     struct test_connection *connection)
 {
-	uint64_t id = path_number(connection->path);
+	uint64_t id = parse_path_number(connection->path);
 	struct test_store_lease *lease =
 		g_hash_table_lookup(store->leases, &id);
 
@@ -146,12 +150,12 @@
 void test_handle_lease_revoke(struct test_store *store,
 			      struct test_connection *connection)
 {
-	end_lease(store, path_number(connection->path));
+	revoke_lease(store, parse_path_number(connection->path));
 	test_answer_store_call(store, connection, 200, "{}");
 }
 
-/* A transaction: all of it or nothing. */
-static uint64_t revision_of(const struct test_store *store, const char *key)
+/* Transactions are applied completely or not at all. */
+static uint64_t find_revision(const struct test_store *store, const char *key)
 {
 	const struct test_store_item *item =
 		g_hash_table_lookup(store->items, key);
@@ -159,8 +163,8 @@
 	return item ? item->revision : 0;
 }
 
-static bool conditions_hold(const struct test_store *store,
-			    JsonArray *conditions)
+static bool are_conditions_met(const struct test_store *store,
+			       JsonArray *conditions)
 {
 	for (guint i = 0; i < json_array_get_length(conditions); i++) {
 		JsonObject *condition =
@@ -168,14 +172,14 @@
 		const char *key =
 			json_object_get_string_member(condition, "key");
 
-		if (revision_of(store, key) !=
+		if (find_revision(store, key) !=
 		    (uint64_t)json_object_get_int_member(condition, "revision"))
 			return false;
 	}
 	return true;
 }
 
-static bool leases_stand(const struct test_store *store, JsonArray *writes)
+static bool are_leases_valid(const struct test_store *store, JsonArray *writes)
 {
 	for (guint i = 0; i < json_array_get_length(writes); i++) {
 		JsonObject *write = json_array_get_object_element(writes, i);
@@ -207,10 +211,10 @@
 {
 	JsonArray *writes = json_object_get_array_member(txn, "writes");
 
-	if (!conditions_hold(store,
-			     json_object_get_array_member(txn, "expectedRev")))
+	if (!are_conditions_met(
+		    store, json_object_get_array_member(txn, "expectedRev")))
 		return 412;
-	if (!leases_stand(store, writes))
+	if (!are_leases_valid(store, writes))
 		return 404;
 	for (guint i = 0; i < json_array_get_length(writes); i++) {
 		JsonObject *write = json_array_get_object_element(writes, i);
@@ -224,8 +228,8 @@
 	return 200;
 }
 
-/* The keys that were to have another revision, as they are now. */
-static char *items_now(const struct test_store *store, JsonObject *txn)
+/* Returns the current items of the keys in the conditions of a transaction. */
+static char *format_conflicts(const struct test_store *store, JsonObject *txn)
 {
 	JsonArray *conditions =
 		json_object_get_array_member(txn, "expectedRev");
@@ -247,19 +251,19 @@
 	return g_string_free(out, FALSE);
 }
 
-struct late_write {
+struct delayed_write {
 	struct test_store *store;
 	JsonNode *root;
 };
 
-static gboolean commit_late(gpointer data)
+static gboolean commit_delayed(gpointer data)
 {
-	struct late_write *late = data;
+	struct delayed_write *delayed = data;
 
-	commit(late->store, json_node_get_object(late->root));
-	test_answer_due_store_calls(late->store);
-	json_node_unref(late->root);
-	g_free(late);
+	commit(delayed->store, json_node_get_object(delayed->root));
+	test_answer_due_store_calls(delayed->store);
+	json_node_unref(delayed->root);
+	g_free(delayed);
 	return G_SOURCE_REMOVE;
 }
 
@@ -279,31 +283,31 @@
 {
 	JsonNode *root = json_from_string(connection->body, NULL);
 	JsonObject *txn = json_node_get_object(root);
-	struct test_prefix_counts *calls =
+	struct test_prefix_counts *counts =
 		test_find_store_counts(store, first_key(txn));
-	struct late_write *late;
+	struct delayed_write *delayed;
 	char *body;
 	int status;
 
-	calls->writes++;
+	counts->writes++;
 	if (store->delay_next_writes) {
 		store->delay_next_writes--;
-		late = g_new0(struct late_write, 1);
-		late->store = store;
-		late->root = root;
-		g_timeout_add(store->write_delay_ms, commit_late, late);
+		delayed = g_new0(struct delayed_write, 1);
+		delayed->store = store;
+		delayed->root = root;
+		g_timeout_add(store->write_delay_ms, commit_delayed, delayed);
 		test_close_connection(connection);
 		return;
 	}
 	status = commit(store, txn);
 	if (status == 412)
-		calls->conflicts++;
+		counts->conflicts++;
 	body = status == 412 ?
-		       items_now(store, txn) :
+		       format_conflicts(store, txn) :
 		       g_strdup_printf("{\"revision\":%" G_GUINT64_FORMAT "}",
 				       store->revision);
 	json_node_unref(root);
-	if (!loses(store, connection))
+	if (!lose_answer(store, connection))
 		test_answer_store_call(store, connection, status, body);
 	g_free(body);
 	test_answer_due_store_calls(store);
--- a/tests/support/standin-store.c
+++ b/tests/support/standin-store.c
@@ -6,17 +6,17 @@
 
 #include <string.h>
 
-/* After its history was dropped, as long as new watches are deaf. */
-#define DEAF_MS 100
+/* How long new watches are held after a compaction. */
+#define HOLD_WATCHES_MS 100
 #define TICK_MS 20
 
-/* A watch that waits, or an answer that is slow. */
+/* A watch without changes yet, or a delayed answer. */
 struct waiter {
 	struct test_connection *connection;
 	char *prefix;
 	uint64_t after;
-	int64_t until_us;
-	char *answer; /* NULL: a watch */
+	int64_t deadline_us;
+	char *answer; /* NULL for a watch */
 	int status;
 };
 
@@ -29,8 +29,6 @@
 	g_free(waiter);
 }
 
-/* Answers. */
-
 void test_append_store_item(GString *out, const struct test_store_item *item)
 {
 	g_string_append(out, "{\"key\":");
@@ -46,12 +44,12 @@
 		g_string_append(out, "\"removed\":true}");
 }
 
-/* Changes behind a revision; NULL if there are none. */
+/* Returns the changes after a revision; NULL if there are none. */
 static char *changes_after(const struct test_store *store, const char *prefix,
 			   uint64_t after)
 {
 	GString *out = g_string_new("{\"events\":[");
-	bool any = false;
+	bool found = false;
 
 	for (guint i = 0; i < store->changes->len; i++) {
 		const struct test_store_item *item =
@@ -60,15 +58,15 @@
 		if (item->revision <= after ||
 		    !g_str_has_prefix(item->key, prefix))
 			continue;
-		if (any)
+		if (found)
 			g_string_append_c(out, ',');
 		test_append_store_item(out, item);
-		any = true;
+		found = true;
 	}
 	g_string_append_printf(out,
 			       "],\"storeRevision\":%" G_GUINT64_FORMAT "}",
 			       store->revision);
-	return g_string_free(out, !any);
+	return g_string_free(out, !found);
 }
 
 static void answer_now(struct test_store *store,
@@ -89,7 +87,7 @@
 	waiter->connection = connection;
 	waiter->prefix = g_strdup(prefix);
 	waiter->after = after;
-	waiter->until_us = g_get_monotonic_time() + wait_us;
+	waiter->deadline_us = g_get_monotonic_time() + wait_us;
 	waiter->status = status;
 	waiter->answer = g_strdup(answer);
 	g_ptr_array_add(store->waiters, waiter);
@@ -106,8 +104,10 @@
 		answer_now(store, connection, status, body);
 }
 
-/* A watch or slow answer is due: off the list before it is answered. */
-static void end_waiter(struct test_store *store, guint index)
+/*
+ * Answers a watch or delayed call that is due, after removing it from the list.
+ */
+static void answer_waiter(struct test_store *store, guint index)
 {
 	struct waiter *waiter = g_ptr_array_index(store->waiters, index);
 	char *body = waiter->answer ? g_strdup(waiter->answer) :
@@ -143,7 +143,7 @@
 
 static bool is_due(const struct test_store *store, const struct waiter *waiter)
 {
-	if (waiter->until_us <= g_get_monotonic_time())
+	if (waiter->deadline_us <= g_get_monotonic_time())
 		return true;
 	return !store->watches_muted && !waiter->answer &&
 	       has_change(store, waiter);
@@ -157,13 +157,16 @@
 		return;
 	while (i < store->waiters->len) {
 		if (is_due(store, g_ptr_array_index(store->waiters, i)))
-			end_waiter(store, i);
+			answer_waiter(store, i);
 		else
 			i++;
 	}
 }
 
-/* While it is not up, leases stand still unless they are to lapse. */
+/*
+ * Leases do not run down while the store is not up, unless leases_expire_down
+ * is set.
+ */
 static gboolean tick(gpointer data)
 {
 	struct test_store *store = data;
@@ -182,17 +185,15 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/* Calls. */
-
-static uint64_t query_number(const char *path, const char *name)
+static uint64_t parse_query_number(const char *path, const char *name)
 {
 	const char *at = strstr(path, name);
 
 	return at ? g_ascii_strtoull(at + strlen(name), NULL, 10) : 0;
 }
 
-/* A parameter of the query, decoded; "" if there is none. */
-static char *query_text(const char *path, const char *name)
+/* Returns a decoded parameter of the query string; "" if absent. */
+static char *parse_query_text(const char *path, const char *name)
 {
 	const char *at = strstr(path, name);
 	char *text;
@@ -216,24 +217,24 @@
 			       &uncounted;
 }
 
-static void take_range(struct test_store *store,
-		       struct test_connection *connection)
+static void handle_range(struct test_store *store,
+			 struct test_connection *connection)
 {
 	GString *out = g_string_new("{\"items\":[");
 	GList *keys = g_hash_table_get_keys(store->items);
-	char *prefix = query_text(connection->path, "?prefix=");
-	bool any = false;
+	char *prefix = parse_query_text(connection->path, "?prefix=");
+	bool found = false;
 
 	test_find_store_counts(store, prefix)->reads++;
 	keys = g_list_sort(keys, (GCompareFunc)strcmp);
 	for (GList *l = keys; l; l = l->next) {
 		if (!g_str_has_prefix(l->data, prefix))
 			continue;
-		if (any)
+		if (found)
 			g_string_append_c(out, ',');
 		test_append_store_item(
 			out, g_hash_table_lookup(store->items, l->data));
-		any = true;
+		found = true;
 	}
 	g_list_free(keys);
 	g_free(prefix);
@@ -245,10 +246,10 @@
 	g_string_free(out, TRUE);
 }
 
-static void take_key(struct test_store *store,
-		     struct test_connection *connection)
+static void handle_key(struct test_store *store,
+		       struct test_connection *connection)
 {
-	char *key = query_text(connection->path, "?key=");
+	char *key = parse_query_text(connection->path, "?key=");
 	const struct test_store_item *item =
 		g_hash_table_lookup(store->items, key);
 	GString *out = g_string_new(NULL);
@@ -263,13 +264,14 @@
 	g_free(key);
 }
 
-static void take_watch(struct test_store *store,
-		       struct test_connection *connection)
+static void handle_watch(struct test_store *store,
+			 struct test_connection *connection)
 {
-	uint64_t after = query_number(connection->path, "&after=");
+	uint64_t after = parse_query_number(connection->path, "&after=");
 	int64_t wait_us =
-		(int64_t)query_number(connection->path, "&waitMs=") * 1000;
-	char *prefix = query_text(connection->path, "?prefix=");
+		(int64_t)parse_query_number(connection->path, "&waitMs=") *
+		1000;
+	char *prefix = parse_query_text(connection->path, "?prefix=");
 
 	test_find_store_counts(store, prefix)->watches++;
 	if (after < store->compacted_revision &&
@@ -285,17 +287,17 @@
 	g_free(prefix);
 }
 
-static void take_call(struct test_connection *connection)
+static void handle_call(struct test_connection *connection)
 {
 	static const struct {
-		const char *path; /* a longer one before its beginning */
+		const char *path; /* prefix; longer ones first */
 		bool write;
-		void (*take)(struct test_store *store,
-			     struct test_connection *connection);
+		void (*handle)(struct test_store *store,
+			       struct test_connection *connection);
 	} calls[] = {
-		{ "/v1/kv-range", false, take_range },
-		{ "/v1/kv-watch", false, take_watch },
-		{ "/v1/kv-key", false, take_key },
+		{ "/v1/kv-range", false, handle_range },
+		{ "/v1/kv-watch", false, handle_watch },
+		{ "/v1/kv-key", false, handle_key },
 		{ "/v1/kv-txn", true, test_handle_txn },
 		{ "/v1/kv-lease-end", true, test_handle_lease_revoke },
 		{ "/v1/kv-lease", true, test_handle_lease_grant },
@@ -316,13 +318,13 @@
 		if (test_rate_limit_call(&store->rate, calls[i].write))
 			test_reply_to(connection, 429, "", "{}", false);
 		else
-			calls[i].take(store, connection);
+			calls[i].handle(store, connection);
 		return;
 	}
 	test_answer_store_call(store, connection, 404, "{}");
 }
 
-static void forget_connection(struct test_connection *connection)
+static void remove_waiters(struct test_connection *connection)
 {
 	struct test_store *store = connection->server->data;
 	guint i = 0;
@@ -337,7 +339,7 @@
 	}
 }
 
-static void end_connections(struct test_store *store)
+static void close_connections(struct test_store *store)
 {
 	while (store->server.connections->len)
 		test_close_connection(
@@ -347,18 +349,19 @@
 void test_compact_store(struct test_store *store)
 {
 	store->compacted_revision = store->revision;
-	store->hold_watches_until_us = g_get_monotonic_time() + DEAF_MS * 1000;
+	store->hold_watches_until_us =
+		g_get_monotonic_time() + HOLD_WATCHES_MS * 1000;
 	store->watches_muted = false;
 	g_ptr_array_set_size(store->changes, 0);
-	end_connections(store);
+	close_connections(store);
 }
 
 void test_store_set_state(struct test_store *store, enum test_store_state state)
 {
 	store->state = state;
 	store->server.reset = state == TEST_STORE_RESET;
-	/* What was asked while it was away is never answered. */
-	end_connections(store);
+	/* Calls made while the store was down are never answered. */
+	close_connections(store);
 }
 
 bool test_store_has_current_watch(const struct test_store *store)
@@ -384,10 +387,10 @@
 		.server = {
 			.port = port,
 			.data = store,
-			.request = take_call,
-			.closing = forget_connection,
+			.request = handle_call,
+			.closing = remove_waiters,
 		},
-		/* Above 0 before anything is written. */
+		/* Non-zero even before the first write. */
 		.revision = 1,
 	};
 	store->rand = g_rand_new_with_seed(seed);
@@ -404,7 +407,7 @@
 void test_close_store(struct test_store *store)
 {
 	test_set_listening(&store->server, false);
-	end_connections(store);
+	close_connections(store);
 	g_ptr_array_unref(store->server.connections);
 	g_source_remove(store->timer);
 	g_ptr_array_unref(store->waiters);
@@ -414,9 +417,9 @@
 	g_rand_free(store->rand);
 }
 
-static const char *text_or(const char *text, const char *otherwise)
+static const char *text_or_default(const char *text, const char *default_text)
 {
-	return text ? text : otherwise;
+	return text ? text : default_text;
 }
 
 char *test_make_replica_entry(const struct test_replica_entry *entry)
@@ -428,9 +431,9 @@
 		"{\"service\":\"%s\",\"address\":\"%s\",\"zone\":\"%s\","
 		"\"version\":\"v1\",\"slots\":%u,\"state\":\"%s\","
 		"\"coldRemainingMs\":%u,\"sequence\":1",
-		text_or(entry->service, "any"),
-		text_or(entry->address, "127.0.0.1:1"),
-		text_or(entry->zone, "a"), MAX(entry->slots, 1),
+		text_or_default(entry->service, "any"),
+		text_or_default(entry->address, "127.0.0.1:1"),
+		text_or_default(entry->zone, "a"), MAX(entry->slots, 1),
 		entry->draining ? "draining" : "ready", entry->cold_ms);
 	if (entry->started_ms)
 		g_string_append_printf(out, ",\"born\":%" G_GINT64_FORMAT,
