--- a/tests/test-caller-keys.c
+++ b/tests/test-caller-keys.c
@@ -1,6 +1,6 @@
 /*
- * test-caller-keys.c - callers' tokens and the server's certificate, as they
- * are read and read again.
+ * test-caller-keys.c - tokens of callers and the certificate of the caller
+ * server, on start and on reload.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,9 +15,9 @@
 #include "support/process.h"
 
 /*
- * LeakSanitizer of gcc 12 crashes at exit in its walk over the thread-local
- * memory of the threads that the TLS library made; without this interceptor
- * it leaves that walk out.  Leaks are still looked for.
+ * LeakSanitizer of gcc 12 crashes at exit while it scans the thread-local
+ * memory of the threads created by the TLS library. Without this interceptor it
+ * skips that scan, and still detects leaks.
  */
 const char *__asan_default_options(void);
 
@@ -26,8 +26,8 @@
 	return "intercept_tls_get_addr=0";
 }
 
-static uint32_t status_with(struct caller_fixture *f, const char *path,
-			    const char *authorization)
+static uint32_t get_status(struct caller_fixture *f, const char *path,
+			   const char *authorization)
 {
 	const char *const headers[] = { "Authorization", authorization, NULL };
 	struct test_http_reply *reply = test_http_request_in_thread(
@@ -38,7 +38,7 @@
 	return status;
 }
 
-static void test_asks_for_a_token(void **state)
+static void test_requires_a_token(void **state)
 {
 	struct caller_fixture *f = *state;
 	char *file = NULL;
@@ -47,23 +47,26 @@
 	close(g_file_open_tmp("ragwort-token-XXXXXX", &file, NULL));
 	g_file_set_contents(file, "first-token\nsecond-token\n", -1, NULL);
 	caller_reopen_server(f, 4096, file);
-	assert_int_equal(status_with(f, "/status", NULL), 401);
-	assert_int_equal(status_with(f, "/status", "Bearer "), 401);
-	assert_int_equal(status_with(f, "/status", "Bearer first-toke"), 401);
-	assert_int_equal(status_with(f, "/status", "Bearer first-tokenf"), 401);
-	assert_int_equal(status_with(f, "/status", "Basic first-token"), 401);
-	assert_int_equal(status_with(f, "/status", "Bearer first-token"), 200);
-	assert_int_equal(status_with(f, "/status", "Bearer second-token"), 200);
-	/* The balancer asks without one. */
-	assert_int_equal(status_with(f, "/healthz", NULL), 200);
-	/* A rotation; then a file that went wrong, which changes nothing. */
+	assert_int_equal(get_status(f, "/status", NULL), 401);
+	assert_int_equal(get_status(f, "/status", "Bearer "), 401);
+	assert_int_equal(get_status(f, "/status", "Bearer first-toke"), 401);
+	assert_int_equal(get_status(f, "/status", "Bearer first-tokenf"), 401);
+	assert_int_equal(get_status(f, "/status", "Basic first-token"), 401);
+	assert_int_equal(get_status(f, "/status", "Bearer first-token"), 200);
+	assert_int_equal(get_status(f, "/status", "Bearer second-token"), 200);
+	/* The health check of the load balancer sends no token. */
+	assert_int_equal(get_status(f, "/healthz", NULL), 200);
+	/*
+	 * A token rotation, then an invalid file, which must not change the
+	 * tokens.
+	 */
 	g_file_set_contents(file, "third-token\n", -1, NULL);
 	assert_true(rr_reload_caller_server(f->ctx, f->server, &error));
-	assert_int_equal(status_with(f, "/status", "Bearer first-token"), 401);
+	assert_int_equal(get_status(f, "/status", "Bearer first-token"), 401);
 	g_file_set_contents(file, "\n", -1, NULL);
 	assert_false(rr_reload_caller_server(f->ctx, f->server, &error));
 	g_clear_error(&error);
-	assert_int_equal(status_with(f, "/status", "Bearer third-token"), 200);
+	assert_int_equal(get_status(f, "/status", "Bearer third-token"), 200);
 	unlink(file);
 	g_free(file);
 }
@@ -83,15 +86,16 @@
 }
 
 struct tls_call {
-	uint16_t number;
+	uint16_t tcp_port;
 	uint32_t status;
 	char *subject;
 	gint done;
 };
 
-static gboolean take_certificate(SoupMessage *message,
-				 GTlsCertificate *certificate,
-				 GTlsCertificateFlags faults, gpointer data)
+static gboolean on_accept_certificate(SoupMessage *message,
+				      GTlsCertificate *certificate,
+				      GTlsCertificateFlags errors,
+				      gpointer data)
 {
 	struct tls_call *call = data;
 
@@ -99,18 +103,18 @@
 	return TRUE;
 }
 
-static gpointer run_tls_call(gpointer data)
+static gpointer tls_call_thread(gpointer data)
 {
 	struct tls_call *call = data;
 	SoupSession *session =
 		soup_session_new_with_options("proxy-resolver", NULL, NULL);
 	char *url =
-		g_strdup_printf("https://127.0.0.1:%u/healthz", call->number);
+		g_strdup_printf("https://127.0.0.1:%u/healthz", call->tcp_port);
 	SoupMessage *message = soup_message_new("GET", url);
 	GBytes *body;
 
 	g_signal_connect(message, "accept-certificate",
-			 G_CALLBACK(take_certificate), call);
+			 G_CALLBACK(on_accept_certificate), call);
 	body = soup_session_send_and_read(session, message, NULL, NULL);
 	if (body)
 		g_bytes_unref(body);
@@ -125,8 +129,8 @@
 
 static void check_subject(struct caller_fixture *f, const char *subject)
 {
-	struct tls_call call = { .number = f->tcp_port };
-	GThread *thread = g_thread_new("tls", run_tls_call, &call);
+	struct tls_call call = { .tcp_port = f->tcp_port };
+	GThread *thread = g_thread_new("tls", tls_call_thread, &call);
 
 	while (!g_atomic_int_get(&call.done))
 		g_main_context_iteration(NULL, TRUE);
@@ -137,8 +141,9 @@
 }
 
 /*
- * A certificate is about to run out and the operator puts a new one in its
- * place.  New connections must get it without a restart.
+ * Guards against a server that needs a restart for a new certificate: an
+ * operator replaces one that is about to expire, and new connections must use
+ * the new one after a reload.
  */
 static void test_serves_and_reloads_a_certificate(void **state)
 {
@@ -183,7 +188,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		TEST(test_asks_for_a_token),
+		TEST(test_requires_a_token),
 		TEST(test_serves_and_reloads_a_certificate),
 	};
 
--- a/tests/test-caller-limits.c
+++ b/tests/test-caller-limits.c
@@ -1,5 +1,6 @@
 /*
- * test-caller-limits.c - what a stranger may do to the callers' server.
+ * test-caller-limits.c - limits of the caller server: timeouts, rate,
+ * connections and sizes.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,79 +16,81 @@
 #include "ragwort/net-caller.h"
 #include "support/process.h"
 
-#define IDLE_MS 1000
+#define IO_TIMEOUT_MS 1000
 
 struct fixture {
 	struct rr_context *ctx;
-	struct rr_caller_server *port;
+	struct rr_caller_server *server;
 	GString *page;
 };
 
-static uint64_t take_request(void *data, const struct rr_request *request)
+static uint64_t on_request(void *data, const struct rr_request *request)
 {
-	fail_msg("no request here is whole");
+	fail_msg("unexpected complete request");
 	return 0;
 }
 
-static void take_leaver(void *data, uint64_t query_id)
+static void on_disconnected(void *data, uint64_t query_id)
 {
 }
 
-static bool tell_ready(void *data, const char **reason)
+static bool is_ready(void *data, const char **reason)
 {
 	return true;
 }
 
-static void tell_status(void *data, GString *out)
+static void append_status(void *data, GString *out)
 {
 	struct fixture *f = data;
 
 	g_string_append(out, f->page->str);
 }
 
-static void open_bounded_port(struct fixture *f, uint32_t rate_per_s,
-			      uint32_t idle_ms, uint32_t max_connections)
+static void start_limited_server(struct fixture *f, uint32_t rate_per_s,
+				 uint32_t io_timeout_ms,
+				 uint32_t max_connections)
 {
 	struct rr_caller_server_options options = {
 		.address = "127.0.0.1:0",
 		.max_body_bytes = 4096,
-		.io_timeout_ms = idle_ms,
+		.io_timeout_ms = io_timeout_ms,
 		.rate_per_s = rate_per_s,
 		.max_connections = max_connections,
-		.request = take_request,
-		.disconnected = take_leaver,
-		.is_ready = tell_ready,
-		.append_status = tell_status,
+		.request = on_request,
+		.disconnected = on_disconnected,
+		.is_ready = is_ready,
+		.append_status = append_status,
 		.data = f,
 	};
 
 	f->ctx = rr_new_context(NULL);
 	f->page = g_string_new("{}");
-	f->port = rr_new_caller_server(f->ctx, &options, NULL);
-	assert_non_null(f->port);
+	f->server = rr_new_caller_server(f->ctx, &options, NULL);
+	assert_non_null(f->server);
 }
 
-static void open_port(struct fixture *f, uint32_t rate_per_s, uint32_t idle_ms)
+static void start_server(struct fixture *f, uint32_t rate_per_s,
+			 uint32_t io_timeout_ms)
 {
-	open_bounded_port(f, rate_per_s, idle_ms, 0);
+	start_limited_server(f, rate_per_s, io_timeout_ms, 0);
 }
 
-static void close_port(struct fixture *f)
+static void stop_server(struct fixture *f)
 {
-	rr_drop_caller_server(f->port);
+	rr_drop_caller_server(f->server);
 	while (g_main_context_iteration(NULL, FALSE))
 		;
 	rr_drop_context(f->ctx);
 	g_string_free(f->page, TRUE);
 }
 
-static GSocket *begin(struct fixture *f, const char *text)
+static GSocket *connect_and_send(struct fixture *f, const char *text)
 {
 	GSocket *socket =
 		g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM,
 			     G_SOCKET_PROTOCOL_TCP, NULL);
 	GSocketAddress *address = g_inet_socket_address_new_from_string(
-		"127.0.0.1", rr_caller_server_tcp_port(f->port));
+		"127.0.0.1", rr_caller_server_tcp_port(f->server));
 
 	assert_true(g_socket_connect(socket, address, NULL, NULL));
 	g_object_unref(address);
@@ -103,16 +106,19 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* Run the server until it sent something; "" when it closed. */
+/*
+ * Runs the server until it sends something; returns "" if it closed the
+ * connection.
+ */
 static char *read_reply(GSocket *socket)
 {
 	char *text = g_malloc0(4096);
 	gssize length = -1;
-	bool late = false;
-	guint limit = g_timeout_add(TEST_TIMEOUT_MS, set_flag, &late);
+	bool timed_out = false;
+	guint timer = g_timeout_add(TEST_TIMEOUT_MS, set_flag, &timed_out);
 	GError *error = NULL;
 
-	while (length < 0 && !late) {
+	while (length < 0 && !timed_out) {
 		g_main_context_iteration(NULL, FALSE);
 		length = g_socket_receive(socket, text, 4095, NULL, &error);
 		if (g_error_matches(error, G_IO_ERROR,
@@ -121,8 +127,8 @@
 		g_clear_error(&error);
 		g_usleep(1000);
 	}
-	assert_false(late);
-	g_source_remove(limit);
+	assert_false(timed_out);
+	g_source_remove(timer);
 	return text;
 }
 
@@ -134,81 +140,86 @@
 	g_free(text);
 }
 
-static void drop(GSocket *socket)
+static void close_socket(GSocket *socket)
 {
 	g_socket_close(socket, NULL);
 	g_object_unref(socket);
 }
 
 /*
- * Story: a caller sends half a request and a byte now and then; or it says
- * nothing at all.  Each would hold its connection for good.
+ * Guards against callers that keep a connection open forever, by sending half a
+ * request and then nothing or a byte now and then, or by sending nothing at
+ * all.
  */
-static void test_slow_senders_are_cut_off(void **state)
+static void test_slow_senders_time_out(void **state)
 {
 	struct fixture f;
-	GSocket *silent;
-	GSocket *half;
+	GSocket *idle;
+	GSocket *incomplete;
 
 	(void)state;
-	open_port(&f, 0, IDLE_MS);
-	silent = begin(&f, "");
-	half = begin(&f, "POST /v1/services/s/search HTTP/1.1\r\nHost: x\r\n"
-			 "Content-Length: 100\r\n\r\n{\"que");
-	expect_close(half);
-	expect_close(silent);
+	start_server(&f, 0, IO_TIMEOUT_MS);
+	idle = connect_and_send(&f, "");
+	incomplete = connect_and_send(
+		&f, "POST /v1/services/s/search HTTP/1.1\r\nHost: x\r\n"
+		    "Content-Length: 100\r\n\r\n{\"que");
+	expect_close(incomplete);
+	expect_close(idle);
 	assert_int_equal(rr_counter_value(f.ctx, RR_N_CALLER_CONNS_TIMED_OUT),
 			 2);
-	drop(half);
-	drop(silent);
-	close_port(&f);
+	close_socket(incomplete);
+	close_socket(idle);
+	stop_server(&f);
 }
 
 /*
- * Story: a caller asks for a long answer and does not read it.  The reply
- * fills the connection's buffers and would be kept for good.
+ * Guards against a caller that requests a long answer and does not read it: the
+ * reply would fill the buffers of the connection and be kept forever.
  */
-static void test_callers_that_do_not_read_are_cut_off(void **state)
+static void test_callers_that_do_not_read_time_out(void **state)
 {
 	struct fixture f;
-	GSocket *deaf;
+	GSocket *socket;
 	char *text = NULL;
-	bool late = false;
-	guint limit = g_timeout_add(TEST_TIMEOUT_MS, set_flag, &late);
+	bool timed_out = false;
+	guint timer = g_timeout_add(TEST_TIMEOUT_MS, set_flag, &timed_out);
 
 	(void)state;
-	open_port(&f, 0, IDLE_MS);
+	start_server(&f, 0, IO_TIMEOUT_MS);
 	g_string_append_printf(f.page, "%*s", 32 * 1024 * 1024, "");
-	deaf = begin(&f, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
-	while (!late && !rr_counter_value(f.ctx, RR_N_CALLER_CONNS_TIMED_OUT))
+	socket =
+		connect_and_send(&f, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
+	while (!timed_out &&
+	       !rr_counter_value(f.ctx, RR_N_CALLER_CONNS_TIMED_OUT))
 		g_main_context_iteration(NULL, TRUE);
-	assert_false(late);
-	g_source_remove(limit);
-	/* What is on the way can still be read, and then it ends. */
+	assert_false(timed_out);
+	g_source_remove(timer);
+	/* Data already sent can still be read; then the connection ends. */
 	do {
 		g_free(text);
-		text = read_reply(deaf);
+		text = read_reply(socket);
 	} while (*text);
 	g_free(text);
-	drop(deaf);
-	close_port(&f);
+	close_socket(socket);
+	stop_server(&f);
 }
 
 /*
- * Story: one caller's script runs wild.  It is told to come back in a second;
- * the balancer's probes are answered all the same.
+ * Guards against one caller that sends too many requests. It is rejected with a
+ * Retry-After of one second; the probes of the load balancer are still
+ * answered.
  */
-static void test_rate_of_an_address_is_bounded(void **state)
+static void test_rate_limit_per_address(void **state)
 {
 	struct fixture f;
-	uint32_t n_refused = 0;
+	uint32_t n_rejected = 0;
 	struct test_http_reply *reply;
 
 	(void)state;
-	open_port(&f, 1, TEST_TIMEOUT_MS);
-	for (int i = 0; i < 100 && !n_refused; i++) {
+	start_server(&f, 1, TEST_TIMEOUT_MS);
+	for (int i = 0; i < 100 && !n_rejected; i++) {
 		reply = test_http_request_in_thread(
-			"GET", rr_caller_server_tcp_port(f.port), "/status",
+			"GET", rr_caller_server_tcp_port(f.server), "/status",
 			NULL, NULL);
 		if (reply->status != 200) {
 			assert_int_equal(reply->status, 429);
@@ -216,26 +227,29 @@
 			assert_non_null(
 				strstr(test_get_reply_string(reply, "reason"),
 				       "caller_rate_per_s"));
-			n_refused++;
+			n_rejected++;
 		}
 		test_drop_reply(reply);
 	}
-	assert_int_equal(n_refused, 1);
+	assert_int_equal(n_rejected, 1);
 	assert_int_equal(rr_counter_value(f.ctx, RR_N_CALLS_OVER_RATE), 1);
 	for (int i = 0; i < 3; i++) {
 		reply = test_http_request_in_thread(
-			"GET", rr_caller_server_tcp_port(f.port), "/healthz",
+			"GET", rr_caller_server_tcp_port(f.server), "/healthz",
 			NULL, NULL);
 		assert_int_equal(reply->status, 200);
 		test_drop_reply(reply);
 	}
-	close_port(&f);
+	stop_server(&f);
 }
 
-/* Opened, and accepted: the queue of new connections is short. */
-static GSocket *begin_accepted(struct fixture *f)
+/*
+ * Opens a connection and lets the server accept it, as the listen backlog is
+ * short.
+ */
+static GSocket *connect_and_accept(struct fixture *f)
 {
-	GSocket *socket = begin(f, "");
+	GSocket *socket = connect_and_send(f, "");
 
 	while (g_main_context_iteration(NULL, FALSE))
 		;
@@ -245,17 +259,17 @@
 static struct test_http_reply *call(struct fixture *f, const char *path)
 {
 	return test_http_request_in_thread(
-		"GET", rr_caller_server_tcp_port(f->port), path, NULL, NULL);
+		"GET", rr_caller_server_tcp_port(f->server), path, NULL, NULL);
 }
 
 /*
- * Story: a till's script opens a connection for each look-up and forgets to
- * close it.  The instance runs out of descriptors, and no caller gets in any
- * more, nor the balancer's probe.  With a bound, one more is told that nothing
- * ran and when to come back; many more are closed at once; and when the script
- * ends all is well again.
+ * Guards against running out of descriptors, which happens when a script opens
+ * a connection per lookup and never closes it: no caller can connect any more,
+ * nor can the probe of the load balancer. With a limit, a further connection
+ * gets a reply that says that nothing ran and when to retry; many more are
+ * closed immediately; and after the script ends the server works normally.
  */
-static void test_number_of_connections_is_bounded(void **state)
+static void test_connection_limit(void **state)
 {
 	struct fixture f;
 	GSocket *open[200];
@@ -263,9 +277,9 @@
 	uint32_t n_closed = 0;
 
 	(void)state;
-	open_bounded_port(&f, 0, TEST_TIMEOUT_MS, 100);
+	start_limited_server(&f, 0, TEST_TIMEOUT_MS, 100);
 	for (size_t i = 0; i < 100; i++)
-		open[i] = begin_accepted(&f);
+		open[i] = connect_and_accept(&f);
 	reply = call(&f, "/status");
 	assert_int_equal(reply->status, 503);
 	assert_string_equal(reply->retry_after, "2");
@@ -275,14 +289,16 @@
 	assert_int_equal(reply->status, 200);
 	test_drop_reply(reply);
 	for (size_t i = 100; i < G_N_ELEMENTS(open); i++)
-		open[i] = begin_accepted(&f);
+		open[i] = connect_and_accept(&f);
 	expect_close(open[G_N_ELEMENTS(open) - 1]);
 	n_closed = rr_counter_value(f.ctx, RR_N_CALLER_CONNS_REJECTED);
 	assert_in_range(n_closed, 101, 103);
 	for (size_t i = 0; i < G_N_ELEMENTS(open); i++)
-		drop(open[i]);
+		close_socket(open[i]);
 	reply = call(&f, "/status");
-	/* Closed at once, without a status, until the closes are seen. */
+	/*
+	 * Until the server sees the closes, calls are closed without a status.
+	 */
 	for (int i = 0; i < 1000 && (!reply->status || reply->status == 503);
 	     i++) {
 		test_drop_reply(reply);
@@ -290,16 +306,18 @@
 	}
 	assert_int_equal(reply->status, 200);
 	test_drop_reply(reply);
-	close_port(&f);
+	stop_server(&f);
 }
 
-/* Too long a header, path or body: each its own status, each counted. */
-static void test_sizes_are_bounded(void **state)
+/*
+ * A header, path or body that is too long gets its own status and is counted.
+ */
+static void test_size_limits(void **state)
 {
 	struct fixture f;
-	char *longest = g_strnfill(9000, 'x');
-	char *path = g_strconcat("/v1/", longest, NULL);
-	const char *const headers[] = { "X-Long", longest, NULL };
+	char *long_text = g_strnfill(9000, 'x');
+	char *path = g_strconcat("/v1/", long_text, NULL);
+	const char *const headers[] = { "X-Long", long_text, NULL };
 	const struct {
 		const char *path;
 		const char *const *headers;
@@ -308,14 +326,14 @@
 	} cases[] = {
 		{ path, NULL, "{}", 431 },
 		{ "/v1/services/s/search", headers, "{}", 431 },
-		{ "/v1/services/s/search", NULL, longest, 413 },
+		{ "/v1/services/s/search", NULL, long_text, 413 },
 	};
 
 	(void)state;
-	open_port(&f, 0, TEST_TIMEOUT_MS);
+	start_server(&f, 0, TEST_TIMEOUT_MS);
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		struct test_http_reply *reply = test_http_request_in_thread(
-			"POST", rr_caller_server_tcp_port(f.port),
+			"POST", rr_caller_server_tcp_port(f.server),
 			cases[i].path, cases[i].headers, cases[i].body);
 
 		assert_int_equal(reply->status, cases[i].status);
@@ -325,19 +343,19 @@
 				 i + 1);
 		test_drop_reply(reply);
 	}
-	close_port(&f);
-	g_free(longest);
+	stop_server(&f);
+	g_free(long_text);
 	g_free(path);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_slow_senders_are_cut_off),
-		cmocka_unit_test(test_callers_that_do_not_read_are_cut_off),
-		cmocka_unit_test(test_rate_of_an_address_is_bounded),
-		cmocka_unit_test(test_number_of_connections_is_bounded),
-		cmocka_unit_test(test_sizes_are_bounded),
+		cmocka_unit_test(test_slow_senders_time_out),
+		cmocka_unit_test(test_callers_that_do_not_read_time_out),
+		cmocka_unit_test(test_rate_limit_per_address),
+		cmocka_unit_test(test_connection_limit),
+		cmocka_unit_test(test_size_limits),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-caller.c
+++ b/tests/test-caller.c
@@ -1,6 +1,6 @@
 /*
- * test-caller.c - callers' HTTP: requests checked, answers written, callers
- * that leave.
+ * test-caller.c - HTTP interface for callers: validation of requests, format of
+ * answers, and callers that disconnect.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -15,18 +15,18 @@
 
 #define SEARCH "/v1/services/counter-desk/search"
 #define RESERVE "/v1/services/counter-desk/reserve"
-/* The largest max_body_bytes that a start file may have. */
-#define LARGEST_BODY 8388608
+/* Maximum of max_body_bytes in a start file. */
+#define MAX_BODY_BYTES 8388608
 
-static char *fill_body(const char *opening, char fill, size_t n,
-		       const char *ending)
+static char *make_body(const char *prefix, char fill, size_t n,
+		       const char *suffix)
 {
-	GString *body = g_string_new(opening);
-	size_t from = body->len;
+	GString *body = g_string_new(prefix);
+	size_t start = body->len;
 
-	g_string_set_size(body, from + n);
-	memset(body->str + from, fill, n);
-	g_string_append(body, ending);
+	g_string_set_size(body, start + n);
+	memset(body->str + start, fill, n);
+	g_string_append(body, suffix);
 	return g_string_free(body, FALSE);
 }
 
@@ -38,16 +38,16 @@
 					   body);
 }
 
-static void test_hands_in_a_search_and_writes_the_answer(void **state)
+static void test_search_and_answer(void **state)
 {
 	static const char *const headers[] = { "X-Deadline-Ms", "250",
 					       "X-Priority", "batch", NULL };
 	static const char *const covered[] = { "desk-01" };
-	static const struct rr_missing_shard lacking[] = {
+	static const struct rr_missing_shard missing[] = {
 		{ "desk-02", "at\"hi", RR_MISSING_DEADLINE },
 	};
 	struct rr_rows *rows = rr_new_rows();
-	struct rr_answer_row taken[] = { { rows, 0 }, { rows, 1 } };
+	struct rr_answer_row row_refs[] = { { rows, 0 }, { rows, 1 } };
 	struct caller_fixture *f = *state;
 	struct test_http_reply *reply;
 
@@ -56,11 +56,11 @@
 	f->answer = (struct rr_answer){
 		.outcome = RR_PARTIAL,
 		.index_version = 7,
-		.rows = taken,
+		.rows = row_refs,
 		.n_rows = 2,
 		.covered = covered,
 		.n_covered = 1,
-		.missing = lacking,
+		.missing = missing,
 		.n_missing = 1,
 		.elapsed_us = 12500,
 		.attempts = 3,
@@ -123,21 +123,22 @@
 }
 
 /*
- * One caller's body ends the instance for all callers.  The body opens a
- * comment with a quote in it, then a million brackets: taken for a string they
- * are not counted, and the parser, which skips the comment, recurses for each
- * until the stack is used up.
+ * Guards against a body that crashes the instance for all callers. The body
+ * opens a comment that contains a quote, followed by a million brackets. If the
+ * quote is taken for the start of a string, the brackets are not counted, and
+ * the parser, which skips the comment, recurses for each of them until the
+ * stack overflows.
  */
-static void test_brackets_behind_a_comment_are_refused(void **state)
+static void test_brackets_after_a_comment_are_rejected(void **state)
 {
-	static const char *const openings[] = { "{\"query\": /*\"*/",
+	static const char *const prefixes[] = { "{\"query\": /*\"*/",
 						"{\"query\": //\"\n",
 						"{\"query\": '\"'," };
 	struct caller_fixture *f = *state;
 
-	caller_reopen_server(f, LARGEST_BODY, NULL);
-	for (size_t i = 0; i < G_N_ELEMENTS(openings); i++) {
-		char *body = fill_body(openings[i], '[', 1000000, "");
+	caller_reopen_server(f, MAX_BODY_BYTES, NULL);
+	for (size_t i = 0; i < G_N_ELEMENTS(prefixes); i++) {
+		char *body = make_body(prefixes[i], '[', 1000000, "");
 		struct test_http_reply *reply = post(f, SEARCH, NULL, body);
 
 		assert_int_equal(reply->status, 400);
@@ -150,32 +151,32 @@
 }
 
 /*
- * An operator allows the longest bodies.  One of exactly that length is still
- * read and gets a true answer, one byte more is refused unread; a query that
- * no peer message could carry is refused at once and not lost later, also
- * when only its escapes make it too long.
+ * With the largest max_body_bytes, a body of exactly that length is read and
+ * answered normally, and one byte more is rejected without being read. A query
+ * that does not fit into a peer message is rejected immediately and not lost
+ * later, even if only its escapes make it too long.
  */
 static void test_largest_bodies(void **state)
 {
 	static const struct {
-		const char *opening;
-		size_t fills;
-		size_t length; /* spaces up to it */
+		const char *prefix;
+		size_t n_fill;
+		size_t length; /* padded with spaces to this length */
 		uint32_t status;
 		char fill;
 	} cases[] = {
-		{ "{\"query\":\"", 7340030, LARGEST_BODY, 200, 'x' },
-		{ "{\"query\":\"", 7340031, LARGEST_BODY, 413, 'x' },
-		{ "{\"query\":\"", 9, LARGEST_BODY, 200, 'x' },
-		{ "{\"query\":\"", 9, LARGEST_BODY + 1, 413, 'x' },
+		{ "{\"query\":\"", 7340030, MAX_BODY_BYTES, 200, 'x' },
+		{ "{\"query\":\"", 7340031, MAX_BODY_BYTES, 413, 'x' },
+		{ "{\"query\":\"", 9, MAX_BODY_BYTES, 200, 'x' },
+		{ "{\"query\":\"", 9, MAX_BODY_BYTES + 1, 413, 'x' },
 		{ "{\"query\":\"", 2000000, 0, 413, '\x7f' },
 	};
 	struct caller_fixture *f = *state;
 
-	caller_reopen_server(f, LARGEST_BODY, NULL);
+	caller_reopen_server(f, MAX_BODY_BYTES, NULL);
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-		char *body = fill_body(cases[i].opening, cases[i].fill,
-				       cases[i].fills, "\"}");
+		char *body = make_body(cases[i].prefix, cases[i].fill,
+				       cases[i].n_fill, "\"}");
 		char *padded =
 			g_strdup_printf("%-*s", (int)cases[i].length, body);
 		struct test_http_reply *reply = post(f, SEARCH, NULL, padded);
@@ -188,7 +189,7 @@
 	assert_int_equal(f->requests, 2);
 }
 
-static void test_refuses_bad_requests_with_a_reason(void **state)
+static void test_rejects_invalid_requests_with_a_reason(void **state)
 {
 	static const struct {
 		const char *method;
@@ -221,7 +222,7 @@
 		{ "POST", "/nothing", "{}", 404, "no such path" },
 	};
 	struct caller_fixture *f = *state;
-	GString *deep = g_string_new("{\"query\":");
+	GString *nested = g_string_new("{\"query\":");
 
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		struct test_http_reply *reply = test_http_request_in_thread(
@@ -236,25 +237,25 @@
 		test_drop_reply(reply);
 	}
 	for (int i = 0; i < 3000; i++)
-		g_string_append_c(deep, '[');
+		g_string_append_c(nested, '[');
 	for (int i = 0; i < 2; i++) {
 		struct test_http_reply *reply =
-			post(f, SEARCH, NULL, deep->str);
+			post(f, SEARCH, NULL, nested->str);
 
 		assert_int_equal(reply->status, i ? 413 : 400);
 		test_drop_reply(reply);
-		g_string_append_printf(deep, "%*s", 4096, "");
+		g_string_append_printf(nested, "%*s", 4096, "");
 	}
-	g_string_free(deep, TRUE);
+	g_string_free(nested, TRUE);
 	assert_int_equal(f->requests, 0);
 }
 
 /*
- * A contractor hangs up while the counter's search runs.  Nobody reads the
- * answer any more, so the upstreams' work has to be withdrawn now, not when
- * the answer fails to be written.
+ * Guards against work for callers that are gone: a caller disconnects while its
+ * search runs, so its upstream work must be cancelled immediately, not when
+ * writing the answer fails.
  */
-static void test_notices_a_caller_that_leaves(void **state)
+static void test_detects_a_caller_that_disconnects(void **state)
 {
 	static const char request[] =
 		"POST " SEARCH " HTTP/1.1\r\nHost: x\r\nContent-Length: 12"
@@ -312,12 +313,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		TEST(test_hands_in_a_search_and_writes_the_answer),
+		TEST(test_search_and_answer),
 		TEST(test_status_and_retry_after),
-		TEST(test_refuses_bad_requests_with_a_reason),
-		TEST(test_brackets_behind_a_comment_are_refused),
+		TEST(test_rejects_invalid_requests_with_a_reason),
+		TEST(test_brackets_after_a_comment_are_rejected),
 		TEST(test_largest_bodies),
-		TEST(test_notices_a_caller_that_leaves),
+		TEST(test_detects_a_caller_that_disconnects),
 		TEST(test_serves_its_own_pages),
 	};
 
--- a/tests/test-http-listener.c
+++ b/tests/test-http-listener.c
@@ -1,5 +1,5 @@
 /*
- * test-http-listener.c - the server end of the data path, against raw bytes.
+ * test-http-listener.c - HTTP listener against a peer that sends raw bytes.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -19,53 +19,53 @@
 
 #define GET(n) "GET /" n " HTTP/1.1\r\nHost: h\r\n\r\n"
 
-struct scene {
+struct fixture {
 	struct rr_context *ctx;
 	struct rr_poller *poller;
-	struct rr_http_listener *port;
+	struct rr_http_listener *listener;
 	char *address;
 	GPtrArray *open; /* struct rr_caller_conn */
 	GString *targets;
 	GString *body;
 	int requests;
-	int left;
-	int gone;
+	int half_closed;
+	int disconnected;
 };
 
-static void take_request(void *data, struct rr_caller_conn *caller,
-			 const struct rr_http_message *message)
+static void on_request(void *data, struct rr_caller_conn *caller,
+		       const struct rr_http_message *message)
 {
-	struct scene *scene = data;
+	struct fixture *fixture = data;
 
-	g_ptr_array_add(scene->open, caller);
-	g_string_append_printf(scene->targets, "%s ", message->target);
-	g_string_append_len(scene->body, (const char *)message->body,
+	g_ptr_array_add(fixture->open, caller);
+	g_string_append_printf(fixture->targets, "%s ", message->target);
+	g_string_append_len(fixture->body, (const char *)message->body,
 			    (gssize)message->body_length);
-	scene->requests++;
+	fixture->requests++;
 }
 
-static void take_left(void *data, struct rr_caller_conn *caller)
+static void on_half_closed(void *data, struct rr_caller_conn *caller)
 {
-	((struct scene *)data)->left++;
+	((struct fixture *)data)->half_closed++;
 }
 
-static void take_gone(void *data, struct rr_caller_conn *caller)
+static void on_disconnected(void *data, struct rr_caller_conn *caller)
 {
-	struct scene *scene = data;
+	struct fixture *fixture = data;
 
-	g_ptr_array_remove(scene->open, caller);
-	scene->gone++;
+	g_ptr_array_remove(fixture->open, caller);
+	fixture->disconnected++;
 }
 
-static struct scene *start(uint32_t max_connections)
+static struct fixture *start_fixture(uint32_t max_connections)
 {
-	struct scene *scene = g_new0(struct scene, 1);
+	struct fixture *fixture = g_new0(struct fixture, 1);
 	struct rr_http_listener_options options = {
 		.max_connections = max_connections,
-		.request = take_request,
-		.half_closed = take_left,
-		.disconnected = take_gone,
-		.data = scene,
+		.request = on_request,
+		.half_closed = on_half_closed,
+		.disconnected = on_disconnected,
+		.data = fixture,
 	};
 	const struct rr_caller_limits limits = {
 		.max_header_bytes = 1024,
@@ -74,108 +74,109 @@
 		.idle_timeout_ms = 5000,
 	};
 
-	scene->ctx = rr_new_context(NULL);
-	scene->poller = rr_new_poller(NULL);
-	scene->open = g_ptr_array_new();
-	scene->targets = g_string_new(NULL);
-	scene->body = g_string_new(NULL);
-	scene->address = g_strdup_printf("127.0.0.1:%u", test_reserve_port());
-	options.poller = scene->poller;
-	options.address = scene->address;
-	scene->port = rr_new_http_listener(scene->ctx, &options, NULL);
-	assert_non_null(scene->port);
-	rr_set_http_listener_limits(scene->port, &limits);
-	return scene;
+	fixture->ctx = rr_new_context(NULL);
+	fixture->poller = rr_new_poller(NULL);
+	fixture->open = g_ptr_array_new();
+	fixture->targets = g_string_new(NULL);
+	fixture->body = g_string_new(NULL);
+	fixture->address = g_strdup_printf("127.0.0.1:%u", test_reserve_port());
+	options.poller = fixture->poller;
+	options.address = fixture->address;
+	fixture->listener = rr_new_http_listener(fixture->ctx, &options, NULL);
+	assert_non_null(fixture->listener);
+	rr_set_http_listener_limits(fixture->listener, &limits);
+	return fixture;
 }
 
-static void stop(struct scene *scene)
+static void stop_fixture(struct fixture *fixture)
 {
-	rr_drop_http_listener(scene->port);
-	rr_drop_poller(scene->poller);
-	rr_drop_context(scene->ctx);
-	g_ptr_array_unref(scene->open);
-	g_string_free(scene->targets, TRUE);
-	g_string_free(scene->body, TRUE);
-	g_free(scene->address);
-	g_free(scene);
+	rr_drop_http_listener(fixture->listener);
+	rr_drop_poller(fixture->poller);
+	rr_drop_context(fixture->ctx);
+	g_ptr_array_unref(fixture->open);
+	g_string_free(fixture->targets, TRUE);
+	g_string_free(fixture->body, TRUE);
+	g_free(fixture->address);
+	g_free(fixture);
 }
 
-static void answer(struct scene *scene, uint16_t status, const char *body)
+static void send_answer(struct fixture *fixture, uint16_t status,
+			const char *body)
 {
 	const struct rr_http_header header = { "X-Mine", "1" };
-	struct rr_http_response reply = {
+	struct rr_http_response response = {
 		.status = status,
 		.headers = &header,
 		.n_headers = 1,
 		.body = (const uint8_t *)body,
 		.length = strlen(body),
 	};
-	struct rr_caller_conn *caller = g_ptr_array_index(scene->open, 0);
+	struct rr_caller_conn *caller = g_ptr_array_index(fixture->open, 0);
 
-	g_ptr_array_remove_index(scene->open, 0);
-	rr_send_http_response(caller, &reply);
+	g_ptr_array_remove_index(fixture->open, 0);
+	rr_send_http_response(caller, &response);
 }
 
 static void test_request_and_answer(void **state)
 {
-	struct scene *scene = start(0);
-	struct raw_peer *peer = raw_connect(scene->address);
+	struct fixture *fixture = start_fixture(0);
+	struct raw_peer *peer = raw_connect(fixture->address);
 
 	for (int i = 1; i <= 3; i++) {
 		raw_send(peer, GET("a"));
-		raw_run_until(&scene->requests, i);
-		answer(scene, 200, "hello");
+		raw_run_until(&fixture->requests, i);
+		send_answer(fixture, 200, "hello");
 		raw_expect(peer, "HTTP/1.1 200 OK\r\nX-Mine: 1\r\n"
 				 "Content-Length: 5\r\n\r\nhello");
 		g_string_truncate(peer->received, 0);
 	}
 	raw_drop(peer);
-	stop(scene);
+	stop_fixture(fixture);
 }
 
 static void test_pipelined_requests_in_order(void **state)
 {
-	struct scene *scene = start(0);
-	struct raw_peer *peer = raw_connect(scene->address);
+	struct fixture *fixture = start_fixture(0);
+	struct raw_peer *peer = raw_connect(fixture->address);
 
 	raw_send(peer, GET("a") GET("b") GET("c"));
-	raw_run_until(&scene->requests, 1);
+	raw_run_until(&fixture->requests, 1);
 	raw_run_for(20000);
-	/* One at a time: the next is read when this one is answered. */
-	assert_int_equal(scene->requests, 1);
-	answer(scene, 200, "1");
-	raw_run_until(&scene->requests, 2);
-	answer(scene, 200, "2");
-	raw_run_until(&scene->requests, 3);
-	answer(scene, 200, "3");
+	/* The next request is read only after this one is answered. */
+	assert_int_equal(fixture->requests, 1);
+	send_answer(fixture, 200, "1");
+	raw_run_until(&fixture->requests, 2);
+	send_answer(fixture, 200, "2");
+	raw_run_until(&fixture->requests, 3);
+	send_answer(fixture, 200, "3");
 	raw_expect(peer, "\r\n\r\n3");
-	assert_string_equal(scene->targets->str, "/a /b /c ");
+	assert_string_equal(fixture->targets->str, "/a /b /c ");
 	assert_true(strstr(peer->received->str, "\r\n1HTTP") <
 		    strstr(peer->received->str, "\r\n2HTTP"));
 	raw_drop(peer);
-	stop(scene);
+	stop_fixture(fixture);
 }
 
-static void test_body_in_pieces(void **state)
+static void test_fragmented_body(void **state)
 {
-	struct scene *scene = start(0);
-	struct raw_peer *peer = raw_connect(scene->address);
+	struct fixture *fixture = start_fixture(0);
+	struct raw_peer *peer = raw_connect(fixture->address);
 
 	raw_send(peer, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Len");
 	raw_run_for(20000);
 	raw_send(peer, "gth: 5\r\n\r\nab");
 	raw_run_for(20000);
-	assert_int_equal(scene->requests, 0);
+	assert_int_equal(fixture->requests, 0);
 	raw_send(peer, "cde");
-	raw_run_until(&scene->requests, 1);
-	assert_string_equal(scene->body->str, "abcde");
-	answer(scene, 200, "");
+	raw_run_until(&fixture->requests, 1);
+	assert_string_equal(fixture->body->str, "abcde");
+	send_answer(fixture, 200, "");
 	raw_expect(peer, "Content-Length: 0\r\n\r\n");
 	raw_drop(peer);
-	stop(scene);
+	stop_fixture(fixture);
 }
 
-static void test_bad_requests(void **state)
+static void test_malformed_requests(void **state)
 {
 	static const struct {
 		const char *text;
@@ -190,22 +191,22 @@
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-		struct scene *scene = start(0);
-		struct raw_peer *peer = raw_connect(scene->address);
+		struct fixture *fixture = start_fixture(0);
+		struct raw_peer *peer = raw_connect(fixture->address);
 
 		raw_send(peer, cases[i].text);
 		raw_expect(peer, cases[i].answer);
 		raw_expect(peer, "Connection: close\r\n");
-		assert_int_equal(scene->requests, 0);
+		assert_int_equal(fixture->requests, 0);
 		raw_drop(peer);
-		stop(scene);
+		stop_fixture(fixture);
 	}
 }
 
-static void test_long_head(void **state)
+static void test_long_headers(void **state)
 {
-	struct scene *scene = start(0);
-	struct raw_peer *peer = raw_connect(scene->address);
+	struct fixture *fixture = start_fixture(0);
+	struct raw_peer *peer = raw_connect(fixture->address);
 	char *value = g_strnfill(2000, 'x');
 
 	raw_send(peer, "GET /a HTTP/1.1\r\nHost: h\r\nLong: ");
@@ -214,206 +215,222 @@
 	raw_expect(peer, "HTTP/1.1 431 ");
 	raw_drop(peer);
 	g_free(value);
-	stop(scene);
+	stop_fixture(fixture);
 }
 
-static void test_asks_for_a_body(void **state)
+static void test_sends_continue(void **state)
 {
-	struct scene *scene = start(0);
-	struct raw_peer *peer = raw_connect(scene->address);
+	struct fixture *fixture = start_fixture(0);
+	struct raw_peer *peer = raw_connect(fixture->address);
 
 	raw_send(peer, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n"
 		       "Expect: 100-continue\r\n\r\n");
 	raw_expect(peer, "HTTP/1.1 100 Continue\r\n\r\n");
 	raw_send(peer, "ab");
-	raw_run_until(&scene->requests, 1);
-	answer(scene, 200, "");
+	raw_run_until(&fixture->requests, 1);
+	send_answer(fixture, 200, "");
 	raw_expect(peer, "HTTP/1.1 200 OK");
 	raw_drop(peer);
-	stop(scene);
+	stop_fixture(fixture);
 }
 
-static void test_answers_without_body(void **state)
+static void test_responses_without_body(void **state)
 {
-	struct scene *scene = start(0);
-	struct raw_peer *peer = raw_connect(scene->address);
+	struct fixture *fixture = start_fixture(0);
+	struct raw_peer *peer = raw_connect(fixture->address);
 	char *text;
 
 	raw_send(peer, "HEAD /a HTTP/1.1\r\nHost: h\r\n\r\n");
-	raw_run_until(&scene->requests, 1);
-	answer(scene, 200, "never");
+	raw_run_until(&fixture->requests, 1);
+	send_answer(fixture, 200, "never");
 	text = raw_read_available(peer);
 	assert_null(strstr(text, "never"));
 	assert_null(strstr(text, "Content-Length"));
 	g_free(text);
 	raw_send(peer, GET("a"));
-	raw_run_until(&scene->requests, 2);
-	answer(scene, 304, "never");
+	raw_run_until(&fixture->requests, 2);
+	send_answer(fixture, 304, "never");
 	text = raw_read_available(peer);
 	assert_non_null(strstr(text, "304"));
 	assert_null(strstr(text, "never"));
 	g_free(text);
 	raw_drop(peer);
-	stop(scene);
+	stop_fixture(fixture);
 }
 
-/* A caller that closes its sending side still waits for its answer. */
+/* A caller that closes its sending side still receives its answer. */
 static void test_half_closed_caller(void **state)
 {
-	struct scene *scene = start(0);
-	struct raw_peer *peer = raw_connect(scene->address);
+	struct fixture *fixture = start_fixture(0);
+	struct raw_peer *peer = raw_connect(fixture->address);
 
 	raw_send(peer, GET("a"));
-	raw_run_until(&scene->requests, 1);
+	raw_run_until(&fixture->requests, 1);
 	raw_shutdown_write(peer);
-	raw_run_until(&scene->left, 1);
-	assert_int_equal(scene->gone, 0);
-	answer(scene, 200, "late");
+	raw_run_until(&fixture->half_closed, 1);
+	assert_int_equal(fixture->disconnected, 0);
+	send_answer(fixture, 200, "late");
 	raw_expect(peer, "late");
 	raw_expect_end(peer);
 	raw_drop(peer);
-	stop(scene);
+	stop_fixture(fixture);
 }
 
-static void test_caller_is_gone(void **state)
+static void test_caller_disconnects(void **state)
 {
-	struct scene *scene = start(0);
-	struct raw_peer *peer = raw_connect(scene->address);
+	struct fixture *fixture = start_fixture(0);
+	struct raw_peer *peer = raw_connect(fixture->address);
 
 	raw_send(peer, GET("a"));
-	raw_run_until(&scene->requests, 1);
+	raw_run_until(&fixture->requests, 1);
 	raw_reset(peer);
-	raw_run_until(&scene->gone, 1);
-	assert_int_equal(scene->open->len, 0);
-	assert_int_equal(rr_count_caller_conns(scene->port), 0);
+	raw_run_until(&fixture->disconnected, 1);
+	assert_int_equal(fixture->open->len, 0);
+	assert_int_equal(rr_count_caller_conns(fixture->listener), 0);
 	raw_drop(peer);
-	stop(scene);
+	stop_fixture(fixture);
 }
 
 static void test_slow_headers(void **state)
 {
-	struct scene *scene = start(0);
-	struct raw_peer *peer = raw_connect(scene->address);
+	struct fixture *fixture = start_fixture(0);
+	struct raw_peer *peer = raw_connect(fixture->address);
 
 	raw_send(peer, "GET /a HTTP/1.1\r\nHo");
 	raw_run_for(20000);
-	rr_tick_http_listener(scene->port, g_get_monotonic_time() + 500000);
-	assert_int_equal(rr_count_caller_conns(scene->port), 1);
-	rr_tick_http_listener(scene->port, g_get_monotonic_time() + 1500000);
+	rr_tick_http_listener(fixture->listener,
+			      g_get_monotonic_time() + 500000);
+	assert_int_equal(rr_count_caller_conns(fixture->listener), 1);
+	rr_tick_http_listener(fixture->listener,
+			      g_get_monotonic_time() + 1500000);
 	raw_expect(peer, "HTTP/1.1 408 ");
 	raw_drop(peer);
-	stop(scene);
+	stop_fixture(fixture);
 }
 
-static void test_idle_connections_end(void **state)
+static void test_idle_connections_time_out(void **state)
 {
-	struct scene *scene = start(0);
-	struct raw_peer *peer = raw_connect(scene->address);
+	struct fixture *fixture = start_fixture(0);
+	struct raw_peer *peer = raw_connect(fixture->address);
 
 	raw_run_for(20000);
-	rr_tick_http_listener(scene->port, g_get_monotonic_time() + 4000000);
-	assert_int_equal(rr_count_caller_conns(scene->port), 1);
-	rr_tick_http_listener(scene->port, g_get_monotonic_time() + 5500000);
+	rr_tick_http_listener(fixture->listener,
+			      g_get_monotonic_time() + 4000000);
+	assert_int_equal(rr_count_caller_conns(fixture->listener), 1);
+	rr_tick_http_listener(fixture->listener,
+			      g_get_monotonic_time() + 5500000);
 	raw_expect_end(peer);
 	assert_int_equal(peer->received->len, 0);
 	raw_drop(peer);
-	stop(scene);
+	stop_fixture(fixture);
 }
 
 /*
- * Story: connections of callers are bounded, or a few of them could take all
- * descriptors.  One more waits until another ends; it is not cut off.
+ * The number of caller connections is limited, because otherwise a few callers
+ * could use up all descriptors. A further connection waits until another one
+ * ends; it is not closed.
  */
-static void test_bound_on_connections(void **state)
+static void test_connection_limit(void **state)
 {
-	struct scene *scene = start(2);
+	struct fixture *fixture = start_fixture(2);
 	struct raw_peer *peers[3];
 
 	for (int i = 0; i < 3; i++)
-		peers[i] = raw_connect(scene->address);
+		peers[i] = raw_connect(fixture->address);
 	raw_send(peers[2], GET("c"));
 	raw_run_for(30000);
-	assert_int_equal(rr_count_caller_conns(scene->port), 2);
-	assert_int_equal(scene->requests, 0);
+	assert_int_equal(rr_count_caller_conns(fixture->listener), 2);
+	assert_int_equal(fixture->requests, 0);
 	raw_drop(peers[0]);
 	raw_run_for(30000);
-	rr_tick_http_listener(scene->port, g_get_monotonic_time() + 1000000);
-	raw_run_until(&scene->requests, 1);
-	assert_int_equal(rr_count_caller_conns(scene->port), 2);
+	rr_tick_http_listener(fixture->listener,
+			      g_get_monotonic_time() + 1000000);
+	raw_run_until(&fixture->requests, 1);
+	assert_int_equal(rr_count_caller_conns(fixture->listener), 2);
 	raw_drop(peers[1]);
 	raw_drop(peers[2]);
-	stop(scene);
+	stop_fixture(fixture);
 }
 
-/* While stopping, each answer ends its connection, and those at rest go. */
-static void test_closing(void **state)
+/*
+ * During a shutdown each answer closes its connection, and idle connections are
+ * closed.
+ */
+static void test_draining(void **state)
 {
-	struct scene *scene = start(0);
-	struct raw_peer *busy = raw_connect(scene->address);
-	struct raw_peer *idle = raw_connect(scene->address);
+	struct fixture *fixture = start_fixture(0);
+	struct raw_peer *busy = raw_connect(fixture->address);
+	struct raw_peer *idle = raw_connect(fixture->address);
 
 	raw_send(busy, GET("a"));
-	raw_run_until(&scene->requests, 1);
-	rr_drain_http_listener(scene->port);
-	rr_close_idle_caller_conns(scene->port);
+	raw_run_until(&fixture->requests, 1);
+	rr_drain_http_listener(fixture->listener);
+	rr_close_idle_caller_conns(fixture->listener);
 	raw_expect_end(idle);
-	answer(scene, 200, "bye");
+	send_answer(fixture, 200, "bye");
 	raw_expect(busy, "Connection: close\r\n\r\nbye");
 	raw_expect_end(busy);
 	raw_drop(busy);
 	raw_drop(idle);
-	stop(scene);
+	stop_fixture(fixture);
 }
 
-/* What was accepted is still answered when nobody else is. */
-static void test_refusing(void **state)
+/*
+ * After the listener stops accepting, requests on existing connections are
+ * still answered.
+ */
+static void test_stop_accepting(void **state)
 {
-	struct scene *scene = start(0);
-	struct raw_peer *busy = raw_connect(scene->address);
+	struct fixture *fixture = start_fixture(0);
+	struct raw_peer *busy = raw_connect(fixture->address);
 
 	raw_send(busy, GET("a"));
-	raw_run_until(&scene->requests, 1);
-	rr_stop_accepting(scene->port);
-	assert_true(raw_is_refused(scene->address));
-	answer(scene, 200, "bye");
+	raw_run_until(&fixture->requests, 1);
+	rr_stop_accepting(fixture->listener);
+	assert_true(raw_is_refused(fixture->address));
+	send_answer(fixture, 200, "bye");
 	raw_expect(busy, "bye");
 	raw_drop(busy);
-	stop(scene);
+	stop_fixture(fixture);
 }
 
-/* A caller that does not read does not hold up others, nor memory for ever. */
+/*
+ * A caller that does not read its answer neither blocks others nor holds memory
+ * forever.
+ */
 static void test_caller_that_does_not_read(void **state)
 {
-	struct scene *scene = start(0);
-	struct raw_peer *peer = raw_connect(scene->address);
+	struct fixture *fixture = start_fixture(0);
+	struct raw_peer *peer = raw_connect(fixture->address);
 	char *body = g_strnfill(16 * 1024 * 1024, 'b');
 
 	raw_send(peer, GET("a") GET("b"));
-	raw_run_until(&scene->requests, 1);
-	answer(scene, 200, body);
+	raw_run_until(&fixture->requests, 1);
+	send_answer(fixture, 200, body);
 	raw_run_for(30000);
-	assert_int_equal(scene->requests, 1);
-	rr_tick_http_listener(scene->port, g_get_monotonic_time() + 11000000);
-	assert_int_equal(rr_count_caller_conns(scene->port), 0);
+	assert_int_equal(fixture->requests, 1);
+	rr_tick_http_listener(fixture->listener,
+			      g_get_monotonic_time() + 11000000);
+	assert_int_equal(rr_count_caller_conns(fixture->listener), 0);
 	raw_drop(peer);
 	g_free(body);
-	stop(scene);
+	stop_fixture(fixture);
 }
 
 static void test_address_in_use(void **state)
 {
-	struct scene *scene = start(0);
+	struct fixture *fixture = start_fixture(0);
 	struct rr_http_listener_options options = {
-		.poller = scene->poller,
-		.address = scene->address,
-		.request = take_request,
+		.poller = fixture->poller,
+		.address = fixture->address,
+		.request = on_request,
 	};
 	GError *error = NULL;
 
-	assert_null(rr_new_http_listener(scene->ctx, &options, &error));
+	assert_null(rr_new_http_listener(fixture->ctx, &options, &error));
 	assert_non_null(error);
 	g_error_free(error);
-	stop(scene);
+	stop_fixture(fixture);
 }
 
 int main(void)
@@ -421,18 +438,18 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_request_and_answer),
 		cmocka_unit_test(test_pipelined_requests_in_order),
-		cmocka_unit_test(test_body_in_pieces),
-		cmocka_unit_test(test_bad_requests),
-		cmocka_unit_test(test_long_head),
-		cmocka_unit_test(test_asks_for_a_body),
-		cmocka_unit_test(test_answers_without_body),
+		cmocka_unit_test(test_fragmented_body),
+		cmocka_unit_test(test_malformed_requests),
+		cmocka_unit_test(test_long_headers),
+		cmocka_unit_test(test_sends_continue),
+		cmocka_unit_test(test_responses_without_body),
 		cmocka_unit_test(test_half_closed_caller),
-		cmocka_unit_test(test_caller_is_gone),
+		cmocka_unit_test(test_caller_disconnects),
 		cmocka_unit_test(test_slow_headers),
-		cmocka_unit_test(test_idle_connections_end),
-		cmocka_unit_test(test_bound_on_connections),
-		cmocka_unit_test(test_closing),
-		cmocka_unit_test(test_refusing),
+		cmocka_unit_test(test_idle_connections_time_out),
+		cmocka_unit_test(test_connection_limit),
+		cmocka_unit_test(test_draining),
+		cmocka_unit_test(test_stop_accepting),
 		cmocka_unit_test(test_caller_that_does_not_read),
 		cmocka_unit_test(test_address_in_use),
 	};
--- a/tests/test-net-peer.c
+++ b/tests/test-net-peer.c
@@ -1,5 +1,5 @@
 /*
- * test-net-peer.c - ports of several instances in one process.
+ * test-net-peer.c - peer transports of several instances in one process.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -13,12 +13,12 @@
 #include "ragwort/counters.h"
 #include "ragwort/net-peer.h"
 
-#define LIMIT_MS 30000
-#define SEND_AGAIN_MS 20
+#define TIMEOUT_MS 30000
+#define RESEND_PERIOD_MS 20
 
-struct station {
+struct node {
 	struct rr_context *ctx;
-	struct rr_peer_transport *port;
+	struct rr_peer_transport *transport;
 	GArray *sequences; /* received, in order */
 	size_t record_bytes;
 };
@@ -30,39 +30,39 @@
 
 static void on_received(void *data, const struct rr_peer_message *message)
 {
-	struct station *station = data;
+	struct node *node = data;
 
-	g_array_append_val(station->sequences, message->sequence);
-	station->record_bytes += message->config_length;
+	g_array_append_val(node->sequences, message->sequence);
+	node->record_bytes += message->config_length;
 }
 
-static void open_station(struct station *station, const char *address,
-			 const struct rr_peer_keys *keys)
+static void open_node(struct node *node, const char *address,
+		      const struct rr_peer_keys *keys)
 {
 	struct rr_peer_transport_options options = {
 		.address = address ? address : "127.0.0.1:0",
 		.keys = keys,
 		.received = on_received,
-		.data = station,
+		.data = node,
 	};
 	GError *error = NULL;
 
-	memset(station, 0, sizeof(*station));
-	station->ctx = rr_new_context(NULL);
-	station->sequences = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	station->port = rr_new_peer_transport(station->ctx, &options, &error);
-	if (!station->port)
+	memset(node, 0, sizeof(*node));
+	node->ctx = rr_new_context(NULL);
+	node->sequences = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	node->transport = rr_new_peer_transport(node->ctx, &options, &error);
+	if (!node->transport)
 		fail_msg("%s", error->message);
 }
 
-static void close_station(struct station *station)
+static void close_node(struct node *node)
 {
-	rr_drop_peer_transport(station->port);
-	rr_drop_context(station->ctx);
-	g_array_unref(station->sequences);
+	rr_drop_peer_transport(node->transport);
+	rr_drop_context(node->ctx);
+	g_array_unref(node->sequences);
 }
 
-static void send_sequence(struct station *from, const char *address,
+static void send_sequence(struct node *from, const char *address,
 			  uint64_t sequence, size_t record_bytes)
 {
 	struct rr_peer_message *message = rr_new_peer_message(
@@ -75,7 +75,7 @@
 		message->config_record = g_strnfill(record_bytes, 'x');
 		message->config_length = record_bytes;
 	}
-	rr_send_to_peer(from->ctx, from->port, "b", address, message);
+	rr_send_to_peer(from->ctx, from->transport, "b", address, message);
 	rr_drop_peer_message(message);
 }
 
@@ -85,52 +85,58 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/* Run the loop until the condition holds; the limit fails the test. */
-#define WAIT_FOR(condition)                                             \
-	do {                                                            \
-		bool late = false;                                      \
-		guint limit = g_timeout_add(LIMIT_MS, set_flag, &late); \
-		while (!(condition) && !late)                           \
-			g_main_context_iteration(NULL, TRUE);           \
-		g_source_remove(limit);                                 \
-		if (late)                                               \
-			fail_msg("limit reached: %s", #condition);      \
+/*
+ * Runs the main loop until the condition holds; fails the test after
+ * TIMEOUT_MS.
+ */
+#define WAIT_FOR(condition)                                                    \
+	do {                                                                   \
+		bool timed_out = false;                                        \
+		guint timer = g_timeout_add(TIMEOUT_MS, set_flag, &timed_out); \
+		while (!(condition) && !timed_out)                             \
+			g_main_context_iteration(NULL, TRUE);                  \
+		g_source_remove(timer);                                        \
+		if (timed_out)                                                 \
+			fail_msg("timed out: %s", #condition);                 \
 	} while (0)
 
-/* Let the loop run for one short while. */
+/* Runs the main loop for RESEND_PERIOD_MS. */
 static void run_briefly(void)
 {
-	bool over = false;
-	guint timer = g_timeout_add(SEND_AGAIN_MS, set_flag, &over);
+	bool done = false;
+	guint timer = g_timeout_add(RESEND_PERIOD_MS, set_flag, &done);
 
-	while (!over)
+	while (!done)
 		g_main_context_iteration(NULL, TRUE);
 	g_source_remove(timer);
 }
 
-static uint64_t counted(struct station *station, enum rr_counter counter)
+static uint64_t counter_value(struct node *node, enum rr_counter counter)
 {
-	return rr_counter_value(station->ctx, counter);
+	return rr_counter_value(node->ctx, counter);
 }
 
 /*
- * Story: under load a relay's reply lay unread until the next message came,
- * and the query ran into its deadline.  Cause: the descriptor tells a change
- * once; who reads one message at each wake-up leaves the others.
+ * Guards against replies to forwarded requests that stay unread until the next
+ * message arrives, so that under load the query reaches its deadline. The cause
+ * is that ZMQ_FD is edge-triggered: a reader that takes one message per wake-up
+ * leaves the others.
  */
-static void test_bursts_arrive_whole(void **state)
+static void test_bursts_arrive_completely(void **state)
 {
-	struct station a;
-	struct station b;
+	struct node a;
+	struct node b;
 
 	(void)state;
-	open_station(&a, NULL, NULL);
-	open_station(&b, NULL, NULL);
+	open_node(&a, NULL, NULL);
+	open_node(&b, NULL, NULL);
 	for (uint64_t round = 0; round < 10; round++) {
 		for (uint64_t i = 0; i < 200; i++) {
-			send_sequence(&a, rr_peer_transport_address(b.port),
+			send_sequence(&a,
+				      rr_peer_transport_address(b.transport),
 				      round * 200 + i, 0);
-			send_sequence(&b, rr_peer_transport_address(a.port), i,
+			send_sequence(&b,
+				      rr_peer_transport_address(a.transport), i,
 				      0);
 		}
 		WAIT_FOR(b.sequences->len == (round + 1) * 200);
@@ -138,63 +144,64 @@
 	}
 	for (uint64_t i = 0; i < b.sequences->len; i++)
 		assert_int_equal(g_array_index(b.sequences, uint64_t, i), i);
-	send_sequence(&a, rr_peer_transport_address(b.port), 1, 4u << 20);
+	send_sequence(&a, rr_peer_transport_address(b.transport), 1, 4u << 20);
 	WAIT_FOR(b.record_bytes == 4u << 20);
-	assert_int_equal(counted(&a, RR_N_PEER_MESSAGES_DROPPED), 0);
-	close_station(&a);
-	close_station(&b);
+	assert_int_equal(counter_value(&a, RR_N_PEER_MESSAGES_DROPPED), 0);
+	close_node(&a);
+	close_node(&b);
 }
 
 /*
- * Story: an instance dies; a relay for it waits in a queue and runs on the
- * instance that takes the address seconds later, after the caller has been
- * answered.  Cause: the library queues for a connection still to come.
+ * Guards against old messages reaching a replacement: an instance dies, and a
+ * request forwarded to it is queued and runs on the instance that takes over
+ * the address seconds later, after the caller has been answered. The cause is
+ * that libzmq queues messages for a future connection.
  */
-static void test_replacement_gets_nothing_old(void **state)
+static void test_replacement_gets_no_old_messages(void **state)
 {
-	struct station a;
-	struct station b;
+	struct node a;
+	struct node b;
 	char *address;
 
 	(void)state;
-	open_station(&a, NULL, NULL);
-	open_station(&b, NULL, NULL);
-	address = g_strdup(rr_peer_transport_address(b.port));
-	close_station(&b);
+	open_node(&a, NULL, NULL);
+	open_node(&b, NULL, NULL);
+	address = g_strdup(rr_peer_transport_address(b.transport));
+	close_node(&b);
 	send_sequence(&a, address, 1, 0);
-	WAIT_FOR(counted(&a, RR_N_PEER_MESSAGES_DROPPED) == 1);
-	open_station(&b, address, NULL);
+	WAIT_FOR(counter_value(&a, RR_N_PEER_MESSAGES_DROPPED) == 1);
+	open_node(&b, address, NULL);
 	send_sequence(&a, address, 2, 0);
 	WAIT_FOR(b.sequences->len > 0);
 	assert_int_equal(g_array_index(b.sequences, uint64_t, 0), 2);
 
-	/* A connection that stood comes back by itself. */
-	close_station(&b);
-	open_station(&b, address, NULL);
+	/* An established connection is restored automatically. */
+	close_node(&b);
+	open_node(&b, address, NULL);
 	while (!b.sequences->len) {
 		send_sequence(&a, address, 3, 0);
 		run_briefly();
 	}
-	close_station(&a);
-	close_station(&b);
+	close_node(&a);
+	close_node(&b);
 	g_free(address);
 }
 
 /*
- * Story: a fleet of 1,200 opens connections to all, and instances run out of
- * memory and descriptors.  The longest unused link has to make room, and no
- * message may be lost for it.
+ * Guards against instances of a fleet of 1,200 that open connections to all
+ * others and run out of memory and descriptors. The least recently used link
+ * must be closed, without losing a message.
  */
-static void test_links_are_bounded(void **state)
+static void test_link_limit(void **state)
 {
-	struct station a;
-	struct station b;
+	struct node a;
+	struct node b;
 	const char *port;
 
 	(void)state;
-	open_station(&a, NULL, NULL);
-	open_station(&b, "0.0.0.0:0", NULL);
-	port = strrchr(rr_peer_transport_address(b.port), ':');
+	open_node(&a, NULL, NULL);
+	open_node(&b, "0.0.0.0:0", NULL);
+	port = strrchr(rr_peer_transport_address(b.transport), ':');
 	for (guint i = 0; i < 300; i++) {
 		char *address = g_strdup_printf("127.0.%u.%u%s", 1 + i / 200,
 						1 + i % 200, port);
@@ -203,54 +210,54 @@
 		WAIT_FOR(b.sequences->len == i + 1);
 		g_free(address);
 	}
-	assert_int_equal(counted(&a, RR_G_PEER_LINKS), 256);
-	assert_int_equal(counted(&a, RR_N_PEER_MESSAGES_DROPPED), 0);
-	close_station(&a);
-	close_station(&b);
+	assert_int_equal(counter_value(&a, RR_G_PEER_LINKS), 256);
+	assert_int_equal(counter_value(&a, RR_N_PEER_MESSAGES_DROPPED), 0);
+	close_node(&a);
+	close_node(&b);
 }
 
-static void test_malformed_is_counted(void **state)
+static void test_malformed_messages_are_counted(void **state)
 {
-	struct station b;
+	struct node b;
 	void *zmq = zmq_ctx_new();
 	void *dealer = zmq_socket(zmq, ZMQ_DEALER);
 	char *endpoint;
 
 	(void)state;
-	open_station(&b, NULL, NULL);
-	endpoint =
-		g_strdup_printf("tcp://%s", rr_peer_transport_address(b.port));
+	open_node(&b, NULL, NULL);
+	endpoint = g_strdup_printf("tcp://%s",
+				   rr_peer_transport_address(b.transport));
 	zmq_connect(dealer, endpoint);
 	zmq_send(dealer, "garbage", 7, 0);
-	WAIT_FOR(counted(&b, RR_N_PEER_MESSAGES_BAD) == 1);
+	WAIT_FOR(counter_value(&b, RR_N_PEER_MESSAGES_BAD) == 1);
 	zmq_send(dealer, "two", 3, ZMQ_SNDMORE);
 	zmq_send(dealer, "frames", 6, 0);
-	WAIT_FOR(counted(&b, RR_N_PEER_MESSAGES_BAD) == 2);
+	WAIT_FOR(counter_value(&b, RR_N_PEER_MESSAGES_BAD) == 2);
 	zmq_send(dealer, "", 0, 0);
-	WAIT_FOR(counted(&b, RR_N_PEER_MESSAGES_BAD) == 3);
+	WAIT_FOR(counter_value(&b, RR_N_PEER_MESSAGES_BAD) == 3);
 	assert_int_equal(b.sequences->len, 0);
 	zmq_close(dealer);
 	zmq_ctx_term(zmq);
-	close_station(&b);
+	close_node(&b);
 	g_free(endpoint);
 }
 
-static void test_bad_options(void **state)
+static void test_invalid_options(void **state)
 {
-	static const char *const bad[] = { "127.0.0.1", "localhost:80",
-					   "[::1]:80",	"127.0.0.1:70000",
-					   "",		"127.0.0.1:" };
+	static const char *const invalid[] = { "127.0.0.1", "localhost:80",
+					       "[::1]:80",  "127.0.0.1:70000",
+					       "",	    "127.0.0.1:" };
 	struct rr_context *ctx = rr_new_context(NULL);
 	struct rr_peer_keys keys = { "short", "short", NULL };
 	struct rr_peer_transport_options options = { 0 };
 
 	(void)state;
-	for (size_t i = 0; i <= G_N_ELEMENTS(bad); i++) {
+	for (size_t i = 0; i <= G_N_ELEMENTS(invalid); i++) {
 		GError *error = NULL;
 
 		options.address = "127.0.0.1:0";
-		if (i < G_N_ELEMENTS(bad))
-			options.address = bad[i];
+		if (i < G_N_ELEMENTS(invalid))
+			options.address = invalid[i];
 		else
 			options.keys = &keys;
 		assert_null(rr_new_peer_transport(ctx, &options, &error));
@@ -260,88 +267,93 @@
 	rr_drop_context(ctx);
 }
 
-static void make_pair(struct key_pair *pair)
+static void generate_pair(struct key_pair *pair)
 {
 	assert_int_equal(zmq_curve_keypair(pair->public_key, pair->secret_key),
 			 0);
 }
 
-static struct rr_peer_keys use_pair(const struct key_pair *pair,
-				    const char *const *allowed)
+static struct rr_peer_keys make_keys(const struct key_pair *pair,
+				     const char *const *allowed)
 {
 	return (struct rr_peer_keys){ pair->public_key, pair->secret_key,
 				      allowed };
 }
 
-/* Send again and again until it has arrived: a link may be renewed. */
-static void expect_traffic(struct station *from, struct station *to)
+/*
+ * Sends repeatedly until a message arrives, because a link may be changing its
+ * keys.
+ */
+static void expect_traffic(struct node *from, struct node *to)
 {
-	guint had = to->sequences->len;
-	bool late = false;
-	guint limit = g_timeout_add(LIMIT_MS, set_flag, &late);
+	guint n_before = to->sequences->len;
+	bool timed_out = false;
+	guint timer = g_timeout_add(TIMEOUT_MS, set_flag, &timed_out);
 
-	while (to->sequences->len == had && !late) {
-		send_sequence(from, rr_peer_transport_address(to->port), 1, 0);
+	while (to->sequences->len == n_before && !timed_out) {
+		send_sequence(from, rr_peer_transport_address(to->transport), 1,
+			      0);
 		run_briefly();
 	}
-	g_source_remove(limit);
-	assert_false(late);
+	g_source_remove(timer);
+	assert_false(timed_out);
 }
 
 /*
- * Story: somebody in the network starts a program that speaks the peers'
- * protocol and takes part in the membership.  With keys set, only allowed
- * ones may connect, and a plain connection is refused as well.
+ * Guards against unauthorised members: a program that speaks the peer protocol
+ * could join the membership. With keys configured, only allowed keys may
+ * connect, and an unencrypted connection is rejected as well.
  */
-static void test_unknown_key_refused(void **state)
+static void test_unknown_key_is_rejected(void **state)
 {
 	struct key_pair ours;
-	struct key_pair foreign;
+	struct key_pair unknown;
 	const char *allowed[] = { ours.public_key, NULL };
 	struct rr_peer_keys keys;
-	struct rr_peer_keys foreign_keys;
-	struct station a;
-	struct station b;
-	struct station c;
-	struct station plain;
+	struct rr_peer_keys unknown_keys;
+	struct node a;
+	struct node b;
+	struct node c;
+	struct node plain;
 
 	(void)state;
-	make_pair(&ours);
-	make_pair(&foreign);
-	keys = use_pair(&ours, allowed);
-	foreign_keys = use_pair(&foreign, allowed);
-	open_station(&a, NULL, &keys);
-	open_station(&b, NULL, &keys);
-	open_station(&c, NULL, &foreign_keys);
-	open_station(&plain, NULL, NULL);
+	generate_pair(&ours);
+	generate_pair(&unknown);
+	keys = make_keys(&ours, allowed);
+	unknown_keys = make_keys(&unknown, allowed);
+	open_node(&a, NULL, &keys);
+	open_node(&b, NULL, &keys);
+	open_node(&c, NULL, &unknown_keys);
+	open_node(&plain, NULL, NULL);
 	expect_traffic(&a, &b);
-	send_sequence(&c, rr_peer_transport_address(b.port), 66, 0);
-	send_sequence(&plain, rr_peer_transport_address(b.port), 67, 0);
-	WAIT_FOR(counted(&b, RR_N_PEER_AUTH_FAILURES) > 0);
-	WAIT_FOR(counted(&c, RR_N_PEER_MESSAGES_DROPPED) == 1);
-	WAIT_FOR(counted(&plain, RR_N_PEER_MESSAGES_DROPPED) == 1);
+	send_sequence(&c, rr_peer_transport_address(b.transport), 66, 0);
+	send_sequence(&plain, rr_peer_transport_address(b.transport), 67, 0);
+	WAIT_FOR(counter_value(&b, RR_N_PEER_AUTH_FAILURES) > 0);
+	WAIT_FOR(counter_value(&c, RR_N_PEER_MESSAGES_DROPPED) == 1);
+	WAIT_FOR(counter_value(&plain, RR_N_PEER_MESSAGES_DROPPED) == 1);
 	for (guint i = 0; i < b.sequences->len; i++)
 		assert_int_equal(g_array_index(b.sequences, uint64_t, i), 1);
-	close_station(&a);
-	close_station(&b);
-	close_station(&c);
-	close_station(&plain);
+	close_node(&a);
+	close_node(&b);
+	close_node(&c);
+	close_node(&plain);
 }
 
-static void set_keys(struct station *station, const struct key_pair *pair,
+static void set_keys(struct node *node, const struct key_pair *pair,
 		     const char *const *allowed)
 {
-	struct rr_peer_keys keys = use_pair(pair, allowed);
+	struct rr_peer_keys keys = make_keys(pair, allowed);
 
-	assert_true(rr_set_peer_keys(station->ctx, station->port, &keys, NULL));
+	assert_true(rr_set_peer_keys(node->ctx, node->transport, &keys, NULL));
 }
 
 /*
- * Story: the key pair has to be replaced at a site nobody can log into, while
- * searches run.  Allow both, change the pair of one instance after the other,
- * then allow the new one only: traffic goes on between any two of them.
+ * The key pair must be replaceable while searches run, at a site that nobody
+ * can log into. Both keys are allowed, the pair of one instance after the other
+ * is changed, then only the new key is allowed: messages must arrive in both
+ * directions after each change.
  */
-static void test_rotation_on_running_ports(void **state)
+static void test_key_rotation_while_running(void **state)
 {
 	struct key_pair old_pair;
 	struct key_pair new_pair;
@@ -349,16 +361,16 @@
 	const char *both[] = { old_pair.public_key, new_pair.public_key, NULL };
 	const char *new_only[] = { new_pair.public_key, NULL };
 	struct rr_peer_keys keys;
-	struct station a;
-	struct station b;
-	struct station stale;
+	struct node a;
+	struct node b;
+	struct node stale;
 
 	(void)state;
-	make_pair(&old_pair);
-	make_pair(&new_pair);
-	keys = use_pair(&old_pair, old_only);
-	open_station(&a, NULL, &keys);
-	open_station(&b, NULL, &keys);
+	generate_pair(&old_pair);
+	generate_pair(&new_pair);
+	keys = make_keys(&old_pair, old_only);
+	open_node(&a, NULL, &keys);
+	open_node(&b, NULL, &keys);
 	expect_traffic(&a, &b);
 	set_keys(&a, &old_pair, both);
 	set_keys(&b, &old_pair, both);
@@ -374,28 +386,28 @@
 	expect_traffic(&a, &b);
 	expect_traffic(&b, &a);
 
-	/* Who missed the change gets in no more. */
-	keys = use_pair(&old_pair, both);
-	open_station(&stale, NULL, &keys);
-	send_sequence(&stale, rr_peer_transport_address(b.port), 66, 0);
-	WAIT_FOR(counted(&stale, RR_N_PEER_MESSAGES_DROPPED) > 0);
+	/* An instance that missed the change can no longer connect. */
+	keys = make_keys(&old_pair, both);
+	open_node(&stale, NULL, &keys);
+	send_sequence(&stale, rr_peer_transport_address(b.transport), 66, 0);
+	WAIT_FOR(counter_value(&stale, RR_N_PEER_MESSAGES_DROPPED) > 0);
 	for (guint i = 0; i < b.sequences->len; i++)
 		assert_int_equal(g_array_index(b.sequences, uint64_t, i), 1);
-	close_station(&a);
-	close_station(&b);
-	close_station(&stale);
+	close_node(&a);
+	close_node(&b);
+	close_node(&stale);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_bursts_arrive_whole),
-		cmocka_unit_test(test_replacement_gets_nothing_old),
-		cmocka_unit_test(test_links_are_bounded),
-		cmocka_unit_test(test_malformed_is_counted),
-		cmocka_unit_test(test_bad_options),
-		cmocka_unit_test(test_unknown_key_refused),
-		cmocka_unit_test(test_rotation_on_running_ports),
+		cmocka_unit_test(test_bursts_arrive_completely),
+		cmocka_unit_test(test_replacement_gets_no_old_messages),
+		cmocka_unit_test(test_link_limit),
+		cmocka_unit_test(test_malformed_messages_are_counted),
+		cmocka_unit_test(test_invalid_options),
+		cmocka_unit_test(test_unknown_key_is_rejected),
+		cmocka_unit_test(test_key_rotation_while_running),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-platform-client.c
+++ b/tests/test-platform-client.c
@@ -1,6 +1,6 @@
 /*
- * test-platform-client.c - the platform adapter against the stand-in: what
- * each ending of a call proves, the watch and the list of instances.
+ * test-platform-client.c - platform client against the stand-in platform: the
+ * status for each kind of failure, the watch, and the instance list.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -16,26 +16,26 @@
 
 struct fixture {
 	struct rr_context *ctx;
-	struct rr_platform_client *port;
+	struct rr_platform_client *client;
 	struct rr_store_port store;
 	struct test_platform *platform;
 	uint64_t next_call_id;
 	bool replied;
 	struct rr_store_reply reply;
 	char *value;
-	/* From the watch and the list. */
+	/* Received from the watch and the list. */
 	bool record_read;
 	char *record;
-	bool member_told;
+	bool member_listed;
 	char *member;
-	bool replica_told;
+	bool replica_listed;
 	enum rr_upstream_state replica_state;
-	bool watches;
-	uint32_t list_seldom_period_ms;
+	bool is_watcher;
+	uint32_t list_slow_period_ms;
 	uint32_t lists_read;
 };
 
-static void take_reply(void *data, const struct rr_store_reply *reply)
+static void on_replied(void *data, const struct rr_store_reply *reply)
 {
 	struct fixture *f = data;
 
@@ -49,7 +49,7 @@
 	f->replied = true;
 }
 
-static void take_record(void *data, const char *record, size_t length)
+static void on_record_received(void *data, const char *record, size_t length)
 {
 	struct fixture *f = data;
 
@@ -58,53 +58,53 @@
 	f->record_read = true;
 }
 
-static void take_member(void *data, const char *name, const char *zone,
-			const char *address)
+static void on_member_listed(void *data, const char *name, const char *zone,
+			     const char *address)
 {
 	struct fixture *f = data;
 
 	g_free(f->member);
 	f->member = g_strdup_printf("%s/%s/%s", name, zone, address);
-	f->member_told = true;
+	f->member_listed = true;
 	f->lists_read++;
 }
 
-static void take_replica(void *data, const char *name, int64_t born_ms,
-			 enum rr_upstream_state state)
+static void on_replica_listed(void *data, const char *name, int64_t started_ms,
+			      enum rr_upstream_state state)
 {
 	struct fixture *f = data;
 
 	f->replica_state = state;
-	f->replica_told = true;
+	f->replica_listed = true;
 }
 
-static bool tell_watches(void *data)
+static bool get_is_watcher(void *data)
 {
 	struct fixture *f = data;
 
-	return f->watches;
+	return f->is_watcher;
 }
 
-static void open_port(struct fixture *f)
+static void open_client(struct fixture *f)
 {
 	char *address = g_strdup_printf("127.0.0.1:%u", f->platform->port);
 	struct rr_platform_client_options options = {
 		.address = address,
-		.replied = take_reply,
-		.record_received = take_record,
-		.member_listed = take_member,
-		.replica_listed = take_replica,
-		.is_watcher = tell_watches,
+		.replied = on_replied,
+		.record_received = on_record_received,
+		.member_listed = on_member_listed,
+		.replica_listed = on_replica_listed,
+		.is_watcher = get_is_watcher,
 		.data = f,
 		.call_timeout_ms = 500,
 		.watch_ms = 5000,
 		.list_period_ms = 50,
-		.list_slow_period_ms = f->list_seldom_period_ms,
+		.list_slow_period_ms = f->list_slow_period_ms,
 		.retry_ms = 50,
 	};
 
-	f->port = rr_new_platform_client(f->ctx, &options);
-	f->store = rr_make_store_port(f->port);
+	f->client = rr_new_platform_client(f->ctx, &options);
+	f->store = rr_make_store_port(f->client);
 	g_free(address);
 }
 
@@ -114,10 +114,10 @@
 
 	f->ctx = rr_new_context(NULL);
 	f->platform = test_start_platform();
-	f->watches = true;
-	f->list_seldom_period_ms = 100;
+	f->is_watcher = true;
+	f->list_slow_period_ms = 100;
 	f->next_call_id = 1;
-	open_port(f);
+	open_client(f);
 	*state = f;
 	return 0;
 }
@@ -126,7 +126,7 @@
 {
 	struct fixture *f = *state;
 
-	rr_drop_platform_client(f->port);
+	rr_drop_platform_client(f->client);
 	while (g_main_context_iteration(NULL, FALSE))
 		;
 	test_drop_platform(f->platform);
@@ -183,17 +183,12 @@
 }
 
 /*
- * The platform takes a write and its reply is lost.  Told as "not written",
- * a claim would be taken for free while it stands: the adapter must say that
- * it does not know.
+ * Guards against values that are copied as strings. One reservation in thirty
+ * was answered "not run, ledger-unreadable", and so was every later one of the
+ * same minute and group: the fingerprint of a claim contained a zero byte, and
+ * everything after it was stored as zeros.
  */
-/*
- * Story: one reservation in thirty is answered "not run, ledger-unreadable",
- * and so is every later one of the same minute and group.  A claim is written
- * whose fingerprint holds a zero byte; all behind it is zeros in the store.
- * Cause: the value was copied as a string.
- */
-static void test_values_are_bytes(void **state)
+static void test_values_are_binary(void **state)
 {
 	static const char bytes[] = { 8, 1, 0, 26, 0, 0, 7 };
 	struct fixture *f = *state;
@@ -205,6 +200,11 @@
 	assert_memory_equal(f->value, bytes, sizeof(bytes));
 }
 
+/*
+ * Guards against a write that is reported as not written when the platform
+ * executes it and its reply is lost: a claim would be taken for free although
+ * it exists. The client must report that the result is unknown.
+ */
 static void test_lost_reply_is_unknown(void **state)
 {
 	struct fixture *f = *state;
@@ -220,7 +220,9 @@
 	struct fixture *f = *state;
 
 	test_post_control(f->platform->control_port, "{\"outage\":\"refuse\"}");
-	/* Calls on connections made before are cut: unknown, not unavailable. */
+	/*
+	 * Calls on existing connections are closed: unknown, not unavailable.
+	 */
 	while (swap(f, "k", 0, "x") != RR_STORE_UNAVAILABLE)
 		assert_int_equal(f->reply.status, RR_STORE_UNKNOWN);
 	assert_true(rr_counter_value(f->ctx, RR_N_STORE_FAILURES) > 0);
@@ -228,7 +230,7 @@
 	assert_int_equal(get(f, "k"), RR_STORE_OK);
 }
 
-static void test_hanging_platform_is_unknown(void **state)
+static void test_unresponsive_platform_is_unknown(void **state)
 {
 	struct fixture *f = *state;
 
@@ -255,7 +257,7 @@
 	assert_string_equal(f->record, "second");
 }
 
-static void name_one_instance(struct fixture *f)
+static void register_instance(struct fixture *f)
 {
 	test_post_control(f->platform->control_port,
 			  "{\"instances\":[{\"name\":\"e\",\"kind\":\"entry\","
@@ -263,30 +265,30 @@
 			  "\"state\":\"live\"}]}");
 }
 
-/* One that does not watch still reads the record once, at its start. */
+/* An instance that does not watch still reads the record once, at its start. */
 static void test_reads_once_without_watching(void **state)
 {
 	struct fixture *f = *state;
 
-	rr_drop_platform_client(f->port);
-	f->watches = false;
-	open_port(f);
+	rr_drop_platform_client(f->client);
+	f->is_watcher = false;
+	open_client(f);
 	assert_int_equal(swap(f, RR_CONFIG_RECORD_KEY, 0, "first"),
 			 RR_STORE_OK);
-	rr_drop_platform_client(f->port);
+	rr_drop_platform_client(f->client);
 	g_clear_pointer(&f->record, g_free);
 	f->record_read = false;
-	open_port(f);
+	open_client(f);
 	test_run_until(&f->record_read);
 	assert_string_equal(f->record, "first");
 	assert_int_equal(
 		swap(f, RR_CONFIG_RECORD_KEY, f->reply.revision, "second"),
 		RR_STORE_OK);
-	/* Some list reads later it still has not looked. */
+	/* It has not read the record again after several reads of the list. */
 	for (int i = 0; i < 3; i++) {
-		f->member_told = false;
-		name_one_instance(f);
-		test_run_until(&f->member_told);
+		f->member_listed = false;
+		register_instance(f);
+		test_run_until(&f->member_listed);
 	}
 	assert_string_equal(f->record, "first");
 }
@@ -302,51 +304,54 @@
 		"\"state\":\"live\"},{\"name\":\"d-a\",\"kind\":"
 		"\"upstream\",\"zone\":\"athi\",\"address\":\"127.0.0.1:9\","
 		"\"state\":\"leaving\"},7,{}]}");
-	test_run_until(&f->replica_told);
+	test_run_until(&f->replica_listed);
 	assert_int_equal(f->replica_state, RR_UPSTREAM_DRAINING);
 	assert_string_equal(f->member, "athi-1/athi/127.0.0.1:8201");
 }
 
 /*
- * At 1,200 instances that each read the list every 2 s, reservations get 429
- * from the platform, for its reads are used up.  One that does not watch reads
- * it once at start; it reads on when it is to watch (its zone's watcher died,
- * or it sees no member any more).  The watching port beside it shows that
- * enough periods have passed.
+ * Guards against reservations that get 429 from the platform because 1,200
+ * instances read the list every 2 s and use up its reads. An instance that does
+ * not watch reads the list once at start. It reads on when it has to watch,
+ * because the watcher of its zone died or it sees no member any more. The
+ * watching client beside it shows that enough periods have passed.
  */
-static void test_reads_the_list_seldom_without_watching(void **state)
+static void test_slow_list_period_without_watching(void **state)
 {
 	struct fixture *f = *state;
 	struct fixture other = { .platform = f->platform,
 				 .ctx = rr_new_context(NULL),
-				 .list_seldom_period_ms = G_MAXINT32 };
+				 .list_slow_period_ms = G_MAXINT32 };
 
-	name_one_instance(f);
-	open_port(&other);
-	test_run_until(&other.member_told);
+	register_instance(f);
+	open_client(&other);
+	test_run_until(&other.member_listed);
 	while (f->lists_read < 20) {
-		f->member_told = false;
-		test_run_until(&f->member_told);
+		f->member_listed = false;
+		test_run_until(&f->member_listed);
 	}
 	assert_int_equal(other.lists_read, 1);
-	other.watches = true;
-	other.member_told = false;
-	test_run_until(&other.member_told);
-	rr_drop_platform_client(other.port);
+	other.is_watcher = true;
+	other.member_listed = false;
+	test_run_until(&other.member_listed);
+	rr_drop_platform_client(other.client);
 	rr_drop_context(other.ctx);
 	g_free(other.member);
 }
 
-/* Seldom is not never: a hint that peers did not pass on still comes. */
+/*
+ * The list is still read at the slow period, so that a hint that peers did not
+ * forward arrives.
+ */
 static void test_reads_the_list_again_without_watching(void **state)
 {
 	struct fixture *f = *state;
 
-	f->watches = false;
-	name_one_instance(f);
+	f->is_watcher = false;
+	register_instance(f);
 	while (f->lists_read < 3) {
-		f->member_told = false;
-		test_run_until(&f->member_told);
+		f->member_listed = false;
+		test_run_until(&f->member_listed);
 	}
 }
 
@@ -356,14 +361,14 @@
 {
 	const struct CMUnitTest tests[] = {
 		TEST(test_gets_and_swaps),
-		TEST(test_values_are_bytes),
+		TEST(test_values_are_binary),
 		TEST(test_lost_reply_is_unknown),
 		TEST(test_refused_connection_is_unavailable),
-		TEST(test_hanging_platform_is_unknown),
+		TEST(test_unresponsive_platform_is_unknown),
 		TEST(test_watch_sees_each_record),
 		TEST(test_reads_once_without_watching),
 		TEST(test_reads_the_list),
-		TEST(test_reads_the_list_seldom_without_watching),
+		TEST(test_slow_list_period_without_watching),
 		TEST(test_reads_the_list_again_without_watching),
 	};
 
--- a/tests/test-port.c
+++ b/tests/test-port.c
@@ -1,5 +1,5 @@
 /*
- * Ports of the tests themselves.
+ * test-port.c - TCP port reservation for tests.
  */
 #include <arpa/inet.h>
 #include <setjmp.h>
@@ -16,48 +16,49 @@
 #define N_PORTS 300
 
 /*
- * A soak reports that one gateway ended by itself at its start and that all
- * its callers got 404, with no fault begun.  Its port was found free and let
- * go again; before the gateway was started, a link to the store drew the same
- * one of 20,000 and listened there.
+ * Guards against a port that two parts of a test use. In a soak test one
+ * gateway exited at its start and all its callers got 404, although no fault
+ * had been injected. Its port had been found free and released; before the
+ * gateway was started, a link to the store picked the same one of 20,000 ports
+ * and listened on it.
  */
-static void test_port_is_nobody_elses(void **state)
+static void test_ports_are_unique(void **state)
 {
-	GHashTable *taken = g_hash_table_new(NULL, NULL);
+	GHashTable *reserved = g_hash_table_new(NULL, NULL);
 
 	(void)state;
 	for (int i = 0; i < N_PORTS; i++) {
 		uint16_t port = test_reserve_port();
 
-		assert_true(g_hash_table_add(taken, GUINT_TO_POINTER(port)));
+		assert_true(g_hash_table_add(reserved, GUINT_TO_POINTER(port)));
 	}
 	for (int i = 0; i < N_PORTS; i++) {
 		uint16_t port = 0;
 		GSocket *listener = test_open_listener(&port);
 
-		assert_true(g_hash_table_add(taken, GUINT_TO_POINTER(port)));
+		assert_true(g_hash_table_add(reserved, GUINT_TO_POINTER(port)));
 		g_object_unref(listener);
 	}
-	g_hash_table_unref(taken);
+	g_hash_table_unref(reserved);
 }
 
-static void test_holder_of_the_port_can_listen_again(void **state)
+static void test_reserved_port_can_be_reopened(void **state)
 {
 	uint16_t port = test_reserve_port();
 
 	(void)state;
 	for (int i = 0; i < 3; i++) {
-		uint16_t again = port;
-		GSocket *listener = test_open_listener(&again);
+		uint16_t same_port = port;
+		GSocket *listener = test_open_listener(&same_port);
 
-		assert_int_equal(again, port);
+		assert_int_equal(same_port, port);
 		assert_true(g_socket_close(listener, NULL));
 		g_object_unref(listener);
 	}
 }
 
-/* A held port refuses as one with nobody there. */
-static void test_held_port_refuses(void **state)
+/* A reserved port refuses connections like one without a listener. */
+static void test_reserved_port_refuses_connections(void **state)
 {
 	struct sockaddr_in address = {
 		.sin_family = AF_INET,
@@ -77,9 +78,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_port_is_nobody_elses),
-		cmocka_unit_test(test_holder_of_the_port_can_listen_again),
-		cmocka_unit_test(test_held_port_refuses),
+		cmocka_unit_test(test_ports_are_unique),
+		cmocka_unit_test(test_reserved_port_can_be_reopened),
+		cmocka_unit_test(test_reserved_port_refuses_connections),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-upstream.c
+++ b/tests/test-upstream.c
@@ -1,6 +1,6 @@
 /*
- * test-upstream.c - the upstream adapter against the stand-in: one send an
- * attempt, and what each ending is taken to prove.
+ * test-upstream.c - upstream client against the stand-in upstream: each attempt
+ * is sent once, and each kind of failure gives the right status.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -14,11 +14,11 @@
 
 struct fixture {
 	struct rr_context *ctx;
-	struct rr_upstream_client *port;
+	struct rr_upstream_client *client;
 	struct test_upstreams *upstreams;
 	char address[32];
 	uint64_t next_id;
-	/* The last reply. */
+	/* The last reply or health result. */
 	bool replied;
 	uint32_t replies;
 	struct rr_reply reply;
@@ -26,7 +26,7 @@
 	struct rr_health health;
 };
 
-static void take_reply(void *data, const struct rr_reply *reply)
+static void on_replied(void *data, const struct rr_reply *reply)
 {
 	struct fixture *f = data;
 
@@ -36,7 +36,7 @@
 	f->replied = true;
 }
 
-static void take_health(void *data, const struct rr_health *health)
+static void on_polled(void *data, const struct rr_health *health)
 {
 	struct fixture *f = data;
 
@@ -44,13 +44,13 @@
 	f->replied = true;
 }
 
-static struct rr_upstream_client *open_port(struct fixture *f,
-					    const char *instance)
+static struct rr_upstream_client *open_client(struct fixture *f,
+					      const char *instance)
 {
 	struct rr_upstream_client_options options = {
 		.instance = instance,
-		.replied = take_reply,
-		.polled = take_health,
+		.replied = on_replied,
+		.polled = on_polled,
 		.data = f,
 		.cancel_grace_ms = 500,
 	};
@@ -63,7 +63,7 @@
 	struct fixture *f = g_new0(struct fixture, 1);
 
 	f->ctx = rr_new_context(NULL);
-	f->port = open_port(f, "athi-1");
+	f->client = open_client(f, "athi-1");
 	f->upstreams = test_start_upstreams(1, NULL);
 	g_snprintf(f->address, sizeof(f->address), "127.0.0.1:%u",
 		   f->upstreams->ports[0]);
@@ -76,7 +76,7 @@
 {
 	struct fixture *f = *state;
 
-	rr_drop_upstream_client(f->port);
+	rr_drop_upstream_client(f->client);
 	while (g_main_context_iteration(NULL, FALSE))
 		;
 	test_drop_upstreams(f->upstreams);
@@ -104,7 +104,7 @@
 	};
 
 	f->replied = false;
-	rr_send_attempt(f->ctx, f->port, &attempt);
+	rr_send_attempt(f->ctx, f->client, &attempt);
 	return attempt.id;
 }
 
@@ -131,30 +131,30 @@
 }
 
 /*
- * A caller reserves a pallet.  The upstream reads the reservation, runs it
- * and dies before it replies.  A client library that sends the request again
- * by itself would reserve twice, and nobody would see it but the upstream.
+ * Guards against resent reservations: an upstream reads a reservation, runs it
+ * and dies before it replies. An HTTP library that resends the request by
+ * itself would reserve twice, and only the upstream would notice.
  */
 static void check_single_send(struct fixture *f)
 {
-	int64_t before = test_read_count(f->upstreams, 0, "requests");
+	int64_t n_before = test_read_count(f->upstreams, 0, "requests");
 
 	test_post_control(f->upstreams->control_port, "{\"cut\":\"hang-up\"}");
 	post_and_wait(f, RR_RESERVE, "1700000000-abcdefgh");
 	assert_int_equal(f->reply.status, RR_REPLY_LOST);
-	/* A resend would come at once; give it time to. */
+	/* A resend would be immediate; wait long enough for it. */
 	g_usleep(200 * 1000);
 	while (g_main_context_iteration(NULL, FALSE))
 		;
 	assert_int_equal(test_read_count(f->upstreams, 0, "requests"),
-			 before + 1);
+			 n_before + 1);
 	assert_int_equal(
 		test_read_run_count(f->upstreams, "1700000000-abcdefgh"), 1);
 	assert_int_equal(test_read_count(f->upstreams, -1, "repeated_attempts"),
 			 0);
 }
 
-static void test_sends_once_on_a_fresh_connection(void **state)
+static void test_sends_once_on_a_new_connection(void **state)
 {
 	check_single_send(*state);
 }
@@ -165,13 +165,13 @@
 
 	post_and_wait(f, RR_SEARCH, NULL);
 	check_single_send(f);
-	/* It really was the kept connection that the request went out on. */
+	/* The request was sent on the reused connection. */
 	assert_int_equal(test_read_count(f->upstreams, 0, "accepted"), 1);
 }
 
 /*
- * An upstream process is down.  The core may try another replica, also for
- * a reservation, because a refused connection proves that nothing ran.
+ * An upstream process is down. The core may try another replica, even for a
+ * reservation, because a refused connection proves that nothing ran.
  */
 static void test_refused_connection_proves_not_run(void **state)
 {
@@ -183,7 +183,7 @@
 	assert_int_equal(test_read_count(f->upstreams, 0, "ran"), 0);
 }
 
-/* A connection that was made and then reset proves nothing. */
+/* A connection that was established and then reset proves nothing. */
 static void test_reset_connection_proves_nothing(void **state)
 {
 	struct fixture *f = *state;
@@ -193,7 +193,7 @@
 	assert_int_equal(f->reply.status, RR_REPLY_LOST);
 }
 
-static void test_reads_refusals(void **state)
+static void test_reads_rejections(void **state)
 {
 	struct fixture *f = *state;
 
@@ -210,17 +210,18 @@
 }
 
 /*
- * Half a body looks like fewer rows.  Taken for whole, a yard's pallets
- * would be missing from an answer that claims to cover it.
+ * Guards against truncated bodies, which look like fewer rows. If one were
+ * accepted as complete, pallets of a yard would be missing from an answer that
+ * claims to cover it.
  */
-static void test_cut_bodies_have_no_end_mark(void **state)
+static void test_truncated_bodies_have_no_end_mark(void **state)
 {
-	static const char *const cuts[] = { "{\"cut\":\"half\"}",
-					    "{\"cut\":\"truncate\"}" };
+	static const char *const faults[] = { "{\"cut\":\"half\"}",
+					      "{\"cut\":\"truncate\"}" };
 	struct fixture *f = *state;
 
-	for (size_t i = 0; i < G_N_ELEMENTS(cuts); i++) {
-		test_post_control(f->upstreams->control_port, cuts[i]);
+	for (size_t i = 0; i < G_N_ELEMENTS(faults); i++) {
+		test_post_control(f->upstreams->control_port, faults[i]);
 		post_and_wait(f, RR_SEARCH, NULL);
 		assert_int_equal(f->reply.status, RR_REPLY_OK);
 		assert_false(f->reply.body_complete);
@@ -229,18 +230,18 @@
 }
 
 /*
- * A proxy in front of an upstream answers a reservation that has run with a
- * redirect or asks for a password.  A library that goes along with either
- * sends the reservation a second time.
+ * Guards against resent reservations: a proxy in front of an upstream answers a
+ * reservation that has run with a redirect or an authentication challenge. A
+ * library that follows either sends the reservation a second time.
  */
 static void test_sends_once_to_redirects_and_challenges(void **state)
 {
-	static const char *const cuts[] = { "{\"cut\":\"redirect\"}",
-					    "{\"cut\":\"challenge\"}" };
+	static const char *const faults[] = { "{\"cut\":\"redirect\"}",
+					      "{\"cut\":\"challenge\"}" };
 	struct fixture *f = *state;
 
-	for (size_t i = 0; i < G_N_ELEMENTS(cuts); i++) {
-		test_post_control(f->upstreams->control_port, cuts[i]);
+	for (size_t i = 0; i < G_N_ELEMENTS(faults); i++) {
+		test_post_control(f->upstreams->control_port, faults[i]);
 		post_and_wait(f, RR_RESERVE, "1700000000-abcdefgh");
 		assert_int_equal(f->reply.status, RR_REPLY_LOST);
 		assert_int_equal(test_read_count(f->upstreams, 0, "requests"),
@@ -249,10 +250,11 @@
 }
 
 /*
- * A hedge has lost.  Its upstream must stop the work, and the connection
- * must stay: a new one costs 6 ms and a place under the cap.
+ * A hedge that lost is cancelled. Its upstream must stop the work, and the
+ * connection must be kept: a new one costs 6 ms and counts against the
+ * connection limit of the upstream.
  */
-static void test_withdraws_without_closing(void **state)
+static void test_cancels_without_closing(void **state)
 {
 	struct fixture *f = *state;
 	uint64_t id;
@@ -261,8 +263,8 @@
 	id = post(f, RR_SEARCH, NULL);
 	while (!test_read_count(f->upstreams, 0, "running"))
 		g_main_context_iteration(NULL, FALSE);
-	rr_cancel_attempt(f->ctx, f->port, id);
-	while (rr_count_upstream_exchanges(f->port))
+	rr_cancel_attempt(f->ctx, f->client, id);
+	while (rr_count_upstream_exchanges(f->client))
 		g_main_context_iteration(NULL, TRUE);
 	assert_int_equal(f->replies, 0);
 	assert_int_equal(test_read_count(f->upstreams, 0, "cancelled"), 1);
@@ -274,36 +276,37 @@
 }
 
 /*
- * Two instances that a power cut started in the same microsecond give their
- * attempts the same numbers.  One takes a lost hedge back; the other's search
- * at the same replica must not end with it.
+ * Guards against cancelling the attempt of another instance. Two instances
+ * started in the same microsecond after a power failure number their attempts
+ * alike. One cancels a lost hedge, which must not end the search of the other
+ * at the same replica.
  */
-static void test_withdraws_its_own_attempt_only(void **state)
+static void test_cancels_only_its_own_attempt(void **state)
 {
 	struct fixture *f = *state;
-	struct rr_upstream_client *ports[] = { f->port,
-					       open_port(f, "athi-2") };
+	struct rr_upstream_client *clients[] = { f->client,
+						 open_client(f, "athi-2") };
 	uint64_t id = f->next_id;
 
 	test_post_control(f->upstreams->control_port,
 			  "{\"service_ms\":60000,\"slots\":2}");
 	for (uint32_t i = 0; i < 2; i++) {
-		f->port = ports[i];
+		f->client = clients[i];
 		f->next_id = id;
 		post(f, RR_SEARCH, NULL);
 		while (test_read_count(f->upstreams, 0, "running") != i + 1)
 			g_main_context_iteration(NULL, FALSE);
 	}
-	f->port = ports[0];
-	rr_cancel_attempt(f->ctx, ports[1], id);
-	while (rr_count_upstream_exchanges(ports[1]))
+	f->client = clients[0];
+	rr_cancel_attempt(f->ctx, clients[1], id);
+	while (rr_count_upstream_exchanges(clients[1]))
 		g_main_context_iteration(NULL, TRUE);
 	assert_int_equal(test_read_count(f->upstreams, 0, "cancelled"), 1);
 	assert_int_equal(test_read_count(f->upstreams, -1, "repeated_attempts"),
 			 0);
-	assert_int_equal(rr_count_upstream_exchanges(ports[0]), 1);
+	assert_int_equal(rr_count_upstream_exchanges(clients[0]), 1);
 	assert_int_equal(f->replies, 0);
-	rr_drop_upstream_client(ports[1]);
+	rr_drop_upstream_client(clients[1]);
 }
 
 static void test_polls_health(void **state)
@@ -313,7 +316,7 @@
 	test_post_control(f->upstreams->control_port,
 			  "{\"told_state\":\"cold\",\"told_load\":0.75}");
 	f->replied = false;
-	rr_poll_upstream_health(f->ctx, f->port, "r", f->address);
+	rr_poll_upstream_health(f->ctx, f->client, "r", f->address);
 	test_run_until(&f->replied);
 	assert_true(f->health.reachable);
 	assert_int_equal(f->health.state, RR_UPSTREAM_COLD);
@@ -322,7 +325,7 @@
 	test_signal_process(f->upstreams->process, 9);
 	test_wait_process(f->upstreams->process);
 	f->replied = false;
-	rr_poll_upstream_health(f->ctx, f->port, "r", f->address);
+	rr_poll_upstream_health(f->ctx, f->client, "r", f->address);
 	test_run_until(&f->replied);
 	assert_false(f->health.reachable);
 	assert_int_equal(f->health.state, RR_UPSTREAM_DOWN);
@@ -334,15 +337,15 @@
 {
 	const struct CMUnitTest tests[] = {
 		TEST(test_reads_rows_on_one_connection),
-		TEST(test_sends_once_on_a_fresh_connection),
+		TEST(test_sends_once_on_a_new_connection),
 		TEST(test_sends_once_on_a_reused_connection),
 		TEST(test_refused_connection_proves_not_run),
 		TEST(test_reset_connection_proves_nothing),
-		TEST(test_reads_refusals),
-		TEST(test_cut_bodies_have_no_end_mark),
+		TEST(test_reads_rejections),
+		TEST(test_truncated_bodies_have_no_end_mark),
 		TEST(test_sends_once_to_redirects_and_challenges),
-		TEST(test_withdraws_without_closing),
-		TEST(test_withdraws_its_own_attempt_only),
+		TEST(test_cancels_without_closing),
+		TEST(test_cancels_only_its_own_attempt),
 		TEST(test_polls_health),
 	};
 
