--- a/source/net/http-listener.c
+++ b/source/net/http-listener.c
@@ -18,26 +18,27 @@
 #include "ragwort/log.h"
 
 #define BACKLOG 512
-/* Limits until the configuration of the operators is known. */
+/* Limits used until the configuration of the operators has been read. */
 #define INITIAL_HEADER_BYTES 16384
 #define INITIAL_BODY_BYTES 262144
 #define INITIAL_HEADER_TIMEOUT_MS 3000
 #define INITIAL_IDLE_TIMEOUT_MS 15000
 /* A body may take this many times as long as the headers. */
 #define BODY_TIMEOUT_FACTOR 4
-/* A caller that does not read its answer is disconnected after this time. */
+/* A caller that does not read its response is disconnected after this time. */
 #define WRITE_TIMEOUT_US (10 * G_USEC_PER_SEC)
 /*
  * How long a connection is kept after a rejection that leaves bytes unread, so
- * that the caller reads the answer before a reset: a round trip with a margin.
+ * that the caller reads the response before a reset: a round trip with a
+ * margin.
  */
 #define LINGER_US (200 * 1000)
 
 enum caller_state {
 	CALLER_READING, /* reading a request, or waiting for one */
 	CALLER_OPEN,	/* the owner is processing a request */
-	CALLER_WRITING, /* the answer is not completely sent */
-	CALLER_CLOSING, /* answer sent; waiting for the peer to close */
+	CALLER_WRITING, /* the response is not completely sent */
+	CALLER_CLOSING, /* response sent; waiting for the peer to close */
 };
 
 struct rr_caller_conn {
@@ -47,10 +48,10 @@
 	GByteArray *pending; /* bytes received after the current request */
 	enum caller_state state;
 	bool half_closed;
-	bool close; /* close after the current answer */
+	bool close; /* close after the current response */
 	bool http_1_0;
-	bool is_head_request; /* HEAD request: no body in the answer */
-	/* start of this state; while reading, time of the first byte */
+	bool is_head_request; /* HEAD request: the response has no body */
+	/* Start of this state; while reading, time of the first byte. */
 	int64_t since_us;
 	uint64_t user_data;
 	GList link;
@@ -132,7 +133,7 @@
 
 static void read_next_request(struct rr_caller_conn *caller);
 
-/* The kernel has the whole answer: read the next request, or close. */
+/* The kernel has the complete response: read the next request, or close. */
 static void finish_response(struct rr_caller_conn *caller)
 {
 	if (!caller->close) {
@@ -146,7 +147,7 @@
 	}
 	/*
 	 * Let the peer close first: closing while bytes of the peer are unread
-	 * would send a reset that can overtake the answer.
+	 * would send a reset that can overtake the response.
 	 */
 	set_state(caller, CALLER_CLOSING);
 	rr_shutdown_stream_write(caller->stream);
@@ -161,7 +162,7 @@
 		finish_response(caller);
 }
 
-/* Sends an answer; the connection may be freed afterwards. */
+/* Sends a response; the connection may be freed afterwards. */
 static void send_response(struct rr_caller_conn *caller,
 			  const struct rr_http_response *response)
 {
@@ -196,7 +197,7 @@
 }
 
 /*
- * Answers a request that cannot be parsed or is too large, and closes the
+ * Rejects a request that cannot be parsed or is too large, and closes the
  * connection.
  */
 static void reject_request(struct rr_caller_conn *caller,
--- a/source/net/http-listener.h
+++ b/source/net/http-listener.h
@@ -2,7 +2,7 @@
  * http-listener.h - HTTP server for the gateway's callers.
  *
  * Requests are read completely before they are passed on, one at a time per
- * connection, and answered in order.
+ * connection, and responses are sent in the same order.
  */
 #ifndef RAGWORT_NET_HTTP_LISTENER_H
 #define RAGWORT_NET_HTTP_LISTENER_H
@@ -17,7 +17,10 @@
 #include "ragwort/route.h"
 
 struct rr_http_listener;
-/* A caller's connection, valid until it is answered or disconnected. */
+/*
+ * A caller's connection, valid until the response is sent or the caller
+ * disconnects.
+ */
 struct rr_caller_conn;
 
 struct rr_http_listener_options {
@@ -29,7 +32,7 @@
 	 */
 	uint32_t max_connections;
 	/*
-	 * Handles a complete request, which is answered by
+	 * Handles a complete request. The response is sent by
 	 * rr_send_http_response(), now or later; the message is valid until
 	 * then.
 	 */
@@ -49,7 +52,7 @@
 struct rr_http_response {
 	uint16_t status;
 	const char *reason; /* NULL: the standard phrase */
-	/* excluding Content-Length and Connection */
+	/* Excluding Content-Length and Connection. */
 	const struct rr_http_header *headers;
 	size_t n_headers;
 	const uint8_t *body;
@@ -75,7 +78,7 @@
 /* Return whether the current request is the first of its connection. */
 bool rr_is_first_request(const struct rr_caller_conn *caller);
 
-/* Start a planned shutdown: each answer closes its connection from now on. */
+/* Start a planned shutdown: each response closes its connection from now on. */
 void rr_drain_http_listener(struct rr_http_listener *listener);
 /* Close the listening socket, so that new connections are refused. */
 void rr_stop_accepting(struct rr_http_listener *listener);
--- a/source/net/http-reader.c
+++ b/source/net/http-reader.c
@@ -37,7 +37,7 @@
 	GString *text; /* names and values, each NUL-terminated */
 	GArray *spans; /* struct span */
 	GByteArray *body;
-	/* struct rr_http_header, filled after the last header */
+	/* Elements: struct rr_http_header, filled after the last header. */
 	GArray *headers;
 	struct rr_http_message message;
 };
--- a/source/net/http-reader.h
+++ b/source/net/http-reader.h
@@ -39,9 +39,9 @@
 enum rr_http_result {
 	RR_HTTP_INCOMPLETE, /* more bytes are needed */
 	RR_HTTP_COMPLETE,   /* rr_http_message() returns it */
-	/* not an HTTP/1 message; the stream cannot be used further */
+	/* Not an HTTP/1 message; the stream cannot be used further. */
 	RR_HTTP_MALFORMED,
-	/* above max_header_bytes or the maximum number of headers */
+	/* Above max_header_bytes or the maximum number of headers. */
 	RR_HTTP_HEADERS_TOO_LARGE,
 	RR_HTTP_BODY_TOO_LARGE, /* above max_body_bytes */
 };
--- a/source/net/net-peer-keys.c
+++ b/source/net/net-peer-keys.c
@@ -14,7 +14,10 @@
 #define Z85_KEY_LENGTH 40
 #define ZAP_ADDRESS "inproc://zeromq.zap.01"
 #define ZAP_DOMAIN "ragwort"
-/* version, id, domain, address, identity, mechanism, credentials */
+/*
+ * Frames of a ZAP request: version, id, domain, address, identity, mechanism,
+ * credentials.
+ */
 #define ZAP_FRAMES 7
 #define ZAP_ID_FRAME 1
 #define ZAP_MECHANISM_FRAME 5
--- a/source/net/net-peer-private.h
+++ b/source/net/net-peer-private.h
@@ -31,13 +31,13 @@
 	void *next_socket;     /* connecting under new keys, or NULL */
 	GSource *write_source; /* only while messages are queued */
 	GQueue queue;	       /* struct queued_message */
-	/* index of the allowed key that the peer is assumed to hold */
+	/* Index of the allowed key that the peer is assumed to hold. */
 	uint32_t key_index;
-	/* keys tried since the link was opened or its keys replaced */
+	/* Keys tried since the link was opened or its keys replaced. */
 	uint32_t n_key_tries;
 	bool connected;		    /* the socket has accepted a message */
 	int64_t connect_started_us; /* when the newest socket was opened */
-	/* when the key replacement started; 0: none in progress */
+	/* When the key replacement started; 0: none in progress. */
 	int64_t rekey_started_us;
 	int64_t last_used_us;
 };
@@ -48,7 +48,7 @@
 	void *socket;
 	int fd; /* owned by the socket */
 	GSource *read_source;
-	/* set while messages beyond MAX_MESSAGES_PER_TURN are unread */
+	/* Set while messages beyond MAX_MESSAGES_PER_TURN are unread. */
 	GSource *resume_source;
 	char *address;
 	uint8_t public_key[RR_CURVE_KEY_BYTES];
@@ -59,11 +59,11 @@
 	struct rr_context *ctx;
 	void *zmq;
 	struct peer_router *router;
-	/* under the previous key pair, or NULL */
+	/* Under the previous key pair, or NULL. */
 	struct peer_router *old_router;
 	void *zap_socket; /* NULL without keys */
 	GSource *zap_source;
-	/* only while a link has queued messages or is replacing its keys */
+	/* Only while a link has queued messages or is replacing its keys. */
 	GSource *link_timer;
 	GSource *idle_timer;
 	struct peer_keys keys;
--- a/source/net/platform-private.h
+++ b/source/net/platform-private.h
@@ -21,9 +21,9 @@
 	struct rr_http_session *session;
 	guint watch_timer;
 	guint list_timer;
-	/* when to read the list even if not a watcher */
+	/* When to read the list even if not a watcher. */
 	int64_t slow_list_due_us;
-	/* store revision up to which the record was read */
+	/* Store revision up to which the record was read. */
 	uint64_t record_revision;
 	bool record_read;
 	guint registration_timer;
--- a/source/net/replica-client.h
+++ b/source/net/replica-client.h
@@ -38,7 +38,7 @@
 };
 
 struct rr_raw_request {
-	/* request line and headers, including the empty line */
+	/* Request line and headers, including the empty line. */
 	const char *head;
 	size_t head_length;
 	const uint8_t *body;
--- a/source/net/replica-conn.h
+++ b/source/net/replica-conn.h
@@ -33,14 +33,14 @@
 	struct rr_stream *stream;
 	struct rr_http_reader *reader;
 	enum conn_state state;
-	int64_t connect_started_us; /* start of connecting */
+	int64_t connect_started_us; /* when connecting started */
 	int64_t reuse_until_us;
 	uint64_t attempt; /* 0: none */
 	int64_t deadline_us;
 	bool idempotent;
 	bool no_body;
 	bool is_probe;	     /* opened for rr_probe_replica() */
-	bool peer_reachable; /* the peer answered, even if with a reset */
+	bool peer_reachable; /* connecting failed, but the peer is reachable */
 	bool no_reuse;	     /* close after the current answer */
 	uint32_t n_mismatched;
 	char *request_id;
--- a/tests/support/standin-replica.h
+++ b/tests/support/standin-replica.h
@@ -11,7 +11,7 @@
 
 enum test_fault_kind {
 	TEST_FAULT_NONE,
-	/* close each connection immediately after accepting it */
+	/* Close each connection immediately after accepting it. */
 	TEST_FAULT_RESET,
 	TEST_FAULT_NO_REPLY,	   /* run the request, close without a reply */
 	TEST_FAULT_HALF_BODY,	   /* close in the middle of the reply body */
@@ -44,7 +44,7 @@
 	double reported_load; /* negative: the true load */
 	enum test_fault_kind fault;
 	const char *state;
-	/* state in health and replies; NULL: the true state */
+	/* State in health and replies; NULL: the true state. */
 	const char *reported_state;
 	int64_t cold_until_us;
 	int64_t draining_since_us;
--- a/tests/support/standin-store.h
+++ b/tests/support/standin-store.h
@@ -21,9 +21,9 @@
 	struct test_server server;
 	enum test_store_state state;
 	uint32_t answer_delay_ms; /* added to the time of each answer */
-	/* share of writes executed without an answer */
+	/* Share of writes executed without an answer. */
 	double lost_write_share;
-	/* number of next writes executed without an answer */
+	/* Number of next writes executed without an answer. */
 	uint32_t lose_next_writes;
 	/*
 	 * Number of next writes that are not answered, and are executed after
@@ -40,7 +40,7 @@
 	uint64_t calls; /* calls answered */
 	/* Internal state. */
 	uint64_t revision;
-	/* changes up to this revision were removed */
+	/* Changes up to this revision were removed. */
 	uint64_t compacted_revision;
 	int64_t hold_watches_until_us;
 	GHashTable *items;  /* key -> struct test_store_item */
