--- a/source/net/caller-answer.c
+++ b/source/net/caller-answer.c
@@ -47,13 +47,13 @@
 	}
 	g_string_append(out, "],\"lacking\":[");
 	for (size_t i = 0; i < answer->n_missing; i++) {
-		const struct rr_missing_shard *lacking = &answer->missing[i];
+		const struct rr_missing_shard *missing = &answer->missing[i];
 
 		g_string_append(out, i ? ",{\"shard\":" : "{\"shard\":");
-		rr_append_json_string(out, lacking->shard);
-		append_member(out, "yard", lacking->public_name);
+		rr_append_json_string(out, missing->shard);
+		append_member(out, "yard", missing->public_name);
 		append_member(out, "reason",
-			      rr_missing_reason_name(lacking->reason));
+			      rr_missing_reason_name(missing->reason));
 		g_string_append_c(out, '}');
 	}
 	g_string_append(out, "]}");
