--- a/source/tool/bench-histogram.c
+++ b/source/tool/bench-histogram.c
@@ -1,28 +1,29 @@
 /*
- * bench-histogram.c - times of the load and their picture.
+ * bench-histogram.c - latency histogram and its SVG plot.
  */
 #include "tool/bench-histogram.h"
 
 #include <math.h>
 
-#define PART_BITS 6 /* of RR_BENCH_SUB_BUCKETS */
+#define SUB_BUCKET_BITS 6 /* log2 of RR_BENCH_SUB_BUCKETS */
 
-/* Below RR_BENCH_SUB_BUCKETS each microsecond has a bucket of its own. */
-static size_t bucket_of(uint64_t took_us)
+/* Values below RR_BENCH_SUB_BUCKETS have one bucket per microsecond. */
+static size_t bucket_index(uint64_t latency_us)
 {
 	unsigned int shift;
 	size_t bucket;
 
-	if (took_us < RR_BENCH_SUB_BUCKETS)
-		return (size_t)took_us;
-	shift = 63 - (unsigned int)__builtin_clzll(took_us) - PART_BITS;
+	if (latency_us < RR_BENCH_SUB_BUCKETS)
+		return (size_t)latency_us;
+	shift = 63 - (unsigned int)__builtin_clzll(latency_us) -
+		SUB_BUCKET_BITS;
 	bucket = (size_t)(shift + 1) * RR_BENCH_SUB_BUCKETS +
-		 (size_t)(took_us >> shift) - RR_BENCH_SUB_BUCKETS;
+		 (size_t)(latency_us >> shift) - RR_BENCH_SUB_BUCKETS;
 	return MIN(bucket, RR_BENCH_BUCKET_COUNT - 1);
 }
 
-/* The highest time of a bucket. */
-static int64_t bound_of(size_t bucket)
+/* Inclusive upper bound of a bucket, in microseconds. */
+static int64_t bucket_upper_us(size_t bucket)
 {
 	size_t shift;
 
@@ -35,9 +36,10 @@
 	       1;
 }
 
-void rr_add_bench_sample(struct rr_bench_histogram *histogram, int64_t took_us)
+void rr_add_bench_sample(struct rr_bench_histogram *histogram,
+			 int64_t latency_us)
 {
-	histogram->counts[bucket_of((uint64_t)MAX(0, took_us))]++;
+	histogram->counts[bucket_index((uint64_t)MAX(0, latency_us))]++;
 	histogram->total++;
 }
 
@@ -50,15 +52,15 @@
 }
 
 int64_t rr_bench_quantile_us(const struct rr_bench_histogram *histogram,
-			     double share)
+			     double quantile)
 {
-	uint64_t wanted = (uint64_t)ceil(share * (double)histogram->total);
-	uint64_t seen = 0;
+	uint64_t rank = (uint64_t)ceil(quantile * (double)histogram->total);
+	uint64_t cumulative = 0;
 
 	for (size_t i = 0; i < RR_BENCH_BUCKET_COUNT && histogram->total; i++) {
-		seen += histogram->counts[i];
-		if (seen && seen >= wanted)
-			return bound_of(i);
+		cumulative += histogram->counts[i];
+		if (cumulative && cumulative >= rank)
+			return bucket_upper_us(i);
 	}
 	return 0;
 }
@@ -69,20 +71,22 @@
 #define PLOT_TOP 40
 #define PLOT_RIGHT 620
 #define PLOT_BOTTOM 310
-/* 0.1 ms to 10 s */
-#define LEAST_US 100.0
-#define MOST_US 1e7
+/* The time axis runs from 0.1 ms to 10 s. */
+#define PLOT_MIN_US 100.0
+#define PLOT_MAX_US 1e7
 
-static double plot_x(double took_us)
+static double plot_x(double latency_us)
 {
-	double part = log10(CLAMP(took_us, LEAST_US, MOST_US) / LEAST_US) / 5.0;
+	double fraction = log10(CLAMP(latency_us, PLOT_MIN_US, PLOT_MAX_US) /
+				PLOT_MIN_US) /
+			  5.0;
 
-	return PLOT_LEFT + part * (PLOT_RIGHT - PLOT_LEFT);
+	return PLOT_LEFT + fraction * (PLOT_RIGHT - PLOT_LEFT);
 }
 
-static double plot_y(double share)
+static double plot_y(double fraction)
 {
-	return PLOT_BOTTOM - share * (PLOT_BOTTOM - PLOT_TOP);
+	return PLOT_BOTTOM - fraction * (PLOT_BOTTOM - PLOT_TOP);
 }
 
 static void format_grid(GString *out)
@@ -91,7 +95,7 @@
 					      "100 ms", "1 s",	"10 s" };
 
 	for (size_t i = 0; i < G_N_ELEMENTS(labels); i++) {
-		double x = plot_x(LEAST_US * pow(10.0, (double)i));
+		double x = plot_x(PLOT_MIN_US * pow(10.0, (double)i));
 
 		g_string_append_printf(
 			out,
@@ -117,7 +121,7 @@
 static void format_curve(const struct rr_bench_histogram *histogram,
 			 GString *out)
 {
-	uint64_t seen = 0;
+	uint64_t cumulative = 0;
 
 	g_string_append_printf(out,
 			       "<polyline fill=\"none\" stroke=\"#06c\" "
@@ -126,31 +130,32 @@
 	for (size_t i = 0; i < RR_BENCH_BUCKET_COUNT; i++) {
 		if (!histogram->counts[i])
 			continue;
-		seen += histogram->counts[i];
+		cumulative += histogram->counts[i];
 		g_string_append_printf(
-			out, " %.1f,%.1f", plot_x((double)bound_of(i)),
-			plot_y((double)seen / (double)histogram->total));
+			out, " %.1f,%.1f", plot_x((double)bucket_upper_us(i)),
+			plot_y((double)cumulative / (double)histogram->total));
 	}
 	g_string_append(out, "\"/>\n");
 }
 
-static void format_mark(const struct rr_bench_histogram *histogram,
-			const char *name, double share, int line, GString *out)
+static void format_quantile(const struct rr_bench_histogram *histogram,
+			    const char *name, double quantile, int line,
+			    GString *out)
 {
-	double took_us = (double)rr_bench_quantile_us(histogram, share);
+	double latency_us = (double)rr_bench_quantile_us(histogram, quantile);
 
 	g_string_append_printf(
 		out,
 		"<circle cx=\"%.1f\" cy=\"%.1f\" r=\"4\" fill=\"#c30\"/>"
 		"<text x=\"%d\" y=\"%d\">%s %.1f ms</text>\n",
-		plot_x(took_us), plot_y(share), PLOT_LEFT + 8,
-		PLOT_TOP + 16 * line, name, took_us / 1000.0);
+		plot_x(latency_us), plot_y(quantile), PLOT_LEFT + 8,
+		PLOT_TOP + 16 * line, name, latency_us / 1000.0);
 }
 
 void rr_format_bench_plot(const struct rr_bench_histogram *histogram,
 			  const char *title, GString *out)
 {
-	char *shown = g_markup_escape_text(title, -1);
+	char *escaped = g_markup_escape_text(title, -1);
 
 	g_string_append_printf(
 		out,
@@ -158,16 +163,16 @@
 		"height=\"%d\" font-family=\"sans-serif\" font-size=\"12\">\n"
 		"<rect width=\"100%%\" height=\"100%%\" fill=\"#fff\"/>\n"
 		"<text x=\"%d\" y=\"24\" font-size=\"14\">%s: share of %" G_GUINT64_FORMAT
-		" answers by time</text>\n",
-		PLOT_WIDTH, PLOT_HEIGHT, PLOT_LEFT, shown, histogram->total);
+		" answers by latency</text>\n",
+		PLOT_WIDTH, PLOT_HEIGHT, PLOT_LEFT, escaped, histogram->total);
 	format_grid(out);
 	if (histogram->total) {
 		format_curve(histogram, out);
-		format_mark(histogram, "p50", 0.5, 1, out);
-		format_mark(histogram, "p90", 0.9, 2, out);
-		format_mark(histogram, "p99", 0.99, 3, out);
-		format_mark(histogram, "p99.9", 0.999, 4, out);
+		format_quantile(histogram, "p50", 0.5, 1, out);
+		format_quantile(histogram, "p90", 0.9, 2, out);
+		format_quantile(histogram, "p99", 0.99, 3, out);
+		format_quantile(histogram, "p99.9", 0.999, 4, out);
 	}
 	g_string_append(out, "</svg>\n");
-	g_free(shown);
+	g_free(escaped);
 }
--- a/source/tool/bench-load.c
+++ b/source/tool/bench-load.c
@@ -1,5 +1,5 @@
 /*
- * bench-load.c - open-loop load on running instances.
+ * bench-load.c - open-loop load generator.
  */
 #include "tool/bench-load.h"
 
@@ -10,17 +10,17 @@
 #include "tool/credentials.h"
 #include "tool/tool.h"
 
-#define MOST_CONNECTIONS 4096
-/* What an answer may take beyond its deadline. */
-#define SLACK_MS 2000
+#define MAX_CONNECTIONS 4096
+/* Time past its deadline after which a request is cancelled. */
+#define REPLY_GRACE_MS 2000
 
-/* The run of one entry of the mix. */
+/* Arrival process of one entry of the mix. */
 struct stream {
 	const struct rr_bench_mix_entry *entry;
-	struct rr_bench_stats *tally;
-	int64_t due_us;	 /* of its next request */
-	char *cursor;	 /* list: the next page */
-	bool list_asked; /* list: a page is under way */
+	struct rr_bench_stats *stats;
+	int64_t due_us; /* scheduled time of the next request */
+	char *cursor;	/* list: cursor of the next page; NULL for the first */
+	bool page_pending; /* list: a page request is in flight */
 };
 
 struct run {
@@ -29,25 +29,25 @@
 	GRand *random;
 	struct stream *streams;
 	GSource *timer;
-	int64_t begin_us; /* the warm-up is over */
+	int64_t measure_start_us; /* end of the warm-up */
 	int64_t end_us;
-	uint64_t n_asked;
-	uint64_t n_open;
+	uint64_t n_sent;
+	uint64_t n_in_flight;
 	size_t n_instances;
 };
 
-/* One request that is under way. */
-struct ask {
+/* A request in flight. */
+struct request {
 	struct run *run;
 	struct stream *stream;
 	SoupMessage *message;
-	GCancellable *cancel;
-	GSource *limit;
+	GCancellable *cancellable;
+	GSource *timeout;
 	int64_t due_us;
-	bool measured;
+	bool measured; /* due after the warm-up */
 };
 
-static enum rr_bench_outcome outcome_of(const char *text)
+static enum rr_bench_outcome parse_outcome(const char *text)
 {
 	if (!strcmp(text, "complete"))
 		return RR_BENCH_COMPLETE;
@@ -60,38 +60,40 @@
 	return RR_BENCH_OTHER;
 }
 
-static guint length_of(JsonArray *array)
+static guint array_length(JsonArray *array)
 {
 	return array ? json_array_get_length(array) : 0;
 }
 
-static void count_answer(struct ask *ask, JsonObject *answer)
+static void record_answer(struct request *request, JsonObject *answer)
 {
-	struct rr_bench_stats *tally = ask->stream->tally;
-	int64_t took_us = g_get_monotonic_time() - ask->due_us;
+	struct rr_bench_stats *stats = request->stream->stats;
+	int64_t latency_us = g_get_monotonic_time() - request->due_us;
 	enum rr_bench_outcome outcome =
-		outcome_of(rr_json_string_or(answer, "outcome", "?"));
+		parse_outcome(rr_json_string_or(answer, "outcome", "?"));
 	JsonObject *coverage = rr_json_object(answer, "coverage");
 
-	tally->outcome_counts[outcome]++;
+	stats->outcome_counts[outcome]++;
 	if (outcome == RR_BENCH_NOT_RUN)
-		rr_add_bench_sample(&tally->rejection_latencies, took_us);
+		rr_add_bench_sample(&stats->rejection_latencies, latency_us);
 	if (outcome != RR_BENCH_COMPLETE && outcome != RR_BENCH_PARTIAL)
 		return;
-	rr_add_bench_sample(&tally->latencies, took_us);
-	tally->shards_covered += length_of(rr_json_array(coverage, "covered"));
-	tally->shards_missing += length_of(rr_json_array(coverage, "lacking"));
-	tally->attempts += (uint64_t)rr_json_integer_or(answer, "attempts", 0);
-	tally->rows += length_of(rr_json_array(answer, "rows"));
+	rr_add_bench_sample(&stats->latencies, latency_us);
+	stats->shards_covered +=
+		array_length(rr_json_array(coverage, "covered"));
+	stats->shards_missing +=
+		array_length(rr_json_array(coverage, "lacking"));
+	stats->attempts += (uint64_t)rr_json_integer_or(answer, "attempts", 0);
+	stats->rows += array_length(rr_json_array(answer, "rows"));
 }
 
-static void take_answer(struct ask *ask, GBytes *body)
+static void handle_reply(struct request *request, GBytes *body)
 {
 	gsize length;
 	const char *text = g_bytes_get_data(body, &length);
 	char *copy = g_strndup(text ? text : "", length);
 	JsonNode *root = json_from_string(copy, NULL);
-	struct stream *stream = ask->stream;
+	struct stream *stream = request->stream;
 	JsonObject *answer = NULL;
 
 	if (root && JSON_NODE_HOLDS_OBJECT(root))
@@ -99,41 +101,41 @@
 	if (stream->entry->kind == RR_LIST && answer)
 		stream->cursor = g_strdup(
 			rr_json_string_or(answer, "next_cursor", NULL));
-	if (ask->measured && answer)
-		count_answer(ask, answer);
-	else if (ask->measured)
-		stream->tally->outcome_counts[RR_BENCH_OTHER]++;
+	if (request->measured && answer)
+		record_answer(request, answer);
+	else if (request->measured)
+		stream->stats->outcome_counts[RR_BENCH_OTHER]++;
 	if (root)
 		json_node_unref(root);
 	g_free(copy);
 }
 
-static void end_ask(GObject *session, GAsyncResult *result, gpointer data)
+static void request_done(GObject *session, GAsyncResult *result, gpointer data)
 {
-	struct ask *ask = data;
+	struct request *request = data;
 	GBytes *body = soup_session_send_and_read_finish(SOUP_SESSION(session),
 							 result, NULL);
 
-	if (ask->stream->entry->kind == RR_LIST)
-		ask->stream->list_asked = false;
+	if (request->stream->entry->kind == RR_LIST)
+		request->stream->page_pending = false;
 	if (body)
-		take_answer(ask, body);
-	else if (ask->measured)
-		ask->stream->tally->outcome_counts[RR_BENCH_NO_ANSWER]++;
+		handle_reply(request, body);
+	else if (request->measured)
+		request->stream->stats->outcome_counts[RR_BENCH_NO_ANSWER]++;
 	g_clear_pointer(&body, g_bytes_unref);
-	g_source_destroy(ask->limit);
-	g_source_unref(ask->limit);
-	g_object_unref(ask->message);
-	g_object_unref(ask->cancel);
-	ask->run->n_open--;
-	g_free(ask);
+	g_source_destroy(request->timeout);
+	g_source_unref(request->timeout);
+	g_object_unref(request->message);
+	g_object_unref(request->cancellable);
+	request->run->n_in_flight--;
+	g_free(request);
 }
 
-static gboolean give_up(gpointer data)
+static gboolean cancel_request(gpointer data)
 {
-	struct ask *ask = data;
+	struct request *request = data;
 
-	g_cancellable_cancel(ask->cancel);
+	g_cancellable_cancel(request->cancellable);
 	return G_SOURCE_REMOVE;
 }
 
@@ -155,7 +157,7 @@
 {
 	const struct rr_bench_mix_entry *entry = stream->entry;
 	const struct rr_bench_load *load = run->load;
-	const char *address = load->addresses[run->n_asked % run->n_instances];
+	const char *address = load->addresses[run->n_sent % run->n_instances];
 	bool tls = load->credentials && load->credentials->ca_database;
 	GString *uri = g_string_new(NULL);
 
@@ -176,19 +178,22 @@
 static void set_headers(struct run *run, const struct rr_bench_mix_entry *entry,
 			SoupMessageHeaders *headers)
 {
-	const struct rr_credentials *access = run->load->credentials;
+	const struct rr_credentials *credentials = run->load->credentials;
 	char *text = g_strdup_printf("%u", run->load->scenario->deadline_ms);
 
 	soup_message_headers_append(headers, "X-Deadline-Ms", text);
 	g_free(text);
 	if (entry->batch)
 		soup_message_headers_append(headers, "X-Priority", "batch");
-	if (access && access->authorization)
+	if (credentials && credentials->authorization)
 		soup_message_headers_append(headers, "Authorization",
-					    access->authorization);
+					    credentials->authorization);
 	if (entry->kind != RR_RESERVE)
 		return;
-	/* Not from the seed: an id of an earlier run would not run again. */
+	/*
+	 * Not derived from the seed: an id used by an earlier run would be
+	 * answered from that run's result.
+	 */
 	text = g_strdup_printf("%" G_GINT64_FORMAT "-bench-%08x%08x",
 			       g_get_real_time() / G_USEC_PER_SEC,
 			       g_random_int(), g_random_int());
@@ -206,7 +211,10 @@
 	char *text;
 
 	g_free(uri);
-	/* Kept connections for POSTs, sent once: see http.h. */
+	/*
+	 * Marked idempotent so that POSTs use persistent connections; they are
+	 * sent once, see http.h.
+	 */
 	soup_message_add_flags(message, SOUP_MESSAGE_IDEMPOTENT |
 						SOUP_MESSAGE_NO_REDIRECT);
 	set_headers(run, entry, soup_message_get_request_headers(message));
@@ -220,47 +228,47 @@
 	return message;
 }
 
-static void send_ask(struct run *run, struct stream *stream, int64_t now_us)
+static void send_request(struct run *run, struct stream *stream, int64_t now_us)
 {
-	struct ask *ask;
+	struct request *request;
 
-	/* The nightly job reads one page after the other. */
-	if (stream->entry->kind == RR_LIST && stream->list_asked)
+	/* Like the nightly job, fetch the pages of a list sequentially. */
+	if (stream->entry->kind == RR_LIST && stream->page_pending)
 		return;
-	ask = g_new0(struct ask, 1);
-	ask->run = run;
-	ask->stream = stream;
-	ask->due_us = stream->due_us;
-	ask->measured = stream->due_us >= run->begin_us;
-	ask->cancel = g_cancellable_new();
-	ask->message = make_message(run, stream);
-	ask->limit = g_timeout_source_new(run->load->scenario->deadline_ms +
-					  SLACK_MS);
-	g_source_set_callback(ask->limit, give_up, ask, NULL);
-	g_source_attach(ask->limit, NULL);
-	stream->list_asked = stream->entry->kind == RR_LIST;
-	run->n_asked++;
-	run->n_open++;
-	if (ask->measured) {
-		stream->tally->requests++;
-		rr_add_bench_sample(&stream->tally->send_delays,
-				    now_us - ask->due_us);
+	request = g_new0(struct request, 1);
+	request->run = run;
+	request->stream = stream;
+	request->due_us = stream->due_us;
+	request->measured = stream->due_us >= run->measure_start_us;
+	request->cancellable = g_cancellable_new();
+	request->message = make_message(run, stream);
+	request->timeout = g_timeout_source_new(
+		run->load->scenario->deadline_ms + REPLY_GRACE_MS);
+	g_source_set_callback(request->timeout, cancel_request, request, NULL);
+	g_source_attach(request->timeout, NULL);
+	stream->page_pending = stream->entry->kind == RR_LIST;
+	run->n_sent++;
+	run->n_in_flight++;
+	if (request->measured) {
+		stream->stats->requests++;
+		rr_add_bench_sample(&stream->stats->send_delays,
+				    now_us - request->due_us);
 	}
-	soup_session_send_and_read_async(run->session, ask->message,
-					 G_PRIORITY_DEFAULT, ask->cancel,
-					 end_ask, ask);
+	soup_session_send_and_read_async(
+		run->session, request->message, G_PRIORITY_DEFAULT,
+		request->cancellable, request_done, request);
 }
 
-/* Exponential gaps: callers don't know of each other. */
-static void draw_next(struct run *run, struct stream *stream)
+/* Poisson arrivals: callers are independent of each other. */
+static void schedule_next(struct run *run, struct stream *stream)
 {
-	double unit = 1.0 - g_rand_double(run->random);
+	double uniform = 1.0 - g_rand_double(run->random);
 
 	stream->due_us +=
-		(int64_t)(-log(unit) / stream->entry->rate * G_USEC_PER_SEC);
+		(int64_t)(-log(uniform) / stream->entry->rate * G_USEC_PER_SEC);
 }
 
-static struct stream *first_due(struct run *run)
+static struct stream *earliest_stream(struct run *run)
 {
 	struct stream *first = &run->streams[0];
 
@@ -271,19 +279,22 @@
 	return first;
 }
 
-static gboolean send_due(gpointer data)
+static gboolean send_due_requests(gpointer data)
 {
 	struct run *run = data;
 	int64_t now_us = g_get_monotonic_time();
-	struct stream *stream = first_due(run);
+	struct stream *stream = earliest_stream(run);
 
 	while (stream->due_us <= now_us && stream->due_us < run->end_us) {
-		send_ask(run, stream, now_us);
-		draw_next(run, stream);
-		stream = first_due(run);
+		send_request(run, stream, now_us);
+		schedule_next(run, stream);
+		stream = earliest_stream(run);
 		now_us = g_get_monotonic_time();
 	}
-	/* None is due any more: a time that is past would be called for good. */
+	/*
+	 * Disable the timer after the last request: a ready time in the past
+	 * would dispatch it on every iteration.
+	 */
 	g_source_set_ready_time(
 		run->timer, stream->due_us < run->end_us ? stream->due_us : -1);
 	return G_SOURCE_CONTINUE;
@@ -298,29 +309,31 @@
 
 static GSourceFuncs timer_functions = { .dispatch = dispatch_timer };
 
-static void start_streams(struct run *run, struct rr_bench_stats *tallies)
+static void start_streams(struct run *run, struct rr_bench_stats *stats)
 {
 	const struct rr_bench_scenario *scenario = run->load->scenario;
 	int64_t now_us = g_get_monotonic_time();
 
-	run->begin_us = now_us + scenario->warm_up_s * G_USEC_PER_SEC;
-	run->end_us = run->begin_us + scenario->duration_s * G_USEC_PER_SEC;
+	run->measure_start_us = now_us + scenario->warm_up_s * G_USEC_PER_SEC;
+	run->end_us =
+		run->measure_start_us + scenario->duration_s * G_USEC_PER_SEC;
 	run->streams = g_new0(struct stream, scenario->n_entries);
 	for (size_t i = 0; i < scenario->n_entries; i++) {
 		run->streams[i].entry = &scenario->entries[i];
-		run->streams[i].tally = &tallies[i];
+		run->streams[i].stats = &stats[i];
 		run->streams[i].due_us = now_us;
-		draw_next(run, &run->streams[i]);
+		schedule_next(run, &run->streams[i]);
 	}
-	/* A plain timeout is exact to a millisecond only. */
+	/* g_timeout_source_new() has a resolution of one millisecond only. */
 	run->timer = g_source_new(&timer_functions, sizeof(GSource));
-	g_source_set_callback(run->timer, send_due, run, NULL);
+	g_source_set_callback(run->timer, send_due_requests, run, NULL);
 	g_source_set_priority(run->timer, G_PRIORITY_HIGH);
 	g_source_set_ready_time(run->timer, 0);
 	g_source_attach(run->timer, NULL);
 }
 
-static gboolean wake(gpointer data)
+/* Lets run_until() check the clock when no other source is ready. */
+static gboolean wake_main_loop(gpointer data)
 {
 	(void)data;
 	return G_SOURCE_CONTINUE;
@@ -336,7 +349,7 @@
 {
 	g_source_destroy(run->timer);
 	g_source_unref(run->timer);
-	while (run->n_open)
+	while (run->n_in_flight)
 		g_main_context_iteration(NULL, TRUE);
 	for (size_t i = 0; i < run->load->scenario->n_entries; i++)
 		g_free(run->streams[i].cursor);
@@ -345,27 +358,27 @@
 
 struct rr_bench_stats *rr_run_bench_load(const struct rr_bench_load *load)
 {
-	struct rr_bench_stats *tallies =
+	struct rr_bench_stats *stats =
 		g_new0(struct rr_bench_stats, load->scenario->n_entries);
 	struct run run = { .load = load };
-	guint waker = g_timeout_add(100, wake, NULL);
+	guint wake_timer_id = g_timeout_add(100, wake_main_loop, NULL);
 
 	run.n_instances = g_strv_length(load->addresses);
 	run.random = g_rand_new_with_seed(load->scenario->seed);
 	run.session = soup_session_new_with_options(
-		"proxy-resolver", NULL, "max-conns", MOST_CONNECTIONS,
-		"max-conns-per-host", MOST_CONNECTIONS, NULL);
+		"proxy-resolver", NULL, "max-conns", MAX_CONNECTIONS,
+		"max-conns-per-host", MAX_CONNECTIONS, NULL);
 	if (load->credentials && load->credentials->ca_database)
 		soup_session_set_tls_database(run.session,
 					      load->credentials->ca_database);
-	start_streams(&run, tallies);
-	run_until(run.begin_us);
+	start_streams(&run, stats);
+	run_until(run.measure_start_us);
 	load->measurement_started(load->data);
 	run_until(run.end_us);
 	load->measurement_ended(load->data);
 	stop_streams(&run);
-	g_source_remove(waker);
+	g_source_remove(wake_timer_id);
 	g_object_unref(run.session);
 	g_rand_free(run.random);
-	return tallies;
+	return stats;
 }
--- a/source/tool/bench-load.h
+++ b/source/tool/bench-load.h
@@ -1,9 +1,10 @@
 /*
  * bench-load.h - open-loop load on running instances.
  *
- * Requests are due at times drawn beforehand, whether or not earlier ones
- * were answered, and a time counts from when its request was due.  Else a
- * stall would stop the asking too, and hardly show.
+ * Requests are sent at scheduled times, whether or not earlier ones have been
+ * answered, and latency is counted from the scheduled time.  In a closed loop
+ * a stall would also stop new requests and hardly show in the latencies
+ * (coordinated omission).
  */
 #ifndef TOOL_BENCH_LOAD_H
 #define TOOL_BENCH_LOAD_H
@@ -18,16 +19,16 @@
 	RR_BENCH_PARTIAL,
 	RR_BENCH_NOT_RUN,
 	RR_BENCH_UNKNOWN,
-	RR_BENCH_OTHER,	    /* invalid, gone, or no answer of an instance */
-	RR_BENCH_NO_ANSWER, /* no connection, or none in time */
+	RR_BENCH_OTHER,	    /* invalid, gone, or not an instance's answer */
+	RR_BENCH_NO_ANSWER, /* no connection, or timed out */
 	RR_BENCH_OUTCOME_COUNT,
 };
 
-/* What came of one entry of the mix. */
+/* Results of one entry of the mix. */
 struct rr_bench_stats {
 	struct rr_bench_histogram latencies; /* complete and partial answers */
-	struct rr_bench_histogram rejection_latencies;
-	struct rr_bench_histogram send_delays; /* of sending: the load's own */
+	struct rr_bench_histogram rejection_latencies; /* not run */
+	struct rr_bench_histogram send_delays; /* scheduled to actual send */
 	uint64_t requests;
 	uint64_t outcome_counts[RR_BENCH_OUTCOME_COUNT];
 	uint64_t shards_covered;
@@ -38,17 +39,18 @@
 
 struct rr_bench_load {
 	const struct rr_bench_scenario *scenario;
-	char **addresses; /* IP:PORT, asked in turn */
+	char **addresses; /* IP:PORT, used round-robin */
 	const struct rr_credentials *credentials;
-	/* Called when the warm-up is over and when the last was asked. */
+	/* Called at the end of the warm-up and after the last send. */
 	void (*measurement_started)(void *data);
 	void (*measurement_ended)(void *data);
 	void *data;
 };
 
 /*
- * Run the scenario to its end, on the default main context; a tally for each
- * entry, of the requests that were due after the warm-up.  Freed by g_free().
+ * Run the scenario to its end on the default main context.  Return one element
+ * per entry of the mix, covering the requests that were due after the warm-up;
+ * free it with g_free().
  */
 struct rr_bench_stats *rr_run_bench_load(const struct rr_bench_load *load);
 
--- a/source/tool/bench-report.c
+++ b/source/tool/bench-report.c
@@ -13,33 +13,33 @@
 	return (double)rr_bench_quantile_us(histogram, share) / 1000.0;
 }
 
-static double ratio(double part, double whole)
+static double ratio(double numerator, double denominator)
 {
-	return whole > 0 ? part / whole : 0;
+	return denominator > 0 ? numerator / denominator : 0;
 }
 
-static double coverage_of(const struct rr_bench_stats *tally)
+static double coverage_share(const struct rr_bench_stats *stats)
 {
-	return ratio((double)tally->shards_covered,
-		     (double)(tally->shards_covered + tally->shards_missing));
+	return ratio((double)stats->shards_covered,
+		     (double)(stats->shards_covered + stats->shards_missing));
 }
 
-static double attempts_per_shard(const struct rr_bench_stats *tally)
+static double attempts_per_shard(const struct rr_bench_stats *stats)
 {
-	return ratio((double)tally->attempts,
-		     (double)(tally->shards_covered + tally->shards_missing));
+	return ratio((double)stats->attempts,
+		     (double)(stats->shards_covered + stats->shards_missing));
 }
 
-/* How much a metric of the i-th instance grew. */
-static uint64_t growth(const struct rr_bench_result *result, guint i,
-		       enum rr_bench_metric metric)
+/* Increase of a counter of the i-th instance during the run. */
+static uint64_t counter_increase(const struct rr_bench_result *result, guint i,
+				 enum rr_bench_metric metric)
 {
 	const struct rr_bench_instance *before = &g_array_index(
 		result->before->instances, struct rr_bench_instance, i);
 	const struct rr_bench_instance *after = &g_array_index(
 		result->after->instances, struct rr_bench_instance, i);
 
-	/* An instance that started anew counts from 0 again. */
+	/* A restarted instance counts from 0 again. */
 	if (after->values[metric] < before->values[metric])
 		return after->values[metric];
 	return after->values[metric] - before->values[metric];
@@ -59,17 +59,17 @@
 			      struct rr_bench_instance, i);
 }
 
-static void print_entry(const char *name, const struct rr_bench_stats *tally)
+static void print_entry(const char *name, const struct rr_bench_stats *stats)
 {
 	printf("%-16s %7" G_GUINT64_FORMAT " %8.1f %8.1f %8.1f %8.1f %8.4f "
 	       "%9.3f",
-	       name, tally->requests, quantile_ms(&tally->latencies, 0.5),
-	       quantile_ms(&tally->latencies, 0.9),
-	       quantile_ms(&tally->latencies, 0.99),
-	       quantile_ms(&tally->latencies, 0.999), coverage_of(tally),
-	       attempts_per_shard(tally));
+	       name, stats->requests, quantile_ms(&stats->latencies, 0.5),
+	       quantile_ms(&stats->latencies, 0.9),
+	       quantile_ms(&stats->latencies, 0.99),
+	       quantile_ms(&stats->latencies, 0.999), coverage_share(stats),
+	       attempts_per_shard(stats));
 	for (int i = 0; i < RR_BENCH_OUTCOME_COUNT; i++)
-		printf(" %7" G_GUINT64_FORMAT, tally->outcome_counts[i]);
+		printf(" %7" G_GUINT64_FORMAT, stats->outcome_counts[i]);
 	printf("\n");
 }
 
@@ -84,20 +84,20 @@
 			    &result->stats[i]);
 }
 
-static void print_refusals(const struct rr_bench_result *result)
+static void print_rejections(const struct rr_bench_result *result)
 {
 	for (size_t i = 0; i < result->scenario->n_entries; i++) {
-		const struct rr_bench_stats *tally = &result->stats[i];
+		const struct rr_bench_stats *stats = &result->stats[i];
 
-		if (tally->rejection_latencies.total)
-			printf("%s: refusals came after p50 %.1f ms, p99 %.1f "
+		if (stats->rejection_latencies.total)
+			printf("%s: rejection latency p50 %.1f ms, p99 %.1f "
 			       "ms\n",
 			       result->scenario->entries[i].name,
-			       quantile_ms(&tally->rejection_latencies, 0.5),
-			       quantile_ms(&tally->rejection_latencies, 0.99));
-		printf("%s: the load itself was late by p99 %.2f ms\n",
+			       quantile_ms(&stats->rejection_latencies, 0.5),
+			       quantile_ms(&stats->rejection_latencies, 0.99));
+		printf("%s: send delay of the load generator p99 %.2f ms\n",
 		       result->scenario->entries[i].name,
-		       quantile_ms(&tally->send_delays, 0.99));
+		       quantile_ms(&stats->send_delays, 0.99));
 	}
 }
 
@@ -117,48 +117,51 @@
 			continue;
 		}
 		printf("%-22s %6.1f %8.1f", instance->address,
-		       (double)growth(result, i, RR_BENCH_CPU_MS) / 10 /
-			       seconds,
+		       (double)counter_increase(result, i, RR_BENCH_CPU_MS) /
+			       10 / seconds,
 		       (double)instance->values[RR_BENCH_RESIDENT_BYTES] / 1e6);
 		printf(" %9" G_GUINT64_FORMAT " %9" G_GUINT64_FORMAT
 		       " %7" G_GUINT64_FORMAT " %7" G_GUINT64_FORMAT
 		       " %7" G_GUINT64_FORMAT,
-		       growth(result, i, RR_BENCH_REQUESTS),
-		       growth(result, i, RR_BENCH_ATTEMPTS),
-		       growth(result, i, RR_BENCH_HEDGES),
-		       growth(result, i, RR_BENCH_RETRIES),
-		       growth(result, i, RR_BENCH_REJECTED));
+		       counter_increase(result, i, RR_BENCH_REQUESTS),
+		       counter_increase(result, i, RR_BENCH_ATTEMPTS),
+		       counter_increase(result, i, RR_BENCH_HEDGES),
+		       counter_increase(result, i, RR_BENCH_RETRIES),
+		       counter_increase(result, i, RR_BENCH_REJECTED));
 		printf(" %8" G_GUINT64_FORMAT " %9" G_GUINT64_FORMAT "\n",
-		       growth(result, i, RR_BENCH_RELAYS_SENT),
-		       growth(result, i, RR_BENCH_PEER_MESSAGES));
+		       counter_increase(result, i, RR_BENCH_RELAYS_SENT),
+		       counter_increase(result, i, RR_BENCH_PEER_MESSAGES));
 	}
 }
 
-static void print_sums(const struct rr_bench_result *result)
+static void print_totals(const struct rr_bench_result *result)
 {
 	double cpu_s = 0;
 	double requests = 0;
 	double attempts = 0;
 
 	for (guint i = 0; i < result->after->instances->len; i++) {
-		cpu_s += (double)growth(result, i, RR_BENCH_CPU_MS) / 1000;
-		requests += (double)growth(result, i, RR_BENCH_REQUESTS);
-		attempts += (double)growth(result, i, RR_BENCH_ATTEMPTS);
+		cpu_s += (double)counter_increase(result, i, RR_BENCH_CPU_MS) /
+			 1000;
+		requests +=
+			(double)counter_increase(result, i, RR_BENCH_REQUESTS);
+		attempts +=
+			(double)counter_increase(result, i, RR_BENCH_ATTEMPTS);
 	}
-	printf("all instances: %.2f s of processor time in %.1f s, %.0f "
-	       "requests and %.0f attempts a second and core\n",
+	printf("all instances: %.2f s of CPU time in %.1f s, %.0f "
+	       "requests and %.0f attempts per second of CPU time\n",
 	       cpu_s, elapsed_s(result), ratio(requests, cpu_s),
 	       ratio(attempts, cpu_s));
 }
 
-/* What a stand-in counted before; zero where it is another one now. */
-static struct rr_bench_replica counted_before(const struct rr_bench_result *all,
-					      guint i)
+/* Counters of a replica before the run; zero if it was not scraped then. */
+static struct rr_bench_replica
+replica_before(const struct rr_bench_result *result, guint i)
 {
 	struct rr_bench_replica none = { .control_address = NULL };
 
-	return i < all->before->replicas->len ?
-		       g_array_index(all->before->replicas,
+	return i < result->before->replicas->len ?
+		       g_array_index(result->before->replicas,
 				     struct rr_bench_replica, i) :
 		       none;
 }
@@ -172,7 +175,7 @@
 	for (guint i = 0; i < result->after->replicas->len; i++) {
 		const struct rr_bench_replica *replica = &g_array_index(
 			result->after->replicas, struct rr_bench_replica, i);
-		struct rr_bench_replica before = counted_before(result, i);
+		struct rr_bench_replica before = replica_before(result, i);
 
 		printf("%-22s %7" G_GINT64_FORMAT " %9" G_GINT64_FORMAT
 		       " %7" G_GINT64_FORMAT " %5" G_GINT64_FORMAT "\n",
@@ -186,9 +189,9 @@
 void rr_print_bench_tables(const struct rr_bench_result *result)
 {
 	print_entries(result);
-	print_refusals(result);
+	print_rejections(result);
 	print_instances(result);
-	print_sums(result);
+	print_totals(result);
 	print_replicas(result);
 }
 
@@ -196,7 +199,7 @@
 	"complete", "partial", "not_run", "unknown", "other", "no_answer",
 };
 
-static void format_entry(const char *name, const struct rr_bench_stats *tally,
+static void format_entry(const char *name, const struct rr_bench_stats *stats,
 			 GString *out)
 {
 	g_string_append(out, "{\"requests\":");
@@ -208,17 +211,17 @@
 		"\"p999_ms\":%.3f,\"coverage\":%.6f,"
 		"\"attempts_per_shard\":%.4f,\"rows\":%" G_GUINT64_FORMAT
 		",\"refusal_p99_ms\":%.3f,\"late_p99_ms\":%.3f",
-		tally->requests, quantile_ms(&tally->latencies, 0.5),
-		quantile_ms(&tally->latencies, 0.9),
-		quantile_ms(&tally->latencies, 0.99),
-		quantile_ms(&tally->latencies, 0.999), coverage_of(tally),
-		attempts_per_shard(tally), tally->rows,
-		quantile_ms(&tally->rejection_latencies, 0.99),
-		quantile_ms(&tally->send_delays, 0.99));
+		stats->requests, quantile_ms(&stats->latencies, 0.5),
+		quantile_ms(&stats->latencies, 0.9),
+		quantile_ms(&stats->latencies, 0.99),
+		quantile_ms(&stats->latencies, 0.999), coverage_share(stats),
+		attempts_per_shard(stats), stats->rows,
+		quantile_ms(&stats->rejection_latencies, 0.99),
+		quantile_ms(&stats->send_delays, 0.99));
 	for (int i = 0; i < RR_BENCH_OUTCOME_COUNT; i++)
 		g_string_append_printf(out, ",\"%s\":%" G_GUINT64_FORMAT,
 				       outcome_names[i],
-				       tally->outcome_counts[i]);
+				       stats->outcome_counts[i]);
 	g_string_append(out, "}\n");
 }
 
@@ -231,25 +234,26 @@
 		out, "{\"instance\":\"%s\",\"answered\":%s,\"seconds\":%.3f",
 		instance->address, instance->answered ? "true" : "false",
 		elapsed_s(result));
-	g_string_append_printf(out,
-			       ",\"cpu_ms\":%" G_GUINT64_FORMAT
-			       ",\"resident_bytes\":%" G_GUINT64_FORMAT
-			       ",\"requests\":%" G_GUINT64_FORMAT
-			       ",\"attempts\":%" G_GUINT64_FORMAT
-			       ",\"hedges\":%" G_GUINT64_FORMAT
-			       ",\"retries\":%" G_GUINT64_FORMAT
-			       ",\"refused\":%" G_GUINT64_FORMAT
-			       ",\"relays\":%" G_GUINT64_FORMAT
-			       ",\"peer_messages\":%" G_GUINT64_FORMAT "}\n",
-			       growth(result, i, RR_BENCH_CPU_MS),
-			       instance->values[RR_BENCH_RESIDENT_BYTES],
-			       growth(result, i, RR_BENCH_REQUESTS),
-			       growth(result, i, RR_BENCH_ATTEMPTS),
-			       growth(result, i, RR_BENCH_HEDGES),
-			       growth(result, i, RR_BENCH_RETRIES),
-			       growth(result, i, RR_BENCH_REJECTED),
-			       growth(result, i, RR_BENCH_RELAYS_SENT),
-			       growth(result, i, RR_BENCH_PEER_MESSAGES));
+	g_string_append_printf(
+		out,
+		",\"cpu_ms\":%" G_GUINT64_FORMAT
+		",\"resident_bytes\":%" G_GUINT64_FORMAT
+		",\"requests\":%" G_GUINT64_FORMAT
+		",\"attempts\":%" G_GUINT64_FORMAT
+		",\"hedges\":%" G_GUINT64_FORMAT
+		",\"retries\":%" G_GUINT64_FORMAT
+		",\"refused\":%" G_GUINT64_FORMAT
+		",\"relays\":%" G_GUINT64_FORMAT
+		",\"peer_messages\":%" G_GUINT64_FORMAT "}\n",
+		counter_increase(result, i, RR_BENCH_CPU_MS),
+		instance->values[RR_BENCH_RESIDENT_BYTES],
+		counter_increase(result, i, RR_BENCH_REQUESTS),
+		counter_increase(result, i, RR_BENCH_ATTEMPTS),
+		counter_increase(result, i, RR_BENCH_HEDGES),
+		counter_increase(result, i, RR_BENCH_RETRIES),
+		counter_increase(result, i, RR_BENCH_REJECTED),
+		counter_increase(result, i, RR_BENCH_RELAYS_SENT),
+		counter_increase(result, i, RR_BENCH_PEER_MESSAGES));
 }
 
 static void format_replica(const struct rr_bench_result *result, guint i,
@@ -257,7 +261,7 @@
 {
 	const struct rr_bench_replica *replica = &g_array_index(
 		result->after->replicas, struct rr_bench_replica, i);
-	struct rr_bench_replica before = counted_before(result, i);
+	struct rr_bench_replica before = replica_before(result, i);
 
 	g_string_append_printf(
 		out,
--- a/source/tool/bench-report.h
+++ b/source/tool/bench-report.h
@@ -1,5 +1,5 @@
 /*
- * bench-report.h - what `ragwort bench` prints.
+ * bench-report.h - tables and JSON lines of `ragwort bench`.
  */
 #ifndef TOOL_BENCH_REPORT_H
 #define TOOL_BENCH_REPORT_H
@@ -9,14 +9,14 @@
 
 struct rr_bench_result {
 	const struct rr_bench_scenario *scenario;
-	const struct rr_bench_stats *stats; /* one an entry */
+	const struct rr_bench_stats *stats; /* one per entry of the scenario */
 	const struct rr_bench_scrape *before;
 	const struct rr_bench_scrape *after;
 };
 
-/* Tables for people, on stdout. */
+/* Print human-readable tables on stdout. */
 void rr_print_bench_tables(const struct rr_bench_result *result);
-/* One JSON object a line, on stdout: entries, instances, replicas. */
+/* Print one JSON object per line: entries, instances, replicas. */
 void rr_print_bench_json(const struct rr_bench_result *result);
 
 #endif
--- a/source/tool/bench-scenario.h
+++ b/source/tool/bench-scenario.h
@@ -1,5 +1,5 @@
 /*
- * bench-scenario.h - what `ragwort bench` asks, from a YAML file.
+ * bench-scenario.h - scenario file of `ragwort bench` (YAML).
  */
 #ifndef TOOL_BENCH_SCENARIO_H
 #define TOOL_BENCH_SCENARIO_H
@@ -10,22 +10,22 @@
 #include "ragwort/request.h"
 #include "ragwort/settings.h"
 
-/* One kind of request of the mix, at its own rate. */
+/* One kind of request in the mix. */
 struct rr_bench_mix_entry {
 	char *name;
 	enum rr_request_kind kind;
 	char *service;
 	char *query; /* JSON */
-	double rate; /* requests due each second */
+	double rate; /* requests per second */
 	uint32_t max_rows;
-	uint64_t key_from; /* look-ups and reservations: keys drawn from */
-	uint64_t key_to;   /* exclusive */
-	bool batch;
+	uint64_t key_from; /* lookup and reserve: first key of the range */
+	uint64_t key_to;   /* end of the range, exclusive */
+	bool batch;	   /* send with X-Priority: batch */
 };
 
 struct rr_bench_scenario {
-	uint32_t duration_s; /* measured */
-	uint32_t warm_up_s;  /* asked before, and not measured */
+	uint32_t duration_s; /* measured time, after the warm-up */
+	uint32_t warm_up_s;  /* load before the measurement */
 	uint32_t seed;
 	uint32_t deadline_ms;
 	struct rr_bench_mix_entry *entries;
@@ -33,12 +33,13 @@
 };
 
 /*
- * Read a scenario.  Faults, with their lines, are appended to an array of
- * struct rr_diagnostic *; NULL when there is any.
+ * Parse a scenario.  On errors, append them with their lines to an array of
+ * struct rr_diagnostic * and return NULL.  Release the result with
+ * rr_drop_bench_scenario().
  */
 struct rr_bench_scenario *
 rr_parse_bench_scenario(const struct rr_settings_source *file,
-			GPtrArray *faults);
+			GPtrArray *diagnostics);
 void rr_drop_bench_scenario(struct rr_bench_scenario *scenario);
 
 #endif
--- a/source/tool/bench-scrape.c
+++ b/source/tool/bench-scrape.c
@@ -1,5 +1,5 @@
 /*
- * bench-scrape.c - what instances and upstream stand-ins say they did.
+ * bench-scrape.c - counters of instances and upstream stand-ins.
  */
 #include "tool/bench-scrape.h"
 
@@ -8,7 +8,7 @@
 #include "tool/http.h"
 #include "tool/tool.h"
 
-#define MEASURE_TIMEOUT_MS 5000
+#define SCRAPE_TIMEOUT_MS 5000
 #define METRIC_PREFIX "ragwort_"
 
 static const char *const metric_names[RR_BENCH_METRIC_COUNT] = {
@@ -23,8 +23,8 @@
 	[RR_BENCH_PEER_MESSAGES] = "peer_messages_sent_total",
 };
 
-/* Lines "ragwort_NAME VALUE"; those with labels are no counters of ours. */
-static void read_metrics(const char *text, struct rr_bench_instance *instance)
+/* Parses lines "ragwort_NAME VALUE"; no counter read here has labels. */
+static void parse_metrics(const char *text, struct rr_bench_instance *instance)
 {
 	char **lines = g_strsplit(text, "\n", -1);
 
@@ -44,7 +44,8 @@
 	g_strfreev(lines);
 }
 
-static void read_counts(const char *control, const char *text, GArray *replicas)
+static void parse_replica_counts(const char *control_address, const char *text,
+				 GArray *replicas)
 {
 	JsonNode *root = json_from_string(text, NULL);
 	JsonArray *array = NULL;
@@ -56,7 +57,7 @@
 	for (guint i = 0; i < n; i++) {
 		JsonObject *object = rr_json_object_at(array, i);
 		struct rr_bench_replica replica = {
-			.control_address = control,
+			.control_address = control_address,
 			.replica_number =
 				rr_json_integer_or(object, "replica", 0),
 			.requests = rr_json_integer_or(object, "requests", 0),
@@ -72,17 +73,17 @@
 		json_node_unref(root);
 }
 
-static bool get(const char *address, const char *path,
-		const struct rr_credentials *access,
-		struct rr_http_reply *reply)
+static bool http_get(const char *address, const char *path,
+		     const struct rr_credentials *credentials,
+		     struct rr_http_reply *reply)
 {
-	struct rr_http_request call = { .method = "GET",
-					.address = address,
-					.credentials = access,
-					.path = path,
-					.timeout_ms = MEASURE_TIMEOUT_MS };
+	struct rr_http_request request = { .method = "GET",
+					   .address = address,
+					   .credentials = credentials,
+					   .path = path,
+					   .timeout_ms = SCRAPE_TIMEOUT_MS };
 
-	if (!rr_send_http_request(&call, reply, NULL))
+	if (!rr_send_http_request(&request, reply, NULL))
 		return false;
 	if (reply->status == 200)
 		return true;
@@ -91,41 +92,41 @@
 }
 
 struct rr_bench_scrape *
-rr_scrape_bench_metrics(char *const *instances, char *const *controls,
-			const struct rr_credentials *access)
+rr_scrape_bench_metrics(char *const *instances, char *const *control_addresses,
+			const struct rr_credentials *credentials)
 {
-	struct rr_bench_scrape *measure = g_new0(struct rr_bench_scrape, 1);
+	struct rr_bench_scrape *scrape = g_new0(struct rr_bench_scrape, 1);
 	struct rr_http_reply reply;
 
-	measure->scraped_us = g_get_monotonic_time();
-	measure->instances =
+	scrape->scraped_us = g_get_monotonic_time();
+	scrape->instances =
 		g_array_new(FALSE, TRUE, sizeof(struct rr_bench_instance));
-	measure->replicas =
+	scrape->replicas =
 		g_array_new(FALSE, TRUE, sizeof(struct rr_bench_replica));
 	for (char *const *address = instances; *address; address++) {
 		struct rr_bench_instance instance = { .address = *address };
 
-		if (get(*address, "/metrics", access, &reply)) {
+		if (http_get(*address, "/metrics", credentials, &reply)) {
 			instance.answered = true;
-			read_metrics(reply.body, &instance);
+			parse_metrics(reply.body, &instance);
 			rr_clear_http_reply(&reply);
 		}
-		g_array_append_val(measure->instances, instance);
+		g_array_append_val(scrape->instances, instance);
 	}
-	for (char *const *address = controls; *address; address++) {
-		if (!get(*address, "/control/counts", NULL, &reply))
+	for (char *const *address = control_addresses; *address; address++) {
+		if (!http_get(*address, "/control/counts", NULL, &reply))
 			continue;
-		read_counts(*address, reply.body, measure->replicas);
+		parse_replica_counts(*address, reply.body, scrape->replicas);
 		rr_clear_http_reply(&reply);
 	}
-	return measure;
+	return scrape;
 }
 
-void rr_drop_bench_scrape(struct rr_bench_scrape *measure)
+void rr_drop_bench_scrape(struct rr_bench_scrape *scrape)
 {
-	if (!measure)
+	if (!scrape)
 		return;
-	g_array_unref(measure->instances);
-	g_array_unref(measure->replicas);
-	g_free(measure);
+	g_array_unref(scrape->instances);
+	g_array_unref(scrape->replicas);
+	g_free(scrape);
 }
--- a/source/tool/bench-scrape.h
+++ b/source/tool/bench-scrape.h
@@ -1,5 +1,5 @@
 /*
- * bench-scrape.h - what instances and upstream stand-ins say they did.
+ * bench-scrape.h - counters of instances and upstream stand-ins.
  */
 #ifndef TOOL_BENCH_SCRAPE_H
 #define TOOL_BENCH_SCRAPE_H
@@ -10,7 +10,7 @@
 
 struct rr_credentials;
 
-/* Of one instance, from GET /metrics. */
+/* Metrics of an instance, from GET /metrics. */
 enum rr_bench_metric {
 	RR_BENCH_CPU_MS,
 	RR_BENCH_RESIDENT_BYTES,
@@ -18,7 +18,7 @@
 	RR_BENCH_ATTEMPTS,
 	RR_BENCH_HEDGES,
 	RR_BENCH_RETRIES,
-	RR_BENCH_REJECTED, /* attempts that an upstream refused */
+	RR_BENCH_REJECTED, /* attempts rejected by an upstream */
 	RR_BENCH_RELAYS_SENT,
 	RR_BENCH_PEER_MESSAGES,
 	RR_BENCH_METRIC_COUNT,
@@ -26,17 +26,17 @@
 
 struct rr_bench_instance {
 	const char *address;
-	bool answered;
+	bool answered; /* false: all values are 0 */
 	uint64_t values[RR_BENCH_METRIC_COUNT];
 };
 
-/* Of one replica of an upstream stand-in, from GET /control/counts. */
+/* Counters of a replica of a stand-in, from GET /control/counts. */
 struct rr_bench_replica {
 	const char *control_address;
 	int64_t replica_number;
 	int64_t requests;
 	int64_t connections_opened;
-	int64_t peak_connections; /* connections at once, ever */
+	int64_t peak_connections; /* most open at once since the start */
 };
 
 struct rr_bench_scrape {
@@ -45,10 +45,14 @@
 	int64_t scraped_us;
 };
 
-/* Ask all; what did not answer is left at zero, or out of the replicas. */
+/*
+ * Query all addresses (NULL-terminated lists of IP:PORT, which must outlive
+ * the result).  An instance that does not answer has zero values; a stand-in
+ * that does not answer has no replicas in the result.
+ */
 struct rr_bench_scrape *
-rr_scrape_bench_metrics(char *const *instances, char *const *controls,
-			const struct rr_credentials *access);
+rr_scrape_bench_metrics(char *const *instances, char *const *control_addresses,
+			const struct rr_credentials *credentials);
 void rr_drop_bench_scrape(struct rr_bench_scrape *measure);
 
 #endif
--- a/source/tool/bench.c
+++ b/source/tool/bench.c
@@ -13,36 +13,36 @@
 struct bench_arguments {
 	struct arg_str *instances;
 	struct arg_file *scenario;
-	struct arg_str *controls;
+	struct arg_str *control_addresses;
 	struct arg_lit *json;
 	struct arg_file *plot;
-	struct rr_credential_arguments keys;
+	struct rr_credential_arguments credential_options;
 	struct rr_common_arguments common;
 };
 
-/* What is measured at the ends of the load. */
+/* Addresses, and the counters scraped at both ends of the measurement. */
 struct bench_run {
 	char **instances;
-	char **controls;
-	struct rr_credentials access;
+	char **control_addresses;
+	struct rr_credentials credentials;
 	struct rr_bench_scrape *before;
 	struct rr_bench_scrape *after;
 };
 
-static void take_before(void *data)
+static void scrape_before(void *data)
 {
 	struct bench_run *run = data;
 
-	run->before = rr_scrape_bench_metrics(run->instances, run->controls,
-					      &run->access);
+	run->before = rr_scrape_bench_metrics(
+		run->instances, run->control_addresses, &run->credentials);
 }
 
-static void take_after(void *data)
+static void scrape_after(void *data)
 {
 	struct bench_run *run = data;
 
-	run->after = rr_scrape_bench_metrics(run->instances, run->controls,
-					     &run->access);
+	run->after = rr_scrape_bench_metrics(
+		run->instances, run->control_addresses, &run->credentials);
 }
 
 static struct rr_bench_scenario *read_scenario(const struct rr_command *command,
@@ -50,16 +50,16 @@
 {
 	struct rr_settings_source file = { .file = name };
 	struct rr_bench_scenario *scenario;
-	GPtrArray *faults;
+	GPtrArray *diagnostics;
 	char *text;
 
 	if (!rr_read_file(command, name, &text, &file.length))
 		return NULL;
 	file.text = text;
-	faults = rr_new_diagnostics();
-	scenario = rr_parse_bench_scenario(&file, faults);
-	rr_print_diagnostics(faults);
-	g_ptr_array_unref(faults);
+	diagnostics = rr_new_diagnostics();
+	scenario = rr_parse_bench_scenario(&file, diagnostics);
+	rr_print_diagnostics(diagnostics);
+	g_ptr_array_unref(diagnostics);
 	g_free(text);
 	return scenario;
 }
@@ -67,25 +67,24 @@
 static bool write_plot(const struct rr_command *command, const char *name,
 		       const struct rr_bench_result *result)
 {
-	struct rr_bench_histogram *all = g_new0(struct rr_bench_histogram, 1);
-	GString *picture = g_string_new(NULL);
+	struct rr_bench_histogram *total = g_new0(struct rr_bench_histogram, 1);
+	GString *svg = g_string_new(NULL);
 	GError *error = NULL;
-	bool fine;
+	bool ok;
 
 	for (size_t i = 0; i < result->scenario->n_entries; i++)
-		rr_merge_bench_histogram(all, &result->stats[i].latencies);
-	rr_format_bench_plot(all, "ragwort bench", picture);
-	fine = g_file_set_contents(name, picture->str, (gssize)picture->len,
-				   &error);
-	if (!fine)
+		rr_merge_bench_histogram(total, &result->stats[i].latencies);
+	rr_format_bench_plot(total, "ragwort bench", svg);
+	ok = g_file_set_contents(name, svg->str, (gssize)svg->len, &error);
+	if (!ok)
 		rr_print_message(command, "--plot: %s", error->message);
 	g_clear_error(&error);
-	g_string_free(picture, TRUE);
-	g_free(all);
-	return fine;
+	g_string_free(svg, TRUE);
+	g_free(total);
+	return ok;
 }
 
-static bool any_answer(const struct rr_bench_result *result)
+static bool has_answer(const struct rr_bench_result *result)
 {
 	for (size_t i = 0; i < result->scenario->n_entries; i++) {
 		for (int j = 0; j < RR_BENCH_NO_ANSWER; j++) {
@@ -107,7 +106,7 @@
 	if (arguments->plot->count &&
 	    !write_plot(command, arguments->plot->filename[0], result))
 		return RR_EXIT_FAILED;
-	if (any_answer(result))
+	if (has_answer(result))
 		return RR_EXIT_OK;
 	rr_print_message(command, "no instance answered a request");
 	return RR_EXIT_UNREACHABLE;
@@ -121,22 +120,22 @@
 		read_scenario(command, arguments->scenario->filename[0]);
 	struct rr_bench_load load = { .scenario = scenario,
 				      .addresses = run->instances,
-				      .credentials = &run->access,
-				      .measurement_started = take_before,
-				      .measurement_ended = take_after,
+				      .credentials = &run->credentials,
+				      .measurement_started = scrape_before,
+				      .measurement_ended = scrape_after,
 				      .data = run };
-	struct rr_bench_stats *tallies;
+	struct rr_bench_stats *stats;
 	int code;
 
 	if (!scenario)
 		return RR_EXIT_USAGE;
-	tallies = rr_run_bench_load(&load);
+	stats = rr_run_bench_load(&load);
 	code = report(command, arguments,
 		      &(struct rr_bench_result){ .scenario = scenario,
-						 .stats = tallies,
+						 .stats = stats,
 						 .before = run->before,
 						 .after = run->after });
-	g_free(tallies);
+	g_free(stats);
 	rr_drop_bench_scenario(scenario);
 	return code;
 }
@@ -147,22 +146,23 @@
 	struct bench_run run = { .instances = NULL };
 	int code = RR_EXIT_USAGE;
 
-	if (!rr_load_credentials(command, &arguments->keys, &run.access))
+	if (!rr_load_credentials(command, &arguments->credential_options,
+				 &run.credentials))
 		return code;
 	run.instances =
 		rr_parse_address_list(command, arguments->instances->sval[0]);
-	if (arguments->controls->count)
-		run.controls = rr_parse_address_list(
-			command, arguments->controls->sval[0]);
+	if (arguments->control_addresses->count)
+		run.control_addresses = rr_parse_address_list(
+			command, arguments->control_addresses->sval[0]);
 	else
-		run.controls = g_new0(char *, 1);
-	if (run.instances && run.controls)
+		run.control_addresses = g_new0(char *, 1);
+	if (run.instances && run.control_addresses)
 		code = run_load(command, arguments, &run);
 	rr_drop_bench_scrape(run.before);
 	rr_drop_bench_scrape(run.after);
 	g_strfreev(run.instances);
-	g_strfreev(run.controls);
-	rr_clear_credentials(&run.access);
+	g_strfreev(run.control_addresses);
+	rr_clear_credentials(&run.credentials);
 	return code;
 }
 
@@ -170,22 +170,27 @@
 {
 	struct bench_arguments arguments = {
 		.instances = arg_str1(NULL, "instances", "IP:PORT,...",
-				      "the instances, asked in turn"),
+				      "instances, used round-robin"),
 		.scenario = arg_file1(NULL, "scenario", "FILE",
-				      "what is asked, at which rates (YAML)"),
-		.controls = arg_str0(NULL, "upstream-control", "IP:PORT,...",
-				     "upstream stand-ins to ask what they "
-				     "counted"),
+				      "requests and their rates (YAML)"),
+		.control_addresses =
+			arg_str0(NULL, "upstream-control", "IP:PORT,...",
+				 "control addresses of upstream "
+				 "stand-ins, for their counters"),
 		.json = arg_lit0(NULL, "json", "print JSON lines"),
 		.plot = arg_file0(NULL, "plot", "FILE",
-				  "write the distribution as an SVG picture"),
-		.keys = rr_new_credential_arguments(),
+				  "write the latency distribution as SVG"),
+		.credential_options = rr_new_credential_arguments(),
 		.common = rr_new_common_arguments(),
 	};
-	void *table[] = { arguments.instances,	  arguments.scenario,
-			  arguments.controls,	  arguments.json,
-			  arguments.plot,	  arguments.keys.token_file,
-			  arguments.keys.ca_file, arguments.common.help,
+	void *table[] = { arguments.instances,
+			  arguments.scenario,
+			  arguments.control_addresses,
+			  arguments.json,
+			  arguments.plot,
+			  arguments.credential_options.token_file,
+			  arguments.credential_options.ca_file,
+			  arguments.common.help,
 			  arguments.common.end };
 	int code;
 
--- a/source/tool/credentials.c
+++ b/source/tool/credentials.c
@@ -1,5 +1,5 @@
 /*
- * credentials.c - how the tool shows itself to instances: token and TLS.
+ * credentials.c - caller token and TLS certificate authority of the tool.
  */
 #include "tool/credentials.h"
 
@@ -11,18 +11,18 @@
 {
 	struct rr_credential_arguments arguments = {
 		.token_file = arg_file0(NULL, "token-file", "FILE",
-					"the caller token that instances want"),
+					"caller token to send to instances"),
 		.ca_file = arg_file0(NULL, "tls-ca", "FILE",
-				     "speak TLS; who signed the instances' "
-				     "certificates, in PEM"),
+				     "use TLS; certificate authority of "
+				     "the instances, in PEM"),
 	};
 
 	return arguments;
 }
 
-/* The first line of the file; never printed, it is a secret. */
-static bool read_token(const struct rr_command *command, const char *name,
-		       struct rr_credentials *access)
+/* Reads the first line of the file.  It is a secret: never print it. */
+static bool load_token(const struct rr_command *command, const char *name,
+		       struct rr_credentials *credentials)
 {
 	char *text;
 	size_t length;
@@ -32,23 +32,23 @@
 	g_strdelimit(text, "\r\n", '\0');
 	g_strstrip(text);
 	if (*text)
-		access->authorization = g_strconcat("Bearer ", text, NULL);
+		credentials->authorization = g_strconcat("Bearer ", text, NULL);
 	else
 		rr_print_message(command,
 				 "%s: found no token on the first line", name);
 	g_free(text);
-	return access->authorization != NULL;
+	return credentials->authorization != NULL;
 }
 
-static bool read_authority(const struct rr_command *command, const char *name,
-			   struct rr_credentials *access)
+static bool load_ca_database(const struct rr_command *command, const char *name,
+			     struct rr_credentials *credentials)
 {
 	char *path = g_canonicalize_filename(name, NULL);
 	GError *error = NULL;
 
-	access->ca_database = g_tls_file_database_new(path, &error);
+	credentials->ca_database = g_tls_file_database_new(path, &error);
 	g_free(path);
-	if (access->ca_database)
+	if (credentials->ca_database)
 		return true;
 	rr_print_message(command, "--tls-ca: %s", error->message);
 	g_clear_error(&error);
@@ -57,25 +57,25 @@
 
 bool rr_load_credentials(const struct rr_command *command,
 			 const struct rr_credential_arguments *arguments,
-			 struct rr_credentials *access)
+			 struct rr_credentials *credentials)
 {
-	bool fine = true;
+	bool ok = true;
 
-	*access = (struct rr_credentials){ 0 };
+	*credentials = (struct rr_credentials){ 0 };
 	if (arguments->token_file->count)
-		fine = read_token(command, arguments->token_file->filename[0],
-				  access);
-	if (fine && arguments->ca_file->count)
-		fine = read_authority(command, arguments->ca_file->filename[0],
-				      access);
-	if (!fine)
-		rr_clear_credentials(access);
-	return fine;
+		ok = load_token(command, arguments->token_file->filename[0],
+				credentials);
+	if (ok && arguments->ca_file->count)
+		ok = load_ca_database(command, arguments->ca_file->filename[0],
+				      credentials);
+	if (!ok)
+		rr_clear_credentials(credentials);
+	return ok;
 }
 
-void rr_clear_credentials(struct rr_credentials *access)
+void rr_clear_credentials(struct rr_credentials *credentials)
 {
-	g_free(access->authorization);
-	g_clear_object(&access->ca_database);
-	*access = (struct rr_credentials){ 0 };
+	g_free(credentials->authorization);
+	g_clear_object(&credentials->ca_database);
+	*credentials = (struct rr_credentials){ 0 };
 }
--- a/source/tool/credentials.h
+++ b/source/tool/credentials.h
@@ -1,5 +1,5 @@
 /*
- * credentials.h - how the tool shows itself to instances: token and TLS.
+ * credentials.h - caller token and TLS certificate authority of the tool.
  */
 #ifndef TOOL_CREDENTIALS_H
 #define TOOL_CREDENTIALS_H
@@ -16,15 +16,19 @@
 };
 
 struct rr_credentials {
-	char *authorization;	   /* header; NULL: none */
-	GTlsDatabase *ca_database; /* NULL: plain HTTP */
+	char *authorization;	   /* header value; NULL for no token */
+	GTlsDatabase *ca_database; /* NULL for plain HTTP */
 };
 
 struct rr_credential_arguments rr_new_credential_arguments(void);
-/* Read the files named; false after telling on stderr what is wrong. */
+/*
+ * Load the files named in the arguments.  On failure, print the error on
+ * stderr and return false with *credentials empty.  Release with
+ * rr_clear_credentials().
+ */
 bool rr_load_credentials(const struct rr_command *command,
 			 const struct rr_credential_arguments *arguments,
-			 struct rr_credentials *access);
-void rr_clear_credentials(struct rr_credentials *access);
+			 struct rr_credentials *credentials);
+void rr_clear_credentials(struct rr_credentials *credentials);
 
 #endif
