--- a/source/tool/check-start.c
+++ b/source/tool/check-start.c
@@ -1,6 +1,8 @@
 /*
- * check-start.c - `ragwort check --start`: an instance's start file, with
- * warnings of what is allowed but seldom meant.
+ * check-start.c - `ragwort check --start`: validates an instance's start file.
+ *
+ * It also warns of settings that are valid but rarely intended, such as plain
+ * HTTP on an address that is not loopback.
  */
 #include <errno.h>
 #include <gio/gio.h>
@@ -13,14 +15,14 @@
 #include "tool/check.h"
 
 int rr_report_check_result(const struct rr_command *command,
-			   const GPtrArray *faults)
+			   const GPtrArray *diagnostics)
 {
-	rr_print_diagnostics(faults);
-	if (!faults->len)
+	rr_print_diagnostics(diagnostics);
+	if (!diagnostics->len)
 		return RR_EXIT_OK;
 	rr_print_message(command,
-			 "%u fault%s; mend the lines above and check again",
-			 faults->len, faults->len == 1 ? "" : "s");
+			 "%u error%s; correct the lines above and check again",
+			 diagnostics->len, diagnostics->len == 1 ? "" : "s");
 	return RR_EXIT_USAGE;
 }
 
@@ -39,79 +41,80 @@
 	return loopback;
 }
 
-static void warn_of_plain(const struct rr_start_settings *settings)
+static void warn_unencrypted(const struct rr_start_settings *settings)
 {
 	if (!settings->tls_certificate_file &&
 	    !is_loopback(settings->caller_address))
 		fprintf(stderr,
-			"warning: callers speak plain HTTP at %s, which is no "
+			"warning: callers use plain HTTP at %s, which is not a "
 			"loopback address: others can read requests%s; set "
 			"'tls'\n",
 			settings->caller_address,
 			settings->caller_token_file ? " and tokens" : "");
 	if (!settings->peer_public_key && !is_loopback(settings->peer_address))
 		fprintf(stderr,
-			"warning: peers speak without encryption at %s, which "
-			"is no loopback address: anybody who reaches it can "
-			"join; set 'curve'\n",
+			"warning: peer links at %s are not encrypted, and it "
+			"is not a loopback address: anyone who can reach it "
+			"can join; set 'curve'\n",
 			settings->peer_address);
 }
 
-static void warn_of_file(const char *key, const char *name)
+static void warn_file_mode(const char *key, const char *name)
 {
 	GStatBuf status;
 
 	if (!name)
 		return;
 	if (g_stat(name, &status))
-		fprintf(stderr, "warning: %s: cannot look at %s: %s\n", key,
-			name, g_strerror(errno));
+		fprintf(stderr, "warning: %s: cannot stat %s: %s\n", key, name,
+			g_strerror(errno));
 	else if (status.st_mode & (S_IRWXG | S_IRWXO))
 		fprintf(stderr,
-			"warning: %s: others than its owner can use %s (mode "
-			"%04o); set mode 0600\n",
+			"warning: %s: users other than its owner can access %s "
+			"(mode %04o); set mode 0600\n",
 			key, name, (unsigned int)(status.st_mode & 07777));
 }
 
-static void print_start(const struct rr_start_settings *settings)
+static void print_start_settings(const struct rr_start_settings *settings)
 {
-	GString *restart = g_string_new(NULL);
+	GString *restart_keys = g_string_new(NULL);
 
-	rr_format_restart_only_keys(restart);
+	rr_format_restart_only_keys(restart_keys);
 	printf("ok: instance %s in zone %s of site %s\n", settings->instance,
 	       settings->zone, settings->site);
-	printf("a change needs a restart of the instance: %s\n", restart->str);
-	printf("read again on SIGHUP: curve, and the files that tls and "
-	       "caller_token_file name\n"
-	       "log settings can be replaced without a restart by 'log' in "
-	       "the operators' files\n");
-	g_string_free(restart, TRUE);
+	printf("changes that need a restart of the instance: %s\n",
+	       restart_keys->str);
+	printf("reloaded on SIGHUP: curve, and the files named by tls and "
+	       "caller_token_file\n"
+	       "log settings can be overridden without a restart by 'log' in "
+	       "the pushed configuration\n");
+	g_string_free(restart_keys, TRUE);
 }
 
 int rr_check_start_file(const struct rr_command *command, const char *name)
 {
 	struct rr_settings_source file = { .file = name };
-	GPtrArray *faults = rr_new_diagnostics();
+	GPtrArray *diagnostics = rr_new_diagnostics();
 	struct rr_start_settings *settings;
 	char *text = NULL;
 	int code = RR_EXIT_USAGE;
 
 	if (rr_read_file(command, file.file, &text, &file.length)) {
 		file.text = text;
-		settings = rr_parse_start_settings(&file, faults);
+		settings = rr_parse_start_settings(&file, diagnostics);
 		if (settings) {
-			print_start(settings);
-			warn_of_plain(settings);
-			warn_of_file("tls.key_file", settings->tls_key_file);
-			warn_of_file("caller_token_file",
-				     settings->caller_token_file);
-			warn_of_file("curve.secret_key_file",
-				     settings->peer_secret_key_file);
+			print_start_settings(settings);
+			warn_unencrypted(settings);
+			warn_file_mode("tls.key_file", settings->tls_key_file);
+			warn_file_mode("caller_token_file",
+				       settings->caller_token_file);
+			warn_file_mode("curve.secret_key_file",
+				       settings->peer_secret_key_file);
 		}
-		code = rr_report_check_result(command, faults);
+		code = rr_report_check_result(command, diagnostics);
 		rr_drop_start_settings(settings);
 	}
 	g_free(text);
-	g_ptr_array_unref(faults);
+	g_ptr_array_unref(diagnostics);
 	return code;
 }
--- a/source/tool/check.c
+++ b/source/tool/check.c
@@ -1,5 +1,5 @@
 /*
- * check.c - `ragwort check`: tell everything that is wrong in a file.
+ * check.c - `ragwort check`: reports all errors of a configuration file.
  */
 #include <stdio.h>
 
@@ -27,7 +27,7 @@
 	}
 	printf("ok: %zu services, %zu shards, %zu replicas\n",
 	       config->n_services, shards, replicas);
-	printf("in force without a restart once pushed\n");
+	printf("takes effect without a restart once pushed\n");
 }
 
 static int check_site(const struct rr_command *command,
@@ -38,7 +38,7 @@
 	};
 	struct rr_settings_source overlay = { 0 };
 	const char *site = NULL;
-	GPtrArray *faults;
+	GPtrArray *diagnostics;
 	struct rr_config *config;
 	char *base_text = NULL;
 	char *overlay_text = NULL;
@@ -56,14 +56,14 @@
 	}
 	if (arguments->site->count)
 		site = arguments->site->sval[0];
-	faults = rr_new_diagnostics();
+	diagnostics = rr_new_diagnostics();
 	config = rr_parse_config(&base, overlay.file ? &overlay : NULL, site,
-				 faults);
+				 diagnostics);
 	if (config)
 		print_summary(config);
-	code = rr_report_check_result(command, faults);
+	code = rr_report_check_result(command, diagnostics);
 	rr_drop_config(config);
-	g_ptr_array_unref(faults);
+	g_ptr_array_unref(diagnostics);
 done:
 	g_free(base_text);
 	g_free(overlay_text);
@@ -74,11 +74,11 @@
 {
 	struct check_arguments arguments = {
 		.file = arg_file1(NULL, NULL, "FILE",
-				  "base file, or start file with --start"),
-		.overlay = arg_file0(NULL, "overlay", "FILE",
-				     "a site's overlay over the base file"),
-		.site = arg_str0(NULL, "site", "NAME",
-				 "the site of the overlay"),
+				  "base file, or a start file with --start"),
+		.overlay = arg_file0(
+			NULL, "overlay", "FILE",
+			"overlay of a site, applied to the base file"),
+		.site = arg_str0(NULL, "site", "NAME", "site of the overlay"),
 		.start = arg_lit0(NULL, "start",
 				  "FILE is an instance's start file"),
 		.common = rr_new_common_arguments(),
@@ -94,8 +94,8 @@
 			code = check_site(command, &arguments);
 		} else if (arguments.overlay->count || arguments.site->count) {
 			rr_print_message(command,
-					 "--start goes with neither --overlay "
-					 "nor --site");
+					 "--start cannot be combined with "
+					 "--overlay or --site");
 			code = RR_EXIT_USAGE;
 		} else {
 			code = rr_check_start_file(command,
--- a/source/tool/check.h
+++ b/source/tool/check.h
@@ -6,10 +6,10 @@
 
 #include "tool/tool.h"
 
-/* Print the faults; returns the exit code. */
+/* Print the diagnostics and their number; return the exit code. */
 int rr_report_check_result(const struct rr_command *command,
-			   const GPtrArray *faults);
-/* Check an instance's start file; returns the exit code. */
+			   const GPtrArray *diagnostics);
+/* Validate an instance's start file; return the exit code. */
 int rr_check_start_file(const struct rr_command *command, const char *name);
 
 #endif
--- a/source/tool/common.c
+++ b/source/tool/common.c
@@ -1,5 +1,5 @@
 /*
- * common.c - what the subcommands share: arguments, files, faults, JSON.
+ * common.c - argument, file, message and JSON helpers of the subcommands.
  */
 #include <errno.h>
 #include <stdarg.h>
@@ -9,13 +9,13 @@
 #include "net/address-private.h"
 #include "tool/tool.h"
 
-#define MOST_ERRORS 20
+#define MAX_PARSE_ERRORS 20
 
 struct rr_common_arguments rr_new_common_arguments(void)
 {
 	struct rr_common_arguments common = {
 		.help = arg_lit0(NULL, "help", "print this help"),
-		.end = arg_end(MOST_ERRORS),
+		.end = arg_end(MAX_PARSE_ERRORS),
 	};
 
 	return common;
@@ -50,7 +50,7 @@
 		print_command_help(command, table);
 	} else if (errors) {
 		arg_print_errors(stderr, common->end, name);
-		fprintf(stderr, "%s --help tells the options\n", name);
+		fprintf(stderr, "%s --help lists the options\n", name);
 		*code = RR_EXIT_USAGE;
 	}
 	g_free(name);
@@ -76,7 +76,7 @@
 
 	if (!addresses[0])
 		rr_print_message(command,
-				 "found no address, allowed is IP:PORT,...");
+				 "found no address, expected IP:PORT,...");
 	for (size_t i = 0; addresses[i] && !error; i++) {
 		GSocketAddress *address =
 			rr_parse_address(addresses[i], &error);
--- a/source/tool/config-push.c
+++ b/source/tool/config-push.c
@@ -1,6 +1,6 @@
 /*
- * config-push.c - `ragwort config push`: show what a file changes, then put
- * it in force at every site.
+ * config-push.c - `ragwort config push`: prints the effect of a changed file
+ * and pushes it.
  */
 #include <stdio.h>
 #include <string.h>
@@ -27,25 +27,25 @@
 	struct arg_lit *wait;
 	struct arg_str *instances;
 	struct arg_int *wait_s;
-	struct rr_credential_arguments keys;
+	struct rr_credential_arguments credential_options;
 	struct rr_common_arguments common;
 };
 
-/* One push as the operator asked for it. */
+/* Parsed command line of a push. */
 struct push_request {
 	const struct rr_command *command;
 	const struct push_arguments *arguments;
 	const char *platform;
-	const char *name; /* RR_CONFIG_BASE_FILE or a site */
-	char *text;	  /* NULL: remove the overlay */
+	const char *name; /* RR_CONFIG_BASE_FILE, or the site of an overlay */
+	char *text;	  /* NULL to remove the overlay */
 	uint64_t base_revision;
 	char *change_id;
-	char **instances; /* to wait for; NULL: none */
-	struct rr_credentials access;
+	char **instances; /* to wait for; NULL not to wait */
+	struct rr_credentials credentials;
 };
 
-static void show_site(const char *site, struct rr_config *old,
-		      const struct rr_config *new)
+static void print_site_changes(const char *site, struct rr_config *old,
+			       const struct rr_config *new)
 {
 	GString *changes = g_string_new(NULL);
 	size_t shards = 0;
@@ -59,26 +59,26 @@
 	rr_format_config_diff(old, new, changes);
 	printf("%s%s will have %zu services with %zu shards%s\n",
 	       *site ? "site " : "every site", site, new->n_services, shards,
-	       changes->len ? "; what changes:" : "; nothing changes");
+	       changes->len ? "; changes:" : "; no changes");
 	fputs(changes->str, stdout);
 	g_string_free(changes, TRUE);
 	rr_drop_config(old);
 }
 
 /*
- * The buckets that reservation ids are kept in follow from this number: with
- * another one an id is looked for under another key, is not found, and a
- * reservation that ran is run again.  So it is chosen once.
+ * The ledger key of a reservation id depends on the number of buckets.  After a
+ * change an id would be looked up under another key and not be found, and a
+ * reservation that has run would run again.  So the number must not change.
  */
-static bool keeps_buckets(const struct push_request *request,
-			  const struct rr_config *old,
-			  const struct rr_config *new)
+static bool check_ledger_buckets(const struct push_request *request,
+				 const struct rr_config *old,
+				 const struct rr_config *new)
 {
 	if (!old || old->ledger_buckets == new->ledger_buckets)
 		return true;
 	rr_print_message(
 		request->command,
-		"ledger_buckets: found %u, accepted before is %u; it cannot "
+		"ledger_buckets: found %u, the accepted value is %u; it cannot "
 		"be changed, because a reservation could run twice",
 		new->ledger_buckets, old->ledger_buckets);
 	return false;
@@ -87,90 +87,95 @@
 static bool review_site(const struct push_request *request,
 			const struct rr_config_record *old,
 			const struct rr_config_record *new, const char *site,
-			GPtrArray *faults)
+			GPtrArray *diagnostics)
 {
 	GPtrArray *ignored = rr_new_diagnostics();
 	struct rr_config *before = NULL;
-	struct rr_config *after = rr_build_site_config(new, site, faults);
-	bool fine = after != NULL;
+	struct rr_config *after = rr_build_site_config(new, site, diagnostics);
+	bool ok = after != NULL;
 
 	if (rr_config_record_revision(old))
 		before = rr_build_site_config(old, site, ignored);
 	if (after) {
-		fine = keeps_buckets(request, before, after);
-		show_site(site, before, after);
+		ok = check_ledger_buckets(request, before, after);
+		print_site_changes(site, before, after);
 	}
 	rr_drop_config(before);
 	rr_drop_config(after);
 	g_ptr_array_unref(ignored);
-	return fine;
+	return ok;
 }
 
-/* A base may need what every overlay adds; a new site should know that. */
-static void warn_of_base_alone(const struct push_request *request,
-			       const struct rr_config_record *record)
+/*
+ * A base file may be invalid without the settings that all overlays add.  Warn,
+ * since a new site without an overlay could not use it.
+ */
+static void warn_if_base_incomplete(const struct push_request *request,
+				    const struct rr_config_record *record)
 {
-	GPtrArray *faults = rr_new_diagnostics();
-	struct rr_config *config = rr_build_site_config(record, "", faults);
+	GPtrArray *diagnostics = rr_new_diagnostics();
+	struct rr_config *config =
+		rr_build_site_config(record, "", diagnostics);
 
 	if (!config)
 		rr_print_message(
 			request->command,
-			"warning: the base is valid with the overlays only; a "
-			"site without one could not run by it");
+			"warning: the base file is valid only with the "
+			"overlays; a site without one cannot use it");
 	rr_drop_config(config);
-	g_ptr_array_unref(faults);
+	g_ptr_array_unref(diagnostics);
 }
 
 static bool review_sites(const struct push_request *request,
 			 const struct rr_config_record *old,
-			 const struct rr_config_record *new, GPtrArray *faults)
+			 const struct rr_config_record *new,
+			 GPtrArray *diagnostics)
 {
 	char **sites = rr_list_overlay_sites(new);
-	bool fine = true;
+	bool ok = true;
 
-	/* Without any overlay every site runs by the base alone. */
+	/* Without overlays all sites use the base file alone. */
 	if (!sites[0])
-		fine = review_site(request, old, new, "", faults);
+		ok = review_site(request, old, new, "", diagnostics);
 	else
-		warn_of_base_alone(request, new);
+		warn_if_base_incomplete(request, new);
 	for (size_t i = 0; sites[i]; i++) {
-		if (!review_site(request, old, new, sites[i], faults))
-			fine = false;
+		if (!review_site(request, old, new, sites[i], diagnostics))
+			ok = false;
 	}
-	/* A site whose overlay goes runs by the base alone from now on. */
+	/* A site whose overlay is removed uses the base file alone. */
 	if (!request->text &&
-	    !review_site(request, old, new, request->name, faults))
-		fine = false;
+	    !review_site(request, old, new, request->name, diagnostics))
+		ok = false;
 	g_strfreev(sites);
-	return fine;
+	return ok;
 }
 
-/* Show what each site will get; false when that cannot be put in force. */
+/* Prints the changes of each site; false if the result is invalid at one. */
 static bool review(const struct push_request *request,
 		   const struct rr_config_record *old)
 {
 	struct rr_config_record *new = rr_copy_config_record(old);
-	GPtrArray *faults = rr_new_diagnostics();
-	bool fine;
+	GPtrArray *diagnostics = rr_new_diagnostics();
+	bool ok;
 
 	rr_update_config_record(new, request->name, request->text,
 				request->change_id, "", 0);
-	fine = review_sites(request, old, new, faults);
-	if (faults->len) {
-		rr_print_diagnostics(faults);
+	ok = review_sites(request, old, new, diagnostics);
+	if (diagnostics->len) {
+		rr_print_diagnostics(diagnostics);
 		rr_print_message(
 			request->command,
-			"%u fault%s; nothing was pushed, mend the lines above "
+			"%u error%s; nothing was pushed, correct the lines above "
 			"and push again",
-			faults->len, faults->len == 1 ? "" : "s");
+			diagnostics->len, diagnostics->len == 1 ? "" : "s");
 	}
-	g_ptr_array_unref(faults);
+	g_ptr_array_unref(diagnostics);
 	rr_drop_config_record(new);
-	return fine;
+	return ok;
 }
 
-static void show_difference(const struct push_request *request,
+static void print_text_diff(const struct push_request *request,
 			    const struct rr_config_record *record)
 {
 	GString *lines = g_string_new(NULL);
@@ -178,13 +183,13 @@
 	rr_format_line_diff(rr_config_file_text(record, request->name),
 			    request->text, lines);
 	if (lines->len)
-		printf("difference to the accepted %s, of revision "
+		printf("difference from the accepted %s, of revision "
 		       "%" G_GUINT64_FORMAT ":\n%s",
 		       request->name,
 		       rr_config_file_revision(record, request->name),
 		       lines->str);
 	else
-		printf("no difference to the accepted %s\n", request->name);
+		printf("no difference from the accepted %s\n", request->name);
 	g_string_free(lines, TRUE);
 }
 
@@ -193,20 +198,21 @@
 {
 	struct rr_store_reply reply;
 	char *body = NULL;
-	char *why = NULL;
+	char *reason = NULL;
 
 	if (step->action == RR_PUSH_WAIT) {
 		g_usleep((gulong)step->wait_ms * 1000);
 		return;
 	}
 	if (step->action == RR_PUSH_READ)
-		rr_get_platform_key(platform, step->key, &reply, &body, &why);
+		rr_get_platform_key(platform, step->key, &reply, &body,
+				    &reason);
 	else
 		rr_cas_platform_key(platform, step->key, step->revision,
-				    step->value, step->length, &reply, &why);
+				    step->value, step->length, &reply, &reason);
 	rr_handle_push_reply(ctx, push, &reply);
 	g_free(body);
-	g_free(why);
+	g_free(reason);
 }
 
 static int report(const struct push_request *request,
@@ -226,9 +232,9 @@
 	case RR_PUSH_CONFLICT:
 		rr_print_message(
 			request->command,
-			"not accepted: %s; look at `ragwort config show` and "
-			"`config history`, put your change into the new text "
-			"and push again",
+			"not accepted: %s; see `ragwort config show` and "
+			"`config history`, apply your change to the current "
+			"text and push again",
 			message);
 		return RR_EXIT_FAILED;
 	case RR_PUSH_UNAVAILABLE:
@@ -238,8 +244,9 @@
 	case RR_PUSH_UNRESOLVED:
 		rr_print_message(
 			request->command,
-			"it may be in force or not: %s; push again with "
-			"--change-id %s, it then takes effect once at most",
+			"the push may or may not have taken effect: %s; push "
+			"again with --change-id %s, so that it takes effect "
+			"at most once",
 			message, request->change_id);
 		return RR_EXIT_UNREACHABLE;
 	default:
@@ -249,7 +256,7 @@
 	}
 }
 
-static const char *find_author(const struct push_arguments *arguments)
+static const char *author_name(const struct push_arguments *arguments)
 {
 	if (arguments->author->count)
 		return arguments->author->sval[0];
@@ -264,7 +271,7 @@
 		.base_revision = request->base_revision,
 		.change_id = request->change_id,
 		.is_retry = request->arguments->change->count > 0,
-		.author = find_author(request->arguments),
+		.author = author_name(request->arguments),
 		.when_s = g_get_real_time() / G_USEC_PER_SEC,
 	};
 	struct rr_context_options context = { .seed = g_random_int() };
@@ -296,7 +303,7 @@
 	if (arguments->wait_s->count)
 		wait_s = (uint32_t)MAX(arguments->wait_s->ival[0], 0);
 	return rr_wait_for_revision(request->command, request->instances,
-				    &request->access, revision, wait_s);
+				    &request->credentials, revision, wait_s);
 }
 
 static int review_and_push(struct push_request *request)
@@ -311,7 +318,7 @@
 	if (request->arguments->revision->count)
 		request->base_revision =
 			(uint64_t)request->arguments->revision->ival[0];
-	show_difference(request, record);
+	print_text_diff(request, record);
 	if (!review(request, record))
 		code = RR_EXIT_USAGE;
 	else if (request->arguments->dry_run->count)
@@ -341,7 +348,7 @@
 	if (arguments->wait->count && !arguments->instances->count) {
 		rr_print_message(request->command,
 				 "--wait needs --instances, the "
-				 "caller addresses to ask");
+				 "caller addresses to poll");
 		return false;
 	}
 	if (!rr_check_config_file_name(request->name, &error)) {
@@ -355,8 +362,9 @@
 	request->instances = rr_parse_address_list(
 		request->command, arguments->instances->sval[0]);
 	return request->instances &&
-	       rr_load_credentials(request->command, &arguments->keys,
-				   &request->access);
+	       rr_load_credentials(request->command,
+				   &arguments->credential_options,
+				   &request->credentials);
 }
 
 static int push(const struct rr_command *command,
@@ -384,12 +392,12 @@
 		request.change_id = g_uuid_string_random();
 	if (request.text && strlen(request.text) != length)
 		rr_print_message(command,
-				 "%s holds a NUL character, allowed is text",
+				 "%s contains a NUL character, expected text",
 				 arguments->file->filename[0]);
 	else
 		code = review_and_push(&request);
 done:
-	rr_clear_credentials(&request.access);
+	rr_clear_credentials(&request.credentials);
 	g_strfreev(request.instances);
 	g_free(request.change_id);
 	g_free(request.text);
@@ -403,33 +411,43 @@
 				     "the platform's key-value service"),
 		.file = arg_file0(NULL, "file", "FILE", "the new text"),
 		.site = arg_str0(NULL, "site", "NAME",
-				 "the file is this site's overlay (without: "
-				 "the base)"),
-		.author = arg_str0(NULL, "author", "NAME",
-				   "for the history (default: user name)"),
+				 "the file is this site's overlay (default: "
+				 "the base file)"),
+		.author =
+			arg_str0(NULL, "author", "NAME",
+				 "author in the history (default: user name)"),
 		.revision = arg_int0(NULL, "revision", "N",
-				     "revision the text was made from; refused "
-				     "if the file changed since"),
+				     "revision the text is based on; rejected "
+				     "if the file has changed since"),
 		.change = arg_str0(NULL, "change-id", "ID",
-				   "of a push that ended unsettled"),
+				   "change id of an earlier push whose outcome "
+				   "is unknown"),
 		.remove = arg_lit0(NULL, "remove", "remove a site's overlay"),
-		.dry_run = arg_lit0(NULL, "dry-run", "show, push nothing"),
+		.dry_run = arg_lit0(NULL, "dry-run",
+				    "print the changes, push nothing"),
 		.wait = arg_lit0(NULL, "wait",
-				 "wait until the instances have it in force"),
+				 "wait until the instances have applied it"),
 		.instances = arg_str0(NULL, "instances", "IP:PORT,...",
 				      "caller addresses, for --wait"),
 		.wait_s = arg_int0(NULL, "wait-s", "N",
-				   "longest wait (default 30)"),
-		.keys = rr_new_credential_arguments(),
+				   "seconds to wait at most (default 30)"),
+		.credential_options = rr_new_credential_arguments(),
 		.common = rr_new_common_arguments(),
 	};
-	void *table[] = { arguments.platform,	  arguments.file,
-			  arguments.site,	  arguments.author,
-			  arguments.revision,	  arguments.change,
-			  arguments.remove,	  arguments.dry_run,
-			  arguments.wait,	  arguments.instances,
-			  arguments.wait_s,	  arguments.keys.token_file,
-			  arguments.keys.ca_file, arguments.common.help,
+	void *table[] = { arguments.platform,
+			  arguments.file,
+			  arguments.site,
+			  arguments.author,
+			  arguments.revision,
+			  arguments.change,
+			  arguments.remove,
+			  arguments.dry_run,
+			  arguments.wait,
+			  arguments.instances,
+			  arguments.wait_s,
+			  arguments.credential_options.token_file,
+			  arguments.credential_options.ca_file,
+			  arguments.common.help,
 			  arguments.common.end };
 	int code;
 
--- a/source/tool/config-show.c
+++ b/source/tool/config-show.c
@@ -1,6 +1,6 @@
 /*
- * config-show.c - `ragwort config show` and `config history`: the accepted
- * files and their last changes.
+ * config-show.c - `ragwort config show` and `config history`: accepted files
+ * and their latest changes.
  */
 #include <stdio.h>
 
--- a/source/tool/line-diff.c
+++ b/source/tool/line-diff.c
@@ -1,6 +1,8 @@
 /*
- * line-diff.c - the lines in which two texts differ, by the longest common
- * subsequence of what lies between their common beginning and end.
+ * line-diff.c - line-based diff of two texts.
+ *
+ * After the common prefix and suffix are removed, the remaining lines are
+ * compared by their longest common subsequence.
  */
 #include "tool/line-diff.h"
 
@@ -8,33 +10,37 @@
 #include <stdint.h>
 #include <string.h>
 
-/* Cells of the table; beyond, all lines between the ends are shown. */
-#define MOST_CELLS (16u << 20)
+/*
+ * Bound on the size of the table.  Above it, all lines between the common
+ * prefix and suffix are printed as removed and added.
+ */
+#define MAX_TABLE_CELLS (16u << 20)
 
 /* Lines [from, to) of a text. */
-struct part {
+struct range {
 	char **lines;
 	guint from;
 	guint to;
 };
 
-static guint part_length(const struct part *part)
+static guint range_length(const struct range *range)
 {
-	return part->to - part->from;
+	return range->to - range->from;
 }
 
-static struct part split(const char *text)
+static struct range split_lines(const char *text)
 {
-	struct part part = { .lines = g_strsplit(text ? text : "", "\n", -1) };
-
-	part.to = g_strv_length(part.lines);
-	/* The last line feed ends a line and begins none. */
-	if (part.to && !*part.lines[part.to - 1])
-		part.to--;
-	return part;
+	struct range range = { .lines =
+				       g_strsplit(text ? text : "", "\n", -1) };
+
+	range.to = g_strv_length(range.lines);
+	/* A final line feed ends the last line and does not start another. */
+	if (range.to && !*range.lines[range.to - 1])
+		range.to--;
+	return range;
 }
 
-static void trim_common_ends(struct part *a, struct part *b)
+static void trim_common_ends(struct range *a, struct range *b)
 {
 	while (a->from < a->to && b->from < b->to &&
 	       !strcmp(a->lines[a->from], b->lines[b->from])) {
@@ -48,82 +54,86 @@
 	}
 }
 
-static void show_line(GString *out, char sign, const struct part *part, guint i)
+static void format_line(GString *out, char sign, const struct range *range,
+			guint i)
 {
-	g_string_append_printf(out, "%c%5u  %s\n", sign, i + 1, part->lines[i]);
+	g_string_append_printf(out, "%c%5u  %s\n", sign, i + 1,
+			       range->lines[i]);
 }
 
 /*
- * lengths[i][j]: lines in common of a's and b's rest from i and j on, in rows
- * of the width of b and one.
+ * Returns the table of the longest common subsequence: lengths[i][j] is its
+ * length for the lines of a from i on and those of b from j on.  A row has one
+ * element more than b has lines.
  */
-static uint32_t *measure(const struct part *a, const struct part *b)
+static uint32_t *build_lcs_table(const struct range *a, const struct range *b)
 {
-	guint height = part_length(a);
-	guint width = part_length(b);
+	guint height = range_length(a);
+	guint width = range_length(b);
 	uint32_t *lengths = g_new0(uint32_t, (gsize)(height + 1) * (width + 1));
 
 	for (guint i = height; i-- > 0;) {
 		uint32_t *row = lengths + (gsize)i * (width + 1);
-		const uint32_t *below = row + width + 1;
+		const uint32_t *next_row = row + width + 1;
 
 		for (guint j = width; j-- > 0;) {
 			bool same = !strcmp(a->lines[a->from + i],
 					    b->lines[b->from + j]);
 
-			row[j] = same ? below[j + 1] + 1 :
-					MAX(below[j], row[j + 1]);
+			row[j] = same ? next_row[j + 1] + 1 :
+					MAX(next_row[j], row[j + 1]);
 		}
 	}
 	return lengths;
 }
 
-static void show_measured(const struct part *a, const struct part *b,
-			  const uint32_t *lengths, GString *out)
+static void format_lcs_diff(const struct range *a, const struct range *b,
+			    const uint32_t *lengths, GString *out)
 {
-	guint width = part_length(b);
+	guint width = range_length(b);
 	guint i = 0;
 	guint j = 0;
 
-	while (i < part_length(a) || j < width) {
+	while (i < range_length(a) || j < width) {
 		const uint32_t *row = lengths + (gsize)i * (width + 1);
-		bool more_a = i < part_length(a);
-		bool more_b = j < width;
+		bool has_a = i < range_length(a);
+		bool has_b = j < width;
 
-		if (more_a && more_b &&
+		if (has_a && has_b &&
 		    !strcmp(a->lines[a->from + i], b->lines[b->from + j])) {
 			i++;
 			j++;
-		} else if (more_a &&
-			   (!more_b || row[width + 1 + j] >= row[j + 1])) {
-			show_line(out, '-', a, a->from + i++);
+		} else if (has_a &&
+			   (!has_b || row[width + 1 + j] >= row[j + 1])) {
+			format_line(out, '-', a, a->from + i++);
 		} else {
-			show_line(out, '+', b, b->from + j++);
+			format_line(out, '+', b, b->from + j++);
 		}
 	}
 }
 
-static void show_all(const struct part *a, const struct part *b, GString *out)
+static void format_all_lines(const struct range *a, const struct range *b,
+			     GString *out)
 {
 	for (guint i = a->from; i < a->to; i++)
-		show_line(out, '-', a, i);
+		format_line(out, '-', a, i);
 	for (guint j = b->from; j < b->to; j++)
-		show_line(out, '+', b, j);
+		format_line(out, '+', b, j);
 }
 
 void rr_format_line_diff(const char *old, const char *new, GString *out)
 {
-	struct part a = split(old);
-	struct part b = split(new);
+	struct range a = split_lines(old);
+	struct range b = split_lines(new);
 	uint32_t *lengths;
 
 	trim_common_ends(&a, &b);
-	if ((uint64_t)(part_length(&a) + 1) * (part_length(&b) + 1) >
-	    MOST_CELLS) {
-		show_all(&a, &b, out);
+	if ((uint64_t)(range_length(&a) + 1) * (range_length(&b) + 1) >
+	    MAX_TABLE_CELLS) {
+		format_all_lines(&a, &b, out);
 	} else {
-		lengths = measure(&a, &b);
-		show_measured(&a, &b, lengths, out);
+		lengths = build_lcs_table(&a, &b);
+		format_lcs_diff(&a, &b, lengths, out);
 		g_free(lengths);
 	}
 	g_strfreev(a.lines);
--- a/source/tool/line-diff.h
+++ b/source/tool/line-diff.h
@@ -1,5 +1,5 @@
 /*
- * line-diff.h - the lines in which two texts differ.
+ * line-diff.h - line-based diff of two texts.
  */
 #ifndef TOOL_LINE_DIFF_H
 #define TOOL_LINE_DIFF_H
@@ -7,8 +7,8 @@
 #include <glib.h>
 
 /*
- * Append the lines that go ("-") and come ("+"), each with its number, or
- * nothing when the texts are the same.  NULL is an empty text.
+ * Append the removed ("-") and added ("+") lines with their line numbers, or
+ * nothing if the texts are equal.  NULL stands for an empty text.
  */
 void rr_format_line_diff(const char *old, const char *new, GString *out);
 
--- a/tests/test-tool.c
+++ b/tests/test-tool.c
@@ -44,7 +44,7 @@
 			fail_msg("no fault at %s in:\n%s", place, run->err);
 		g_free(place);
 	}
-	test_expect_output(run, 2, NULL, "5 faults");
+	test_expect_output(run, 2, NULL, "5 errors");
 	test_remove_temp_file(path);
 }
 
@@ -67,13 +67,14 @@
 	(void)state;
 	g_chmod(token, 0644);
 	run = test_run_tool("check", "--start", path, NULL);
-	assert_non_null(strstr(run->err, "callers speak plain HTTP at "
+	assert_non_null(strstr(run->err, "callers use plain HTTP at "
 					 "10.0.0.1:8101"));
-	assert_non_null(strstr(run->err, "peers speak without encryption"));
+	assert_non_null(strstr(
+		run->err, "peer links at 10.0.0.1:8102 are not encrypted"));
 	assert_null(strstr(run->err, "secret-token"));
-	assert_non_null(strstr(run->out, "needs a restart of the instance: "
+	assert_non_null(strstr(run->out, "need a restart of the instance: "
 					 "instance, zone"));
-	test_expect_output(run, 0, "read again on SIGHUP: curve", "mode 0644");
+	test_expect_output(run, 0, "reloaded on SIGHUP: curve", "mode 0644");
 	test_remove_temp_file(path);
 	g_free(text);
 
@@ -168,7 +169,7 @@
 			test_run_tool(commands[i][0],
 				      second ? second : "--no-such-option",
 				      second ? "--no-such-option" : NULL, NULL),
-			2, NULL, "--help tells the options");
+			2, NULL, "--help lists the options");
 	}
 	test_expect_output(test_run_tool("--help", NULL), 0,
 			   "Exit codes: 0 done", NULL);
