--- a/tests/test-tool-daemon.c
+++ b/tests/test-tool-daemon.c
@@ -70,11 +70,11 @@
 static void test_log_settings_without_restart(void **state)
 {
 	struct platform_fixture *platform = *state;
-	char *start = write_start_file(platform, "");
+	char *start_path = write_start_file(platform, "");
 	char *base = g_strdup_printf(
 		TEST_BASE_CONFIG_FORMAT "log: {format: json}\n", 64, 300, 10);
 	char *path = test_write_temp_file(base);
-	GDataInputStream *log = start_daemon(platform, start);
+	GDataInputStream *log = start_daemon(platform, start_path);
 	char *line = read_log_until(log, "started");
 
 	assert_int_not_equal(line[0], '{');
@@ -91,18 +91,18 @@
 	g_object_unref(log);
 	g_free(base);
 	test_remove_temp_file(path);
-	test_remove_temp_file(start);
+	test_remove_temp_file(start_path);
 }
 
 /* Creates a self-signed certificate for 127.0.0.1. */
-static void make_certificate(const char *file, const char *key)
+static void make_certificate(const char *file, const char *key_file)
 {
 	const char *const argv[] = {
 		"openssl",   "req",	 "-x509",
 		"-newkey",   "rsa:2048", "-nodes",
 		"-days",     "2",	 "-subj",
 		"/CN=entry", "-addext",	 "subjectAltName=IP:127.0.0.1",
-		"-keyout",   key,	 "-out",
+		"-keyout",   key_file,	 "-out",
 		file,	     NULL
 	};
 	GSubprocess *process = g_subprocess_newv(
@@ -145,16 +145,16 @@
 }
 
 /*
- * Makes a reload fail on the key file and reads the rest of the log: no line may
- * contain a token, right or wrong, or a part of the key.
+ * Makes a reload fail on the key file and reads the rest of the log: no line
+ * may contain a token, right or wrong, or a part of the key.
  */
 static void expect_no_secret_logged(struct platform_fixture *platform,
-				    GDataInputStream *log, const char *key)
+				    GDataInputStream *log, const char *key_file)
 {
 	char *line;
 	bool failed = false;
 
-	g_file_set_contents(key, "no-key-any-more\n", -1, NULL);
+	g_file_set_contents(key_file, "no-key-any-more\n", -1, NULL);
 	g_subprocess_send_signal(platform->daemon, SIGHUP);
 	while ((line = g_data_input_stream_read_line(log, NULL, NULL, NULL))) {
 		if (strstr(line, "reload-failed") && !failed) {
@@ -179,45 +179,46 @@
 static void test_tls_and_token(void **state)
 {
 	struct platform_fixture *platform = *state;
-	char *certificate = test_write_temp_file("");
-	char *key = test_write_temp_file("");
-	char *other = test_write_temp_file("");
+	char *certificate_file = test_write_temp_file("");
+	char *key_file = test_write_temp_file("");
+	char *other_certificate = test_write_temp_file("");
 	char *token_file = test_write_temp_file("right-token\n");
-	char *wrong = test_write_temp_file("wrong-token\n");
+	char *wrong_token_file = test_write_temp_file("wrong-token\n");
 	char *extra_settings =
 		g_strdup_printf("tls: {certificate_file: %s, key_file: %s}\n"
 				"caller_token_file: %s\n",
-				certificate, key, token_file);
-	char *start = write_start_file(platform, extra_settings);
+				certificate_file, key_file, token_file);
+	char *start_path = write_start_file(platform, extra_settings);
 	GDataInputStream *log;
 	char *address;
 
-	make_certificate(other, key);
-	make_certificate(certificate, key);
-	log = start_daemon(platform, start);
+	make_certificate(other_certificate, key_file);
+	make_certificate(certificate_file, key_file);
+	log = start_daemon(platform, start_path);
 	address = read_caller_address(log);
-	test_expect_output(run_status(address, certificate, token_file), 1,
+	test_expect_output(run_status(address, certificate_file, token_file), 1,
 			   "not ready", NULL);
-	test_expect_output(run_status(address, certificate, wrong), 3,
+	test_expect_output(
+		run_status(address, certificate_file, wrong_token_file), 3,
+		"no answer: status 401", NULL);
+	test_expect_output(run_status(address, certificate_file, NULL), 3,
 			   "no answer: status 401", NULL);
-	test_expect_output(run_status(address, certificate, NULL), 3,
-			   "no answer: status 401", NULL);
-	test_expect_output(run_status(address, other, token_file), 3,
-			   "Unacceptable TLS certificate", NULL);
+	test_expect_output(run_status(address, other_certificate, token_file),
+			   3, "Unacceptable TLS certificate", NULL);
 	test_expect_output(run_status(address, NULL, token_file), 3,
 			   "no answer", NULL);
-	test_expect_output(run_status(address, key, token_file), 2, NULL,
+	test_expect_output(run_status(address, key_file, token_file), 2, NULL,
 			   "--tls-ca");
-	expect_no_secret_logged(platform, log, key);
+	expect_no_secret_logged(platform, log, key_file);
 	g_object_unref(log);
 	g_free(address);
 	g_free(extra_settings);
-	test_remove_temp_file(start);
-	test_remove_temp_file(certificate);
-	test_remove_temp_file(key);
-	test_remove_temp_file(other);
+	test_remove_temp_file(start_path);
+	test_remove_temp_file(certificate_file);
+	test_remove_temp_file(key_file);
+	test_remove_temp_file(other_certificate);
 	test_remove_temp_file(token_file);
-	test_remove_temp_file(wrong);
+	test_remove_temp_file(wrong_token_file);
 }
 
 int main(void)
--- a/tests/test-tool.c
+++ b/tests/test-tool.c
@@ -22,8 +22,8 @@
 
 static void test_check_reports_all_errors(void **state)
 {
-	static const char *const places[] = { ":1: ", ":3: ", ":5: ", ":8: ",
-					      ":10: " };
+	static const char *const locations[] = { ":1: ", ":3: ", ":5: ", ":8: ",
+						 ":10: " };
 	char *path = test_write_temp_file(
 		"owners_per_replica: 0\n"
 		"services:\n"
@@ -39,12 +39,12 @@
 
 	(void)state;
 	assert_int_equal(run->exit_code, 2);
-	for (size_t i = 0; i < G_N_ELEMENTS(places); i++) {
-		char *place = g_strconcat(path, places[i], NULL);
+	for (size_t i = 0; i < G_N_ELEMENTS(locations); i++) {
+		char *location = g_strconcat(path, locations[i], NULL);
 
-		if (!strstr(run->err, place))
-			fail_msg("no fault at %s in:\n%s", place, run->err);
-		g_free(place);
+		if (!strstr(run->err, location))
+			fail_msg("no error at %s in:\n%s", location, run->err);
+		g_free(location);
 	}
 	test_expect_output(run, 2, NULL, "5 errors");
 	test_remove_temp_file(path);
@@ -117,8 +117,8 @@
 static void check_example(const char *deployment, const char *site,
 			  const char *summary)
 {
-	char *inner = g_strdup_printf("examples/%s", deployment);
-	char *folder = rr_source_path(inner);
+	char *relative_path = g_strdup_printf("examples/%s", deployment);
+	char *folder = rr_source_path(relative_path);
 	char *base = g_build_filename(folder, "base.yaml", NULL);
 	char *name = g_strdup_printf("overlay-%s.yaml", site);
 	char *overlay = g_build_filename(folder, name, NULL);
@@ -129,7 +129,7 @@
 					 "--site", site, NULL),
 			   0, summary, NULL);
 	check_start_files(folder);
-	g_free(inner);
+	g_free(relative_path);
 	g_free(folder);
 	g_free(base);
 	g_free(name);
@@ -161,17 +161,18 @@
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(commands); i++) {
-		const char *second = commands[i][1];
+		const char *subcommand = commands[i][1];
 
-		test_expect_output(test_run_tool(commands[i][0],
-						 second ? second : "--help",
-						 second ? "--help" : NULL,
-						 NULL),
-				   0, "\nExample:\n  ragwort ", NULL);
 		test_expect_output(
 			test_run_tool(commands[i][0],
-				      second ? second : "--no-such-option",
-				      second ? "--no-such-option" : NULL, NULL),
+				      subcommand ? subcommand : "--help",
+				      subcommand ? "--help" : NULL, NULL),
+			0, "\nExample:\n  ragwort ", NULL);
+		test_expect_output(
+			test_run_tool(
+				commands[i][0],
+				subcommand ? subcommand : "--no-such-option",
+				subcommand ? "--no-such-option" : NULL, NULL),
 			2, NULL, "--help lists the options");
 	}
 	test_expect_output(test_run_tool("--help", NULL), 0,
