--- a/bench/attempt.c
+++ b/bench/attempt.c
@@ -1,8 +1,8 @@
 /*
- * attempt.c - what one attempt costs this process in processor time, over
- * kept connections, and what withdrawing one costs either way.
+ * attempt.c - CPU time of sending an attempt over a kept connection, and of
+ * cancelling one by a request or by closing the connection.
  *
- * The upstream stand-in runs as a process of its own and is not counted.
+ * The upstream stand-in runs in a separate process and is not included.
  */
 #include <argtable2.h>
 #include <stdio.h>
@@ -11,11 +11,11 @@
 #include "ragwort/net-upstream.h"
 #include "support/process.h"
 
-#define WARM_UP 500
+#define N_WARM_UP_ATTEMPTS 500
 
 struct bench {
 	struct rr_context *ctx;
-	struct rr_upstream_client *port;
+	struct rr_upstream_client *client;
 	char address[32];
 	uint64_t next_id;
 	uint32_t to_send;
@@ -23,7 +23,7 @@
 	uint32_t failed;
 };
 
-static int64_t processor_us(void)
+static int64_t cpu_us(void)
 {
 	struct rusage usage;
 
@@ -51,13 +51,13 @@
 
 	bench->to_send--;
 	bench->open++;
-	rr_send_attempt(bench->ctx, bench->port, &attempt);
+	rr_send_attempt(bench->ctx, bench->client, &attempt);
 	return attempt.id;
 }
 
-static uint32_t rows_asked;
+static uint32_t rows_per_reply;
 
-static void take_reply(void *data, const struct rr_reply *reply)
+static void handle_reply(void *data, const struct rr_reply *reply)
 {
 	struct bench *bench = data;
 
@@ -65,14 +65,14 @@
 		bench->failed++;
 	bench->open--;
 	if (bench->to_send)
-		send_one(bench, rows_asked);
+		send_one(bench, rows_per_reply);
 }
 
-static void run(struct bench *bench, uint32_t count, uint32_t at_once)
+static void run(struct bench *bench, uint32_t count, uint32_t concurrency)
 {
 	bench->to_send = count;
-	for (uint32_t i = 0; i < at_once && bench->to_send; i++)
-		send_one(bench, rows_asked);
+	for (uint32_t i = 0; i < concurrency && bench->to_send; i++)
+		send_one(bench, rows_per_reply);
 	while (bench->open)
 		g_main_context_iteration(NULL, TRUE);
 }
@@ -83,13 +83,13 @@
 	struct bench *bench = g_new0(struct bench, 1);
 	struct rr_upstream_client_options options = {
 		.instance = "bench-1",
-		.replied = take_reply,
+		.replied = handle_reply,
 		.data = bench,
 		.cancel_by_close = cancel_by_close,
 	};
 
 	bench->ctx = rr_new_context(NULL);
-	bench->port = rr_new_upstream_client(bench->ctx, &options);
+	bench->client = rr_new_upstream_client(bench->ctx, &options);
 	bench->next_id = (uint64_t)g_get_real_time();
 	g_snprintf(bench->address, sizeof(bench->address), "127.0.0.1:%u",
 		   upstreams->ports[0]);
@@ -98,7 +98,7 @@
 
 static void drop_bench(struct bench *bench)
 {
-	rr_drop_upstream_client(bench->port);
+	rr_drop_upstream_client(bench->client);
 	while (g_main_context_iteration(NULL, FALSE))
 		;
 	rr_drop_context(bench->ctx);
@@ -106,71 +106,72 @@
 }
 
 static void measure_attempts(struct test_upstreams *upstreams, uint32_t count,
-			     uint32_t at_once)
+			     uint32_t concurrency)
 {
 	struct bench *bench = new_bench(upstreams, false);
-	int64_t processor_before_us;
+	int64_t cpu_before_us;
 	int64_t before_us;
-	int64_t processor_spent_us;
-	int64_t spent_us;
+	int64_t cpu_used_us;
+	int64_t elapsed_us;
 
-	run(bench, WARM_UP, at_once);
-	processor_before_us = processor_us();
+	run(bench, N_WARM_UP_ATTEMPTS, concurrency);
+	cpu_before_us = cpu_us();
 	before_us = g_get_monotonic_time();
-	run(bench, count, at_once);
-	processor_spent_us = processor_us() - processor_before_us;
-	spent_us = g_get_monotonic_time() - before_us;
+	run(bench, count, concurrency);
+	cpu_used_us = cpu_us() - cpu_before_us;
+	elapsed_us = g_get_monotonic_time() - before_us;
 	printf("attempts at_once=%u rows=%u count=%u cpu_us=%.1f "
 	       "per_s=%.0f failed=%u\n",
-	       at_once, rows_asked, count, (double)processor_spent_us / count,
-	       count * 1e6 / (double)spent_us, bench->failed);
+	       concurrency, rows_per_reply, count, (double)cpu_used_us / count,
+	       count * 1e6 / (double)elapsed_us, bench->failed);
 	drop_bench(bench);
 }
 
-static gboolean note_time(gpointer data)
+static gboolean set_flag(gpointer data)
 {
 	*(bool *)data = true;
 	return G_SOURCE_REMOVE;
 }
 
-/* Each attempt is withdrawn while its upstream works on it. */
-static void measure_withdrawals(struct test_upstreams *upstreams,
-				uint32_t count, bool by_close)
+/* Cancel each attempt while its upstream works on it. */
+static void measure_cancellations(struct test_upstreams *upstreams,
+				  uint32_t count, bool by_close)
 {
 	struct bench *bench = new_bench(upstreams, by_close);
 	int64_t accepted = test_read_count(upstreams, 0, "accepted");
 	int64_t before_us;
 
-	before_us = processor_us();
+	before_us = cpu_us();
 	for (uint32_t i = 0; i < count; i++) {
-		uint64_t id = send_one(bench, rows_asked);
+		uint64_t id = send_one(bench, rows_per_reply);
 		bool waited = false;
 
-		g_timeout_add(3, note_time, &waited);
+		g_timeout_add(3, set_flag, &waited);
 		while (!waited)
 			g_main_context_iteration(NULL, TRUE);
-		rr_cancel_attempt(bench->ctx, bench->port, id);
-		while (rr_count_upstream_exchanges(bench->port))
+		rr_cancel_attempt(bench->ctx, bench->client, id);
+		while (rr_count_upstream_exchanges(bench->client))
 			g_main_context_iteration(NULL, TRUE);
 	}
 	printf("withdrawals by=%s count=%u connections_made=%" G_GINT64_FORMAT
 	       " cpu_us=%.1f\n",
 	       by_close ? "closing" : "cancel call", count,
 	       test_read_count(upstreams, 0, "accepted") - accepted,
-	       (double)(processor_us() - before_us) / count);
+	       (double)(cpu_us() - before_us) / count);
 	drop_bench(bench);
 }
 
 int main(int argc, char **argv)
 {
-	struct arg_int *count = arg_int0(NULL, "count", "N", "attempts a run");
-	struct arg_int *rows = arg_int0(NULL, "rows", "N", "rows a reply");
+	struct arg_int *count =
+		arg_int0(NULL, "count", "N", "attempts per run");
+	struct arg_int *rows = arg_int0(NULL, "rows", "N", "rows per reply");
 	struct arg_end *end = arg_end(5);
 	void *table[] = { count, rows, end };
 	const char *arguments[] = { "--slots=64", "--queue=1000",
 				    "--connections=200", "--service-ms=0",
 				    NULL };
-	static const uint32_t at_once[] = { 1, 8, 25 };
+	static const uint32_t concurrency[] = { 1, 8, 25 };
 	struct test_upstreams *upstreams;
 
 	count->ival[0] = 20000;
@@ -179,14 +180,14 @@
 		arg_print_errors(stderr, end, "attempt");
 		return 2;
 	}
-	rows_asked = (uint32_t)rows->ival[0];
+	rows_per_reply = (uint32_t)rows->ival[0];
 	upstreams = test_start_upstreams(1, arguments);
-	for (size_t i = 0; i < G_N_ELEMENTS(at_once); i++)
+	for (size_t i = 0; i < G_N_ELEMENTS(concurrency); i++)
 		measure_attempts(upstreams, (uint32_t)count->ival[0],
-				 at_once[i]);
+				 concurrency[i]);
 	test_post_control(upstreams->control_port, "{\"service_ms\":10000}");
-	measure_withdrawals(upstreams, 200, false);
-	measure_withdrawals(upstreams, 200, true);
+	measure_cancellations(upstreams, 200, false);
+	measure_cancellations(upstreams, 200, true);
 	test_drop_upstreams(upstreams);
 	arg_freetable(table, G_N_ELEMENTS(table));
 	return 0;
--- a/bench/gate.c
+++ b/bench/gate.c
@@ -1,12 +1,12 @@
 /*
- * gate.c - the gateway's policy against emulated replicas.
+ * gate.c - run the gateway's policy against emulated replicas.
  *
  *	gate --all --seed 1
  *	gate --scenario FILE --vary hedge_quantile=0.8..0.97 --steps 5
  *	gate --all --ablate all
  *	gate --drawn 40
  *
- * One JSON line a run.
+ * Prints one JSON line for each run.
  */
 #include <argtable2.h>
 #include <stdio.h>
@@ -17,12 +17,12 @@
 #include "support/paths.h"
 
 #define SCENARIOS "bench/gate/scenarios"
-#define MOST_SET 16
+#define MAX_SET 16
 
 struct experiment {
 	uint32_t seed;
 	uint32_t seeds;
-	const char *label; /* what differs from the default policy */
+	const char *label; /* how it differs from the default policy */
 	struct rr_gate_policy policy;
 };
 
@@ -73,7 +73,7 @@
 	       route->deadline_ms, route->least_share, scenario->n_faults);
 }
 
-/* Mean over the seeds. */
+/* Run a scenario with each seed; return the mean answer value. */
 static double run_scenario(const struct emulated_scenario *scenario,
 			   const struct rr_gate_policy *policy,
 			   const struct experiment *experiment)
@@ -116,16 +116,16 @@
 	}
 }
 
-/* NAME=FROM..TO; false if it is not that. */
+/* Vary a policy setting by NAME=FROM..TO; return false if that is invalid. */
 static bool vary(const struct emulated_scenario *scenario, const char *spec,
 		 int steps, struct experiment experiment)
 {
 	char **words = g_strsplit(spec, "=", 2);
 	char **range =
 		words[0] && words[1] ? g_strsplit(words[1], "..", 2) : NULL;
-	bool good = range && range[0] && range[1];
+	bool ok = range && range[0] && range[1];
 
-	for (int i = 0; good && i < steps; i++) {
+	for (int i = 0; ok && i < steps; i++) {
 		double from = g_ascii_strtod(range[0], NULL);
 		double to = g_ascii_strtod(range[1], NULL);
 		struct rr_gate_policy policy = experiment.policy;
@@ -134,19 +134,19 @@
 
 		g_ascii_formatd(value, sizeof(value), "%.6g",
 				from + (to - from) * i / MAX(steps - 1, 1));
-		good = rr_set_gate_policy(&policy, words[0], value);
+		ok = rr_set_gate_policy(&policy, words[0], value);
 		g_snprintf(label, sizeof(label), "%s=%s", words[0], value);
 		experiment.label = label;
-		if (good)
+		if (ok)
 			run_scenario(scenario, &policy, &experiment);
 	}
 	g_strfreev(range);
 	g_strfreev(words);
-	return good;
+	return ok;
 }
 
-static double run_plain(struct emulated_scenario scenario,
-			struct experiment experiment)
+static double run_baseline(struct emulated_scenario scenario,
+			   struct experiment experiment)
 {
 	struct rr_gate_policy policy;
 
@@ -156,8 +156,11 @@
 	return run_scenario(&scenario, &policy, &experiment);
 }
 
-/* Deployments nobody has seen: the policy is to lose to the plain one in none. */
-static void run_drawn(int n, struct experiment experiment)
+/*
+ * Compare the policy with the baseline in generated deployments.  It should be
+ * worse in none of them.
+ */
+static void run_many_generated(int n, struct experiment experiment)
 {
 	double worst = 1;
 	double sum = 0;
@@ -170,7 +173,7 @@
 		generate_scenario(i, &scenario);
 		gain = run_scenario(&scenario, &experiment.policy,
 				    &experiment) -
-		       run_plain(scenario, experiment);
+		       run_baseline(scenario, experiment);
 		sum += gain;
 		if (gain < worst) {
 			worst = gain;
@@ -197,7 +200,7 @@
 	struct arg_end *end;
 };
 
-/* By the default policy, and by those that are asked for. */
+/* Run with the default policy and with the requested variations. */
 static bool run_one(const struct emulated_scenario *scenario,
 		    const struct arguments *arguments,
 		    const struct experiment *experiment)
@@ -214,23 +217,23 @@
 static bool run_file(const char *file, const struct arguments *arguments,
 		     const struct experiment *experiment)
 {
-	GPtrArray *faults = rr_new_diagnostics();
+	GPtrArray *diagnostics = rr_new_diagnostics();
 	struct emulated_scenario scenario;
-	bool good = load_scenario(file, &scenario, faults);
+	bool ok = load_scenario(file, &scenario, diagnostics);
 
-	rr_print_diagnostics(faults);
-	g_ptr_array_unref(faults);
-	return good && run_one(&scenario, arguments, experiment);
+	rr_print_diagnostics(diagnostics);
+	g_ptr_array_unref(diagnostics);
+	return ok && run_one(&scenario, arguments, experiment);
 }
 
-static bool run_draw(const struct arguments *arguments,
-		     const struct experiment *experiment)
+static bool run_generated(const struct arguments *arguments,
+			  const struct experiment *experiment)
 {
 	struct emulated_scenario scenario;
 
 	generate_scenario((uint32_t)arguments->draw->ival[0], &scenario);
 	print_scenario(&scenario);
-	run_plain(scenario, *experiment);
+	run_baseline(scenario, *experiment);
 	return run_one(&scenario, arguments, experiment);
 }
 
@@ -242,42 +245,43 @@
 static bool run_all(const struct arguments *arguments,
 		    const struct experiment *experiment)
 {
-	char *folder = rr_source_path(SCENARIOS);
-	GDir *dir = g_dir_open(folder, 0, NULL);
+	char *directory = rr_source_path(SCENARIOS);
+	GDir *dir = g_dir_open(directory, 0, NULL);
 	GPtrArray *files = g_ptr_array_new_with_free_func(g_free);
 	const char *name;
-	bool good = dir != NULL;
+	bool ok = dir != NULL;
 
 	while (dir && (name = g_dir_read_name(dir)))
-		g_ptr_array_add(files, g_build_filename(folder, name, NULL));
+		g_ptr_array_add(files, g_build_filename(directory, name, NULL));
 	g_ptr_array_sort(files, compare_names);
 	for (guint i = 0; i < files->len; i++)
-		good &= run_file(g_ptr_array_index(files, i), arguments,
-				 experiment);
+		ok &= run_file(g_ptr_array_index(files, i), arguments,
+			       experiment);
 	if (dir)
 		g_dir_close(dir);
 	g_ptr_array_unref(files);
-	g_free(folder);
-	return good;
+	g_free(directory);
+	return ok;
 }
 
-/* NAME=VALUE of the command line; false if one is none of the policy. */
-static bool set_all(const struct arg_str *set, struct rr_gate_policy *policy)
+/* Apply the NAME=VALUE arguments; return false if one is invalid. */
+static bool apply_settings(const struct arg_str *set,
+			   struct rr_gate_policy *policy)
 {
-	bool good = true;
+	bool ok = true;
 
 	for (int i = 0; i < set->count; i++) {
 		char **words = g_strsplit(set->sval[i], "=", 2);
 
 		if (!words[0] || !words[1] ||
 		    !rr_set_gate_policy(policy, words[0], words[1])) {
-			fprintf(stderr, "gate: %s is none of the policy\n",
+			fprintf(stderr, "gate: %s is not a policy setting\n",
 				set->sval[i]);
-			good = false;
+			ok = false;
 		}
 		g_strfreev(words);
 	}
-	return good;
+	return ok;
 }
 
 static int print_help(void **table)
@@ -291,21 +295,25 @@
 int main(int argc, char **argv)
 {
 	struct arguments arguments = {
-		.all = arg_lit0(NULL, "all", "every file of " SCENARIOS),
-		.scenario = arg_file0(NULL, "scenario", "FILE", "one of them"),
-		.seed = arg_int0(NULL, "seed", "N", "1 if left out"),
-		.seeds = arg_int0(NULL, "seeds", "N", "so many in a row"),
+		.all = arg_lit0(NULL, "all", "run all files of " SCENARIOS),
+		.scenario = arg_file0(NULL, "scenario", "FILE",
+				      "run one scenario file"),
+		.seed = arg_int0(NULL, "seed", "N", "first seed, default 1"),
+		.seeds = arg_int0(NULL, "seeds", "N",
+				  "number of seeds, default 1"),
 		.vary = arg_str0(NULL, "vary", "NAME=FROM..TO",
-				 "a figure of the policy"),
-		.steps = arg_int0(NULL, "steps", "N", "of it, 5 if left out"),
-		.ablate =
-			arg_str0(NULL, "ablate", "NAME",
-				 "a switch of the policy off, or all in turn"),
-		.set = arg_strn(NULL, "set", "NAME=VALUE", 0, MOST_SET,
-				"of the policy, for all of this"),
+				 "vary a number of the policy"),
+		.steps = arg_int0(NULL, "steps", "N",
+				  "steps of --vary, default 5"),
+		.ablate = arg_str0(
+			NULL, "ablate", "NAME",
+			"turn off a switch of the policy, or all in turn"),
+		.set = arg_strn(NULL, "set", "NAME=VALUE", 0, MAX_SET,
+				"set a policy setting for all runs"),
 		.drawn = arg_int0(NULL, "drawn", "N",
-				  "so many deployments drawn at random"),
-		.draw = arg_int0(NULL, "draw", "SEED", "one of them"),
+				  "run N randomly generated deployments"),
+		.draw = arg_int0(NULL, "draw", "SEED",
+				 "run one generated deployment"),
 		.help = arg_lit0("h", "help", "print this and exit"),
 		.end = arg_end(8),
 	};
@@ -314,7 +322,7 @@
 			  arguments.ablate, arguments.set,	arguments.drawn,
 			  arguments.draw,   arguments.help,	arguments.end };
 	struct experiment experiment = { .label = "default" };
-	bool good = true;
+	bool ok = true;
 
 	arguments.seed->ival[0] = 1;
 	arguments.seeds->ival[0] = 1;
@@ -328,17 +336,17 @@
 	experiment.seed = (uint32_t)arguments.seed->ival[0];
 	experiment.seeds = (uint32_t)MAX(arguments.seeds->ival[0], 1);
 	rr_init_gate_policy(&experiment.policy);
-	if (!set_all(arguments.set, &experiment.policy))
+	if (!apply_settings(arguments.set, &experiment.policy))
 		return 2;
 	if (arguments.all->count)
-		good = run_all(&arguments, &experiment);
+		ok = run_all(&arguments, &experiment);
 	if (arguments.scenario->count)
-		good = run_file(arguments.scenario->filename[0], &arguments,
-				&experiment);
+		ok = run_file(arguments.scenario->filename[0], &arguments,
+			      &experiment);
 	if (arguments.draw->count)
-		good = run_draw(&arguments, &experiment);
+		ok = run_generated(&arguments, &experiment);
 	if (arguments.drawn->count)
-		run_drawn(arguments.drawn->ival[0], experiment);
+		run_many_generated(arguments.drawn->ival[0], experiment);
 	arg_freetable(table, G_N_ELEMENTS(table));
-	return good ? 0 : 2;
+	return ok ? 0 : 2;
 }
--- a/bench/gate/emulated-caller.c
+++ b/bench/gate/emulated-caller.c
@@ -1,23 +1,23 @@
 /*
- * emulated-caller.c - callers in open loop, who come back as they are told.
+ * emulated-caller.c - open-loop callers that retry after the Retry-After time.
  */
 #include "gate/emulator-private.h"
 
 #include <math.h>
 
-/* The balancer asks each second, and believes the second refusal. */
-#define NOTICED_US (1500 * 1000)
-/* What a caller tries in all. */
-#define MOST_TRIES 2
-/* Late answers are worth a tenth to their callers. */
-#define LATE_VALUE 0.1
+/* The load balancer checks every second and acts on the second failure. */
+#define BALANCER_DELAY_US (1500 * 1000)
+/* Total number of tries of a caller. */
+#define MAX_TRIES 2
+/* Value of a late answer, relative to one in time. */
+#define LATE_ANSWER_VALUE 0.1
 
 double value_of_answer(double share, bool in_time)
 {
-	return share * share * (in_time ? 1 : LATE_VALUE);
+	return share * share * (in_time ? 1 : LATE_ANSWER_VALUE);
 }
 
-static struct instance *instance_at(struct emulation *emulation, uint32_t i)
+static struct instance *get_instance(struct emulation *emulation, uint32_t i)
 {
 	return g_ptr_array_index(emulation->instances, i);
 }
@@ -26,43 +26,43 @@
 {
 	return !instance->unready_since_us ||
 	       instance->emulation->now_us - instance->unready_since_us <
-		       NOTICED_US;
+		       BALANCER_DELAY_US;
 }
 
-/* One of the zone that is in rotation, else of the next zone. */
-static struct instance *draw_instance(struct emulation *emulation,
-				      uint32_t zone)
+/* Select an instance in rotation: of this zone if possible, else the next. */
+static struct instance *select_instance(struct emulation *emulation,
+					uint32_t zone)
 {
 	uint32_t zones = (uint32_t)emulation->scenario->zones;
 
-	for (uint32_t away = 0; away < zones; away++) {
-		struct instance *drawn = NULL;
-		uint32_t seen = 0;
+	for (uint32_t zone_offset = 0; zone_offset < zones; zone_offset++) {
+		struct instance *selected = NULL;
+		uint32_t n_candidates = 0;
 
 		for (guint i = 0; i < emulation->instances->len; i++) {
-			struct instance *instance = instance_at(emulation, i);
+			struct instance *instance = get_instance(emulation, i);
 
-			if (instance->zone != (zone + away) % zones ||
+			if (instance->zone != (zone + zone_offset) % zones ||
 			    !is_in_rotation(instance))
 				continue;
 			if (g_rand_int_range(emulation->rand, 0,
-					     (gint32)++seen) == 0)
-				drawn = instance;
+					     (gint32)++n_candidates) == 0)
+				selected = instance;
 		}
-		if (drawn)
-			return drawn;
+		if (selected)
+			return selected;
 	}
-	return instance_at(emulation, 0);
+	return get_instance(emulation, 0);
 }
 
-static void take_at_instance(void *context, void *data)
+static void handle_request_arrival(void *context, void *data)
 {
 	struct request *request = data;
 	struct emulation *emulation = request->emulation;
 	struct instance *instance =
-		instance_at(emulation, request->instance_number);
+		get_instance(emulation, request->instance_number);
 	char path[NAME_SIZE + 4];
-	struct rr_gate_request_info ask = {
+	struct rr_gate_request_info info = {
 		.host = "h",
 		.path = path,
 		.request_id = "id",
@@ -76,11 +76,11 @@
 	};
 	uint64_t id;
 
-	ask.path_length = (size_t)g_snprintf(path, sizeof(path), "/%s/1",
-					     request->route->name);
+	info.path_length = (size_t)g_snprintf(path, sizeof(path), "/%s/1",
+					      request->route->name);
 	instance->submitting = request;
 	id = rr_gate_submit(instance->ctx, instance->gate, emulation->now_us,
-			    &ask);
+			    &info);
 	if (instance->submitting) {
 		uint64_t *key = g_new(uint64_t, 1);
 
@@ -94,32 +94,32 @@
 static void send_request(struct request *request, int64_t after_us)
 {
 	struct emulation *emulation = request->emulation;
-	int64_t way = ms_to_us(emulation->scenario->caller_ms);
+	int64_t one_way_us = ms_to_us(emulation->scenario->caller_ms);
 
 	request->number = ++emulation->last_request_number;
 	request->instance_number =
-		draw_instance(emulation, request->zone)->number;
-	/* A connection takes a round trip before the request's own way. */
+		select_instance(emulation, request->zone)->number;
+	/* A new connection adds a round trip. */
 	push_event(emulation->events,
 		   emulation->now_us + after_us +
-			   (request->new_connection ? 3 : 1) * way,
-		   take_at_instance, request);
+			   (request->new_connection ? 3 : 1) * one_way_us,
+		   handle_request_arrival, request);
 }
 
-/* What has come to the caller. */
-struct arrival {
+/* An answer in transit to the caller. */
+struct delivery {
 	struct request *request;
 	uint16_t status;
 	double share;
 	uint32_t retry_after_ms;
 };
 
-static void take_success(struct emulation *emulation, struct request *request,
-			 double share)
+static void count_success(struct emulation *emulation, struct request *request,
+			  double share)
 {
 	struct emulated_result *result = emulation->result;
-	double wait_us = (double)(emulation->now_us - request->started_us);
-	bool in_time = wait_us <= ms_to_us(request->route->objective_ms);
+	double latency_us = (double)(emulation->now_us - request->started_us);
+	bool in_time = latency_us <= ms_to_us(request->route->objective_ms);
 
 	/* Queries of death are not counted. */
 	if (request->is_query_of_death) {
@@ -133,55 +133,55 @@
 	if (in_time && share < 1)
 		result->partial++;
 	result->total_value += value_of_answer(share, in_time);
-	g_array_append_val(result->latencies_us, wait_us);
+	g_array_append_val(result->latencies_us, latency_us);
 	g_free(request);
 }
 
-static void arrive_at_caller(void *context, void *data)
+static void handle_answer_arrival(void *context, void *data)
 {
-	struct arrival *arrival = data;
-	struct request *request = arrival->request;
+	struct delivery *delivery = data;
+	struct request *request = delivery->request;
 	struct emulation *emulation = request->emulation;
-	int64_t again_us = (int64_t)arrival->retry_after_ms * 1000;
+	int64_t retry_after_us = (int64_t)delivery->retry_after_ms * 1000;
 
-	if (arrival->status == 200) {
-		take_success(emulation, request, arrival->share);
-	} else if (++request->n_tries < MOST_TRIES &&
-		   emulation->now_us + again_us < request->deadline_us) {
+	if (delivery->status == 200) {
+		count_success(emulation, request, delivery->share);
+	} else if (++request->n_tries < MAX_TRIES &&
+		   emulation->now_us + retry_after_us < request->deadline_us) {
 		request->new_connection = true;
 		emulation->result->caller_retries +=
 			!request->is_query_of_death;
-		send_request(request, again_us);
+		send_request(request, retry_after_us);
 	} else {
-		/* What is neither answered nor refused is counted as failed. */
-		if (arrival->status == 503)
+		/* Requests neither answered nor rejected count as failed. */
+		if (delivery->status == 503)
 			emulation->result->rejected +=
 				!request->is_query_of_death;
 		g_free(request);
 	}
-	g_free(arrival);
+	g_free(delivery);
 }
 
 void handle_gate_answer(struct instance *instance, struct request *request,
 			const struct rr_gate_answer *answer)
 {
 	struct emulation *emulation = instance->emulation;
-	struct arrival *arrival = g_new0(struct arrival, 1);
+	struct delivery *delivery = g_new0(struct delivery, 1);
 	double shards = emulation->scenario->shards;
 
-	arrival->request = request;
-	arrival->share = 1;
-	arrival->status = answer->status;
-	arrival->retry_after_ms = answer->retry_after_ms;
+	delivery->request = request;
+	delivery->share = 1;
+	delivery->status = answer->status;
+	delivery->retry_after_ms = answer->retry_after_ms;
 	if (answer->kind == RR_GATE_MERGED_ANSWER)
-		arrival->share = 1 - (double)answer->missing / shards;
+		delivery->share = 1 - (double)answer->missing / shards;
 	push_event(emulation->events,
 		   emulation->now_us + ms_to_us(emulation->scenario->caller_ms),
-		   arrive_at_caller, arrival);
+		   handle_answer_arrival, delivery);
 }
 
-/* The next request of a kind, and the one after it. */
-struct stream {
+/* The requests of one route. */
+struct route_load {
 	struct emulation *emulation;
 	const struct emulated_route *route;
 };
@@ -203,33 +203,33 @@
 	return request;
 }
 
-static void begin_request(void *context, void *data)
+static void start_request(void *context, void *data)
 {
-	struct stream *stream = data;
-	struct emulation *emulation = stream->emulation;
-	const struct emulated_route *route = stream->route;
+	struct route_load *route_load = data;
+	struct emulation *emulation = route_load->emulation;
+	const struct emulated_route *route = route_load->route;
 	double gap_s = -log(1 - g_rand_double(emulation->arrivals_rand)) /
 		       route->per_s / emulation->load_factor;
 	struct request *request;
 
 	if (emulation->now_us >= emulation->end_us) {
-		g_free(stream);
+		g_free(route_load);
 		return;
 	}
 	push_event(emulation->events,
 		   emulation->now_us + (int64_t)(gap_s * US_PER_S),
-		   begin_request, stream);
+		   start_request, route_load);
 	request = new_request(emulation, route);
 	request->content_id = emulation->result->requests++;
 	send_request(request, 0);
 }
 
-void send_query_of_death(struct emulation *emulation, uint64_t asks)
+void send_query_of_death(struct emulation *emulation, uint64_t content_id)
 {
 	struct request *request =
 		new_request(emulation, &emulation->scenario->routes[0]);
 
-	request->content_id = asks;
+	request->content_id = content_id;
 	request->is_query_of_death = true;
 	send_request(request, 0);
 }
@@ -237,11 +237,11 @@
 void start_callers(struct emulation *emulation)
 {
 	for (uint32_t i = 0; i < emulation->scenario->n_routes; i++) {
-		struct stream *stream = g_new0(struct stream, 1);
+		struct route_load *route_load = g_new0(struct route_load, 1);
 
-		stream->emulation = emulation;
-		stream->route = &emulation->scenario->routes[i];
-		push_event(emulation->events, emulation->now_us, begin_request,
-			   stream);
+		route_load->emulation = emulation;
+		route_load->route = &emulation->scenario->routes[i];
+		push_event(emulation->events, emulation->now_us, start_request,
+			   route_load);
 	}
 }
--- a/bench/gate/emulated-crash.c
+++ b/bench/gate/emulated-crash.c
@@ -1,20 +1,20 @@
 /*
- * emulated-crash.c - crashes of replicas, queries of death, and the store
- * entries that instances share.
+ * emulated-crash.c - crashes of replicas, queries of death, and the store's
+ * quarantine entries.
  */
 #include "gate/emulator-private.h"
 
 /* Restart time of a crashed replica. */
 #define RESTART_US (3 * G_USEC_PER_SEC)
-/* Time from a write to the store until all instances have read it. */
-#define STORE_US (400 * 1000)
-/* Time after the third crash from which arrivals are counted. */
+/* Delay from a write to the store until all instances have read it. */
+#define STORE_DELAY_US (400 * 1000)
+/* Time after the third crash until arrivals are counted as late. */
 #define SETTLED_US (4 * G_USEC_PER_SEC)
 
-static void close_works(struct replica *replica)
+static void abort_attempts(struct replica *replica)
 {
 	struct emulation *emulation = replica->emulation;
-	GPtrArray *closed = g_ptr_array_new();
+	GPtrArray *aborted = g_ptr_array_new();
 
 	for (guint i = 0; i < emulation->instances->len; i++) {
 		struct instance *instance =
@@ -25,16 +25,16 @@
 		instance->idle_conns[replica->number] = 0;
 		g_hash_table_iter_init(&iter, instance->attempts);
 		while (g_hash_table_iter_next(&iter, NULL, &value)) {
-			struct emulated_attempt *work = value;
+			struct emulated_attempt *attempt = value;
 
-			if (work->replica == replica && work->accepted &&
-			    !work->done)
-				g_ptr_array_add(closed, work);
+			if (attempt->replica == replica && attempt->accepted &&
+			    !attempt->done)
+				g_ptr_array_add(aborted, attempt);
 		}
 	}
-	for (guint i = 0; i < closed->len; i++)
-		abort_attempt(g_ptr_array_index(closed, i));
-	g_ptr_array_unref(closed);
+	for (guint i = 0; i < aborted->len; i++)
+		abort_attempt(g_ptr_array_index(aborted, i));
+	g_ptr_array_unref(aborted);
 }
 
 void crash_replica(struct replica *replica)
@@ -43,7 +43,7 @@
 		return;
 	replica->is_down = true;
 	replica->emulation->result->crashes++;
-	close_works(replica);
+	abort_attempts(replica);
 }
 
 void restart_replica(struct replica *replica, int64_t after_us)
@@ -53,14 +53,14 @@
 	announce_restart_later(replica);
 }
 
-static void restart(void *context, void *data)
+static void handle_restart(void *context, void *data)
 {
 	restart_replica(data, RESTART_US);
 }
 
-void crash_on_query_of_death(struct emulated_attempt *work)
+void crash_on_query_of_death(struct emulated_attempt *attempt)
 {
-	struct replica *replica = work->replica;
+	struct replica *replica = attempt->replica;
 	struct emulation *emulation = replica->emulation;
 
 	if (replica->is_down)
@@ -68,27 +68,27 @@
 	crash_replica(replica);
 	if (++emulation->query_of_death_crashes == 3)
 		emulation->third_crash_us = emulation->now_us;
-	push_event(emulation->events, emulation->now_us + RESTART_US, restart,
-		   replica);
+	push_event(emulation->events, emulation->now_us + RESTART_US,
+		   handle_restart, replica);
 }
 
-void count_late_query_of_death(const struct emulated_attempt *work)
+void count_late_query_of_death(const struct emulated_attempt *attempt)
 {
-	struct emulation *emulation = work->emulation;
+	struct emulation *emulation = attempt->emulation;
 
 	if (!emulation->third_crash_us ||
 	    emulation->now_us < emulation->third_crash_us + SETTLED_US)
 		return;
 	if (g_hash_table_add(emulation->late_numbers,
-			     g_memdup2(&work->request_number,
-				       sizeof(work->request_number))))
+			     g_memdup2(&attempt->request_number,
+				       sizeof(attempt->request_number))))
 		emulation->result->late_queries_of_death++;
 }
 
-/* Requests that were sent before an evacuation have arrived after this. */
+/* Requests sent before an evacuation have arrived after this time. */
 #define IN_TRANSIT_US (50 * 1000)
 
-static uint32_t count_last_second(const struct replica *replica)
+static uint32_t count_recent_arrivals(const struct replica *replica)
 {
 	int64_t now_us = replica->emulation->now_us;
 	uint32_t n = 0;
@@ -103,9 +103,9 @@
 	return n;
 }
 
-void count_limit_violations(const struct emulated_attempt *work)
+void count_limit_violations(const struct emulated_attempt *attempt)
 {
-	struct replica *replica = work->replica;
+	struct replica *replica = attempt->replica;
 	struct emulation *emulation = replica->emulation;
 
 	if ((int)replica->zone == emulation->evacuated_zone &&
@@ -115,47 +115,47 @@
 	if (emulation->now_us >= replica->cold_until_us)
 		return;
 	g_array_append_val(replica->arrivals_us, emulation->now_us);
-	if (count_last_second(replica) > max_cold_per_s(emulation))
+	if (count_recent_arrivals(replica) > max_cold_per_s(emulation))
 		emulation->result->cold_excess++;
 }
 
 /* An update in transit to all instances. */
-struct news {
+struct store_update {
 	struct emulation *emulation;
 	struct rr_quarantine_entry *entry; /* NULL if removed */
 	struct rr_fingerprint fingerprint;
 };
 
-static void deliver(void *context, void *data)
+static void deliver_update(void *context, void *data)
 {
-	struct news *news = data;
-	struct emulation *emulation = news->emulation;
+	struct store_update *store_update = data;
+	struct emulation *emulation = store_update->emulation;
 
 	for (guint i = 0; i < emulation->instances->len; i++) {
 		struct instance *instance =
 			g_ptr_array_index(emulation->instances, i);
 
-		rr_gate_apply_quarantine(instance->ctx, instance->gate,
-					 emulation->now_us, &news->fingerprint,
-					 news->entry);
+		rr_gate_apply_quarantine(
+			instance->ctx, instance->gate, emulation->now_us,
+			&store_update->fingerprint, store_update->entry);
 		schedule_tick(instance);
 	}
-	rr_free_quarantine_entry(news->entry);
-	g_free(news);
+	rr_free_quarantine_entry(store_update->entry);
+	g_free(store_update);
 }
 
-/* Emulates compare-and-swap: entries with nothing new are not written. */
-static bool is_known(const struct emulation *emulation,
-		     const struct rr_quarantine_entry *entry)
+/* Emulate compare-and-swap: entries with nothing new are not written. */
+static bool is_up_to_date(const struct emulation *emulation,
+			  const struct rr_quarantine_entry *entry)
 {
-	const struct rr_quarantine_entry *known = g_hash_table_lookup(
+	const struct rr_quarantine_entry *stored = g_hash_table_lookup(
 		emulation->quarantine_entries, &entry->fingerprint.low);
 
-	return known && known->quarantined >= entry->quarantined &&
-	       g_strv_length(known->crashed) >= g_strv_length(entry->crashed);
+	return stored && stored->quarantined >= entry->quarantined &&
+	       g_strv_length(stored->crashed) >= g_strv_length(entry->crashed);
 }
 
-static void write_entry(struct emulation *emulation,
+static void store_entry(struct emulation *emulation,
 			const struct rr_quarantine_entry *entry)
 {
 	struct rr_quarantine_entry *copy = rr_copy_quarantine_entry(entry);
@@ -174,23 +174,23 @@
 {
 	const struct instance *instance = data;
 	struct emulation *emulation = instance->emulation;
-	struct news *news;
+	struct store_update *store_update;
 
 	emulation->result->quarantine_reports++;
-	/* Runs are shorter than the wait for a trial. */
+	/* Claims for trials are ignored: runs are shorter than the wait for one. */
 	if (report->claim ||
-	    (!report->released && is_known(emulation, report->entry)))
+	    (!report->released && is_up_to_date(emulation, report->entry)))
 		return;
-	news = g_new0(struct news, 1);
-	news->emulation = emulation;
-	news->fingerprint = report->entry->fingerprint;
+	store_update = g_new0(struct store_update, 1);
+	store_update->emulation = emulation;
+	store_update->fingerprint = report->entry->fingerprint;
 	if (report->released) {
 		g_hash_table_remove(emulation->quarantine_entries,
-				    &news->fingerprint.low);
+				    &store_update->fingerprint.low);
 	} else {
-		news->entry = rr_copy_quarantine_entry(report->entry);
-		write_entry(emulation, report->entry);
+		store_update->entry = rr_copy_quarantine_entry(report->entry);
+		store_entry(emulation, report->entry);
 	}
-	push_event(emulation->events, emulation->now_us + STORE_US, deliver,
-		   news);
+	push_event(emulation->events, emulation->now_us + STORE_DELAY_US,
+		   deliver_update, store_update);
 }
--- a/bench/gate/emulated-fault.c
+++ b/bench/gate/emulated-fault.c
@@ -1,43 +1,43 @@
 /*
- * emulated-fault.c - what goes wrong, and when it is well again.
+ * emulated-fault.c - start and end of a scenario's faults.
  */
 #include "gate/emulator-private.h"
 
-/* A new lifetime's entry comes to the instances within this time. */
-#define NEWS_US (400 * 1000)
+/* Delay until a new incarnation's entry reaches the instances. */
+#define ANNOUNCE_DELAY_US (400 * 1000)
 
-struct trouble {
+struct active_fault {
 	struct emulation *emulation;
 	const struct emulated_fault *fault;
-	GPtrArray *hit; /* struct replica */
+	GPtrArray *targets; /* struct replica; those it applies to */
 };
 
-static void set_on_replica(struct replica *replica,
-			   const struct emulated_fault *fault, bool on)
+static void set_replica_fault(struct replica *replica,
+			      const struct emulated_fault *fault, bool active)
 {
 	switch (fault->kind) {
 	case FAULT_SLOW:
-		replica->slowdown_factor = on ? fault->x : 1;
+		replica->slowdown_factor = active ? fault->x : 1;
 		return;
 	case FAULT_UNRESPONSIVE:
-		replica->unresponsive = on;
+		replica->unresponsive = active;
 		return;
 	case FAULT_DOWN:
 	case FAULT_RESTART:
-		replica->is_down = on;
+		replica->is_down = active;
 		return;
 	case FAULT_CRASH:
-		if (on)
+		if (active)
 			crash_replica(replica);
 		else
 			restart_replica(replica,
 					(int64_t)(fault->for_s * US_PER_S));
 		return;
 	case FAULT_SHED:
-		replica->shed_share = on ? fault->x : 0;
+		replica->shed_share = active ? fault->x : 0;
 		return;
 	case FAULT_ERRORS:
-		replica->error_share = on ? fault->x : 0;
+		replica->error_share = active ? fault->x : 0;
 		return;
 	case FAULT_ZONE_ISOLATED:
 	case FAULT_BURST:
@@ -48,12 +48,15 @@
 	}
 }
 
-static void tell_rebirth(void *context, void *data)
+static void announce_restart(void *context, void *data)
 {
 	struct replica *replica = data;
 	struct emulation *emulation = replica->emulation;
 
-	/* Its id is that of the lifetime before: it is known only from here. */
+	/*
+	 * The new incarnation keeps the id, so instances can't recognise it
+	 * before this announcement: the cold period starts here.
+	 */
 	if (emulation->scenario->cold_per_s > 0)
 		replica->cold_until_us = emulation->now_us + COLD_PERIOD_US;
 	for (guint i = 0; i < emulation->instances->len; i++)
@@ -64,16 +67,17 @@
 void announce_restart_later(struct replica *replica)
 {
 	push_event(replica->emulation->events,
-		   replica->emulation->now_us + NEWS_US, tell_rebirth, replica);
+		   replica->emulation->now_us + ANNOUNCE_DELAY_US,
+		   announce_restart, replica);
 }
 
-static void set_evacuated(struct emulation *emulation, uint32_t zone,
-			  bool in_force)
+static void set_evacuation(struct emulation *emulation, uint32_t zone,
+			   bool active)
 {
 	char name[16];
 
 	g_snprintf(name, sizeof(name), "z%u", zone);
-	emulation->evacuated_zone = in_force ? (int)zone : -1;
+	emulation->evacuated_zone = active ? (int)zone : -1;
 	emulation->evacuation_changed_us = emulation->now_us;
 	for (guint i = 0; i < emulation->instances->len; i++) {
 		struct instance *instance =
@@ -81,116 +85,123 @@
 
 		rr_gate_set_evacuation(instance->ctx, instance->gate,
 				       emulation->now_us, name,
-				       (uint64_t)emulation->now_us, in_force);
+				       (uint64_t)emulation->now_us, active);
 		schedule_tick(instance);
 	}
 }
 
-static void end_trouble(void *context, void *data)
+static void end_fault(void *context, void *data)
 {
-	struct trouble *trouble = data;
-	struct emulation *emulation = trouble->emulation;
+	struct active_fault *active_fault = data;
+	struct emulation *emulation = active_fault->emulation;
 
-	if (trouble->fault->kind == FAULT_ZONE_ISOLATED)
+	if (active_fault->fault->kind == FAULT_ZONE_ISOLATED)
 		emulation->isolated_zone = -1;
-	if (trouble->fault->kind == FAULT_BURST)
+	if (active_fault->fault->kind == FAULT_BURST)
 		emulation->load_factor = 1;
-	if (trouble->fault->kind == FAULT_EVACUATE)
-		set_evacuated(emulation, (uint32_t)trouble->fault->x, false);
-	for (guint i = 0; i < trouble->hit->len; i++) {
-		struct replica *replica = g_ptr_array_index(trouble->hit, i);
+	if (active_fault->fault->kind == FAULT_EVACUATE)
+		set_evacuation(emulation, (uint32_t)active_fault->fault->x,
+			       false);
+	for (guint i = 0; i < active_fault->targets->len; i++) {
+		struct replica *replica =
+			g_ptr_array_index(active_fault->targets, i);
 
-		set_on_replica(replica, trouble->fault, false);
-		if (trouble->fault->kind != FAULT_RESTART)
+		set_replica_fault(replica, active_fault->fault, false);
+		if (active_fault->fault->kind != FAULT_RESTART)
 			continue;
 		replica->started_ms +=
-			1 + (int64_t)(trouble->fault->for_s * 1000);
+			1 + (int64_t)(active_fault->fault->for_s * 1000);
 		announce_restart_later(replica);
 	}
-	g_ptr_array_unref(trouble->hit);
-	g_free(trouble);
+	g_ptr_array_unref(active_fault->targets);
+	g_free(active_fault);
 }
 
-struct visits {
+struct query_of_death_source {
 	struct emulation *emulation;
 	const struct emulated_fault *fault;
 	int64_t end_us;
 };
 
-static void visit(void *context, void *data)
+static void send_next_query_of_death(void *context, void *data)
 {
-	struct visits *visits = data;
-	struct emulation *emulation = visits->emulation;
+	struct query_of_death_source *source = data;
+	struct emulation *emulation = source->emulation;
 	const struct emulated_fault *faults = emulation->scenario->faults;
 
-	if (emulation->now_us >= visits->end_us) {
-		g_free(visits);
+	if (emulation->now_us >= source->end_us) {
+		g_free(source);
 		return;
 	}
-	send_query_of_death(emulation, (uint64_t)(visits->fault - faults));
+	send_query_of_death(emulation, (uint64_t)(source->fault - faults));
 	push_event(emulation->events,
-		   emulation->now_us + (int64_t)(visits->fault->x * US_PER_S),
-		   visit, visits);
+		   emulation->now_us + (int64_t)(source->fault->x * US_PER_S),
+		   send_next_query_of_death, source);
 }
 
-static void begin_visits(struct emulation *emulation,
-			 const struct emulated_fault *fault)
+static void start_queries_of_death(struct emulation *emulation,
+				   const struct emulated_fault *fault)
 {
-	struct visits *visits = g_new0(struct visits, 1);
-
-	visits->emulation = emulation;
-	visits->fault = fault;
-	visits->end_us = emulation->now_us + (int64_t)(fault->for_s * US_PER_S);
-	push_event(emulation->events, emulation->now_us, visit, visits);
+	struct query_of_death_source *source =
+		g_new0(struct query_of_death_source, 1);
+
+	source->emulation = emulation;
+	source->fault = fault;
+	source->end_us = emulation->now_us + (int64_t)(fault->for_s * US_PER_S);
+	push_event(emulation->events, emulation->now_us,
+		   send_next_query_of_death, source);
 }
 
-static bool is_meant(const struct emulated_fault *fault,
-		     const struct replica *replica, struct emulation *emulation)
+static bool is_target(const struct emulated_fault *fault,
+		      const struct replica *replica,
+		      struct emulation *emulation)
 {
 	if (fault->shard >= 0 && replica->shard != (uint32_t)fault->shard)
 		return false;
 	return g_rand_double(emulation->layout_rand) < fault->share;
 }
 
-static void begin_trouble(void *context, void *data)
+static void begin_fault(void *context, void *data)
 {
-	struct trouble *trouble = data;
-	struct emulation *emulation = trouble->emulation;
-	const struct emulated_fault *fault = trouble->fault;
+	struct active_fault *active_fault = data;
+	struct emulation *emulation = active_fault->emulation;
+	const struct emulated_fault *fault = active_fault->fault;
 
 	if (fault->kind == FAULT_ZONE_ISOLATED)
 		emulation->isolated_zone = (int)fault->x;
 	if (fault->kind == FAULT_BURST)
 		emulation->load_factor = MAX(fault->x, 0.01);
 	if (fault->kind == FAULT_EVACUATE)
-		set_evacuated(emulation, (uint32_t)fault->x, true);
+		set_evacuation(emulation, (uint32_t)fault->x, true);
 	if (fault->kind == FAULT_QUERY_OF_DEATH)
-		begin_visits(emulation, fault);
+		start_queries_of_death(emulation, fault);
 	for (guint i = 0; i < emulation->replicas->len; i++) {
 		struct replica *replica =
 			g_ptr_array_index(emulation->replicas, i);
 
-		if (!is_meant(fault, replica, emulation))
+		if (!is_target(fault, replica, emulation))
 			continue;
-		set_on_replica(replica, fault, true);
-		g_ptr_array_add(trouble->hit, replica);
+		set_replica_fault(replica, fault, true);
+		g_ptr_array_add(active_fault->targets, replica);
 	}
 	push_event(emulation->events,
 		   emulation->now_us + (int64_t)(fault->for_s * US_PER_S),
-		   end_trouble, trouble);
+		   end_fault, active_fault);
 }
 
 void schedule_faults(struct emulation *emulation)
 {
 	for (uint32_t i = 0; i < emulation->scenario->n_faults; i++) {
-		struct trouble *trouble = g_new0(struct trouble, 1);
-
-		trouble->emulation = emulation;
-		trouble->fault = &emulation->scenario->faults[i];
-		trouble->hit = g_ptr_array_new();
-		push_event(emulation->events,
-			   emulation->now_us +
-				   (int64_t)(trouble->fault->at_s * US_PER_S),
-			   begin_trouble, trouble);
+		struct active_fault *active_fault =
+			g_new0(struct active_fault, 1);
+
+		active_fault->emulation = emulation;
+		active_fault->fault = &emulation->scenario->faults[i];
+		active_fault->targets = g_ptr_array_new();
+		push_event(
+			emulation->events,
+			emulation->now_us +
+				(int64_t)(active_fault->fault->at_s * US_PER_S),
+			begin_fault, active_fault);
 	}
 }
--- a/bench/gate/emulator-private.h
+++ b/bench/gate/emulator-private.h
@@ -1,5 +1,5 @@
 /*
- * emulator-private.h - the emulated emulation, and what its parts share.
+ * emulator-private.h - data and functions shared by the emulator's files.
  */
 #ifndef BENCH_GATE_EMULATOR_PRIVATE_H
 #define BENCH_GATE_EMULATOR_PRIVATE_H
@@ -10,7 +10,7 @@
 
 #define US_PER_MS 1000.0
 #define US_PER_S 1000000.0
-/* How long a replica is cold after a restart. */
+/* Time for which a replica is cold after a restart. */
 #define COLD_PERIOD_US INT64_C(3000000)
 
 struct emulation;
@@ -24,7 +24,7 @@
 	char *id;
 	int64_t started_ms;
 	int64_t cold_until_us;
-	GArray *arrivals_us; /* int64_t, while it is cold */
+	GArray *arrivals_us; /* int64_t; arrivals while it is cold */
 	double service_time_factor;
 	int64_t pause_offset_us;
 	double slowdown_factor;
@@ -34,22 +34,22 @@
 	double error_share;
 	uint32_t busy_slots;
 	GQueue queue;	      /* struct emulated_attempt */
-	int64_t slot_used_us; /* of its slots */
+	int64_t slot_used_us; /* total of all slots */
 };
 
-/* An attempt, from its sending to its reply. */
+/* An attempt, from sending to reply. */
 struct emulated_attempt {
 	struct emulation *emulation;
 	uint64_t attempt_id;
-	uint64_t request_number; /* number of its caller's attempt */
+	uint64_t request_number; /* `number` of its request */
 	uint32_t instance_number;
 	struct replica *replica;
 	double work_us;
 	bool is_query_of_death;
-	bool accepted; /* by its replica */
+	bool accepted; /* queued by its replica */
 	bool running;
 	bool cancelled;
-	bool done; /* its reply is on the way, or lost */
+	bool done; /* its reply was sent or lost */
 	int refs;
 };
 
@@ -59,26 +59,26 @@
 	uint32_t zone;
 	struct rr_context *ctx;
 	struct rr_gate *gate;
-	GHashTable *open_requests; /* gate's id -> struct request */
-	GHashTable *attempts;	   /* attempt -> struct emulated_attempt */
-	struct request *submitting;
-	uint32_t *idle_conns; /* connections at rest, by replica */
-	int64_t next_tick_us; /* of the next tick that is set */
-	int64_t unready_since_us;
+	GHashTable *open_requests;  /* the gate's id to struct request */
+	GHashTable *attempts;	    /* id to struct emulated_attempt */
+	struct request *submitting; /* NULL if none, or already answered */
+	uint32_t *idle_conns;	    /* idle connections, by replica number */
+	int64_t next_tick_us; /* time of the scheduled tick; INT64_MAX: none */
+	int64_t unready_since_us; /* 0: ready */
 };
 
 struct request {
 	struct emulation *emulation;
 	const struct emulated_route *route;
-	uint64_t number;     /* of this attempt of its caller */
-	uint64_t content_id; /* content, the same in each attempt */
+	uint64_t number;     /* unique for each try of the caller */
+	uint64_t content_id; /* identifies the content; same in each try */
 	bool is_query_of_death;
 	uint32_t zone;
 	uint32_t n_tries;
 	uint32_t instance_number;
 	int64_t started_us;
-	int64_t deadline_us; /* then its caller gives up */
-	bool new_connection; /* its connection */
+	int64_t deadline_us; /* its caller times out */
+	bool new_connection; /* sent on a new connection */
 };
 
 struct emulation {
@@ -89,74 +89,75 @@
 	int64_t now_us;
 	int64_t end_us;
 	GRand *rand;
-	/* Of their own, so that they are the same ones by any policy. */
+	/* Separate generators, so that the draws are the same with any policy. */
 	GRand *arrivals_rand;
-	GRand *layout_rand;   /* speeds, pauses, and whom a trouble hits */
+	GRand *layout_rand;   /* service times, pauses, targets of faults */
 	GPtrArray *replicas;  /* struct replica */
 	GPtrArray *instances; /* struct instance */
 	int isolated_zone;    /* -1: none */
 	double load_factor;
-	int evacuated_zone; /* or -1 */
+	int evacuated_zone; /* -1: none */
 	int64_t evacuation_changed_us;
-	uint64_t last_request_number; /* of requests */
+	uint64_t last_request_number;
 	uint64_t query_of_death_crashes;
-	int64_t third_crash_us;	  /* when the third of these was; 0: not yet */
-	GHashTable *late_numbers; /* numbers counted in deadly_late */
+	int64_t third_crash_us;	  /* time of the third of these; 0: not yet */
+	GHashTable *late_numbers; /* counted in late_queries_of_death */
 	GHashTable *
-		quarantine_entries; /* low half of a fingerprint -> the store's entry */
+		quarantine_entries; /* low half of a fingerprint to the store's entry */
 };
 
 /* emulator.c */
 int64_t ms_to_us(double ms);
 double draw_uniform(struct emulation *emulation);
-/* Bound on requests to a cold replica in any second, or 0. */
+/* Maximum number of requests to a cold replica in any second; 0: no limit. */
 double max_cold_per_s(const struct emulation *emulation);
-/* One way; -1 where nothing passes. */
+/* One-way delay between zones; -1 if they can't reach each other. */
 int64_t one_way_delay_us(const struct emulation *emulation, uint32_t from,
 			 uint32_t to);
 void schedule_tick(struct instance *instance);
-void reply_to_gate(struct emulated_attempt *work, enum rr_gate_outcome outcome,
-		   uint16_t status, bool unreachable);
+void reply_to_gate(struct emulated_attempt *attempt,
+		   enum rr_gate_outcome outcome, uint16_t status,
+		   bool unreachable);
 
 /* emulated-replica.c */
 void start_replicas(struct emulation *emulation);
 void drop_replica(gpointer replica);
-/* An attempt arrives. */
-void handle_attempt_arrival(void *context, void *work);
-/* Its connection has closed. */
-void handle_attempt_cancel(void *context, void *work);
-void keep_attempt(struct emulated_attempt *work);
-void drop_attempt(struct emulated_attempt *work);
+/* An attempt arrives at its replica. */
+void handle_attempt_arrival(void *context, void *attempt);
+/* An attempt's cancellation arrives at its replica. */
+void handle_attempt_cancel(void *context, void *attempt);
+void keep_attempt(struct emulated_attempt *attempt);
+void drop_attempt(struct emulated_attempt *attempt);
 void announce_replica(struct instance *instance, const struct replica *replica,
 		      bool draining);
 
-/* Its connection closes: it has no answer, and never will. */
-void abort_attempt(struct emulated_attempt *work);
+/* Close an attempt's connection without a reply. */
+void abort_attempt(struct emulated_attempt *attempt);
 
 /* emulated-crash.c */
-/* Its connections close, and new ones are refused. */
+/* Close a replica's connections and refuse new ones. */
 void crash_replica(struct replica *replica);
-/* Start a new lifetime after so much downtime. */
+/* Start a new incarnation after this downtime. */
 void restart_replica(struct replica *replica, int64_t after_us);
-/* A query of death crashes its replica. */
-void crash_on_query_of_death(struct emulated_attempt *work);
-void count_late_query_of_death(const struct emulated_attempt *work);
-/* Count a request against the bounds of evacuated zones and cold replicas. */
-void count_limit_violations(const struct emulated_attempt *work);
+/* Crash the replica of a query of death and schedule its restart. */
+void crash_on_query_of_death(struct emulated_attempt *attempt);
+void count_late_query_of_death(const struct emulated_attempt *attempt);
+/* Count arrivals in evacuated zones and above the limit of cold replicas. */
+void count_limit_violations(const struct emulated_attempt *attempt);
 void free_quarantine_entry(gpointer entry);
 void write_quarantine_report(void *instance,
 			     const struct rr_quarantine_report *report);
 
 /* emulated-caller.c */
 void start_callers(struct emulation *emulation);
-/* Send a query of death with this content. */
-void send_query_of_death(struct emulation *emulation, uint64_t asks);
+/* Send a query of death with this content on the first route. */
+void send_query_of_death(struct emulation *emulation, uint64_t content_id);
 void handle_gate_answer(struct instance *instance, struct request *request,
 			const struct rr_gate_answer *answer);
 
 /* emulated-fault.c */
 void schedule_faults(struct emulation *emulation);
-/* Announce its new lifetime to all instances. */
+/* Announce a replica's new incarnation to all instances, with a delay. */
 void announce_restart_later(struct replica *replica);
 
 #endif
--- a/bench/gate/emulator.c
+++ b/bench/gate/emulator.c
@@ -1,20 +1,20 @@
 /*
- * emulator.c - the gates' actions, ways and clock of the emulated emulation.
+ * emulator.c - virtual clock, network delays and gate actions of the emulation.
  */
 #include "gate/emulator-private.h"
 
 #include <math.h>
 
-/* A connection that does not come about is given up after this. */
+/* Time after which a connection attempt without a reply fails. */
 #define CONNECT_TIMEOUT_US (400 * 1000)
-/* One way within a zone. */
-#define NEAR_US 100
-/* Virtual time begins here: 0 means "never" to the gate. */
-#define BEGIN_US (INT64_C(1000) * 1000 * 1000)
+/* One-way delay within a zone. */
+#define SAME_ZONE_DELAY_US 100
+/* Start of virtual time; not 0, which means "never" to the gate. */
+#define START_US (INT64_C(1000) * 1000 * 1000)
 #define COLD_OVERAGE 1.5
 #define COLD_SLACK 5
-/* What is still open at the end is let run out for so long. */
-#define RUN_OUT_US (6 * G_USEC_PER_SEC)
+/* Time after the end of the load for open requests to finish. */
+#define DRAIN_US (6 * G_USEC_PER_SEC)
 
 int64_t ms_to_us(double ms)
 {
@@ -30,7 +30,7 @@
 			 uint32_t to)
 {
 	if (from == to)
-		return NEAR_US;
+		return SAME_ZONE_DELAY_US;
 	if ((int)from == emulation->isolated_zone ||
 	    (int)to == emulation->isolated_zone)
 		return -1;
@@ -46,12 +46,12 @@
 
 /* The gate's clock. */
 
-static void tick(void *context, void *data)
+static void tick(void *context_options, void *data)
 {
 	struct instance *instance = data;
 	int64_t now_us = instance->emulation->now_us;
 
-	/* One set for later: an earlier tick has come since. */
+	/* Superseded by a tick that was scheduled for an earlier time. */
 	if (instance->next_tick_us != now_us)
 		return;
 	instance->next_tick_us = INT64_MAX;
@@ -81,10 +81,10 @@
 
 /* The gate's actions. */
 
-static struct replica *replica_of(struct emulation *emulation,
-				  const char *lifetime)
+static struct replica *find_replica(struct emulation *emulation,
+				    const char *incarnation)
 {
-	guint64 number = g_ascii_strtoull(lifetime + 1, NULL, 10);
+	guint64 number = g_ascii_strtoull(incarnation + 1, NULL, 10);
 
 	return g_ptr_array_index(emulation->replicas, number);
 }
@@ -97,29 +97,34 @@
 	return mean_us * (0.5 - 0.5 * log(1 - draw_uniform(emulation)));
 }
 
-static void give_up_connecting(void *context, void *data)
+static void handle_connect_timeout(void *context_options, void *data)
 {
-	struct emulated_attempt *work = data;
+	struct emulated_attempt *attempt = data;
 
-	reply_to_gate(work, RR_GATE_UNSENT, 0, true);
-	drop_attempt(work);
+	reply_to_gate(attempt, RR_GATE_UNSENT, 0, true);
+	drop_attempt(attempt);
 }
 
-/* How long until the request is at the replica; -1: it never is. */
-static int64_t time_to(struct instance *instance, struct replica *replica)
+/*
+ * The time until a request arrives at its replica; -1 if connecting times out,
+ * INT64_MAX if it is lost on an open connection.
+ */
+static int64_t time_to_arrival_us(struct instance *instance,
+				  struct replica *replica)
 {
 	struct emulation *emulation = instance->emulation;
-	int64_t way =
+	int64_t delay_us =
 		one_way_delay_us(emulation, instance->zone, replica->zone);
-	uint32_t *idle = &instance->idle_conns[replica->number];
+	uint32_t *n_idle = &instance->idle_conns[replica->number];
 
-	if (*idle && !replica->is_down) {
-		--*idle;
-		return way < 0 || replica->unresponsive ? INT64_MAX : way;
+	if (*n_idle && !replica->is_down) {
+		--*n_idle;
+		return delay_us < 0 || replica->unresponsive ? INT64_MAX :
+							       delay_us;
 	}
-	if (way < 0 || replica->unresponsive)
+	if (delay_us < 0 || replica->unresponsive)
 		return -1;
-	return 3 * way + ms_to_us(emulation->scenario->connect_ms);
+	return 3 * delay_us + ms_to_us(emulation->scenario->connect_ms);
 }
 
 static struct request *find_request(struct instance *instance, uint64_t id)
@@ -135,59 +140,60 @@
 	struct instance *instance = data;
 	struct emulation *emulation = instance->emulation;
 	struct request *request = find_request(instance, send->request);
-	struct emulated_attempt *work = g_new0(struct emulated_attempt, 1);
-	int64_t after_us;
-
-	work->emulation = emulation;
-	work->attempt_id = send->attempt;
-	work->instance_number = instance->number;
-	work->replica = replica_of(emulation, send->incarnation);
-	work->request_number = request->number;
-	work->is_query_of_death = request->is_query_of_death;
-	work->work_us = draw_work_us(emulation, request->route);
-	work->refs = 1;
-	g_hash_table_insert(instance->attempts, &work->attempt_id, work);
+	struct emulated_attempt *attempt = g_new0(struct emulated_attempt, 1);
+	int64_t delay_us;
+
+	attempt->emulation = emulation;
+	attempt->attempt_id = send->attempt;
+	attempt->instance_number = instance->number;
+	attempt->replica = find_replica(emulation, send->incarnation);
+	attempt->request_number = request->number;
+	attempt->is_query_of_death = request->is_query_of_death;
+	attempt->work_us = draw_work_us(emulation, request->route);
+	attempt->refs = 1;
+	g_hash_table_insert(instance->attempts, &attempt->attempt_id, attempt);
 	emulation->result->attempts++;
-	after_us = time_to(instance, work->replica);
-	if (after_us == INT64_MAX)
+	delay_us = time_to_arrival_us(instance, attempt->replica);
+	if (delay_us == INT64_MAX)
 		return;
-	keep_attempt(work);
-	if (after_us < 0)
+	keep_attempt(attempt);
+	if (delay_us < 0)
 		push_event(emulation->events,
 			   emulation->now_us + CONNECT_TIMEOUT_US,
-			   give_up_connecting, work);
+			   handle_connect_timeout, attempt);
 	else
-		push_event(emulation->events, emulation->now_us + after_us,
-			   handle_attempt_arrival, work);
+		push_event(emulation->events, emulation->now_us + delay_us,
+			   handle_attempt_arrival, attempt);
 }
 
-static void withdraw(void *data, uint64_t attempt)
+static void cancel_attempt(void *data, uint64_t attempt_id)
 {
 	struct instance *instance = data;
 	struct emulation *emulation = instance->emulation;
-	struct emulated_attempt *work =
-		g_hash_table_lookup(instance->attempts, &attempt);
-	int64_t way;
+	struct emulated_attempt *attempt =
+		g_hash_table_lookup(instance->attempts, &attempt_id);
+	int64_t delay_us;
 
-	if (!work)
+	if (!attempt)
 		return;
-	work->cancelled = true;
-	way = one_way_delay_us(emulation, instance->zone, work->replica->zone);
-	g_hash_table_remove(instance->attempts, &attempt);
-	if (way < 0) {
-		drop_attempt(work);
+	attempt->cancelled = true;
+	delay_us = one_way_delay_us(emulation, instance->zone,
+				    attempt->replica->zone);
+	g_hash_table_remove(instance->attempts, &attempt_id);
+	if (delay_us < 0) {
+		drop_attempt(attempt);
 		return;
 	}
-	push_event(emulation->events, emulation->now_us + way,
-		   handle_attempt_cancel, work);
+	push_event(emulation->events, emulation->now_us + delay_us,
+		   handle_attempt_cancel, attempt);
 }
 
-static bool recall(void *data, uint64_t attempt)
+static bool cancel_unsent(void *data, uint64_t attempt_id)
 {
 	return false;
 }
 
-static void give_answer(void *data, const struct rr_gate_answer *answer)
+static void handle_answer(void *data, const struct rr_gate_answer *answer)
 {
 	struct instance *instance = data;
 	struct request *request = find_request(instance, answer->request);
@@ -198,72 +204,73 @@
 	handle_gate_answer(instance, request, answer);
 }
 
-static void open_connection(void *data, const char *lifetime,
-			    const char *address)
+static void preconnect(void *data, const char *incarnation, const char *address)
 {
 	struct instance *instance = data;
 	const struct replica *replica =
-		replica_of(instance->emulation, lifetime);
+		find_replica(instance->emulation, incarnation);
 
 	instance->idle_conns[replica->number] = 1;
 }
 
 struct probe {
 	struct instance *instance;
-	char *lifetime;
-	bool reached;
+	char *incarnation;
+	bool reachable;
 };
 
-static void end_probe(void *context, void *data)
+static void end_probe(void *context_options, void *data)
 {
 	struct probe *probe = data;
 	struct instance *instance = probe->instance;
 
 	rr_gate_handle_probe_result(instance->ctx, instance->gate,
 				    instance->emulation->now_us,
-				    probe->lifetime, probe->reached);
+				    probe->incarnation, probe->reachable);
 	schedule_tick(instance);
-	g_free(probe->lifetime);
+	g_free(probe->incarnation);
 	g_free(probe);
 }
 
-static void send_probe(void *data, const char *lifetime, const char *address)
+static void send_probe(void *data, const char *incarnation, const char *address)
 {
 	struct instance *instance = data;
 	struct emulation *emulation = instance->emulation;
-	const struct replica *replica = replica_of(emulation, lifetime);
-	int64_t way =
+	const struct replica *replica = find_replica(emulation, incarnation);
+	int64_t delay_us =
 		one_way_delay_us(emulation, instance->zone, replica->zone);
 	struct probe *probe = g_new0(struct probe, 1);
 
 	probe->instance = instance;
-	probe->lifetime = g_strdup(lifetime);
-	probe->reached =
-		way >= 0 && !replica->unresponsive && !replica->is_down;
+	probe->incarnation = g_strdup(incarnation);
+	probe->reachable =
+		delay_us >= 0 && !replica->unresponsive && !replica->is_down;
 	push_event(emulation->events,
-		   emulation->now_us + (probe->reached || replica->is_down ?
-						2 * MAX(way, NEAR_US) :
-						CONNECT_TIMEOUT_US),
+		   emulation->now_us +
+			   (probe->reachable || replica->is_down ?
+				    2 * MAX(delay_us, SAME_ZONE_DELAY_US) :
+				    CONNECT_TIMEOUT_US),
 		   end_probe, probe);
 }
 
-static void forget(void *data, const char *lifetime)
+static void close_idle(void *data, const char *incarnation)
 {
 	struct instance *instance = data;
 
-	instance->idle_conns[replica_of(instance->emulation, lifetime)
+	instance->idle_conns[find_replica(instance->emulation, incarnation)
 				     ->number] = 0;
 }
 
-void reply_to_gate(struct emulated_attempt *work, enum rr_gate_outcome outcome,
-		   uint16_t status, bool unreachable)
+void reply_to_gate(struct emulated_attempt *attempt,
+		   enum rr_gate_outcome outcome, uint16_t status,
+		   bool unreachable)
 {
-	struct emulation *emulation = work->emulation;
-	struct instance *instance =
-		g_ptr_array_index(emulation->instances, work->instance_number);
+	struct emulation *emulation = attempt->emulation;
+	struct instance *instance = g_ptr_array_index(emulation->instances,
+						      attempt->instance_number);
 	static const uint8_t record[16] = { 'r' };
 	struct rr_gate_reply reply = {
-		.attempt = work->attempt_id,
+		.attempt = attempt->attempt_id,
 		.outcome = outcome,
 		.status = status,
 		.signature = "seal",
@@ -273,20 +280,20 @@
 		.connection_closed = outcome == RR_GATE_BROKEN,
 	};
 
-	if (work->cancelled)
+	if (attempt->cancelled)
 		return;
 	if (outcome == RR_GATE_ANSWERED || outcome == RR_GATE_REJECTED)
-		instance->idle_conns[work->replica->number]++;
-	g_hash_table_remove(instance->attempts, &work->attempt_id);
+		instance->idle_conns[attempt->replica->number]++;
+	g_hash_table_remove(instance->attempts, &attempt->attempt_id);
 	rr_gate_reply(instance->ctx, instance->gate, emulation->now_us, &reply);
 	schedule_tick(instance);
-	drop_attempt(work);
+	drop_attempt(attempt);
 }
 
-/* Making the emulation. */
+/* Setup. */
 
-static struct rr_route *make_route(const struct emulation *emulation,
-				   const struct emulated_route *from)
+static struct rr_route *new_route(const struct emulation *emulation,
+				  const struct emulated_route *from)
 {
 	struct rr_route *route = g_new0(struct rr_route, 1);
 	size_t n =
@@ -318,8 +325,8 @@
 	struct rr_route_table *table = rr_new_route_table(1);
 
 	for (uint32_t i = 0; i < scenario->n_routes; i++)
-		rr_add_route(table, make_route(instance->emulation,
-					       &scenario->routes[i]));
+		rr_add_route(table, new_route(instance->emulation,
+					      &scenario->routes[i]));
 	for (uint32_t i = 0; i < (uint32_t)scenario->shards; i++) {
 		struct rr_route_service *service =
 			g_new0(struct rr_route_service, 1);
@@ -340,19 +347,19 @@
 {
 	struct instance *instance = g_new0(struct instance, 1);
 	const struct emulated_scenario *scenario = emulation->scenario;
-	struct rr_context_options context = { .seed = seed + number };
+	struct rr_context_options context_options = { .seed = seed + number };
 	char zone[16];
 	char name[16];
 	struct rr_gate_options options = {
 		.zone = zone,
 		.actions = {
 			.send = send_attempt,
-			.cancel = withdraw,
-			.cancel_unsent = recall,
-			.answer = give_answer,
-			.preconnect = open_connection,
+			.cancel = cancel_attempt,
+			.cancel_unsent = cancel_unsent,
+			.answer = handle_answer,
+			.preconnect = preconnect,
 			.probe = send_probe,
-			.close_idle = forget,
+			.close_idle = close_idle,
 			.report = write_quarantine_report,
 			.data = instance,
 		},
@@ -361,7 +368,7 @@
 		.extra_window_ms = 10000,
 		.cold_overage = COLD_OVERAGE,
 		.cold_slack = COLD_SLACK,
-		/* Long enough ago that its window is full. */
+		/* Long enough ago for a full retry budget window. */
 		.process_started_us = 1,
 		.strength = 1,
 		.policy = emulation->policy,
@@ -373,20 +380,20 @@
 	instance->next_tick_us = INT64_MAX;
 	g_snprintf(zone, sizeof(zone), "z%u", instance->zone);
 	g_snprintf(name, sizeof(name), "g%u", number);
-	/* Only then is there a share for each to be known by. */
+	/* Instances need names only to share a cold replica's limit. */
 	if (scenario->cold_per_s > 0)
 		options.instance = name;
 	instance->open_requests = g_hash_table_new_full(
 		g_int64_hash, g_int64_equal, g_free, NULL);
 	instance->attempts = g_hash_table_new(g_int64_hash, g_int64_equal);
 	instance->idle_conns = g_new0(uint32_t, emulation->replicas->len);
-	instance->ctx = rr_new_context(&context);
+	instance->ctx = rr_new_context(&context_options);
 	instance->gate = rr_new_gate(instance->ctx, &options);
 	return instance;
 }
 
-/* The member list, from which shares of cold replicas follow. */
-static void note_instances(struct instance *instance)
+/* Set the member list, from which shares of cold replicas are derived. */
+static void set_instances(struct instance *instance)
 {
 	struct emulation *emulation = instance->emulation;
 	char name[16];
@@ -413,7 +420,7 @@
 	rr_gate_set_instance_count(instance->ctx, instance->gate,
 				   emulation->instances->len);
 	if (emulation->scenario->cold_per_s > 0)
-		note_instances(instance);
+		set_instances(instance);
 	schedule_tick(instance);
 }
 
@@ -439,20 +446,21 @@
 
 static double measure_slot_use(const struct emulation *emulation)
 {
-	double used_us = 0;
-	double had_us = emulation->scenario->seconds * US_PER_S *
-			emulation->scenario->slots * emulation->replicas->len;
+	double busy_us = 0;
+	double available_us = emulation->scenario->seconds * US_PER_S *
+			      emulation->scenario->slots *
+			      emulation->replicas->len;
 
 	for (guint i = 0; i < emulation->replicas->len; i++) {
 		const struct replica *replica =
 			g_ptr_array_index(emulation->replicas, i);
 
-		used_us += (double)replica->slot_used_us;
+		busy_us += (double)replica->slot_used_us;
 	}
-	return used_us / had_us;
+	return busy_us / available_us;
 }
 
-/* What never was answered has failed. */
+/* Requests without an answer count as failed. */
 static void count_unanswered(struct emulated_result *result)
 {
 	result->failed = result->requests - result->in_time - result->late -
@@ -468,8 +476,8 @@
 		.policy = policy,
 		.result = result,
 		.events = new_event_queue(),
-		.now_us = BEGIN_US,
-		.end_us = BEGIN_US + (int64_t)(scenario->seconds * US_PER_S),
+		.now_us = START_US,
+		.end_us = START_US + (int64_t)(scenario->seconds * US_PER_S),
 		.rand = g_rand_new_with_seed(seed),
 		.arrivals_rand = g_rand_new_with_seed(~seed),
 		.layout_rand = g_rand_new_with_seed(seed ^ 0x5a5a5a5a),
@@ -494,7 +502,7 @@
 		start_instance(g_ptr_array_index(emulation.instances, i));
 	start_callers(&emulation);
 	schedule_faults(&emulation);
-	while (next_event_us(emulation.events) <= emulation.end_us + RUN_OUT_US)
+	while (next_event_us(emulation.events) <= emulation.end_us + DRAIN_US)
 		run_next_event(emulation.events, &emulation.now_us, &emulation);
 	count_unanswered(result);
 	result->slot_use = measure_slot_use(&emulation);
--- a/bench/gate/emulator.h
+++ b/bench/gate/emulator.h
@@ -1,11 +1,12 @@
 /*
  * emulator.h - several gates in virtual time against emulated replicas.
  *
- * One scenario is a deployment, its load and what goes wrong; a run repeats
- * exactly for one seed.  Replicas have slots and queues, pause, shed, slow
- * down, fall silent and are cut off; callers come in open loop, come back as
- * they are told, and move on where an instance says that it is not ready.
- * Processor time of the gates is not emulated.
+ * A scenario describes a deployment, its load and its faults.  A run is
+ * deterministic for a given seed.  Replicas have slots and queues; they pause,
+ * shed load, slow down, stop responding and become unreachable.  Callers
+ * generate open-loop load, retry after the Retry-After time of a rejection and
+ * use another instance while one reports that it is not ready.  The CPU time
+ * of the gates is not emulated.
  */
 #ifndef BENCH_GATE_EMULATOR_H
 #define BENCH_GATE_EMULATOR_H
@@ -22,25 +23,25 @@
 
 struct emulated_route {
 	char name[NAME_SIZE];
-	double per_s; /* of all callers together */
+	double per_s; /* requests per second, all callers together */
 	double objective_ms;
 	double deadline_ms;
-	double least_share; /* of the shards; 0: one replica serves it */
-	double work_ms;	    /* mean; exponential beyond a half of it */
+	double least_share; /* min. share of shards; 0: one replica serves it */
+	double work_ms;	    /* mean; half constant, half exponential */
 	double max_attempts;
 };
 
 enum emulated_fault_kind {
-	FAULT_SLOW,	     /* work takes x times as long */
-	FAULT_UNRESPONSIVE,  /* nothing comes back */
+	FAULT_SLOW,	     /* service time is multiplied by x */
+	FAULT_UNRESPONSIVE,  /* no replies are sent */
 	FAULT_DOWN,	     /* connections are refused */
-	FAULT_SHED,	     /* a share x of the requests is refused */
-	FAULT_ERRORS,	     /* a share x is answered with a failure */
-	FAULT_ZONE_ISOLATED, /* zone number x is cut off from the others */
-	FAULT_BURST,	     /* x times as many requests */
-	FAULT_RESTART,	     /* gone, and born again under its id in the end */
-	FAULT_CRASH,	     /* the same, and its connections close at once */
-	/* A query of death to the first route, every x seconds. */
+	FAULT_SHED,	     /* a share x of the requests is rejected */
+	FAULT_ERRORS,	     /* a share x of the replies has status 500 */
+	FAULT_ZONE_ISOLATED, /* zone number x is unreachable from the others */
+	FAULT_BURST,	     /* the request rate is multiplied by x */
+	FAULT_RESTART,	     /* down, then a new incarnation with the same id */
+	FAULT_CRASH,	     /* as FAULT_RESTART; connections close at once */
+	/* A query of death on the first route every x seconds. */
 	FAULT_QUERY_OF_DEATH,
 	FAULT_EVACUATE, /* zone number x is evacuated */
 	N_FAULT_KINDS,
@@ -50,9 +51,9 @@
 	enum emulated_fault_kind kind;
 	double at_s;
 	double for_s;
-	double share; /* of the replicas, drawn at random */
+	double share; /* of the replicas, selected at random */
 	double x;
-	double shard; /* only replicas of that one; below 0: of any */
+	double shard; /* only replicas of this shard; negative: all shards */
 };
 
 struct emulated_scenario {
@@ -63,17 +64,17 @@
 	double shards;
 	double replicas; /* of each shard */
 	double slots;
-	double queue; /* requests that wait at a replica at most */
+	double queue; /* maximum queue length of a replica */
 	double connections;
-	double connect_ms; /* for a new one, beside its round trip */
-	double pause_ms;   /* each replica stops for so long */
+	double connect_ms; /* connection setup, beside the round trip */
+	double pause_ms;   /* length of each replica's periodic pause */
 	double pause_every_ms;
-	double far_ms;	    /* one way between zones */
-	double caller_ms;   /* one way to callers */
-	double new_callers; /* share of requests on a connection of their own */
+	double far_ms;	    /* one-way delay between zones */
+	double caller_ms;   /* one-way delay between callers and instances */
+	double new_callers; /* share of requests on a new connection */
 	double extra_ratio;
 	double extra_slack;
-	double cold_per_s; /* capacity of a cold replica; 0: unbounded */
+	double cold_per_s; /* requests/s of a cold replica; 0: no limit */
 	struct emulated_route routes[MAX_ROUTES];
 	uint32_t n_routes;
 	struct emulated_fault faults[MAX_FAULTS];
@@ -84,45 +85,48 @@
 	uint64_t requests;
 	uint64_t in_time;
 	uint64_t late;
-	uint64_t partial; /* of those in time */
+	uint64_t partial; /* included in in_time */
 	uint64_t rejected;
-	uint64_t
-		caller_retries; /* came a second time, after a refusal or failure */
-	uint64_t failed;	/* or never answered */
-	double total_value;	/* see value_of_answer() */
+	uint64_t caller_retries; /* sent again after a rejection or failure */
+	uint64_t failed;	 /* including requests without an answer */
+	double total_value;	 /* see value_of_answer() */
 	uint64_t attempts;
-	uint64_t first_attempts; /* one a part */
+	uint64_t first_attempts; /* one for each part */
 	double slot_use;
-	uint64_t crashes;	     /* crashed replicas */
+	uint64_t crashes;	     /* crashes of replicas */
 	uint64_t quarantine_reports; /* updates published by instances */
 	uint64_t
-		late_queries_of_death; /* queries of death received after SETTLED_US */
+		late_queries_of_death; /* received SETTLED_US after the third crash */
 	uint64_t
 		evacuated_arrivals; /* requests received in an evacuated zone */
-	uint64_t cold_excess;	    /* requests beyond a cold replica's bound */
-	GArray *latencies_us; /* double: from the caller's start to its answer */
+	uint64_t cold_excess;	    /* requests above a cold replica's limit */
+	GArray *latencies_us; /* double; from a caller's first send to its answer */
 };
 
-/* The usual deployment: what a scenario file leaves out. */
+/* Set the defaults for all keys that a scenario file may omit. */
 void init_scenario(struct emulated_scenario *scenario);
 /*
- * Read a scenario's file; false with faults appended.  Keys are those of the
- * struct, routes and faults are lists of mappings.
+ * Read a scenario file.  Return false and append to `diagnostics` on
+ * error.  The keys are the members of the struct; routes and faults are lists
+ * of mappings.
  */
 bool load_scenario(const char *file, struct emulated_scenario *scenario,
-		   GPtrArray *faults);
-/* A deployment nobody has seen, drawn from a seed. */
+		   GPtrArray *diagnostics);
+/* Generate a random deployment, load and faults from a seed. */
 void generate_scenario(uint32_t seed, struct emulated_scenario *scenario);
-/* One try, no queue, no hedge, no regard to what was seen. */
+/*
+ * Set a policy without hedging, admission by queueing time, adaptive limits
+ * or replica selection by observed latency and losses.
+ */
 void init_baseline_policy(struct rr_gate_policy *policy);
-/* What a share of the parts is worth to its caller, in time or late. */
+/* The value to its caller of an answer with this share of the parts. */
 double value_of_answer(double share, bool in_time);
-/* Clear with clear_emulated_result(). */
+/* Run a scenario; clear the result with clear_emulated_result(). */
 void emulate_scenario(const struct emulated_scenario *scenario,
 		      const struct rr_gate_policy *policy, uint32_t seed,
 		      struct emulated_result *result);
 void clear_emulated_result(struct emulated_result *result);
-/* Of what callers are owed, the part that they get. */
+/* Mean value of an answer over all requests, 0 to 1. */
 double mean_answer_value(const struct emulated_result *result);
 double latency_quantile_ms(const struct emulated_result *result,
 			   double quantile);
