--- a/bench/ledger.c
+++ b/bench/ledger.c
@@ -1,10 +1,10 @@
 /*
- * ledger.c - store calls and claim latency of reservations: grouped buckets
- * against a key per reservation, in virtual time with a seed.
+ * ledger.c - store calls and claim latency of reservations, with grouped
+ * buckets and with a key per reservation, in virtual time with a seed.
  *
- * The store takes 2 to 5 ms a call, 400 writes and 2,000 reads a second;
- * calls past that wait their turn.  Each reservation is claimed, runs for
- * 6 ms, and its result is recorded.
+ * The store takes 2 to 5 ms per call and serves 400 writes and 2,000 reads per
+ * second; calls above that rate are queued.  Each reservation is claimed, runs
+ * for 6 ms, and its result is recorded.
  */
 #include <argtable2.h>
 #include <glib.h>
@@ -18,14 +18,14 @@
 #include "ragwort/ledger.h"
 
 #define INSTANCES 9
-#define RUN_US 6000
+#define EXECUTION_US 6000
 #define TIMEOUT_MS 1000
 #define RETENTION_S 86400
-#define WALL_US (1700000000 * (int64_t)G_USEC_PER_SEC)
+#define WALL_START_US (1700000000 * (int64_t)G_USEC_PER_SEC)
 #define RESULT "{\"reservation\":\"0123456789abcdef\",\"state\":\"held\"}"
 
 enum scheme {
-	SCHEME_KEY_EACH, /* a key per reservation, no reading */
+	SCHEME_KEY_EACH, /* a key per reservation, no reads */
 	SCHEME_BUCKETS,	 /* each instance writes its own claims */
 	SCHEME_ROUTED,	 /* one instance writes all claims of a bucket */
 };
@@ -40,7 +40,7 @@
 
 struct pending {
 	int64_t due_us;
-	uint64_t claim; /* or the key's number */
+	uint64_t claim; /* claim id, or the number of its key */
 	int instance;
 };
 
@@ -50,7 +50,7 @@
 	struct rr_ledger *ledger;
 	struct fake_client client;
 	uint64_t next_call_id;
-	GHashTable *started; /* claim to time */
+	GHashTable *started; /* claim id to its start time (int64_t) */
 };
 
 struct run {
@@ -60,11 +60,11 @@
 	struct instance instances[INSTANCES];
 	GQueue running; /* struct pending, in order of due_us */
 	GArray *latencies_us;
-	uint64_t refused;
-	uint64_t unsettled;
+	uint64_t rejected;
+	uint64_t unresolved;
 };
 
-static void note_ours(struct instance *instance, uint64_t claim)
+static void start_execution(struct instance *instance, uint64_t claim)
 {
 	struct run *run = instance->run;
 	int64_t *started_us = g_hash_table_lookup(instance->started, &claim);
@@ -72,25 +72,26 @@
 	struct pending *pending = g_new(struct pending, 1);
 
 	g_array_append_val(run->latencies_us, latency_us);
-	pending->due_us = run->store->now_us + RUN_US;
+	pending->due_us = run->store->now_us + EXECUTION_US;
 	pending->claim = claim;
 	pending->instance = (int)(instance - run->instances);
 	g_queue_push_tail(&run->running, pending);
 }
 
-static void take_claimed(void *data, const struct rr_claim_result *result)
+static void handle_claim_result(void *data,
+				const struct rr_claim_result *result)
 {
 	struct instance *instance = data;
 
 	if (result->status == RR_CLAIM_ACQUIRED)
-		note_ours(instance, result->claim_id);
+		start_execution(instance, result->claim_id);
 	else if (result->status == RR_CLAIM_UNRESOLVED)
-		instance->run->unsettled++;
+		instance->run->unresolved++;
 	else
-		instance->run->refused++;
+		instance->run->rejected++;
 }
 
-static void take_reply(void *data, const struct rr_store_reply *reply)
+static void handle_reply(void *data, const struct rr_store_reply *reply)
 {
 	struct instance *instance = data;
 
@@ -98,7 +99,7 @@
 		rr_handle_ledger_reply(instance->ctx, instance->ledger,
 				       instance->run->store->now_us, reply);
 	else if (g_hash_table_contains(instance->started, &reply->call_id))
-		note_ours(instance, reply->call_id);
+		start_execution(instance, reply->call_id);
 }
 
 static void init_instance(struct run *run, int i)
@@ -109,11 +110,11 @@
 							  i };
 	struct rr_ledger_options options = {
 		.instance = name,
-		.incarnation = WALL_US,
+		.incarnation = WALL_START_US,
 		.buckets = run->options.buckets,
 		.retention_s = RETENTION_S,
 		.call_timeout_ms = TIMEOUT_MS,
-		.claimed = take_claimed,
+		.claimed = handle_claim_result,
 		.data = instance,
 		.next_call_id = &instance->next_call_id,
 	};
@@ -122,7 +123,7 @@
 	instance->next_call_id = 1;
 	instance->ctx = rr_new_context(&ctx_options);
 	instance->client =
-		(struct fake_client){ run->store, take_reply, instance };
+		(struct fake_client){ run->store, handle_reply, instance };
 	options.store = fake_client_port(&instance->client);
 	instance->ledger = rr_new_ledger(instance->ctx, &options);
 	instance->started = g_hash_table_new_full(g_int64_hash, g_int64_equal,
@@ -130,7 +131,7 @@
 	g_free(name);
 }
 
-static void note_start(struct instance *instance, uint64_t claim)
+static void record_start(struct instance *instance, uint64_t claim)
 {
 	int64_t now_us = instance->run->store->now_us;
 
@@ -138,7 +139,7 @@
 			    g_memdup2(&now_us, sizeof(now_us)));
 }
 
-static int pick_instance(struct run *run, const char *id)
+static int select_instance(struct run *run, const char *id)
 {
 	if (run->options.scheme != SCHEME_ROUTED)
 		return g_rand_int_range(run->random, 0, INSTANCES);
@@ -146,8 +147,8 @@
 		     INSTANCES);
 }
 
-static void swap_own_key(struct instance *instance, uint64_t call_id,
-			 uint64_t number, uint64_t revision, const char *value)
+static void write_own_key(struct instance *instance, uint64_t call_id,
+			  uint64_t number, uint64_t revision, const char *value)
 {
 	struct rr_store_port port = fake_client_port(&instance->client);
 	char *key = g_strdup_printf("%p/%" PRIu64, (void *)instance, number);
@@ -160,23 +161,24 @@
 static void start_reservation(struct run *run)
 {
 	int64_t now_us = run->store->now_us;
-	char *id = g_strdup_printf(
-		"%" PRId64 "-%08x%08x", (WALL_US + now_us) / G_USEC_PER_SEC,
-		g_rand_int(run->random), g_rand_int(run->random));
-	struct instance *instance = &run->instances[pick_instance(run, id)];
+	char *id = g_strdup_printf("%" PRId64 "-%08x%08x",
+				   (WALL_START_US + now_us) / G_USEC_PER_SEC,
+				   g_rand_int(run->random),
+				   g_rand_int(run->random));
+	struct instance *instance = &run->instances[select_instance(run, id)];
 	uint64_t claim;
 
 	if (run->options.scheme == SCHEME_KEY_EACH) {
 		claim = instance->next_call_id;
 		instance->next_call_id += 2;
-		note_start(instance, claim);
-		swap_own_key(instance, claim, claim, 0, id);
+		record_start(instance, claim);
+		write_own_key(instance, claim, claim, 0, id);
 	} else {
-		/* An outcome comes later, never from inside the call. */
+		/* The result is always reported after the call returns. */
 		claim = rr_claim_request_id(instance->ctx, instance->ledger,
-					    now_us, WALL_US + now_us,
+					    now_us, WALL_START_US + now_us,
 					    "invoicing", id, 1);
-		note_start(instance, claim);
+		record_start(instance, claim);
 	}
 	g_free(id);
 }
@@ -187,8 +189,8 @@
 	struct instance *instance = &run->instances[pending->instance];
 
 	if (run->options.scheme == SCHEME_KEY_EACH)
-		swap_own_key(instance, pending->claim + 1, pending->claim, 1,
-			     RESULT);
+		write_own_key(instance, pending->claim + 1, pending->claim, 1,
+			      RESULT);
 	else
 		rr_record_claim_result(instance->ctx, instance->ledger,
 				       run->store->now_us, pending->claim,
@@ -253,7 +255,7 @@
 	return (double)g_array_index(latencies_us, int64_t, index) / 1000;
 }
 
-static void print_row(struct run *run, uint64_t asked, double cpu_us)
+static void print_row(struct run *run, uint64_t n_requests, double cpu_us)
 {
 	static const char *const names[] = { "key each", "buckets", "routed" };
 	const struct options *options = &run->options;
@@ -271,9 +273,11 @@
 	       (double)store->conflicts / seconds,
 	       (double)store->bytes_written / seconds / 1000,
 	       (double)claimed / seconds,
-	       100.0 * (double)(run->refused + run->unsettled) / (double)asked,
+	       100.0 * (double)(run->rejected + run->unresolved) /
+		       (double)n_requests,
 	       quantile_ms(run->latencies_us, 0.5),
-	       quantile_ms(run->latencies_us, 0.99), cpu_us / (double)asked);
+	       quantile_ms(run->latencies_us, 0.99),
+	       cpu_us / (double)n_requests);
 	fflush(stdout);
 }
 
@@ -295,7 +299,7 @@
 	struct run run = { .options = *options };
 	const int64_t end_us = options->seconds * (int64_t)G_USEC_PER_SEC;
 	clock_t before = clock();
-	uint64_t asked = 0;
+	uint64_t n_requests = 0;
 	double at_us = 0;
 
 	run.random = g_rand_new_with_seed(options->seed);
@@ -311,10 +315,10 @@
 			break;
 		run_until(&run, (int64_t)at_us);
 		start_reservation(&run);
-		asked++;
+		n_requests++;
 	}
 	run_until(&run, end_us);
-	print_row(&run, asked,
+	print_row(&run, n_requests,
 		  (double)(clock() - before) * 1e6 / CLOCKS_PER_SEC);
 	drop_run(&run);
 }
@@ -330,8 +334,9 @@
 		{ SCHEME_BUCKETS, 16 }, { SCHEME_BUCKETS, 64 },
 		{ SCHEME_ROUTED, 16 },	{ SCHEME_ROUTED, 64 },
 	};
-	struct arg_int *seed = arg_int0(NULL, "seed", "N", "default 1");
-	struct arg_int *seconds = arg_int0(NULL, "seconds", "N", "default 20");
+	struct arg_int *seed = arg_int0(NULL, "seed", "N", "seed, default 1");
+	struct arg_int *seconds = arg_int0(NULL, "seconds", "N",
+					   "length of each run, default 20");
 	struct arg_int *rate =
 		arg_int0(NULL, "rate", "N", "reservations/s; default: several");
 	struct arg_end *end = arg_end(5);
@@ -349,7 +354,7 @@
 	       "| --- | --: | --: | --: | --: | --: | --: | --: | --: | --: | "
 	       "--: | --: |\n");
 	for (size_t i = 0; i < G_N_ELEMENTS(rates); i++) {
-		/* One rate of the user's own instead of the table's. */
+		/* A given rate replaces the table of rates. */
 		if (rate->count && i)
 			break;
 		for (size_t k = 0; k < G_N_ELEMENTS(schemes); k++) {
--- a/bench/member.c
+++ b/bench/member.c
@@ -1,9 +1,10 @@
 /*
- * member.c - what membership costs and how fast it is, by number of members.
+ * member.c - cost and convergence time of the membership protocol, by number
+ * of members.
  *
- * All members run in this process in virtual time, each message through the
- * peers' encoder and decoder.  Processor time is the whole process's, the
- * message queue of the experiment included: an upper bound.
+ * All members run in this process in virtual time; each message passes through
+ * the peer message encoder and decoder.  CPU time is that of the whole process
+ * including the experiment's message queue, so it is an upper bound.
  *
  *     build/bench/member [members...]    (10 50 200 1200)
  */
@@ -16,12 +17,12 @@
 
 #define ZONES 5
 #define SAMPLE_US (NET_SECOND / 10)
-#define LIMIT_US (600 * NET_SECOND)
-/* The aim's day: 18 failures and 1,000 restarts over 1,200 nodes. */
+#define CONVERGENCE_TIMEOUT_US (600 * NET_SECOND)
+/* Target deployment: 18 failures and 1,000 restarts a day at 1,200 nodes. */
 #define EVENTS_PER_DAY 1018.0
-#define AIM_NODES 1200
+#define TARGET_NODES 1200
 #define DAY_S 86400
-#define RACK 40
+#define RACK_NODES 40
 #define FAILURES 5
 
 struct sample {
@@ -37,7 +38,7 @@
 				clock() - net->check_cpu };
 }
 
-/* Rates a member and second since a sample, as JSON members. */
+/* Print rates per member and second since a sample, as JSON members. */
 static void print_rates(const struct member_net *net, struct sample since)
 {
 	double n = net->nodes->len;
@@ -64,17 +65,19 @@
 	fflush(stdout);
 }
 
-static void must_agree(struct member_net *net, const char *phase,
-		       bool print_time)
+static void require_convergence(struct member_net *net, const char *phase,
+				bool print_time)
 {
-	int64_t took_us = run_until_converged(net, LIMIT_US);
+	int64_t elapsed_us = run_until_converged(net, CONVERGENCE_TIMEOUT_US);
 
-	if (took_us < 0) {
-		fprintf(stderr, "member: no agreement after %s\n", phase);
+	if (elapsed_us < 0) {
+		fprintf(stderr,
+			"member: member lists did not converge after %s\n",
+			phase);
 		exit(1);
 	}
 	if (print_time)
-		printf(",\"agreed_s\":%.1f", (double)took_us / NET_SECOND);
+		printf(",\"agreed_s\":%.1f", (double)elapsed_us / NET_SECOND);
 }
 
 static void measure_start(struct member_net *net, guint n)
@@ -84,7 +87,7 @@
 
 	start_nodes(net, n, ZONES);
 	begin_line(net, "start-all");
-	must_agree(net, "the start", true);
+	require_convergence(net, "the start", true);
 	print_rates(net, since);
 	run_net(net, 60 * NET_SECOND);
 	printf(",\"memory_bytes_per_node\":%zu",
@@ -92,24 +95,25 @@
 	end_line();
 }
 
-/* A minute; with how many others a member exchanges messages in it. */
+/* Measure rates over a minute, and the number of peers a member contacts. */
 static void measure_steady(struct member_net *net)
 {
 	struct sample since = take_sample(net);
-	guint reached = 0;
+	guint n_contacted = 0;
 
 	for (guint i = 0; i < net->nodes->len; i++)
 		g_hash_table_remove_all(node_at(net, i)->contacted_nodes);
 	run_net(net, 60 * NET_SECOND);
 	for (guint i = 0; i < net->nodes->len; i++)
-		reached += g_hash_table_size(node_at(net, i)->contacted_nodes);
+		n_contacted +=
+			g_hash_table_size(node_at(net, i)->contacted_nodes);
 	begin_line(net, "steady");
 	print_rates(net, since);
-	printf(",\"links\":%.1f", (double)reached / net->nodes->len);
+	printf(",\"links\":%.1f", (double)n_contacted / net->nodes->len);
 	end_line();
 }
 
-static struct net_node *pick(struct member_net *net)
+static struct net_node *select_node(struct member_net *net)
 {
 	guint i = (guint)g_rand_int_range(net->random, 0,
 					  (gint32)net->nodes->len);
@@ -117,12 +121,12 @@
 	return node_at(net, i);
 }
 
-static double seconds_since(const struct member_net *net, int64_t then_us)
+static double seconds_since(const struct member_net *net, int64_t start_us)
 {
-	return (double)(net->now_us - then_us) / NET_SECOND;
+	return (double)(net->now_us - start_us) / NET_SECOND;
 }
 
-/* Time until the first, and until all, hold a killed node dead. */
+/* Measure the time until the first and until all members see a node as dead. */
 static void measure_failure(struct member_net *net)
 {
 	double detected_s = 0;
@@ -130,24 +134,24 @@
 	double worst_s = 0;
 
 	for (int i = 0; i < FAILURES; i++) {
-		struct net_node *node = pick(net);
+		struct net_node *node = select_node(net);
 		int64_t killed_us = net->now_us;
-		guint believers = net->nodes->len - 1;
-		double took_s = 0;
+		guint n_seeing = net->nodes->len - 1;
+		double elapsed_s = 0;
 
 		kill_node(node);
-		while (believers) {
+		while (n_seeing) {
 			run_net(net, SAMPLE_US);
-			believers = count_nodes_seeing(net, node);
-			if (!took_s && believers < net->nodes->len - 1)
-				took_s = seconds_since(net, killed_us);
+			n_seeing = count_nodes_seeing(net, node);
+			if (!elapsed_s && n_seeing < net->nodes->len - 1)
+				elapsed_s = seconds_since(net, killed_us);
 		}
-		detected_s += took_s;
-		took_s = seconds_since(net, killed_us);
-		all_s += took_s;
-		worst_s = MAX(worst_s, took_s);
+		detected_s += elapsed_s;
+		elapsed_s = seconds_since(net, killed_us);
+		all_s += elapsed_s;
+		worst_s = MAX(worst_s, elapsed_s);
 		start_node(node, 2);
-		must_agree(net, "a failure", false);
+		require_convergence(net, "a failure", false);
 	}
 	begin_line(net, "one-failure");
 	printf(",\"failures\":%d,\"detected_s\":%.1f,\"all_know_s\":%.1f,"
@@ -156,10 +160,10 @@
 	end_line();
 }
 
-/* A planned replacement: leave, stop, start again under the same name. */
+/* Planned restart: leave, stop, start again with the same name. */
 static void restart(struct member_net *net)
 {
-	struct net_node *node = pick(net);
+	struct net_node *node = select_node(net);
 
 	rr_announce_leaving(net->ctx, node->members, net->now_us);
 	node->leaving = true;
@@ -169,23 +173,24 @@
 	start_node(node, 2);
 }
 
-/* Restarts at the aim's rate for each node. */
+/* Measure rates with restarts at the target deployment's rate per node. */
 static void measure_churn(struct member_net *net)
 {
-	double gap_s = DAY_S / EVENTS_PER_DAY * AIM_NODES / net->nodes->len;
-	int events = gap_s < 600 ? 3 : 1;
+	double interval_s =
+		DAY_S / EVENTS_PER_DAY * TARGET_NODES / net->nodes->len;
+	int events = interval_s < 600 ? 3 : 1;
 	struct sample since;
 
-	gap_s = MIN(gap_s, 3000);
+	interval_s = MIN(interval_s, 3000);
 	since = take_sample(net);
 	for (int i = 0; i < events; i++) {
 		restart(net);
-		run_net(net, (int64_t)((gap_s - 7) * NET_SECOND));
+		run_net(net, (int64_t)((interval_s - 7) * NET_SECOND));
 	}
 	begin_line(net, "churn");
 	printf(",\"restarts\":%d", events);
 	print_rates(net, since);
-	must_agree(net, "churn", true);
+	require_convergence(net, "churn", true);
 	end_line();
 }
 
@@ -193,18 +198,18 @@
 {
 	struct sample since = take_sample(net);
 
-	/* Neighbours of one zone, as in a rack. */
-	for (guint i = 0; i < RACK; i++)
+	/* Nodes of the same zone, as in a rack. */
+	for (guint i = 0; i < RACK_NODES; i++)
 		kill_node(node_at(net, i * ZONES));
 	begin_line(net, "rack-lost");
-	must_agree(net, "the loss of a rack", true);
+	require_convergence(net, "the loss of a rack", true);
 	print_rates(net, since);
 	end_line();
 	since = take_sample(net);
-	for (guint i = 0; i < RACK; i++)
+	for (guint i = 0; i < RACK_NODES; i++)
 		start_node(node_at(net, i * ZONES), 2);
 	begin_line(net, "rack-back");
-	must_agree(net, "the return of a rack", true);
+	require_convergence(net, "the return of a rack", true);
 	print_rates(net, since);
 	end_line();
 }
@@ -221,7 +226,7 @@
 	net->isolated_zones = 0;
 	since = take_sample(net);
 	begin_line(net, "zone-back");
-	must_agree(net, "a partition", true);
+	require_convergence(net, "a partition", true);
 	print_rates(net, since);
 	end_line();
 }
@@ -234,7 +239,7 @@
 	measure_steady(net);
 	measure_failure(net);
 	measure_churn(net);
-	if (n >= ZONES * RACK)
+	if (n >= ZONES * RACK_NODES)
 		measure_rack(net);
 	measure_partition(net);
 	drop_member_net(net);
--- a/bench/owner.c
+++ b/bench/owner.c
@@ -1,6 +1,6 @@
 /*
- * owner.c - what finding the owners of a replica costs: after each change of
- * the members every replica's are found anew.
+ * owner.c - CPU time of finding the owners of a replica.  After each change of
+ * the member list the owners of all replicas are computed again.
  *
  *     build/bench/owner
  */
@@ -19,9 +19,9 @@
 {
 	struct rr_member_ref *members = g_new0(struct rr_member_ref, n);
 	size_t owners[RR_MAX_OWNERS];
-	size_t found = 0;
+	size_t n_found = 0;
 	clock_t before;
-	double each_us;
+	double us_per_replica;
 
 	for (guint i = 0; i < n; i++) {
 		struct rr_member_ref *member = &members[i];
@@ -39,16 +39,16 @@
 		char id[32];
 
 		g_snprintf(id, sizeof(id), "replica-%d", i % REPLICAS);
-		found += rr_find_owners(id, "zone-3", members, n, OWNERS,
-					owners);
+		n_found += rr_find_owners(id, "zone-3", members, n, OWNERS,
+					  owners);
 	}
-	each_us = (double)(clock() - before) * 1e6 / CLOCKS_PER_SEC /
-		  (REPLICAS * ROUNDS);
+	us_per_replica = (double)(clock() - before) * 1e6 / CLOCKS_PER_SEC /
+			 (REPLICAS * ROUNDS);
 	printf("{\"bench\":\"owner\",\"members\":%u,\"stored_hashes\":%s,"
 	       "\"owners\":%zu,\"us_per_replica\":%.2f,"
 	       "\"ms_per_change_of_5400\":%.1f}\n",
-	       n, stored_hashes ? "true" : "false", found / ROUNDS / REPLICAS,
-	       each_us, each_us * REPLICAS / 1000);
+	       n, stored_hashes ? "true" : "false", n_found / ROUNDS / REPLICAS,
+	       us_per_replica, us_per_replica * REPLICAS / 1000);
 	for (guint i = 0; i < n; i++) {
 		g_free((char *)members[i].instance);
 		g_free((char *)members[i].zone);
--- a/bench/path.c
+++ b/bench/path.c
@@ -1,6 +1,6 @@
 /*
- * path.c - the whole path under load: callers, instances, upstream stand-ins
- * as processes; answers a second, latency, attempts and processor time.
+ * path.c - throughput, latency, attempts and CPU time of a whole deployment
+ * under load: callers, instances and upstream stand-ins as processes.
  */
 #include <argtable2.h>
 #include <libsoup/soup.h>
@@ -12,39 +12,39 @@
 #include "support/deployment.h"
 
 struct load {
-	struct test_deployment *d;
+	struct test_deployment *deployment;
 	SoupSession *session;
 	GArray *latencies_us; /* int64_t */
 	uint32_t open;
 	uint32_t complete;
 	uint32_t partial;
-	uint32_t refused;
+	uint32_t rejected;
 	uint32_t failed;
 	bool stopping;
 };
 
 struct call {
 	struct load *load;
-	int entry;
-	int64_t began_us;
+	int instance;
+	int64_t started_us;
 	SoupMessage *message;
 };
 
-static void begin_call(struct load *load, int entry);
+static void start_call(struct load *load, int instance);
 
-static void take_answer(GObject *source, GAsyncResult *async, gpointer data)
+static void handle_answer(GObject *source, GAsyncResult *async, gpointer data)
 {
 	struct call *call = data;
 	struct load *load = call->load;
 	GBytes *body = soup_session_send_and_read_finish(SOUP_SESSION(source),
 							 async, NULL);
 	uint32_t status = soup_message_get_status(call->message);
-	int64_t took_us = g_get_monotonic_time() - call->began_us;
+	int64_t latency_us = g_get_monotonic_time() - call->started_us;
 
 	if (!body) {
 		load->failed++;
 	} else if (status != 200) {
-		load->refused++;
+		load->rejected++;
 	} else {
 		gsize length;
 		const char *text = g_bytes_get_data(body, &length);
@@ -53,36 +53,36 @@
 			load->partial++;
 		else
 			load->complete++;
-		g_array_append_val(load->latencies_us, took_us);
+		g_array_append_val(load->latencies_us, latency_us);
 	}
 	if (body)
 		g_bytes_unref(body);
 	load->open--;
 	if (!load->stopping)
-		begin_call(load, call->entry);
+		start_call(load, call->instance);
 	g_object_unref(call->message);
 	g_free(call);
 }
 
-static void begin_call(struct load *load, int entry)
+static void start_call(struct load *load, int instance)
 {
 	struct call *call = g_new0(struct call, 1);
 	char *url =
 		g_strdup_printf("http://127.0.0.1:%u" TEST_SERVICE "/search",
-				load->d->caller_ports[entry]);
+				load->deployment->caller_ports[instance]);
 	GBytes *body = g_bytes_new_static("{\"query\":1}", 11);
 
 	call->load = load;
-	call->entry = entry;
-	call->began_us = g_get_monotonic_time();
+	call->instance = instance;
+	call->started_us = g_get_monotonic_time();
 	call->message = soup_message_new("POST", url);
 	soup_message_set_flags(call->message, SOUP_MESSAGE_IDEMPOTENT);
 	soup_message_set_request_body_from_bytes(call->message,
 						 "application/json", body);
 	load->open++;
 	soup_session_send_and_read_async(load->session, call->message,
-					 G_PRIORITY_DEFAULT, NULL, take_answer,
-					 call);
+					 G_PRIORITY_DEFAULT, NULL,
+					 handle_answer, call);
 	g_bytes_unref(body);
 	g_free(url);
 }
@@ -95,8 +95,8 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* User and system time of a process in microseconds. */
-static int64_t process_us(pid_t pid)
+/* Return the user and system CPU time of a process in microseconds. */
+static int64_t process_cpu_us(pid_t pid)
 {
 	char *file = g_strdup_printf("/proc/%d/stat", pid);
 	char *text = NULL;
@@ -135,27 +135,31 @@
 }
 
 struct totals {
-	int64_t processor_us;
+	int64_t cpu_us;
 	int64_t attempts;
 	int64_t hedges;
 	int64_t relays;
 };
 
-static struct totals read_totals(struct test_deployment *d)
+static struct totals read_totals(struct test_deployment *deployment)
 {
 	struct totals totals = { 0 };
 
-	for (int i = 0; i < d->options.n_instances; i++) {
-		totals.processor_us += process_us(d->instances[i]->pid);
-		totals.attempts += test_read_metric(d, i, "attempts_total");
-		totals.hedges += test_read_metric(d, i, "hedges_total");
-		totals.relays += test_read_metric(d, i, "relays_sent_total");
+	for (int i = 0; i < deployment->options.n_instances; i++) {
+		totals.cpu_us += process_cpu_us(deployment->instances[i]->pid);
+		totals.attempts +=
+			test_read_metric(deployment, i, "attempts_total");
+		totals.hedges +=
+			test_read_metric(deployment, i, "hedges_total");
+		totals.relays +=
+			test_read_metric(deployment, i, "relays_sent_total");
 	}
 	return totals;
 }
 
 static void report(struct load *load, const struct totals *before,
-		   const struct totals *after, double seconds, uint32_t at_once)
+		   const struct totals *after, double seconds,
+		   uint32_t concurrency)
 {
 	uint32_t answers = load->complete + load->partial;
 
@@ -164,62 +168,67 @@
 	       "p50_ms=%.1f p99_ms=%.1f complete=%u partial=%u refused=%u "
 	       "failed=%u attempts_each=%.2f hedges_each=%.3f "
 	       "relays_each=%.2f cpu_ms_each=%.2f\n",
-	       load->d->options.n_shards, load->d->options.n_zones,
-	       load->d->options.n_instances, at_once, answers / seconds,
-	       quantile_ms(load->latencies_us, 0.5),
+	       load->deployment->options.n_shards,
+	       load->deployment->options.n_zones,
+	       load->deployment->options.n_instances, concurrency,
+	       answers / seconds, quantile_ms(load->latencies_us, 0.5),
 	       quantile_ms(load->latencies_us, 0.99), load->complete,
-	       load->partial, load->refused, load->failed,
+	       load->partial, load->rejected, load->failed,
 	       (double)(after->attempts - before->attempts) / answers,
 	       (double)(after->hedges - before->hedges) / answers,
 	       (double)(after->relays - before->relays) / answers,
-	       (double)(after->processor_us - before->processor_us) / 1000 /
-		       answers);
+	       (double)(after->cpu_us - before->cpu_us) / 1000 / answers);
 }
 
-static void run(struct test_deployment *d, uint32_t at_once, uint32_t seconds)
+static void run(struct test_deployment *deployment, uint32_t concurrency,
+		uint32_t seconds)
 {
-	struct load load = { .d = d };
+	struct load load = { .deployment = deployment };
 	struct totals before;
 	struct totals after;
-	int64_t began_us;
+	int64_t started_us;
 
 	load.session = soup_session_new_with_options(
 		"max-conns", 1000, "max-conns-per-host", 1000, "proxy-resolver",
 		NULL, NULL);
 	load.latencies_us = g_array_new(FALSE, FALSE, sizeof(int64_t));
-	before = read_totals(d);
-	began_us = g_get_monotonic_time();
+	before = read_totals(deployment);
+	started_us = g_get_monotonic_time();
 	g_timeout_add_seconds(seconds, stop_load, &load);
-	for (uint32_t i = 0; i < at_once; i++)
-		begin_call(&load, (int)i % d->options.n_instances);
+	for (uint32_t i = 0; i < concurrency; i++)
+		start_call(&load, (int)i % deployment->options.n_instances);
 	while (load.open)
 		g_main_context_iteration(NULL, TRUE);
-	after = read_totals(d);
+	after = read_totals(deployment);
 	report(&load, &before, &after,
-	       (double)(g_get_monotonic_time() - began_us) / 1e6, at_once);
+	       (double)(g_get_monotonic_time() - started_us) / 1e6,
+	       concurrency);
 	g_array_unref(load.latencies_us);
 	g_object_unref(load.session);
 }
 
 int main(int argc, char **argv)
 {
-	struct arg_int *shards = arg_int0(NULL, "shards", "N", "2 copies each");
-	struct arg_int *zones = arg_int0(NULL, "zones", "N", "");
-	struct arg_int *entries = arg_int0(NULL, "instances", "N", "");
-	struct arg_int *seconds = arg_int0(NULL, "seconds", "N", "a run");
+	struct arg_int *shards = arg_int0(NULL, "shards", "N",
+					  "number of shards, 2 replicas each");
+	struct arg_int *zones = arg_int0(NULL, "zones", "N", "number of zones");
+	struct arg_int *instances =
+		arg_int0(NULL, "instances", "N", "number of instances");
+	struct arg_int *seconds =
+		arg_int0(NULL, "seconds", "N", "length of each run");
 	struct arg_end *end = arg_end(5);
-	void *table[] = { shards, zones, entries, seconds, end };
-	static const uint32_t at_once[] = { 1, 3, 12, 48 };
+	void *table[] = { shards, zones, instances, seconds, end };
+	static const uint32_t concurrency[] = { 1, 3, 12, 48 };
 	struct test_deployment_options options = {
 		.replicas_per_shard = 2,
 		.service_settings = "    deadline_ms: 2000\n"
 				    "    max_rows: 1000\n",
 	};
-	struct test_deployment *d;
+	struct test_deployment *deployment;
 
 	shards->ival[0] = 20;
 	zones->ival[0] = 3;
-	entries->ival[0] = 3;
+	instances->ival[0] = 3;
 	seconds->ival[0] = 5;
 	if (arg_parse(argc, argv, table)) {
 		arg_print_errors(stderr, end, "path");
@@ -227,11 +236,11 @@
 	}
 	options.n_shards = shards->ival[0];
 	options.n_zones = zones->ival[0];
-	options.n_instances = entries->ival[0];
-	d = test_start_deployment(&options);
-	for (size_t i = 0; i < G_N_ELEMENTS(at_once); i++)
-		run(d, at_once[i], (uint32_t)seconds->ival[0]);
-	test_drop_deployment(d);
+	options.n_instances = instances->ival[0];
+	deployment = test_start_deployment(&options);
+	for (size_t i = 0; i < G_N_ELEMENTS(concurrency); i++)
+		run(deployment, concurrency[i], (uint32_t)seconds->ival[0]);
+	test_drop_deployment(deployment);
 	arg_freetable(table, G_N_ELEMENTS(table));
 	return 0;
 }
--- a/bench/peer.c
+++ b/bench/peer.c
@@ -1,11 +1,11 @@
 /*
- * peer.c - what peer messages cost: encoding and decoding, a message from
- * port to port, a link; plain and with CURVE.
+ * peer.c - cost of peer messages: encoding and decoding, sending a message
+ * between transports, and a connection; plain and with CURVE.
  *
  *     build/bench/peer
  *
- * Processor time is the whole process's, the library's threads and both ends
- * included.
+ * CPU time is that of the whole process, including the library's threads and
+ * both ends of a connection.
  */
 #include <stdio.h>
 #include <string.h>
@@ -18,9 +18,9 @@
 #include "ragwort/wire.h"
 
 #define CODEC_ROUNDS 20000
-#define PORT_MESSAGES 100000
-#define WINDOW 100
-#define LINKS 200
+#define N_MESSAGES 100000
+#define MAX_IN_FLIGHT 100
+#define N_LINKS 200
 
 struct key_pair {
 	char public_key[41];
@@ -85,24 +85,24 @@
 	return message;
 }
 
-static void measure_codec(const char *what, struct rr_peer_message *message)
+static void measure_codec(const char *name, struct rr_peer_message *message)
 {
-	double before = cpu_us();
-	double encoded;
+	double before_us = cpu_us();
+	double encoded_us;
 	GBytes *bytes = rr_encode_peer_message(message);
 	gsize length;
 	const uint8_t *data = g_bytes_get_data(bytes, &length);
 
 	for (int i = 0; i < CODEC_ROUNDS; i++)
 		g_bytes_unref(rr_encode_peer_message(message));
-	encoded = cpu_us();
+	encoded_us = cpu_us();
 	for (int i = 0; i < CODEC_ROUNDS; i++)
 		rr_drop_peer_message(
 			rr_decode_peer_message(data, length, NULL));
 	printf("{\"bench\":\"peer\",\"codec\":\"%s\",\"bytes\":%zu,"
 	       "\"encode_us\":%.2f,\"decode_us\":%.2f}\n",
-	       what, length, (encoded - before) / CODEC_ROUNDS,
-	       (cpu_us() - encoded) / CODEC_ROUNDS);
+	       name, length, (encoded_us - before_us) / CODEC_ROUNDS,
+	       (cpu_us() - encoded_us) / CODEC_ROUNDS);
 	g_bytes_unref(bytes);
 	rr_drop_peer_message(message);
 }
@@ -112,7 +112,7 @@
 	GString *text = g_string_new(
 		"{\"version\":7,\"oldest\":5,\"newest\":7,\"epoch\":1,"
 		"\"ranges\":[[0,1000000]],\"rows\":[");
-	double before;
+	double before_us;
 
 	for (size_t i = 0; i < n_rows; i++)
 		g_string_append_printf(
@@ -126,55 +126,55 @@
 			       "\"state\":\"ready\",\"load\":0.25,"
 			       "\"end\":true}",
 			       n_rows);
-	before = cpu_us();
+	before_us = cpu_us();
 	for (int i = 0; i < CODEC_ROUNDS; i++)
 		rr_drop_upstream_body(
 			rr_decode_upstream_body(text->str, text->len, NULL));
 	printf("{\"bench\":\"peer\",\"codec\":\"upstream-body\",\"rows\":%zu,"
 	       "\"bytes\":%zu,\"decode_us\":%.2f}\n",
-	       n_rows, text->len, (cpu_us() - before) / CODEC_ROUNDS);
+	       n_rows, text->len, (cpu_us() - before_us) / CODEC_ROUNDS);
 	g_string_free(text, TRUE);
 }
 
-static void on_received(void *data, const struct rr_peer_message *message)
+static void count_message(void *data, const struct rr_peer_message *message)
 {
 	(void)message;
 	++*(uint64_t *)data;
 }
 
-static struct rr_peer_transport *open_port(struct rr_context *ctx,
-					   const struct rr_peer_keys *keys,
-					   uint64_t *received)
+static struct rr_peer_transport *open_transport(struct rr_context *ctx,
+						const struct rr_peer_keys *keys,
+						uint64_t *received)
 {
 	struct rr_peer_transport_options options = {
 		.address = "127.0.0.1:0",
 		.keys = keys,
-		.received = on_received,
+		.received = count_message,
 		.data = received,
 	};
 	GError *error = NULL;
-	struct rr_peer_transport *port =
+	struct rr_peer_transport *transport =
 		rr_new_peer_transport(ctx, &options, &error);
 
-	if (!port)
+	if (!transport)
 		g_error("peer: %s", error->message);
-	return port;
+	return transport;
 }
 
-/* One message after the other, a window of them on the way. */
-static void measure_port(const char *security, const struct rr_peer_keys *keys,
-			 size_t n_shards)
+/* Send messages with at most MAX_IN_FLIGHT of them in flight. */
+static void measure_transport(const char *security,
+			      const struct rr_peer_keys *keys, size_t n_shards)
 {
 	struct rr_context *ctx = rr_new_context(NULL);
 	uint64_t received = 0;
-	struct rr_peer_transport *from = open_port(ctx, keys, &received);
-	struct rr_peer_transport *to = open_port(ctx, keys, &received);
+	struct rr_peer_transport *from = open_transport(ctx, keys, &received);
+	struct rr_peer_transport *to = open_transport(ctx, keys, &received);
 	struct rr_peer_message *message = make_relay(n_shards);
 	uint64_t sent = 0;
-	double before = cpu_us();
+	double before_us = cpu_us();
 
-	while (received < PORT_MESSAGES) {
-		while (sent < PORT_MESSAGES && sent - received < WINDOW) {
+	while (received < N_MESSAGES) {
+		while (sent < N_MESSAGES && sent - received < MAX_IN_FLIGHT) {
 			rr_send_to_peer(ctx, from, "b",
 					rr_peer_transport_address(to), message);
 			sent++;
@@ -183,8 +183,8 @@
 	}
 	printf("{\"bench\":\"peer\",\"port\":\"%s\",\"shards\":%zu,"
 	       "\"messages\":%d,\"cpu_us_per_message\":%.2f}\n",
-	       security, n_shards, PORT_MESSAGES,
-	       (cpu_us() - before) / PORT_MESSAGES);
+	       security, n_shards, N_MESSAGES,
+	       (cpu_us() - before_us) / N_MESSAGES);
 	rr_drop_peer_message(message);
 	rr_drop_peer_transport(from);
 	rr_drop_peer_transport(to);
@@ -205,37 +205,37 @@
 }
 
 /*
- * Links from one port to many: all ends in this process, so that a link's
- * memory is that of its sender and its receiver together.
+ * Measure connections from one transport to many.  All ends are in this
+ * process, so the memory of a connection is that of both ends together.
  */
 static void measure_links(const char *security, const struct rr_peer_keys *keys)
 {
 	struct rr_context *ctx = rr_new_context(NULL);
 	uint64_t received = 0;
-	struct rr_peer_transport *from = open_port(ctx, keys, &received);
-	struct rr_peer_transport *to[LINKS];
+	struct rr_peer_transport *from = open_transport(ctx, keys, &received);
+	struct rr_peer_transport *to[N_LINKS];
 	struct rr_peer_message *message = rr_new_peer_message(RR_PEER_PING);
 	size_t resident;
-	double before;
+	double before_us;
 
 	message->from = g_strdup("a");
 	message->from_incarnation = 1;
-	for (int i = 0; i < LINKS; i++)
-		to[i] = open_port(ctx, keys, &received);
+	for (int i = 0; i < N_LINKS; i++)
+		to[i] = open_transport(ctx, keys, &received);
 	resident = resident_bytes();
-	before = cpu_us();
-	for (int i = 0; i < LINKS; i++)
+	before_us = cpu_us();
+	for (int i = 0; i < N_LINKS; i++)
 		rr_send_to_peer(ctx, from, "b",
 				rr_peer_transport_address(to[i]), message);
 	while (received + rr_counter_value(ctx, RR_N_PEER_MESSAGES_DROPPED) <
-	       LINKS)
+	       N_LINKS)
 		g_main_context_iteration(NULL, TRUE);
 	printf("{\"bench\":\"peer\",\"links\":\"%s\",\"opened\":%d,"
 	       "\"arrived\":%" G_GUINT64_FORMAT
 	       ",\"cpu_us_per_link\":%.0f,\"bytes_per_link_both_ends\":%zu}\n",
-	       security, LINKS, received, (cpu_us() - before) / LINKS,
-	       (resident_bytes() - resident) / LINKS);
-	for (int i = 0; i < LINKS; i++)
+	       security, N_LINKS, received, (cpu_us() - before_us) / N_LINKS,
+	       (resident_bytes() - resident) / N_LINKS);
+	for (int i = 0; i < N_LINKS; i++)
 		rr_drop_peer_transport(to[i]);
 	rr_drop_peer_message(message);
 	rr_drop_peer_transport(from);
@@ -259,9 +259,9 @@
 	measure_upstream_body(0);
 	measure_upstream_body(10);
 	measure_upstream_body(100);
-	measure_port("plain", NULL, 1);
-	measure_port("plain", NULL, 40);
-	measure_port("curve", &keys, 1);
-	measure_port("curve", &keys, 40);
+	measure_transport("plain", NULL, 1);
+	measure_transport("plain", NULL, 40);
+	measure_transport("curve", &keys, 1);
+	measure_transport("curve", &keys, 40);
 	return 0;
 }
--- a/bench/policy.c
+++ b/bench/policy.c
@@ -1,6 +1,6 @@
 /*
- * policy.c - the policy experiment: scenarios and policies, one JSON line
- * each.
+ * policy.c - run the policy experiment's scenarios with each policy and print
+ * one JSON line for each run.
  *
  *	policy --all --seed 1
  *	policy --scenario straggler --policy full --seed 1 --seconds 60
@@ -13,16 +13,15 @@
 
 static const struct scenario scenarios[] = {
 	{ .name = "steady", .load = 0.5 },
-	/* What the faults at the same load are held to. */
+	/* Baseline for the scenarios with faults at the same load. */
 	{ .name = "steady-30", .load = 0.3 },
-	/* The other replica of its shard has to carry the load alone. */
+	/* Low load, as the shard's other replica has to serve all of it. */
 	{ .name = "straggler", .load = 0.3, .straggler_factor = 20 },
 	{ .name = "slow-5-percent",
 	  .load = 0.3,
 	  .slow_share = 0.05,
 	  .slow_factor = 20 },
-	{ .name = "slow-none",
-	  .load = 0.3 }, /* what the one above is held to */
+	{ .name = "slow-none", .load = 0.3 }, /* baseline for slow-5-percent */
 	{ .name = "replica-lost", .load = 0.3, .replica_lost = true },
 	{ .name = "cold-start", .load = 0.3, .replica_cold = true },
 	{ .name = "shedding", .load = 0.9, .shedding = true },
@@ -52,15 +51,16 @@
 	{ .name = "full" },
 };
 
-static double share(uint64_t part, uint64_t whole)
+static double ratio(uint64_t numerator, uint64_t denominator)
 {
-	return whole ? (double)part / (double)whole : 0.0;
+	return denominator ? (double)numerator / (double)denominator : 0.0;
 }
 
 static void print_result(const struct run_options *options,
 			 struct run_result *result)
 {
-	double extra = share(result->attempts, result->needed_attempts) - 1.0;
+	double extra_ratio =
+		ratio(result->attempts, result->needed_attempts) - 1.0;
 
 	printf("{\"scenario\":\"%s\",\"policy\":\"%s\",\"seed\":%u,"
 	       "\"p50_ms\":%.2f,\"p90_ms\":%.2f,\"p99_ms\":%.2f,"
@@ -77,12 +77,12 @@
 	       quantile_ms(result->latencies_us, 0.9),
 	       quantile_ms(result->latencies_us, 0.99),
 	       quantile_ms(result->latencies_us, 0.999),
-	       share(result->shards_covered, result->shards_needed), extra,
-	       result->peak_connections, result->connection_cap,
+	       ratio(result->shards_covered, result->shards_needed),
+	       extra_ratio, result->peak_connections, result->connection_cap,
 	       result->connections_opened, result->connections_refused,
 	       (double)result->answered_in_time / result->seconds,
 	       (double)result->requests / result->seconds,
-	       share(result->rejected, result->requests),
+	       ratio(result->rejected, result->requests),
 	       quantile_ms(result->rejection_latencies_us, 0.99),
 	       result->snapshot_restarts, result->mixed_versions,
 	       result->list_rows);
--- a/bench/policy/model-private.h
+++ b/bench/policy/model-private.h
@@ -1,6 +1,6 @@
 /*
- * model-private.h - inside of the experiment: replicas, attempts on their way
- * and the one instance, shared by its files.
+ * model-private.h - data shared by the policy experiment's files: replicas,
+ * attempts in transit and the instance.
  */
 #ifndef RAGWORT_BENCH_MODEL_PRIVATE_H
 #define RAGWORT_BENCH_MODEL_PRIVATE_H
@@ -10,15 +10,15 @@
 #define SLOTS 2
 #define CONNECTIONS 25
 #define CONNECT_US (6 * MS)
-#define SERVICE_US (4 * MS)    /* mean time a slot works on an attempt */
-#define SERVICE_SIGMA 0.5      /* of the logarithm */
-#define SAME_ZONE_DELAY_US 300 /* one way */
+#define SERVICE_US (4 * MS)    /* mean service time of an attempt */
+#define SERVICE_SIGMA 0.5      /* standard deviation of its logarithm */
+#define SAME_ZONE_DELAY_US 300 /* one-way delay */
 #define CROSS_ZONE_DELAY_US (1500)
 #define DEADLINE_MS 400
 #define ATTEMPT_TIMEOUT_MS 150
 #define IDLE_CLOSE_US (30 * SECOND)
 #define SHED_QUEUE_LIMIT \
-	4 /* attempts waiting before a shedding replica refuses */
+	4 /* queue length at which a shedding replica rejects */
 #define COLD_PERIOD_US (3 * SECOND)
 #define COLD_FACTOR 8.0
 #define VERSIONS_KEPT 3
@@ -36,7 +36,7 @@
 	uint32_t row_limit;
 	bool cancelled;
 	bool started;
-	bool slot_released; /* cancelled while it ran: its slot is free */
+	bool slot_released; /* cancelled while running; its slot is free */
 	int64_t deadline_us;
 };
 
@@ -45,11 +45,11 @@
 	char id[24];
 	char address[24];
 	int shard;
-	int replica_index; /* 0 in the instance's zone */
+	int replica_index; /* within its shard; 0 is in the instance's zone */
 	uint64_t newest_version;
 	uint32_t busy_slots;
 	GQueue queue;	      /* struct job */
-	uint32_t connections; /* open, in use or idle */
+	uint32_t connections; /* open connections, in use or idle */
 	uint32_t conns_in_use;
 	int64_t cold_until_us;
 };
@@ -75,19 +75,19 @@
 	GHashTable *jobs;    /* attempt id to struct job */
 	GHashTable *queries; /* query id to struct query */
 	struct query *submitting;
-	GPtrArray *posts; /* events for the core */
+	GPtrArray *posts; /* unused */
 	bool stopping;
 	char *list_cursor;
 	bool list_pending;
 };
 
-/* Call `run(model, data)` after a delay. */
+/* Schedule a call of `run(model, data)` after a delay. */
 void schedule_event(struct model *model, int64_t delay_us,
 		    void (*run)(void *context, void *data), void *data);
-/* Plan the core's next tick; to be called after each of its events. */
+/* Schedule the core's next tick; call after each event for the core. */
 void schedule_core_tick(struct model *model);
 
-/* The core's actions towards replicas; `data` is the model. */
+/* Callbacks of the core towards replicas; `data` is the model. */
 void on_send_attempt(void *data, const struct rr_attempt *attempt);
 void on_cancel_attempt(void *data, uint64_t attempt_id);
 void on_poll_health(void *data, const char *replica, const char *address);
--- a/bench/policy/model.c
+++ b/bench/policy/model.c
@@ -1,5 +1,5 @@
 /*
- * model.c - open-loop load and the carrier of the experiment.
+ * model.c - open-loop load, the core's callbacks and the run of the experiment.
  */
 #include "policy/model-private.h"
 
@@ -115,7 +115,7 @@
 	push_event(model->events, model->next_tick_us, tick, NULL);
 }
 
-static void ask(struct model *model, struct rr_request *request)
+static void submit_request(struct model *model, struct rr_request *request)
 {
 	struct query *query = g_new0(struct query, 1);
 	uint64_t *query_id = g_new(uint64_t, 1);
@@ -160,7 +160,7 @@
 		       (int64_t)(-log(1.0 - g_rand_double(model->random)) *
 				 (double)SECOND / rate),
 		       next_search, NULL);
-	ask(model, &request);
+	submit_request(model, &request);
 }
 
 static void next_page(void *context, void *data)
@@ -179,10 +179,10 @@
 		return;
 	model->list_pending = true;
 	request.cursor = model->list_cursor;
-	ask(model, &request);
+	submit_request(model, &request);
 }
 
-static void catch_up(void *context, void *data)
+static void update_version(void *context, void *data)
 {
 	struct upstream *upstream = data;
 
@@ -199,7 +199,7 @@
 			model,
 			(int64_t)(g_rand_double(model->random) * 0.6 *
 				  (double)model->scenario->index_period_us),
-			catch_up, &model->upstreams[i]);
+			update_version, &model->upstreams[i]);
 	if (model->now_us < model->options->duration_us)
 		schedule_event(model, model->scenario->index_period_us,
 			       next_version, NULL);
@@ -327,7 +327,7 @@
 	init_upstreams(model);
 	start_core(model);
 	schedule_core_tick(model);
-	/* Health is known before the load begins, as in a ready instance. */
+	/* Start the load when health is known, as in a ready instance. */
 	schedule_event(model, SECOND, next_search, NULL);
 	if (scenario->nightly_list)
 		schedule_event(model, SECOND, next_page, NULL);
@@ -343,7 +343,7 @@
 		rr_counter_value(model->ctx, RR_N_SNAPSHOT_RESTARTS);
 	rr_drop_core(model->core);
 	rr_drop_context(model->ctx);
-	/* The experiment's own leftovers go with the process. */
+	/* The model and its pending events are released only at process exit. */
 }
 
 void clear_result(struct run_result *result)
--- a/bench/policy/model.h
+++ b/bench/policy/model.h
@@ -1,9 +1,10 @@
 /*
  * model.h - the policy experiment: one core in virtual time against fake
- * replicas with the brief's sizes.
+ * replicas with the sizes of the planned deployment.
  *
- * A replica has slots, a queue behind them and a cap on connections; a new
- * connection costs time.  Only the policy is studied: one instance, no peers.
+ * A replica has slots, a queue and a limit on connections; a new connection
+ * takes time.  The experiment covers only the policy: there is one instance
+ * and there are no peers.
  */
 #ifndef RAGWORT_BENCH_MODEL_H
 #define RAGWORT_BENCH_MODEL_H
@@ -20,30 +21,30 @@
 #define WALL_START_US ((int64_t)1700000000 * G_USEC_PER_SEC)
 #define POLICY_SHARDS 20
 #define POLICY_REPLICAS 2
-#define POLICY_KEYS_PER_SHARD 100 /* of a shard; every tenth has a row */
+#define POLICY_KEYS_PER_SHARD 100 /* every tenth has a row */
 #define POLICY_SERVICE "counter-desk"
 
-/* What a scenario changes; all zero is the steady run. */
+/* Load and faults; all zero except `load` is the steady state. */
 struct scenario {
 	const char *name;
-	double load;		 /* share of the replicas' capacity */
-	double straggler_factor; /* replica 0 of shard 0 */
-	double slow_share;	 /* of attempts, at random */
+	double load;		 /* fraction of the replicas' capacity */
+	double straggler_factor; /* service time factor, replica 0 of shard 0 */
+	double slow_share;	 /* fraction of slow attempts, at random */
 	double slow_factor;
-	bool replica_lost;  /* replica 1 of shard 1, from a third on */
-	bool replica_cold;  /* the same, replaced and cold */
-	bool shedding;	    /* replicas refuse beyond their slots' queue */
-	bool inverted_load; /* reports are the opposite of the truth */
-	bool zone_isolated; /* the second replicas' zone, in the middle third */
-	int64_t index_period_us; /* a new version that often */
+	bool replica_lost;  /* replica 1 of shard 1, after a third of the run */
+	bool replica_cold;  /* that replica is replaced by a cold one instead */
+	bool shedding;	    /* replicas reject above SHED_QUEUE_LIMIT */
+	bool inverted_load; /* replicas report 1 - load */
+	bool zone_isolated; /* zone of all replicas 1, in the middle third */
+	int64_t index_period_us; /* interval between index versions; 0: none */
 	bool nightly_list;
-	uint32_t connection_cap; /* another cap than 25; 0 for 25 */
+	uint32_t connection_cap; /* 0: the default, CONNECTIONS */
 };
 
 struct policy {
 	const char *name;
 	struct rr_policy_switches switches;
-	bool no_retry; /* the baseline's fixed time-out */
+	bool no_retry; /* retry budget 0, as in the baseline */
 };
 
 struct run_options {
@@ -70,16 +71,16 @@
 	uint64_t connections_opened;
 	uint64_t connections_refused;
 	double seconds;
-	GArray *latencies_us; /* int64_t, of answers that were not refused */
+	GArray *latencies_us; /* int64_t; of answers that were not rejected */
 	GArray *rejection_latencies_us; /* int64_t */
 };
 
 void run_policy(const struct run_options *options, struct run_result *result);
 void clear_result(struct run_result *result);
-/* A quantile, 0 to 1, in milliseconds; sorts the array. */
+/* Return a quantile (0 to 1) in milliseconds; sorts the array. */
 double quantile_ms(GArray *times_us, double quantile);
 
-/* Capacity of the service in searches a second: slots over service time. */
+/* Return the service's capacity in searches/s: slots over service time. */
 double policy_capacity_per_s(void);
 
 #endif
--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -1,8 +1,8 @@
 /*
- * slopes.c - what the core costs: processor time an attempt, a merged row and
- * a peer message, memory a replica and an open query.  One JSON line each.
+ * slopes.c - CPU time per attempt, merged row and peer message, and memory per
+ * replica and open query.  Prints one JSON line each.
  *
- * docs/CAPACITY.md multiplies these by the size of the aim.
+ * docs/CAPACITY.md multiplies these by the size of the target deployment.
  */
 #include <glib.h>
 #include <malloc.h>
@@ -13,7 +13,7 @@
 #include "ragwort/core.h"
 #include "ragwort/wire.h"
 
-#define KEYS 1000 /* of a shard */
+#define KEYS_PER_SHARD 1000
 
 struct bench {
 	struct rr_context *ctx;
@@ -112,8 +112,8 @@
 
 		shard->name = g_strdup_printf("shard-%04u", s);
 		shard->public_name = g_strdup(shard->name);
-		shard->key_from = (uint64_t)s * KEYS;
-		shard->key_to = shard->key_from + KEYS;
+		shard->key_from = (uint64_t)s * KEYS_PER_SHARD;
+		shard->key_to = shard->key_from + KEYS_PER_SHARD;
 		shard->n_replicas = n_replicas;
 		shard->replicas = g_new0(struct rr_replica_config, n_replicas);
 		for (uint32_t r = 0; r < n_replicas; r++) {
@@ -139,7 +139,7 @@
 			     on_send_peer, on_poll_health, on_config_record,
 			     bench },
 		.store = { on_get, on_swap, bench },
-		/* The limit starts low and would queue the bench's burst. */
+		/* The adaptive limit starts low and would queue the burst. */
 		.switches = { .no_hedge = true, .no_adaptive_limit = true },
 	};
 	struct rr_config *config = make_config(n_shards, n_replicas);
@@ -179,7 +179,7 @@
 	g_array_unref(bench->sent);
 }
 
-static void ask(struct bench *bench)
+static void submit_query(struct bench *bench)
 {
 	struct rr_request request = {
 		.kind = RR_SEARCH,
@@ -203,7 +203,7 @@
 	return rows;
 }
 
-static void reply_all(struct bench *bench, uint32_t rows_each)
+static void reply_all(struct bench *bench, uint32_t rows_per_shard)
 {
 	for (guint i = 0; i < bench->sent->len; i++) {
 		struct sent sent = g_array_index(bench->sent, struct sent, i);
@@ -217,8 +217,8 @@
 			.map_epoch = 1,
 			.ranges = &range,
 			.n_ranges = 1,
-			.rows = make_rows(sent.key_from, rows_each),
-			.row_count = rows_each,
+			.rows = make_rows(sent.key_from, rows_per_shard),
+			.row_count = rows_per_shard,
 			.body_complete = true,
 			.state = RR_UPSTREAM_READY,
 		};
@@ -230,10 +230,10 @@
 	g_array_set_size(bench->sent, 0);
 }
 
-static void measure_queries(uint32_t n_shards, uint32_t rows_each)
+static void measure_queries(uint32_t n_shards, uint32_t rows_per_shard)
 {
 	struct bench bench;
-	uint32_t queries = 200000 / n_shards / (1 + rows_each / 10);
+	uint32_t queries = 200000 / n_shards / (1 + rows_per_shard / 10);
 	uint64_t attempts = 0;
 	double start_us;
 	double used_us;
@@ -242,10 +242,10 @@
 	start_us = cpu_us();
 	for (uint32_t i = 0; i < queries; i++) {
 		bench.now_us += 1000;
-		ask(&bench);
+		submit_query(&bench);
 		attempts += bench.sent->len;
 		while (bench.sent->len)
-			reply_all(&bench, rows_each);
+			reply_all(&bench, rows_per_shard);
 		rr_core_tick(bench.ctx, bench.core, bench.now_us);
 	}
 	used_us = cpu_us() - start_us;
@@ -253,8 +253,8 @@
 	       "\"queries\":%u,\"complete\":%" G_GUINT64_FORMAT
 	       ",\"us_a_query\":%.1f,\"us_an_attempt\":%.3f,"
 	       "\"us_a_row\":%.4f}\n",
-	       n_shards, rows_each, queries, bench.answers, used_us / queries,
-	       used_us / (double)MAX(attempts, 1),
+	       n_shards, rows_per_shard, queries, bench.answers,
+	       used_us / queries, used_us / (double)MAX(attempts, 1),
 	       used_us / (double)MAX(bench.rows, 1));
 	stop_bench(&bench);
 }
@@ -270,7 +270,7 @@
 	start_bench(&bench, n_shards, n_replicas);
 	with_config = heap_bytes();
 	for (uint32_t i = 0; i < queries; i++)
-		ask(&bench);
+		submit_query(&bench);
 	with_queries = heap_bytes();
 	printf("{\"slope\":\"memory\",\"shards\":%u,\"replicas\":%u,"
 	       "\"bytes_a_replica\":%.0f,\"bytes_an_open_query\":%.0f,"
@@ -295,7 +295,7 @@
 	relay->service = g_strdup("stock");
 	relay->request_id = g_strdup("bench");
 	relay->body = g_strdup("{\"text\":\"old nairobi red\"}");
-	relay->key_to = (uint64_t)n_shards * KEYS;
+	relay->key_to = (uint64_t)n_shards * KEYS_PER_SHARD;
 	relay->row_limit = 100;
 	relay->version = 7;
 	relay->map_epoch = 1;
@@ -311,7 +311,7 @@
 }
 
 static struct rr_peer_message *make_relay_reply(uint32_t n_shards,
-						uint32_t rows_each)
+						uint32_t rows_per_shard)
 {
 	struct rr_peer_message *message =
 		rr_new_peer_message(RR_PEER_RELAY_REPLY);
@@ -327,7 +327,8 @@
 	reply->n_outcomes = n_shards;
 	for (uint32_t i = 0; i < n_shards; i++) {
 		struct rr_relay_outcome *outcome = &reply->outcomes[i];
-		struct rr_rows *rows = make_rows((uint64_t)i * KEYS, rows_each);
+		struct rr_rows *rows =
+			make_rows((uint64_t)i * KEYS_PER_SHARD, rows_per_shard);
 
 		outcome->shard = g_strdup_printf("shard-%04u", i);
 		outcome->covered = true;
@@ -335,8 +336,8 @@
 		outcome->newest_version = 7;
 		outcome->attempts = 1;
 		outcome->ranges = g_new0(struct rr_key_range, 1);
-		outcome->ranges[0].from = (uint64_t)i * KEYS;
-		outcome->ranges[0].to = (uint64_t)(i + 1) * KEYS;
+		outcome->ranges[0].from = (uint64_t)i * KEYS_PER_SHARD;
+		outcome->ranges[0].to = (uint64_t)(i + 1) * KEYS_PER_SHARD;
 		outcome->n_ranges = 1;
 		for (size_t j = 0; j < rr_count_rows(rows); j++) {
 			size_t length;
@@ -351,7 +352,7 @@
 }
 
 static void measure_message(const char *name, struct rr_peer_message *message,
-			    uint32_t n_shards, uint32_t rows_each)
+			    uint32_t n_shards, uint32_t rows_per_shard)
 {
 	const uint32_t rounds = 2000;
 	double start_us = cpu_us();
@@ -380,7 +381,7 @@
 	printf("{\"slope\":\"message\",\"kind\":\"%s\",\"shards\":%u,"
 	       "\"rows_a_shard\":%u,\"bytes\":%" G_GSIZE_FORMAT
 	       ",\"encode_us\":%.2f,\"decode_us\":%.2f}\n",
-	       name, n_shards, rows_each, length, encoded_us / rounds,
+	       name, n_shards, rows_per_shard, length, encoded_us / rounds,
 	       decoded_us / rounds);
 	g_bytes_unref(bytes);
 	rr_drop_peer_message(message);
--- a/bench/start.c
+++ b/bench/start.c
@@ -1,7 +1,7 @@
 /*
- * start.c - what reading the platform's list costs an instance at its start:
- * processor time to decode the items, to take them in, and to find out what
- * follows, by the number of instances and replicas.
+ * start.c - CPU time an instance takes at its start to read the platform's
+ * list: to decode the items, to apply them and to run the tick that follows,
+ * by the number of instances and replicas.
  */
 #include <argtable2.h>
 #include <stdio.h>
@@ -11,13 +11,13 @@
 #include "support/standin-store.h"
 
 #define ZONES 5
-#define REPLICAS_OF_SERVICE 3
+#define REPLICAS_PER_SERVICE 3
 
 struct start {
 	struct rr_context *ctx;
 	struct rr_gate *gate;
 	struct rr_feed *feed;
-	uint64_t reading; /* the call that reads everything */
+	uint64_t range_call_id; /* id of the call that reads the list */
 };
 
 static double cpu_ms(void)
@@ -28,14 +28,14 @@
 static void append_item(GString *out, const char *key, const char *value,
 			uint64_t revision)
 {
-	char *coded = g_base64_encode((const guchar *)value, strlen(value));
+	char *encoded = g_base64_encode((const guchar *)value, strlen(value));
 
 	g_string_append_printf(out,
 			       "%s{\"key\":\"%s\",\"value\":\"%s\","
 			       "\"revision\":%" G_GUINT64_FORMAT
 			       ",\"lease\":1}",
-			       revision > 1 ? "," : "", key, coded, revision);
-	g_free(coded);
+			       revision > 1 ? "," : "", key, encoded, revision);
+	g_free(encoded);
 }
 
 static void append_instance(GString *out, uint32_t number, uint64_t revision)
@@ -57,7 +57,7 @@
 	char *key = g_strdup_printf("%sr-%u", rr_store_prefix(RR_FEED_REPLICA),
 				    number);
 	char *id = g_strdup_printf("r-%u", number);
-	char *service = g_strdup_printf("s%u", number / REPLICAS_OF_SERVICE);
+	char *service = g_strdup_printf("s%u", number / REPLICAS_PER_SERVICE);
 	struct test_replica_entry entry = {
 		.id = id,
 		.service = service,
@@ -89,12 +89,12 @@
 	return out;
 }
 
-static void note_call(void *data, const struct rr_feed_call *call)
+static void record_call(void *data, const struct rr_feed_call *call)
 {
 	struct start *start = data;
 
 	if (call->kind == RR_FEED_RANGE)
-		start->reading = call->id;
+		start->range_call_id = call->id;
 }
 
 static void ignore_cancel(void *data, uint64_t call)
@@ -105,51 +105,52 @@
 {
 }
 
-static void take_listed(void *data, const struct rr_endpoint_info *listing)
+static void handle_listed(void *data, const struct rr_endpoint_info *endpoint)
 {
 	struct start *start = data;
 
-	rr_gate_update_endpoint(start->ctx, start->gate, 1, listing);
+	rr_gate_update_endpoint(start->ctx, start->gate, 1, endpoint);
 }
 
-static void ignore_id(void *data, const char *id)
+static void ignore_unlisted(void *data, const char *id)
 {
 }
 
-static void take_instances(void *data, uint32_t instances)
+static void handle_instance_count(void *data, uint32_t instances)
 {
 	struct start *start = data;
 
 	rr_gate_set_instance_count(start->ctx, start->gate, instances);
 }
 
-static void take_instance(void *data, const char *id,
-			  const struct rr_instance *instance)
+static void handle_instance(void *data, const char *id,
+			    const struct rr_instance *instance)
 {
 	struct start *start = data;
-	struct rr_gate_instance told = {
+	struct rr_gate_instance info = {
 		.id = id,
 		.zone = instance ? instance->zone : NULL,
 		.address = instance ? instance->address : NULL,
 		.strength = instance ? instance->strength : 0,
 	};
 
-	rr_gate_update_instance(start->ctx, start->gate, 1, &told);
+	rr_gate_update_instance(start->ctx, start->gate, 1, &info);
 }
 
-static void ignore_lifetime(void *data, const char *lifetime)
+static void ignore_close_idle(void *data, const char *incarnation)
 {
 }
 
-static void ignore_open(void *data, const char *lifetime, const char *address)
+static void ignore_preconnect(void *data, const char *incarnation,
+			      const char *address)
 {
 }
 
-static void throw_away(void *data, enum rr_log_level level, const char *line)
+static void discard_line(void *data, enum rr_log_level level, const char *line)
 {
 }
 
-static int64_t tell_time(void *data)
+static int64_t get_wall_time(void *data)
 {
 	return g_get_real_time();
 }
@@ -158,8 +159,8 @@
 {
 	struct rr_context_options options = {
 		.log = {
-			.write = throw_away,
-			.clock = tell_time,
+			.write = discard_line,
+			.clock = get_wall_time,
 			.max_level = RR_LOG_INFO,
 		},
 		.seed = 1,
@@ -168,13 +169,13 @@
 	return rr_new_context(&options);
 }
 
-static void make_cores(struct start *start)
+static void start_cores(struct start *start)
 {
 	struct rr_gate_options gate = {
 		.instance = "i-0",
 		.zone = "z0",
-		.actions = { .preconnect = ignore_open,
-			     .close_idle = ignore_lifetime,
+		.actions = { .preconnect = ignore_preconnect,
+			     .close_idle = ignore_close_idle,
 			     .data = start },
 		.extra_ratio = 0.2,
 		.extra_slack = 58,
@@ -183,13 +184,13 @@
 	};
 	struct rr_feed_options feed = {
 		.actions = {
-			.call = note_call,
+			.call = record_call,
 			.cancel = ignore_cancel,
 			.routes = ignore_routes,
-			.replica_listed = take_listed,
-			.replica_unlisted = ignore_id,
-			.instance_count = take_instances,
-			.instance = take_instance,
+			.replica_listed = handle_listed,
+			.replica_unlisted = ignore_unlisted,
+			.instance_count = handle_instance_count,
+			.instance = handle_instance,
 			.data = start,
 		},
 		.self = { .id = (char *)"i-0", .zone = (char *)"z0",
@@ -207,22 +208,22 @@
 	GString *list = make_list(instances, replicas);
 	struct start start = { .ctx = make_context() };
 	struct rr_feed_reply reply = { 0 };
-	double from_ms = cpu_ms();
+	double start_ms = cpu_ms();
 	double decoded_ms;
-	double taken_ms;
+	double applied_ms;
 
-	make_cores(&start);
+	start_cores(&start);
 	rr_decode_feed_reply(RR_FEED_RANGE, 200, (const uint8_t *)list->str,
 			     list->len, &reply);
-	reply.call_id = start.reading;
+	reply.call_id = start.range_call_id;
 	decoded_ms = cpu_ms();
 	rr_feed_reply(start.ctx, start.feed, 1, &reply);
-	taken_ms = cpu_ms();
+	applied_ms = cpu_ms();
 	rr_gate_tick(start.ctx, start.gate, 1);
 	printf("instances=%u replicas=%u bytes=%zu decode_ms=%.2f take_ms=%.2f "
 	       "settle_ms=%.2f\n",
-	       instances, replicas, list->len, decoded_ms - from_ms,
-	       taken_ms - decoded_ms, cpu_ms() - taken_ms);
+	       instances, replicas, list->len, decoded_ms - start_ms,
+	       applied_ms - decoded_ms, cpu_ms() - applied_ms);
 	g_ptr_array_unref(reply.items);
 	rr_drop_feed(start.feed);
 	rr_drop_gate(start.gate);
@@ -232,10 +233,10 @@
 
 int main(int argc, char **argv)
 {
-	struct arg_int *instances = arg_int0(NULL, "instances", "N",
-					     "instances with an entry (295)");
-	struct arg_int *replicas =
-		arg_int0(NULL, "replicas", "N", "replicas listed (540)");
+	struct arg_int *instances = arg_int0(
+		NULL, "instances", "N", "number of instances, default 295");
+	struct arg_int *replicas = arg_int0(NULL, "replicas", "N",
+					    "number of replicas, default 540");
 	struct arg_end *end = arg_end(5);
 	void *table[] = { instances, replicas, end };
 
--- a/bench/watch.c
+++ b/bench/watch.c
@@ -1,8 +1,8 @@
 /*
- * watch.c - calls that instances make on the platform to learn of new
- * configuration and of the list of instances: everyone watching, or a few.
+ * watch.c - number of calls to the platform for the configuration and the
+ * instance list when all or only some of the instances watch.
  *
- * Needs a running build/standin/platform, whose counts it reads.
+ * Needs a running build/standin/platform, whose counters it reads.
  */
 #include <argtable2.h>
 #include <glib.h>
@@ -19,7 +19,7 @@
 
 struct instance {
 	struct rr_context *ctx;
-	struct rr_platform_client *port;
+	struct rr_platform_client *client;
 	bool watches;
 };
 
@@ -32,26 +32,26 @@
 	uint64_t records_seen;
 };
 
-static bool ask_watches(void *data)
+static bool is_watcher(void *data)
 {
 	const struct instance *instance = data;
 
 	return instance->watches;
 }
 
-static struct run *the_run;
+static struct run *current_run;
 
-static void take_record(void *data, const char *record, size_t length)
+static void handle_record(void *data, const char *record, size_t length)
 {
 	(void)data;
-	the_run->records_seen++;
+	current_run->records_seen++;
 }
 
-static void take_reply(void *data, const struct rr_store_reply *reply)
+static void handle_reply(void *data, const struct rr_store_reply *reply)
 {
 	(void)data;
 	if (reply->status == RR_STORE_OK)
-		the_run->key_revision = reply->revision;
+		current_run->key_revision = reply->revision;
 }
 
 static void ignore_member(void *data, const char *name, const char *zone,
@@ -60,7 +60,7 @@
 	(void)data;
 }
 
-static void ignore_replica(void *data, const char *name, int64_t born_ms,
+static void ignore_replica(void *data, const char *name, int64_t started_ms,
 			   enum rr_upstream_state state)
 {
 	(void)data;
@@ -70,7 +70,7 @@
 {
 	struct run *run = data;
 	struct instance *first = run->instances->pdata[0];
-	struct rr_store_port store = rr_make_store_port(first->port);
+	struct rr_store_port store = rr_make_store_port(first->client);
 	struct rr_config_record *record = rr_new_config_record();
 	size_t length;
 	char *text;
@@ -92,18 +92,18 @@
 	struct instance *instance = g_new0(struct instance, 1);
 	struct rr_platform_client_options options = {
 		.address = address,
-		.replied = take_reply,
-		.record_received = take_record,
+		.replied = handle_reply,
+		.record_received = handle_record,
 		.member_listed = ignore_member,
 		.replica_listed = ignore_replica,
-		.is_watcher = ask_watches,
+		.is_watcher = is_watcher,
 		.data = instance,
 		.watch_ms = watch_ms,
 	};
 
 	instance->ctx = rr_new_context(NULL);
 	instance->watches = watches;
-	instance->port = rr_new_platform_client(instance->ctx, &options);
+	instance->client = rr_new_platform_client(instance->ctx, &options);
 	g_ptr_array_add(run->instances, instance);
 }
 
@@ -131,24 +131,30 @@
 	return G_SOURCE_REMOVE;
 }
 
-static struct arg_int *number(const char *name, int preset, const char *help)
+static struct arg_int *new_int_arg(const char *name, int default_value,
+				   const char *help)
 {
 	struct arg_int *arg = arg_int0(NULL, name, "N", help);
 
-	arg->ival[0] = preset;
+	arg->ival[0] = default_value;
 	return arg;
 }
 
 int main(int argc, char **argv)
 {
 	struct run run = { 0 };
-	struct arg_str *platform =
-		arg_str1(NULL, "platform", "IP:PORT", "the stand-in");
-	struct arg_int *instances = number("instances", 9, "all instances");
-	struct arg_int *watching = number("watching", 9, "that watch");
-	struct arg_int *seconds = number("seconds", 20, "length of the run");
-	struct arg_int *changes = number("changes", 5, "one each 2 s");
-	struct arg_int *watch_ms = number("watch-ms", 20000, "one wait");
+	struct arg_str *platform = arg_str1(NULL, "platform", "IP:PORT",
+					    "address of the platform stand-in");
+	struct arg_int *instances =
+		new_int_arg("instances", 9, "number of instances");
+	struct arg_int *watching =
+		new_int_arg("watching", 9, "number of instances that watch");
+	struct arg_int *seconds =
+		new_int_arg("seconds", 20, "length of the run");
+	struct arg_int *changes = new_int_arg(
+		"changes", 5, "configuration changes, one every 2 s");
+	struct arg_int *watch_ms =
+		new_int_arg("watch-ms", 20000, "duration of a watch call");
 	struct arg_end *end = arg_end(5);
 	void *table[] = { platform, instances, watching, seconds,
 			  changes,  watch_ms,  end };
@@ -157,7 +163,7 @@
 		arg_print_errors(stderr, end, "watch");
 		return 2;
 	}
-	the_run = &run;
+	current_run = &run;
 	run.loop = g_main_loop_new(NULL, FALSE);
 	run.instances = g_ptr_array_new();
 	run.changes = (uint32_t)changes->ival[0];
