--- a/bench/policy/model.h
+++ b/bench/policy/model.h
@@ -33,9 +33,9 @@
 	double slow_factor;
 	bool replica_lost;  /* replica 1 of shard 1, after a third of the run */
 	bool replica_cold;  /* that replica is replaced by a cold one instead */
-	bool shedding;	    /* replicas reject above SHED_QUEUE_LIMIT */
+	bool shedding;	    /* replicas with SHED_QUEUE_LIMIT queued reject */
 	bool inverted_load; /* replicas report 1 - load */
-	bool zone_isolated; /* zone of all replicas 1, in the middle third */
+	bool zone_isolated; /* zone of each replica 1, in the middle third */
 	int64_t index_period_us; /* interval between index versions; 0: none */
 	bool nightly_list;
 	uint32_t connection_cap; /* 0: the default, CONNECTIONS */
--- a/soak/soak-caller.c
+++ b/soak/soak-caller.c
@@ -1,32 +1,32 @@
 /*
- * soak-caller.c - callers that keep their connections for many requests, and
- * check each answer against what they asked.
+ * soak-caller.c - callers that reuse their connections and check each answer
+ * against its request.
  */
 #include <string.h>
 
 #include "soak.h"
 
-/* Between an answer and the next request. */
-#define LEAST_THINK_MS 10
-#define MOST_THINK_MS 60
-/* An answer comes by then, from a process that runs. */
-#define LATE_US (DEADLINE_MS * MS + 1500 * MS)
-/* Bytes that cross the close of a connection are on their way so long. */
-#define CROSSING_US (200 * MS)
-/* Until a caller whose connection was refused tries another instance. */
-#define REFUSED_MS 30
+/* Time between an answer and the next request. */
+#define MIN_THINK_TIME_MS 10
+#define MAX_THINK_TIME_MS 60
+/* A running process answers within this time. */
+#define ANSWER_TIMEOUT_US (DEADLINE_MS * MS + 1500 * MS)
+/* Maximum time in transit of bytes sent while the peer closes a connection. */
+#define IN_TRANSIT_US (200 * MS)
+/* Delay before a caller whose connection was refused tries another instance. */
+#define RECONNECT_DELAY_MS 30
 
 struct soak_caller {
 	struct soak *soak;
-	uint32_t instance; /* to begin with, and of the open connection */
+	uint32_t instance; /* number; of the open or the next connection */
 	GSocket *socket;
 	GSource *source;
-	GString *in;
-	struct soak_request *open; /* NULL: no answer is due */
+	GString *input;
+	struct soak_request *request; /* NULL: none */
 	guint timer;
 };
 
-/* One answer, cut into what is checked. */
+/* The fields of an answer that are checked. */
 struct answer {
 	int status;
 	char *seal;
@@ -36,9 +36,9 @@
 	gsize length;
 };
 
-static void think(struct soak_caller *caller, uint32_t ms);
+static void schedule_next_step(struct soak_caller *caller, uint32_t ms);
 
-static struct soak_instance *instance_of(const struct soak_caller *caller)
+static struct soak_instance *get_instance(const struct soak_caller *caller)
 {
 	return g_ptr_array_index(caller->soak->instances, caller->instance);
 }
@@ -51,12 +51,12 @@
 	g_source_unref(caller->source);
 	g_socket_close(caller->socket, NULL);
 	g_clear_object(&caller->socket);
-	g_string_truncate(caller->in, 0);
+	g_string_truncate(caller->input, 0);
 }
 
 /* Checks. */
 
-static char *header_of(const char *head, const char *name)
+static char *get_header(const char *head, const char *name)
 {
 	char *start = g_strdup_printf("\r\n%s: ", name);
 	const char *at = strstr(head, start);
@@ -75,39 +75,42 @@
 	return memcmp(b, a, RECORD_BYTES);
 }
 
-/* A seal is SERVICE.REPLICA.REQUEST; its service, NULL if it is another's. */
-static char *service_of(const char *seal, const char *request_id)
+/*
+ * Return the service of a seal, which is SERVICE.REPLICA.REQUEST; NULL if it is
+ * invalid or of another request.
+ */
+static char *get_seal_service(const char *seal, const char *request_id)
 {
 	char **words = g_strsplit(seal, ".", 3);
-	bool good = g_strv_length(words) == 3 && !strcmp(words[2], request_id);
-	char *service = good ? g_strdup(words[0]) : NULL;
+	bool ok = g_strv_length(words) == 3 && !strcmp(words[2], request_id);
+	char *service = ok ? g_strdup(words[0]) : NULL;
 
 	g_strfreev(words);
 	return service;
 }
 
-/* The greatest records of the parts named, as the answer must have them. */
-static bool has_greatest(const struct soak_request *request, char **services,
-			 const struct answer *answer)
+/* Whether the answer consists of the greatest records of these parts. */
+static bool has_top_records(const struct soak_request *request, char **services,
+			    const struct answer *answer)
 {
 	GString *all = g_string_new(NULL);
 	char part[RECORDS_PER_PART * RECORD_BYTES + 1];
-	bool good;
+	bool ok;
 
 	for (; *services; services++) {
 		soak_make_part_records(request->id, *services, part);
 		g_string_append(all, part);
 	}
 	qsort(all->str, all->len / RECORD_BYTES, RECORD_BYTES, compare_records);
-	good = answer->length ==
-		       MIN(all->len, (gsize)TOP_RECORDS * RECORD_BYTES) &&
-	       !memcmp(all->str, answer->body, answer->length);
+	ok = answer->length ==
+		     MIN(all->len, (gsize)TOP_RECORDS * RECORD_BYTES) &&
+	     !memcmp(all->str, answer->body, answer->length);
 	g_string_free(all, TRUE);
-	return good;
+	return ok;
 }
 
-/* Shards of one version: never some of either set. */
-static bool is_one_set(char **services)
+/* Whether all shards are of the same configuration version's set. */
+static bool is_single_version(char **services)
 {
 	bool first = false;
 	bool second = false;
@@ -119,7 +122,7 @@
 	return first != second;
 }
 
-static bool has_twins(char **services)
+static bool has_duplicates(char **services)
 {
 	for (; *services; services++) {
 		if (g_strv_contains((const char *const *)services + 1,
@@ -136,25 +139,25 @@
 				  ", ", -1);
 	guint n = g_strv_length(seals);
 	char **services = g_new0(char *, n + 1);
-	bool own = n > 0;
+	bool valid = n > 0;
 
-	for (guint i = 0; own && i < n; i++) {
-		services[i] = service_of(seals[i], request->id);
-		own = services[i] != NULL;
+	for (guint i = 0; valid && i < n; i++) {
+		services[i] = get_seal_service(seals[i], request->id);
+		valid = services[i] != NULL;
 	}
-	if (!own)
+	if (!valid)
 		soak_report_violation(soak, "MIXED",
-				      "%s got parts of another: %s",
+				      "%s got parts of another request: %s",
 				      request->id, answer->part_seals);
-	else if (has_twins(services) || !is_one_set(services))
+	else if (has_duplicates(services) || !is_single_version(services))
 		soak_report_violation(soak, "MIXED", "%s got parts %s",
 				      request->id, answer->part_seals);
 	else if (n < MIN_PARTS || (int)n + answer->missing != SHARDS)
 		soak_report_violation(soak, "MIXED",
 				      "%s got %u parts, %d missing",
 				      request->id, n, answer->missing);
-	else if (!has_greatest(request, services, answer))
-		soak_report_violation(soak, "MIXED", "%s got other records",
+	else if (!has_top_records(request, services, answer))
+		soak_report_violation(soak, "MIXED", "%s got wrong records",
 				      request->id);
 	if (answer->missing)
 		soak->partial++;
@@ -164,36 +167,36 @@
 	g_strfreev(seals);
 }
 
-static void check_forwarded(struct soak *soak,
-			    const struct soak_request *request,
-			    const struct answer *answer)
+static void check_proxied(struct soak *soak, const struct soak_request *request,
+			  const struct answer *answer)
 {
-	char *service =
-		answer->seal ? service_of(answer->seal, request->id) : NULL;
+	char *service = answer->seal ?
+				get_seal_service(answer->seal, request->id) :
+				NULL;
 	char body[RECORDS_PER_PART * RECORD_BYTES + 1];
 
 	if (!service) {
-		soak_report_violation(soak, "MIXED", "%s got the seal %s",
-				      request->id,
+		soak_report_violation(soak, "MIXED",
+				      "%s got an invalid seal: %s", request->id,
 				      answer->seal ? answer->seal : "none");
 		return;
 	}
 	soak_make_part_records(request->id, service, body);
 	if (answer->length != sizeof(body) - 1 ||
 	    memcmp(answer->body, body, answer->length))
-		soak_report_violation(soak, "MIXED", "%s got another body",
+		soak_report_violation(soak, "MIXED", "%s got a wrong body",
 				      request->id);
 	soak->complete++;
 	g_free(service);
 }
 
-static void check_refusal(struct soak *soak, struct soak_request *request)
+static void check_rejection(struct soak *soak, struct soak_request *request)
 {
 	soak->rejected++;
 	request->rejected = true;
 	if (request->kind == SOAK_NON_IDEMPOTENT && request->n_executions)
 		soak_report_violation(soak, "REFUSED",
-				      "%s was refused and has run",
+				      "%s was rejected but has run",
 				      request->id);
 }
 
@@ -206,11 +209,11 @@
 		if (request->kind == SOAK_SEARCH)
 			check_search(soak, request, answer);
 		else
-			check_forwarded(soak, request, answer);
+			check_proxied(soak, request, answer);
 		return;
 	case 429:
 	case 503:
-		check_refusal(soak, request);
+		check_rejection(soak, request);
 		return;
 	case 502:
 	case 504:
@@ -222,44 +225,46 @@
 	}
 }
 
-/* Take a whole answer off the input; false if there is none yet. */
-static bool take_answer(struct soak_caller *caller, bool *closes)
+/* Check and remove an answer from the input; false if it is incomplete. */
+static bool consume_answer(struct soak_caller *caller, bool *close_after)
 {
-	char *end = strstr(caller->in->str, "\r\n\r\n");
+	char *end = strstr(caller->input->str, "\r\n\r\n");
 	struct answer answer = { 0 };
 	char *length;
 	char *missing;
 	char *connection;
 	char *head;
-	gsize whole;
+	gsize total;
 
 	if (!end)
 		return false;
-	head = g_strndup(caller->in->str, (gsize)(end - caller->in->str) + 4);
-	length = header_of(head, "Content-Length");
+	head = g_strndup(caller->input->str,
+			 (gsize)(end - caller->input->str) + 4);
+	length = get_header(head, "Content-Length");
 	answer.length = length ? g_ascii_strtoull(length, NULL, 10) : 0;
-	whole = strlen(head) + answer.length;
+	total = strlen(head) + answer.length;
 	g_free(length);
-	if (caller->in->len < whole) {
+	if (caller->input->len < total) {
 		g_free(head);
 		return false;
 	}
-	missing = header_of(head, "Missing-Parts");
-	connection = header_of(head, "Connection");
+	missing = get_header(head, "Missing-Parts");
+	connection = get_header(head, "Connection");
 	answer.status =
 		(int)g_ascii_strtoll(head + strlen("HTTP/1.1 "), NULL, 10);
-	answer.seal = header_of(head, "Response-Seal");
-	answer.part_seals = header_of(head, "Part-Seals");
+	answer.seal = get_header(head, "Response-Seal");
+	answer.part_seals = get_header(head, "Part-Seals");
 	answer.missing = missing ? (int)g_ascii_strtoll(missing, NULL, 10) : 0;
-	answer.body = caller->in->str + strlen(head);
-	*closes = connection && !g_ascii_strcasecmp(connection, "close");
-	if (caller->open)
-		check_answer(caller->soak, caller->open, &answer);
+	answer.body = caller->input->str + strlen(head);
+	*close_after = connection && !g_ascii_strcasecmp(connection, "close");
+	if (caller->request)
+		check_answer(caller->soak, caller->request, &answer);
 	else
-		soak_report_violation(caller->soak, "MIXED",
-				      "an answer that nobody waits for");
-	caller->open = NULL;
-	g_string_erase(caller->in, 0, (gssize)whole);
+		soak_report_violation(
+			caller->soak, "MIXED",
+			"received an answer without an open request");
+	caller->request = NULL;
+	g_string_erase(caller->input, 0, (gssize)total);
 	g_free(answer.seal);
 	g_free(answer.part_seals);
 	g_free(missing);
@@ -269,66 +274,69 @@
 }
 
 /*
- * Whether a request that was cut had been taken: a replica has it, or it was
- * there for a while.  One that crosses the close of an idle connection was not.
+ * Whether a request without an answer had been received by the instance: it
+ * ran at a replica or was open for some time.  A request that crosses the close
+ * of an idle connection was not received.
  */
-static bool was_taken(const struct soak_request *request)
+static bool was_received(const struct soak_request *request)
 {
 	return request->n_executions ||
-	       g_get_monotonic_time() - request->sent_us > CROSSING_US;
+	       g_get_monotonic_time() - request->sent_us > IN_TRANSIT_US;
 }
 
 /*
- * A connection ended with a request open.  That is nobody's fault after a
- * kill; a planned stop cuts none that was taken.
+ * A connection closed with a request open.  That is allowed after a kill, but a
+ * planned stop must answer all requests that the instance received.
  */
-static void note_cut(struct soak_caller *caller)
+static void record_unanswered(struct soak_caller *caller)
 {
 	struct soak *soak = caller->soak;
-	const struct soak_instance *instance = instance_of(caller);
-	const struct soak_request *request = caller->open;
+	const struct soak_instance *instance = get_instance(caller);
+	const struct soak_request *request = caller->request;
 	int64_t now_us = g_get_monotonic_time();
 
 	soak->unanswered++;
 	if (soak->options.check_timing && instance->stop_requested_us &&
-	    was_taken(request) &&
+	    was_received(request) &&
 	    soak_is_fault_free_since(
 		    soak, instance,
 		    MIN(instance->stop_requested_us, request->sent_us)))
 		soak_report_violation(
 			soak, "LOST",
-			"%s, sent %d ms after the stop of %s, ran %u "
-			"times and was cut %d ms later",
+			"%s, sent %d ms after the stop request of %s, ran %u "
+			"times and lost its connection %d ms later",
 			request->id,
 			(int)((request->sent_us - instance->stop_requested_us) /
 			      MS),
 			instance->name, request->n_executions,
 			(int)((now_us - request->sent_us) / MS));
-	caller->open = NULL;
+	caller->request = NULL;
 }
 
-static gboolean read_caller(GSocket *socket, GIOCondition condition,
-			    gpointer data)
+static gboolean read_connection(GSocket *socket, GIOCondition condition,
+				gpointer data)
 {
 	struct soak_caller *caller = data;
 	char bytes[8192];
 	gssize n = g_socket_receive(socket, bytes, sizeof(bytes), NULL, NULL);
-	bool closes = false;
+	bool close_after = false;
 
 	if (n <= 0) {
-		if (caller->open)
-			note_cut(caller);
+		if (caller->request)
+			record_unanswered(caller);
 		close_connection(caller);
-		think(caller, LEAST_THINK_MS);
+		schedule_next_step(caller, MIN_THINK_TIME_MS);
 		return G_SOURCE_REMOVE;
 	}
-	g_string_append_len(caller->in, bytes, n);
-	if (!take_answer(caller, &closes))
+	g_string_append_len(caller->input, bytes, n);
+	if (!consume_answer(caller, &close_after))
 		return G_SOURCE_CONTINUE;
-	think(caller, LEAST_THINK_MS + soak_random_below(
-					       caller->soak,
-					       MOST_THINK_MS - LEAST_THINK_MS));
-	if (!closes)
+	schedule_next_step(
+		caller, MIN_THINK_TIME_MS +
+				soak_random_below(caller->soak,
+						  MAX_THINK_TIME_MS -
+							  MIN_THINK_TIME_MS));
+	if (!close_after)
 		return G_SOURCE_CONTINUE;
 	close_connection(caller);
 	return G_SOURCE_REMOVE;
@@ -337,22 +345,22 @@
 static bool connect_caller(struct soak_caller *caller)
 {
 	GSocketAddress *address;
-	bool good;
+	bool ok;
 
 	address = g_inet_socket_address_new_from_string(
-		"127.0.0.1", instance_of(caller)->port);
+		"127.0.0.1", get_instance(caller)->port);
 	caller->socket =
 		g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_STREAM,
 			     G_SOCKET_PROTOCOL_TCP, NULL);
-	good = g_socket_connect(caller->socket, address, NULL, NULL);
+	ok = g_socket_connect(caller->socket, address, NULL, NULL);
 	g_object_unref(address);
-	if (!good) {
+	if (!ok) {
 		g_clear_object(&caller->socket);
 		return false;
 	}
 	g_socket_set_blocking(caller->socket, FALSE);
 	caller->source = g_socket_create_source(caller->socket, G_IO_IN, NULL);
-	g_source_set_callback(caller->source, G_SOURCE_FUNC(read_caller),
+	g_source_set_callback(caller->source, G_SOURCE_FUNC(read_connection),
 			      caller, NULL);
 	g_source_attach(caller->source, NULL);
 	return true;
@@ -374,46 +382,48 @@
 
 static void send_request(struct soak_caller *caller)
 {
-	static const char *const lines[] = { "GET /search/", "GET /often/",
-					     "POST /once/" };
+	static const char *const request_lines[] = { "GET /search/",
+						     "GET /often/",
+						     "POST /once/" };
 	struct soak_request *request = new_request(caller->soak);
 	char *text = g_strdup_printf(
 		"%s%s HTTP/1.1\r\nHost: soak\r\nRequest-Id: %s\r\n"
 		"Deadline-Ms: %d\r\n%s\r\n",
-		lines[request->kind],
+		request_lines[request->kind],
 		request->query_of_death[0] ? request->query_of_death :
 					     request->id,
 		request->id, DEADLINE_MS,
 		request->kind == SOAK_NON_IDEMPOTENT ? "Content-Length: 0\r\n" :
 						       "");
 
-	caller->open = request;
+	caller->request = request;
 	if (g_socket_send(caller->socket, text, strlen(text), NULL, NULL) < 0) {
-		caller->open = NULL;
+		caller->request = NULL;
 		close_connection(caller);
-		think(caller, LEAST_THINK_MS);
+		schedule_next_step(caller, MIN_THINK_TIME_MS);
 	}
 	g_free(text);
 }
 
-/* The answer has not come though it is long due. */
-static void check_late(struct soak_caller *caller)
+/* Check whether the open request has timed out. */
+static void check_timeout(struct soak_caller *caller)
 {
 	struct soak *soak = caller->soak;
-	const struct soak_instance *instance = instance_of(caller);
-	int64_t age_us = g_get_monotonic_time() - caller->open->sent_us;
+	const struct soak_instance *instance = get_instance(caller);
+	int64_t age_us = g_get_monotonic_time() - caller->request->sent_us;
 
-	if (age_us < LATE_US) {
-		think(caller, MOST_THINK_MS);
+	if (age_us < ANSWER_TIMEOUT_US) {
+		schedule_next_step(caller, MAX_THINK_TIME_MS);
 		return;
 	}
 	if (soak->options.check_timing && !instance->frozen &&
-	    soak_is_fault_free_since(soak, instance, caller->open->sent_us))
-		soak_report_violation(soak, "CONFIG", "%s has no answer of %s",
-				      caller->open->id, instance->name);
-	note_cut(caller);
+	    soak_is_fault_free_since(soak, instance, caller->request->sent_us))
+		soak_report_violation(soak, "CONFIG",
+				      "%s has no answer from %s",
+				      caller->request->id, instance->name);
+	record_unanswered(caller);
 	close_connection(caller);
-	think(caller, LEAST_THINK_MS);
+	schedule_next_step(caller, MIN_THINK_TIME_MS);
 }
 
 static gboolean next_step(gpointer data)
@@ -422,24 +432,24 @@
 	struct soak *soak = caller->soak;
 
 	caller->timer = 0;
-	if (caller->open) {
-		check_late(caller);
+	if (caller->request) {
+		check_timeout(caller);
 		return G_SOURCE_REMOVE;
 	}
-	/* One that is led elsewhere, or finds nobody, goes to any instance. */
+	/* After a refused connection, use a random instance. */
 	if (!caller->socket && !connect_caller(caller)) {
 		caller->instance =
 			soak_random_below(soak, soak->instances->len);
-		think(caller, REFUSED_MS);
+		schedule_next_step(caller, RECONNECT_DELAY_MS);
 		return G_SOURCE_REMOVE;
 	}
 	send_request(caller);
 	if (!caller->timer)
-		think(caller, MOST_THINK_MS);
+		schedule_next_step(caller, MAX_THINK_TIME_MS);
 	return G_SOURCE_REMOVE;
 }
 
-static void think(struct soak_caller *caller, uint32_t ms)
+static void schedule_next_step(struct soak_caller *caller, uint32_t ms)
 {
 	if (caller->timer)
 		g_source_remove(caller->timer);
@@ -452,8 +462,10 @@
 
 	caller->soak = soak;
 	caller->instance = instance;
-	caller->in = g_string_new(NULL);
-	think(caller, LEAST_THINK_MS + soak_random_below(soak, MOST_THINK_MS));
+	caller->input = g_string_new(NULL);
+	schedule_next_step(caller,
+			   MIN_THINK_TIME_MS +
+				   soak_random_below(soak, MAX_THINK_TIME_MS));
 	return caller;
 }
 
@@ -462,6 +474,6 @@
 	if (caller->timer)
 		g_source_remove(caller->timer);
 	close_connection(caller);
-	g_string_free(caller->in, TRUE);
+	g_string_free(caller->input, TRUE);
 	g_free(caller);
 }
--- a/soak/soak-fault.c
+++ b/soak/soak-fault.c
@@ -1,58 +1,57 @@
 /*
- * soak-fault.c - what goes wrong, and what is planned, drawn at random.
+ * soak-fault.c - random faults and planned changes.
  *
- * Each fault ends by a timer of its own, so that several overlap and the same
- * one may come twice.
+ * Each fault has its own timer that ends it, so faults overlap and the same
+ * fault may be active twice.
  */
 #include <signal.h>
 #include <string.h>
 
 #include "soak.h"
 
-#define LEAST_FAULT_MS 200
-#define MOST_FAULT_MS 3500
-/* A process that was killed or has stopped is started again after this. */
-#define LEAST_DOWN_MS 50
-#define MOST_DOWN_MS 900
-/* A drained replica serves on for so long, and then goes. */
+#define MIN_FAULT_MS 200
+#define MAX_FAULT_MS 3500
+/* Time after which a stopped or killed process is started again. */
+#define MIN_DOWN_MS 50
+#define MAX_DOWN_MS 900
+/* Time for which a draining replica still serves before it stops. */
 #define DRAIN_MS 4500
-/* Longer than the bound on news, after which nothing may come any more. */
-#define EVACUATED_MS 6500
-/* How long watches hear nothing before the store's history goes. */
-#define HUSH_MS 1000
-/* Never more than this part of the instances at once. */
-#define MOST_DOWN_PART 0.7
+/* Longer than the time after which no request may arrive in the zone. */
+#define EVACUATION_MS 6500
+/* Time without watch events before the store's history is compacted. */
+#define WATCH_MUTE_MS 1000
+/* Maximum share of instances that are down at the same time. */
+#define MAX_DOWN_SHARE 0.7
 
-static uint32_t draw_fault_ms(struct soak *soak)
+static uint32_t random_fault_ms(struct soak *soak)
 {
-	return LEAST_FAULT_MS +
-	       soak_random_below(soak, MOST_FAULT_MS - LEAST_FAULT_MS);
+	return MIN_FAULT_MS +
+	       soak_random_below(soak, MAX_FAULT_MS - MIN_FAULT_MS);
 }
 
-static uint32_t draw_down_ms(struct soak *soak)
+static uint32_t random_down_ms(struct soak *soak)
 {
-	return LEAST_DOWN_MS +
-	       soak_random_below(soak, MOST_DOWN_MS - LEAST_DOWN_MS);
+	return MIN_DOWN_MS + soak_random_below(soak, MAX_DOWN_MS - MIN_DOWN_MS);
 }
 
-static struct soak_instance *draw_instance(struct soak *soak)
+static struct soak_instance *random_instance(struct soak *soak)
 {
 	return g_ptr_array_index(soak->instances,
 				 soak_random_below(soak, soak->instances->len));
 }
 
-static struct soak_replica *draw_replica(struct soak *soak)
+static struct soak_replica *random_replica(struct soak *soak)
 {
 	return g_ptr_array_index(soak->replicas,
 				 soak_random_below(soak, soak->replicas->len));
 }
 
-static void harm_instance(struct soak_instance *instance)
+static void record_instance_fault(struct soak_instance *instance)
 {
 	instance->last_fault_us = g_get_monotonic_time();
 }
 
-static void harm_world(struct soak *soak)
+static void record_fault(struct soak *soak)
 {
 	soak->last_fault_us = g_get_monotonic_time();
 }
@@ -70,10 +69,10 @@
 		down += !instance->process || instance->stop_requested_us ||
 			instance->frozen;
 	}
-	return down < MOST_DOWN_PART * soak->instances->len;
+	return down < MAX_DOWN_SHARE * soak->instances->len;
 }
 
-static gboolean restart(gpointer data)
+static gboolean restart_instance(gpointer data)
 {
 	struct soak_instance *instance = data;
 
@@ -83,7 +82,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-static bool is_steady(const struct soak_instance *instance)
+static bool is_running(const struct soak_instance *instance)
 {
 	return instance->process && !instance->stop_requested_us &&
 	       !instance->frozen && !instance->killed;
@@ -91,95 +90,95 @@
 
 static void stop_instance(struct soak *soak)
 {
-	struct soak_instance *instance = draw_instance(soak);
+	struct soak_instance *instance = random_instance(soak);
 
-	if (!is_steady(instance) || !may_take_down(soak))
+	if (!is_running(instance) || !may_take_down(soak))
 		return;
 	instance->stop_requested_us = g_get_monotonic_time();
 	test_signal_process(instance->process, SIGTERM);
-	/* A signal that comes twice changes nothing. */
+	/* A second signal must have no effect. */
 	if (soak_chance(soak, 0.2))
 		test_signal_process(instance->process, SIGTERM);
-	g_timeout_add(draw_down_ms(soak), restart, instance);
+	g_timeout_add(random_down_ms(soak), restart_instance, instance);
 }
 
 static void kill_instance(struct soak *soak)
 {
-	struct soak_instance *instance = draw_instance(soak);
+	struct soak_instance *instance = random_instance(soak);
 
-	if (!is_steady(instance) || !may_take_down(soak))
+	if (!is_running(instance) || !may_take_down(soak))
 		return;
-	harm_instance(instance);
+	record_instance_fault(instance);
 	instance->killed = true;
 	test_signal_process(instance->process, SIGKILL);
-	g_timeout_add(draw_down_ms(soak), restart, instance);
+	g_timeout_add(random_down_ms(soak), restart_instance, instance);
 }
 
-static void kill_many(struct soak *soak)
+static void kill_half(struct soak *soak)
 {
 	for (guint i = 0; i < soak->instances->len / 2; i++)
 		kill_instance(soak);
 }
 
-static gboolean thaw(gpointer data)
+static gboolean resume_instance(gpointer data)
 {
 	struct soak_instance *instance = data;
 
 	if (instance->frozen && instance->process)
 		test_signal_process(instance->process, SIGCONT);
 	instance->frozen = false;
-	harm_instance(instance);
+	record_instance_fault(instance);
 	return G_SOURCE_REMOVE;
 }
 
 static void freeze_instance(struct soak *soak)
 {
-	struct soak_instance *instance = draw_instance(soak);
+	struct soak_instance *instance = random_instance(soak);
 
-	if (!is_steady(instance) || !may_take_down(soak))
+	if (!is_running(instance) || !may_take_down(soak))
 		return;
-	harm_instance(instance);
+	record_instance_fault(instance);
 	instance->frozen = true;
 	test_signal_process(instance->process, SIGSTOP);
-	g_timeout_add(draw_fault_ms(soak), thaw, instance);
+	g_timeout_add(random_fault_ms(soak), resume_instance, instance);
 }
 
-static void hang_up_instance(struct soak *soak)
+static void send_hangup(struct soak *soak)
 {
-	struct soak_instance *instance = draw_instance(soak);
+	struct soak_instance *instance = random_instance(soak);
 
-	if (is_steady(instance))
+	if (is_running(instance))
 		test_signal_process(instance->process, SIGHUP);
 }
 
 /* Links. */
 
-static gboolean heal_store_link(gpointer data)
+static gboolean restore_store_link(gpointer data)
 {
 	struct soak_instance *instance = data;
 
 	soak_set_link_state(instance->store_link, SOAK_LINK_UP, 0);
-	harm_instance(instance);
+	record_instance_fault(instance);
 	return G_SOURCE_REMOVE;
 }
 
-static enum soak_link_state draw_link_state(struct soak *soak)
+static enum soak_link_state random_link_state(struct soak *soak)
 {
 	return (enum soak_link_state)soak_random_below(soak,
 						       SOAK_LINK_REFUSED + 1);
 }
 
-static void harm_store_link(struct soak *soak)
+static void disturb_store_link(struct soak *soak)
 {
-	struct soak_instance *instance = draw_instance(soak);
+	struct soak_instance *instance = random_instance(soak);
 
-	harm_instance(instance);
-	soak_set_link_state(instance->store_link, draw_link_state(soak),
+	record_instance_fault(instance);
+	soak_set_link_state(instance->store_link, random_link_state(soak),
 			    soak_random_below(soak, 200));
-	g_timeout_add(draw_fault_ms(soak), heal_store_link, instance);
+	g_timeout_add(random_fault_ms(soak), restore_store_link, instance);
 }
 
-static gboolean heal_replica(gpointer data)
+static gboolean restore_replica(gpointer data)
 {
 	struct soak_replica *replica = data;
 
@@ -188,33 +187,33 @@
 	replica->shed_share = 0;
 	replica->no_answer_share = 0;
 	replica->bad_answer_share = 0;
-	harm_world(replica->soak);
+	record_fault(replica->soak);
 	return G_SOURCE_REMOVE;
 }
 
-static void heal_later(struct soak_replica *replica)
+static void schedule_replica_restore(struct soak_replica *replica)
 {
-	harm_world(replica->soak);
-	g_timeout_add(draw_fault_ms(replica->soak), heal_replica, replica);
+	record_fault(replica->soak);
+	g_timeout_add(random_fault_ms(replica->soak), restore_replica, replica);
 }
 
-static void harm_replica_link(struct soak *soak)
+static void disturb_replica_link(struct soak *soak)
 {
-	struct soak_replica *replica = draw_replica(soak);
+	struct soak_replica *replica = random_replica(soak);
 
-	soak_set_link_state(replica->link, draw_link_state(soak),
+	soak_set_link_state(replica->link, random_link_state(soak),
 			    soak_random_below(soak, 80));
-	heal_later(replica);
+	schedule_replica_restore(replica);
 }
 
 static void reset_replica_link(struct soak *soak)
 {
-	harm_world(soak);
-	soak_close_link_conns(draw_replica(soak)->link);
+	record_fault(soak);
+	soak_close_link_conns(random_replica(soak)->link);
 }
 
-/* All of one zone at once. */
-static void cut_zone(struct soak *soak)
+/* Stall the links of all replicas of a zone. */
+static void isolate_zone(struct soak *soak)
 {
 	uint32_t zone = soak_random_below(soak, ZONES);
 
@@ -225,7 +224,7 @@
 		if (replica->zone != zone)
 			continue;
 		soak_set_link_state(replica->link, SOAK_LINK_STALLED, 0);
-		heal_later(replica);
+		schedule_replica_restore(replica);
 	}
 }
 
@@ -233,50 +232,50 @@
 
 static void slow_replica(struct soak *soak)
 {
-	struct soak_replica *replica = draw_replica(soak);
+	struct soak_replica *replica = random_replica(soak);
 
 	replica->extra_work_ms = 20 + soak_random_below(soak, 200);
-	heal_later(replica);
+	schedule_replica_restore(replica);
 }
 
 static void pause_replica(struct soak *soak)
 {
-	harm_world(soak);
-	draw_replica(soak)->paused_until_us =
+	record_fault(soak);
+	random_replica(soak)->paused_until_us =
 		g_get_monotonic_time() +
 		(50 + soak_random_below(soak, 250)) * MS;
 }
 
 static void shed_at_replica(struct soak *soak)
 {
-	struct soak_replica *replica = draw_replica(soak);
+	struct soak_replica *replica = random_replica(soak);
 
 	replica->shed_share = 0.6;
-	heal_later(replica);
+	schedule_replica_restore(replica);
 }
 
-static void lose_answers(struct soak *soak)
+static void drop_answers(struct soak *soak)
 {
-	struct soak_replica *replica = draw_replica(soak);
+	struct soak_replica *replica = random_replica(soak);
 
 	replica->no_answer_share = 0.3;
-	heal_later(replica);
+	schedule_replica_restore(replica);
 }
 
-static void garble_answers(struct soak *soak)
+static void corrupt_answers(struct soak *soak)
 {
-	struct soak_replica *replica = draw_replica(soak);
+	struct soak_replica *replica = random_replica(soak);
 
 	replica->bad_answer_share = 0.3;
-	heal_later(replica);
+	schedule_replica_restore(replica);
 }
 
-static gboolean revive(gpointer data)
+static gboolean restart_crashed_replica(gpointer data)
 {
 	struct soak_replica *replica = data;
 	char service[sizeof(replica->service)];
 
-	harm_world(replica->soak);
+	record_fault(replica->soak);
 	g_strlcpy(service, replica->service, sizeof(service));
 	if (!replica->up)
 		soak_restart_replica(replica, service);
@@ -285,26 +284,26 @@
 
 static void crash_replica(struct soak *soak)
 {
-	struct soak_replica *replica = draw_replica(soak);
+	struct soak_replica *replica = random_replica(soak);
 
 	if (!replica->up || replica->draining_since_us)
 		return;
-	harm_world(soak);
+	record_fault(soak);
 	soak_crash_replica(replica);
-	g_timeout_add(draw_fault_ms(soak), revive, replica);
+	g_timeout_add(random_fault_ms(soak), restart_crashed_replica, replica);
 }
 
-/* Two replicas die, and each one's address goes to the other's service. */
+/* Crash two replicas and restart each with the other's service. */
 static void swap_addresses(struct soak *soak)
 {
-	struct soak_replica *one = draw_replica(soak);
-	struct soak_replica *other = draw_replica(soak);
+	struct soak_replica *one = random_replica(soak);
+	struct soak_replica *other = random_replica(soak);
 	char service[sizeof(one->service)];
 
 	if (one == other || !one->up || !other->up || one->draining_since_us ||
 	    other->draining_since_us)
 		return;
-	harm_world(soak);
+	record_fault(soak);
 	soak_crash_replica(one);
 	soak_crash_replica(other);
 	g_strlcpy(service, one->service, sizeof(service));
@@ -312,7 +311,7 @@
 	soak_restart_replica(other, service);
 }
 
-static gboolean leave(gpointer data)
+static gboolean finish_drain(gpointer data)
 {
 	struct soak_replica *replica = data;
 	char service[sizeof(replica->service)];
@@ -327,39 +326,39 @@
 
 static void drain_replica(struct soak *soak)
 {
-	struct soak_replica *replica = draw_replica(soak);
+	struct soak_replica *replica = random_replica(soak);
 
 	if (!replica->up || replica->draining_since_us ||
 	    soak->store.state != TEST_STORE_UP)
 		return;
 	replica->draining_since_us = g_get_monotonic_time();
 	soak_register_replica(replica);
-	g_timeout_add(DRAIN_MS, leave, replica);
+	g_timeout_add(DRAIN_MS, finish_drain, replica);
 }
 
-/* The replica's own next entry puts it right. */
-static gboolean list_again(gpointer data)
+/* Repair the replica's entry by writing it again. */
+static gboolean register_again(gpointer data)
 {
 	struct soak_replica *replica = data;
 
-	harm_world(replica->soak);
+	record_fault(replica->soak);
 	if (replica->up)
 		soak_register_replica(replica);
 	return G_SOURCE_REMOVE;
 }
 
-static void write_odd_entry(struct soak *soak)
+static void write_invalid_entry(struct soak *soak)
 {
-	struct soak_replica *replica = draw_replica(soak);
+	struct soak_replica *replica = random_replica(soak);
 
-	harm_world(soak);
+	record_fault(soak);
 	soak_write_invalid_entry(replica);
-	g_timeout_add(draw_fault_ms(soak), list_again, replica);
+	g_timeout_add(random_fault_ms(soak), register_again, replica);
 }
 
 /* The store. */
 
-static gboolean heal_store(gpointer data)
+static gboolean restore_store(gpointer data)
 {
 	struct soak *soak = data;
 
@@ -367,54 +366,57 @@
 	soak->store.answer_delay_ms = 0;
 	soak->store.lost_write_share = 0;
 	soak->store.leases_expire_down = false;
-	harm_world(soak);
+	record_fault(soak);
 	return G_SOURCE_REMOVE;
 }
 
-static void harm_store(struct soak *soak)
+static void disturb_store(struct soak *soak)
 {
-	harm_world(soak);
+	record_fault(soak);
 	soak->store.leases_expire_down = soak_chance(soak, 0.5);
 	test_store_set_state(
 		&soak->store,
 		(enum test_store_state)(
 			1 + soak_random_below(soak, TEST_STORE_BUSY)));
-	g_timeout_add(draw_fault_ms(soak), heal_store, soak);
+	g_timeout_add(random_fault_ms(soak), restore_store, soak);
 }
 
 static void slow_store(struct soak *soak)
 {
-	harm_world(soak);
+	record_fault(soak);
 	soak->store.answer_delay_ms = 50 + soak_random_below(soak, 400);
 	soak->store.lost_write_share = 0.3;
-	g_timeout_add(draw_fault_ms(soak), heal_store, soak);
+	g_timeout_add(random_fault_ms(soak), restore_store, soak);
 }
 
-static gboolean drop_history(gpointer data)
+static gboolean compact_history(gpointer data)
 {
 	struct soak *soak = data;
 
-	harm_world(soak);
+	record_fault(soak);
 	test_compact_store(&soak->store);
 	return G_SOURCE_REMOVE;
 }
 
-/* Watches hear of no change for a while, and then can no longer be told. */
-static void forget_history(struct soak *soak)
+/*
+ * Stop watch events for some time, then compact the history, so that the
+ * missed events can't be sent any more.
+ */
+static void mute_watches(struct soak *soak)
 {
-	harm_world(soak);
+	record_fault(soak);
 	soak->store.watches_muted = true;
-	g_timeout_add(HUSH_MS, drop_history, soak);
+	g_timeout_add(WATCH_MUTE_MS, compact_history, soak);
 }
 
-/* Zones that the operators evacuate. */
+/* Zones evacuated by the operators. */
 
 static char *evacuation_key(uint32_t zone)
 {
 	return g_strdup_printf("op/evacuate/z%u", zone);
 }
 
-static void take_back_zone(struct soak *soak, uint32_t zone)
+static void end_zone_evacuation(struct soak *soak, uint32_t zone)
 {
 	char *key = evacuation_key(zone);
 
@@ -424,16 +426,16 @@
 	g_free(key);
 }
 
-/* The first of those that are evacuated, as they began in turn or together. */
-static gboolean end_evacuation(gpointer data)
+/* End the evacuations that have lasted EVACUATED_MS. */
+static gboolean end_old_evacuations(gpointer data)
 {
 	struct soak *soak = data;
 
 	for (uint32_t zone = 0; zone < ZONES; zone++) {
 		if (soak->evacuated_since_us[zone] &&
 		    g_get_monotonic_time() - soak->evacuated_since_us[zone] >=
-			    EVACUATED_MS * MS)
-			take_back_zone(soak, zone);
+			    EVACUATION_MS * MS)
+			end_zone_evacuation(soak, zone);
 	}
 	return G_SOURCE_REMOVE;
 }
@@ -447,7 +449,7 @@
 		test_store_put(&soak->store, key,
 			       soak_chance(soak, 0.2) ? "odd" : "{}");
 		soak->evacuated_since_us[zone] = g_get_monotonic_time();
-		g_timeout_add(EVACUATED_MS + 1, end_evacuation, soak);
+		g_timeout_add(EVACUATION_MS + 1, end_old_evacuations, soak);
 	}
 	g_free(key);
 }
@@ -522,15 +524,15 @@
 	soak_write_config(soak);
 }
 
-/* Versions in quick succession. */
-static void storm_config(struct soak *soak)
+/* Write several versions in quick succession. */
+static void write_many_configs(struct soak *soak)
 {
 	for (int i = 0; i < 8; i++)
 		change_config(soak);
 }
 
-static void begin_one(struct soak *soak, void (*const *faults)(struct soak *),
-		      uint32_t n)
+static void inject_one(struct soak *soak, void (*const *faults)(struct soak *),
+		       uint32_t n)
 {
 	soak->n_faults++;
 	faults[soak_random_below(soak, n)](soak);
@@ -539,26 +541,31 @@
 void soak_inject_fault(struct soak *soak, enum soak_phase phase)
 {
 	static void (*const all[])(struct soak * soak) = {
-		stop_instance,	   stop_instance,      kill_instance,
-		kill_many,	   freeze_instance,    hang_up_instance,
-		harm_store_link,   harm_store_link,    harm_replica_link,
-		harm_replica_link, reset_replica_link, cut_zone,
-		slow_replica,	   pause_replica,      shed_at_replica,
-		lose_answers,	   garble_answers,     crash_replica,
-		crash_replica,	   swap_addresses,     drain_replica,
-		drain_replica,	   harm_store,	       slow_store,
-		forget_history,	   change_config,      change_config,
-		storm_config,	   write_odd_entry,    evacuate_zone,
+		stop_instance,	      stop_instance,
+		kill_instance,	      kill_half,
+		freeze_instance,      send_hangup,
+		disturb_store_link,   disturb_store_link,
+		disturb_replica_link, disturb_replica_link,
+		reset_replica_link,   isolate_zone,
+		slow_replica,	      pause_replica,
+		shed_at_replica,      drop_answers,
+		corrupt_answers,      crash_replica,
+		crash_replica,	      swap_addresses,
+		drain_replica,	      drain_replica,
+		disturb_store,	      slow_store,
+		mute_watches,	      change_config,
+		change_config,	      write_many_configs,
+		write_invalid_entry,  evacuate_zone,
 	};
 	static void (*const stops[])(struct soak * soak) = {
 		stop_instance,
-		hang_up_instance,
+		send_hangup,
 		change_config,
 	};
 	static void (*const drains[])(struct soak * soak) = {
 		drain_replica,
 		change_config,
-		storm_config,
+		write_many_configs,
 	};
 	static void (*const evacuations[])(struct soak * soak) = {
 		evacuate_zone,
@@ -568,16 +575,16 @@
 
 	switch (phase) {
 	case SOAK_RANDOM_FAULTS:
-		begin_one(soak, all, G_N_ELEMENTS(all));
+		inject_one(soak, all, G_N_ELEMENTS(all));
 		return;
 	case SOAK_INSTANCE_STOPS:
-		begin_one(soak, stops, G_N_ELEMENTS(stops));
+		inject_one(soak, stops, G_N_ELEMENTS(stops));
 		return;
 	case SOAK_REPLICA_DRAINS:
-		begin_one(soak, drains, G_N_ELEMENTS(drains));
+		inject_one(soak, drains, G_N_ELEMENTS(drains));
 		return;
 	case SOAK_ZONE_EVACUATIONS:
-		begin_one(soak, evacuations, G_N_ELEMENTS(evacuations));
+		inject_one(soak, evacuations, G_N_ELEMENTS(evacuations));
 		return;
 	case SOAK_N_PHASES:
 		return;
@@ -586,16 +593,16 @@
 
 void soak_clear_faults(struct soak *soak)
 {
-	heal_store(soak);
+	restore_store(soak);
 	for (uint32_t zone = 0; zone < ZONES; zone++)
-		take_back_zone(soak, zone);
+		end_zone_evacuation(soak, zone);
 	for (guint i = 0; i < soak->replicas->len; i++)
-		heal_replica(g_ptr_array_index(soak->replicas, i));
+		restore_replica(g_ptr_array_index(soak->replicas, i));
 	for (guint i = 0; i < soak->instances->len; i++) {
 		struct soak_instance *instance =
 			g_ptr_array_index(soak->instances, i);
 
-		heal_store_link(instance);
-		thaw(instance);
+		restore_store_link(instance);
+		resume_instance(instance);
 	}
 }
--- a/soak/soak-instance.c
+++ b/soak/soak-instance.c
@@ -1,6 +1,5 @@
 /*
- * soak-instance.c - gateways as processes: started, asked to stop, killed,
- * frozen.
+ * soak-instance.c - start, reap and check the gateway processes.
  */
 #include <signal.h>
 #include <string.h>
@@ -10,10 +9,10 @@
 #include "support/port.h"
 #include "support/tool-run.h"
 
-/* Instances that the others are told to start from. */
-#define SEEDS 3
+/* Number of instances in seed_peers. */
+#define N_SEED_PEERS 3
 
-static uint16_t peer_port_of(const struct soak *soak, uint32_t number)
+static uint16_t get_peer_port(const struct soak *soak, uint32_t number)
 {
 	const struct soak_instance *instance =
 		g_ptr_array_index(soak->instances, number);
@@ -21,7 +20,7 @@
 	return instance->peer_port;
 }
 
-static char *make_start_file(const struct soak_instance *instance)
+static char *make_start_config(const struct soak_instance *instance)
 {
 	const struct soak *soak = instance->soak;
 	GString *text = g_string_new(NULL);
@@ -40,9 +39,9 @@
 		soak_link_port(instance->store_link),
 		instance->number < ZONES ? "0.5" : "0.2", COLD_OVERAGE,
 		COLD_SLACK);
-	for (uint32_t i = 0; i < MIN(SEEDS, soak->instances->len); i++)
+	for (uint32_t i = 0; i < MIN(N_SEED_PEERS, soak->instances->len); i++)
 		g_string_append_printf(text, "%s\"127.0.0.1:%u\"",
-				       i ? ", " : "", peer_port_of(soak, i));
+				       i ? ", " : "", get_peer_port(soak, i));
 	g_string_append(text, "]\nlog: {level: info}\n");
 	return g_string_free(text, FALSE);
 }
@@ -71,7 +70,7 @@
 				   g_strdup("/dev/null");
 
 	if (!instance->settings_file) {
-		char *text = make_start_file(instance);
+		char *text = make_start_config(instance);
 
 		instance->settings_file = test_write_temp_file(text);
 		g_free(text);
@@ -86,8 +85,8 @@
 	g_free(log_file);
 }
 
-/* Looked at without reaping: that is for whoever started it. */
-static bool has_ended(const struct soak_instance *instance)
+/* Check without reaping: test_drop_process() does that. */
+static bool has_exited(const struct soak_instance *instance)
 {
 	siginfo_t info = { 0 };
 
@@ -99,16 +98,16 @@
 void soak_check_instance_alive(struct soak_instance *instance)
 {
 	if (instance->process && !instance->killed &&
-	    !instance->stop_requested_us && has_ended(instance))
+	    !instance->stop_requested_us && has_exited(instance))
 		soak_report_violation(instance->soak, "ENDED",
-				      "%s ended by itself", instance->name);
+				      "%s exited unexpectedly", instance->name);
 }
 
 bool soak_reap_instance(struct soak_instance *instance)
 {
 	if (!instance->process)
 		return true;
-	if (!has_ended(instance))
+	if (!has_exited(instance))
 		return false;
 	test_drop_process(instance->process);
 	instance->process = NULL;
--- a/soak/soak-link.c
+++ b/soak/soak-link.c
@@ -1,6 +1,8 @@
 /*
- * soak-link.c - a loopback link that can be slow, silent one way or both, or
- * cut: each chunk of bytes is passed on when it is due and the way is open.
+ * soak-link.c - a loopback link that can delay, stall or refuse connections.
+ *
+ * Each chunk of bytes is forwarded when its delay is over and its direction is
+ * not stalled.
  */
 #include <string.h>
 
@@ -11,26 +13,26 @@
 #define CHUNK_BYTES 16384
 
 struct chunk {
-	GBytes *bytes; /* NULL: the end of the stream */
+	GBytes *bytes; /* NULL: end of stream */
 	int64_t due_us;
 };
 
 /* One direction of a connection. */
-struct way {
+struct stream {
 	GSocket *from;
 	GSocket *to;
 	GSource *source;
 	GQueue chunks;
-	bool forth; /* from the one who connected */
-	bool ended; /* its end was passed on */
+	bool to_target; /* from the client to the target */
+	bool eof_sent;	/* end of stream was forwarded */
 };
 
-struct pair {
+struct conn {
 	struct soak_link *link;
-	GSocket *near;
-	GSocket *far;
-	struct way forth;
-	struct way back;
+	GSocket *client;
+	GSocket *target;
+	struct stream to_target;
+	struct stream to_client;
 };
 
 struct soak_link {
@@ -40,8 +42,8 @@
 	uint16_t target_port;
 	enum soak_link_state state;
 	uint32_t delay_ms;
-	GPtrArray *pairs;
-	guint timer; /* 0: nothing waits to be passed on */
+	GPtrArray *conns;
+	guint timer; /* 0: no chunks are queued */
 };
 
 static void free_chunk(gpointer data)
@@ -53,41 +55,41 @@
 	g_free(chunk);
 }
 
-static void clear_way(struct way *way)
+static void clear_stream(struct stream *stream)
 {
-	if (way->source) {
-		g_source_destroy(way->source);
-		g_source_unref(way->source);
+	if (stream->source) {
+		g_source_destroy(stream->source);
+		g_source_unref(stream->source);
 	}
-	g_queue_clear_full(&way->chunks, free_chunk);
+	g_queue_clear_full(&stream->chunks, free_chunk);
 }
 
-static void free_pair(struct pair *pair)
+static void free_conn(struct conn *conn)
 {
-	clear_way(&pair->forth);
-	clear_way(&pair->back);
-	g_socket_close(pair->near, NULL);
-	g_socket_close(pair->far, NULL);
-	g_object_unref(pair->near);
-	g_object_unref(pair->far);
-	g_free(pair);
+	clear_stream(&conn->to_target);
+	clear_stream(&conn->to_client);
+	g_socket_close(conn->client, NULL);
+	g_socket_close(conn->target, NULL);
+	g_object_unref(conn->client);
+	g_object_unref(conn->target);
+	g_free(conn);
 }
 
-static void drop_pair(struct pair *pair)
+static void drop_conn(struct conn *conn)
 {
-	g_ptr_array_remove_fast(pair->link->pairs, pair);
-	free_pair(pair);
+	g_ptr_array_remove_fast(conn->link->conns, conn);
+	free_conn(conn);
 }
 
-static bool is_open(const struct soak_link *link, bool forth)
+static bool is_passing(const struct soak_link *link, bool to_target)
 {
 	switch (link->state) {
 	case SOAK_LINK_UP:
 		return true;
 	case SOAK_LINK_REQUESTS_STALLED:
-		return !forth;
+		return !to_target;
 	case SOAK_LINK_REPLIES_STALLED:
-		return forth;
+		return to_target;
 	case SOAK_LINK_STALLED:
 	case SOAK_LINK_REFUSED:
 		return false;
@@ -95,13 +97,13 @@
 	return false;
 }
 
-/* Pass on what is due; false if the connection is of no more use. */
-static bool flush_way(struct soak_link *link, struct way *way)
+/* Forward the chunks that are due; return false if the connection is broken. */
+static bool flush_stream(struct soak_link *link, struct stream *stream)
 {
 	struct chunk *chunk;
 
-	while (is_open(link, way->forth) &&
-	       (chunk = g_queue_peek_head(&way->chunks)) &&
+	while (is_passing(link, stream->to_target) &&
+	       (chunk = g_queue_peek_head(&stream->chunks)) &&
 	       chunk->due_us <= g_get_monotonic_time()) {
 		gsize length = 0;
 		const char *bytes =
@@ -110,15 +112,15 @@
 		gssize sent;
 
 		if (!bytes) {
-			way->ended = true;
-			g_socket_shutdown(way->to, FALSE, TRUE, NULL);
-			free_chunk(g_queue_pop_head(&way->chunks));
+			stream->eof_sent = true;
+			g_socket_shutdown(stream->to, FALSE, TRUE, NULL);
+			free_chunk(g_queue_pop_head(&stream->chunks));
 			continue;
 		}
-		sent = g_socket_send(way->to, bytes, length, NULL, NULL);
+		sent = g_socket_send(stream->to, bytes, length, NULL, NULL);
 		if (sent < 0)
 			return g_socket_condition_check(
-				       way->to, G_IO_HUP | G_IO_ERR) == 0;
+				       stream->to, G_IO_HUP | G_IO_ERR) == 0;
 		if ((gsize)sent < length) {
 			GBytes *rest = g_bytes_new_from_bytes(
 				chunk->bytes, (gsize)sent,
@@ -128,67 +130,72 @@
 			chunk->bytes = rest;
 			return true;
 		}
-		free_chunk(g_queue_pop_head(&way->chunks));
+		free_chunk(g_queue_pop_head(&stream->chunks));
 	}
 	return true;
 }
 
 static gboolean flush_all(gpointer data);
 
-/* A fleet has hundreds of links: only those that hold something are visited. */
+/* There are hundreds of links: run the timer only for those with chunks. */
 static void flush_later(struct soak_link *link)
 {
 	if (!link->timer)
 		link->timer = g_timeout_add(FLUSH_MS, flush_all, link);
 }
 
-static gboolean read_way(GSocket *socket, GIOCondition condition, gpointer data)
+static gboolean read_stream(GSocket *socket, GIOCondition condition,
+			    gpointer data)
 {
-	struct way *way = data;
-	struct pair *pair =
-		way->forth ?
-			(struct pair *)((char *)way -
-					G_STRUCT_OFFSET(struct pair, forth)) :
-			(struct pair *)((char *)way -
-					G_STRUCT_OFFSET(struct pair, back));
+	struct stream *stream = data;
+	struct conn *conn =
+		stream->to_target ?
+			(struct conn *)((char *)stream -
+					G_STRUCT_OFFSET(struct conn,
+							to_target)) :
+			(struct conn *)((char *)stream -
+					G_STRUCT_OFFSET(struct conn,
+							to_client));
 	char bytes[CHUNK_BYTES];
 	gssize n = g_socket_receive(socket, bytes, sizeof(bytes), NULL, NULL);
 	struct chunk *chunk;
 
 	if (n < 0) {
-		drop_pair(pair);
+		drop_conn(conn);
 		return G_SOURCE_REMOVE;
 	}
 	chunk = g_new0(struct chunk, 1);
 	chunk->bytes = n ? g_bytes_new(bytes, (gsize)n) : NULL;
 	chunk->due_us =
-		g_get_monotonic_time() + (int64_t)pair->link->delay_ms * MS;
-	g_queue_push_tail(&way->chunks, chunk);
-	if (!flush_way(pair->link, way)) {
-		drop_pair(pair);
+		g_get_monotonic_time() + (int64_t)conn->link->delay_ms * MS;
+	g_queue_push_tail(&stream->chunks, chunk);
+	if (!flush_stream(conn->link, stream)) {
+		drop_conn(conn);
 		return G_SOURCE_REMOVE;
 	}
-	if (way->ended || !g_queue_is_empty(&way->chunks))
-		flush_later(pair->link);
+	if (stream->eof_sent || !g_queue_is_empty(&stream->chunks))
+		flush_later(conn->link);
 	if (n)
 		return G_SOURCE_CONTINUE;
-	g_source_unref(way->source);
-	way->source = NULL;
+	g_source_unref(stream->source);
+	stream->source = NULL;
 	return G_SOURCE_REMOVE;
 }
 
-static void watch_way(struct way *way, GSocket *from, GSocket *to, bool forth)
+static void start_stream(struct stream *stream, GSocket *from, GSocket *to,
+			 bool to_target)
 {
-	way->from = from;
-	way->to = to;
-	way->forth = forth;
-	g_queue_init(&way->chunks);
-	way->source = g_socket_create_source(from, G_IO_IN, NULL);
-	g_source_set_callback(way->source, G_SOURCE_FUNC(read_way), way, NULL);
-	g_source_attach(way->source, NULL);
+	stream->from = from;
+	stream->to = to;
+	stream->to_target = to_target;
+	g_queue_init(&stream->chunks);
+	stream->source = g_socket_create_source(from, G_IO_IN, NULL);
+	g_source_set_callback(stream->source, G_SOURCE_FUNC(read_stream),
+			      stream, NULL);
+	g_source_attach(stream->source, NULL);
 }
 
-static GSocket *connect_to(uint16_t port)
+static GSocket *connect_to_port(uint16_t port)
 {
 	GSocketAddress *address =
 		g_inet_socket_address_new_from_string("127.0.0.1", port);
@@ -204,50 +211,50 @@
 	return socket;
 }
 
-static gboolean accept_pair(GSocket *listener, GIOCondition condition,
+static gboolean accept_conn(GSocket *listener, GIOCondition condition,
 			    gpointer data)
 {
 	struct soak_link *link = data;
-	GSocket *near = g_socket_accept(listener, NULL, NULL);
-	GSocket *far = near && link->state != SOAK_LINK_REFUSED ?
-			       connect_to(link->target_port) :
-			       NULL;
-	struct pair *pair;
-
-	if (!far) {
-		if (near)
-			g_socket_close(near, NULL);
-		g_clear_object(&near);
+	GSocket *client = g_socket_accept(listener, NULL, NULL);
+	GSocket *target = client && link->state != SOAK_LINK_REFUSED ?
+				  connect_to_port(link->target_port) :
+				  NULL;
+	struct conn *conn;
+
+	if (!target) {
+		if (client)
+			g_socket_close(client, NULL);
+		g_clear_object(&client);
 		return G_SOURCE_CONTINUE;
 	}
-	g_socket_set_blocking(near, FALSE);
-	pair = g_new0(struct pair, 1);
-	pair->link = link;
-	pair->near = near;
-	pair->far = far;
-	watch_way(&pair->forth, near, far, true);
-	watch_way(&pair->back, far, near, false);
-	g_ptr_array_add(link->pairs, pair);
+	g_socket_set_blocking(client, FALSE);
+	conn = g_new0(struct conn, 1);
+	conn->link = link;
+	conn->client = client;
+	conn->target = target;
+	start_stream(&conn->to_target, client, target, true);
+	start_stream(&conn->to_client, target, client, false);
+	g_ptr_array_add(link->conns, conn);
 	return G_SOURCE_CONTINUE;
 }
 
 static gboolean flush_all(gpointer data)
 {
 	struct soak_link *link = data;
-	bool holds = false;
-
-	for (guint i = link->pairs->len; i > 0; i--) {
-		struct pair *pair = g_ptr_array_index(link->pairs, i - 1);
-
-		if (!flush_way(link, &pair->forth) ||
-		    !flush_way(link, &pair->back) ||
-		    (pair->forth.ended && pair->back.ended))
-			drop_pair(pair);
-		else if (!g_queue_is_empty(&pair->forth.chunks) ||
-			 !g_queue_is_empty(&pair->back.chunks))
-			holds = true;
+	bool has_pending = false;
+
+	for (guint i = link->conns->len; i > 0; i--) {
+		struct conn *conn = g_ptr_array_index(link->conns, i - 1);
+
+		if (!flush_stream(link, &conn->to_target) ||
+		    !flush_stream(link, &conn->to_client) ||
+		    (conn->to_target.eof_sent && conn->to_client.eof_sent))
+			drop_conn(conn);
+		else if (!g_queue_is_empty(&conn->to_target.chunks) ||
+			 !g_queue_is_empty(&conn->to_client.chunks))
+			has_pending = true;
 	}
-	if (holds)
+	if (has_pending)
 		return G_SOURCE_CONTINUE;
 	link->timer = 0;
 	return G_SOURCE_REMOVE;
@@ -266,7 +273,7 @@
 	}
 	link->listener = test_open_listener(&link->port);
 	link->source = g_socket_create_source(link->listener, G_IO_IN, NULL);
-	g_source_set_callback(link->source, G_SOURCE_FUNC(accept_pair), link,
+	g_source_set_callback(link->source, G_SOURCE_FUNC(accept_conn), link,
 			      NULL);
 	g_source_attach(link->source, NULL);
 }
@@ -276,7 +283,7 @@
 	struct soak_link *link = g_new0(struct soak_link, 1);
 
 	link->target_port = target_port;
-	link->pairs = g_ptr_array_new();
+	link->conns = g_ptr_array_new();
 	soak_set_link_listening(link, true);
 	return link;
 }
@@ -287,7 +294,7 @@
 		g_source_remove(link->timer);
 	soak_set_link_listening(link, false);
 	soak_close_link_conns(link);
-	g_ptr_array_unref(link->pairs);
+	g_ptr_array_unref(link->conns);
 	g_free(link);
 }
 
@@ -307,10 +314,10 @@
 
 void soak_close_link_conns(struct soak_link *link)
 {
-	GPtrArray *pairs = link->pairs;
+	GPtrArray *conns = link->conns;
 
-	link->pairs = g_ptr_array_new();
-	for (guint i = 0; i < pairs->len; i++)
-		free_pair(g_ptr_array_index(pairs, i));
-	g_ptr_array_unref(pairs);
+	link->conns = g_ptr_array_new();
+	for (guint i = 0; i < conns->len; i++)
+		free_conn(g_ptr_array_index(conns, i));
+	g_ptr_array_unref(conns);
 }
--- a/soak/soak-replica.c
+++ b/soak/soak-replica.c
@@ -1,20 +1,23 @@
 /*
- * soak-replica.c - replicas that work, fail and leave, and check what comes.
+ * soak-replica.c - replicas, their faults, and their checks of each request.
  */
 #include <string.h>
 
 #include "soak.h"
 
-/* A replica's usual work, and what is drawn on top. */
-#define WORK_MS 3
-#define MOST_MORE_MS 12
-/* What is drained gets nothing after this, and as much for the machine. */
-#define DRAIN_BOUND_US (4000 * MS)
+/* Minimum service time of a replica, and the maximum of its random part. */
+#define MIN_WORK_MS 3
+#define MAX_RANDOM_WORK_MS 12
+/*
+ * Time after which no request may arrive at a draining replica or in an
+ * evacuated zone, with a margin for a slow machine.
+ */
+#define DRAIN_GRACE_US (4000 * MS)
 
-/* A request that a replica works on. */
+/* A request in execution at a replica. */
 struct work {
 	struct soak_replica *replica;
-	struct test_connection *connection; /* NULL: its caller has gone */
+	struct test_connection *connection; /* NULL: closed */
 	char *request_id;
 };
 
@@ -24,11 +27,11 @@
 	for (int i = 0; i < RECORDS_PER_PART; i++) {
 		char *text =
 			g_strdup_printf("%s/%s/%d", request_id, service, i);
-		char *sum =
+		char *digest =
 			g_compute_checksum_for_string(G_CHECKSUM_MD5, text, -1);
 
-		memcpy(out + i * RECORD_BYTES, sum, RECORD_BYTES);
-		g_free(sum);
+		memcpy(out + i * RECORD_BYTES, digest, RECORD_BYTES);
+		g_free(digest);
 		g_free(text);
 	}
 	out[RECORDS_PER_PART * RECORD_BYTES] = '\0';
@@ -42,32 +45,32 @@
 	g_free(work);
 }
 
-/* An answer that is not what it should be, in one of several ways. */
-static void answer_garbled(struct soak *soak, struct work *work,
-			   const char *extra, const char *body)
+/* Send an answer that is corrupt in one of several ways. */
+static void send_corrupt_answer(struct soak *soak, struct work *work,
+				const char *headers, const char *body)
 {
 	struct test_connection *connection = work->connection;
-	char *foreign;
+	char *foreign_headers;
 	char *text;
 
 	switch (soak_random_below(soak, 3)) {
-	case 0: /* breaks off in the middle */
-		test_reply_to(connection, 200, extra, body, true);
+	case 0: /* truncated */
+		test_reply_to(connection, 200, headers, body, true);
 		return;
-	case 1: /* is the answer to another request, which nobody sent */
-		foreign = g_strdup_printf("Response-Seal: %s.%s.none\r\n"
-					  "Request-Id: none\r\n",
-					  work->replica->service,
-					  work->replica->id);
-		test_reply_to(connection, 200, foreign, body, false);
-		g_free(foreign);
+	case 1: /* answer to another request, which was never sent */
+		foreign_headers = g_strdup_printf(
+			"Response-Seal: %s.%s.none\r\n"
+			"Request-Id: none\r\n",
+			work->replica->service, work->replica->id);
+		test_reply_to(connection, 200, foreign_headers, body, false);
+		g_free(foreign_headers);
 		return;
-	default: /* comes twice */
+	default: /* followed by a second answer */
 		text = g_strdup_printf(
 			"HTTP/1.1 200 -\r\nContent-Length: %d\r\n"
 			"%s\r\n%sHTTP/1.1 200 -\r\n"
 			"Content-Length: 1\r\n\r\nx",
-			RECORDS_PER_PART * RECORD_BYTES, extra, body);
+			RECORDS_PER_PART * RECORD_BYTES, headers, body);
 		g_socket_send(connection->socket, text, strlen(text), NULL,
 			      NULL);
 		test_close_connection(connection);
@@ -76,11 +79,11 @@
 	}
 }
 
-static void answer_work(struct soak *soak, struct work *work)
+static void send_answer(struct soak *soak, struct work *work)
 {
 	struct soak_replica *replica = work->replica;
 	char body[RECORDS_PER_PART * RECORD_BYTES + 1];
-	char *extra =
+	char *headers =
 		g_strdup_printf("Response-Seal: %s.%s.%s\r\nRequest-Id: %s\r\n",
 				replica->service, replica->id, work->request_id,
 				work->request_id);
@@ -89,13 +92,13 @@
 	if (soak_chance(soak, replica->no_answer_share))
 		test_close_connection(work->connection);
 	else if (soak_chance(soak, replica->bad_answer_share))
-		answer_garbled(soak, work, extra, body);
+		send_corrupt_answer(soak, work, headers, body);
 	else
-		test_reply_to(work->connection, 200, extra, body, false);
-	g_free(extra);
+		test_reply_to(work->connection, 200, headers, body, false);
+	g_free(headers);
 }
 
-static gboolean end_work(gpointer data)
+static gboolean finish_work(gpointer data)
 {
 	struct work *work = data;
 	struct test_connection *connection = work->connection;
@@ -106,15 +109,15 @@
 			soak_crash_on_query_of_death(work->replica,
 						     work->request_id);
 		else
-			answer_work(work->replica->soak, work);
+			send_answer(work->replica->soak, work);
 		work->connection = NULL;
 	}
 	free_work(work);
 	return G_SOURCE_REMOVE;
 }
 
-/* Its caller has closed: the work is dropped. */
-static void drop_connection(struct test_connection *connection)
+/* The connection was closed: its request gets no answer. */
+static void handle_close(struct test_connection *connection)
 {
 	struct work *work = connection->user;
 
@@ -123,8 +126,8 @@
 	connection->user = NULL;
 }
 
-static uint32_t count_replicas(const struct soak_request *request,
-			       const char *service)
+static uint32_t count_executions(const struct soak_request *request,
+				 const char *service)
 {
 	uint32_t n = 0;
 
@@ -133,10 +136,10 @@
 	return n;
 }
 
-/* What a run of a request must not do, whatever fails. */
-static void check_run(struct soak_replica *replica,
-		      struct soak_request *request,
-		      const struct test_connection *connection)
+/* Check the rules for executions that hold under all faults. */
+static void check_execution(struct soak_replica *replica,
+			    struct soak_request *request,
+			    const struct test_connection *connection)
 {
 	struct soak *soak = replica->soak;
 	static const char *const prefixes[] = { "/search/", "/often/",
@@ -158,10 +161,10 @@
 				      request->executions[0].service);
 	if (request->rejected && request->kind == SOAK_NON_IDEMPOTENT)
 		soak_report_violation(soak, "REFUSED",
-				      "%s ran at %s after the promise",
+				      "%s ran at %s after it was rejected",
 				      request->id, replica->id);
 	if (!request->on_lost_replica &&
-	    count_replicas(request, replica->service) >= MAX_ATTEMPTS)
+	    count_executions(request, replica->service) >= MAX_ATTEMPTS)
 		soak_report_violation(soak, "BUDGET", "%s ran %u times at %s",
 				      request->id, MAX_ATTEMPTS + 1,
 				      replica->service);
@@ -177,40 +180,40 @@
 	int64_t now_us = g_get_monotonic_time();
 
 	if (!soak->options.check_timing || !replica->draining_since_us ||
-	    now_us - replica->draining_since_us < DRAIN_BOUND_US)
+	    now_us - replica->draining_since_us < DRAIN_GRACE_US)
 		return;
 	if (soak_is_fault_free_since(soak, NULL, replica->draining_since_us))
 		soak_report_violation(
-			soak, "DRAIN", "%s came to %s after %d ms", id,
+			soak, "DRAIN", "%s arrived at %s after %d ms", id,
 			replica->id,
 			(int)((now_us - replica->draining_since_us) / MS));
 }
 
-/* As for a drain: an evacuation is another change in the store. */
+/* Same limit as for a drain: both are changes in the store. */
 static void check_evacuation(struct soak_replica *replica, const char *id)
 {
 	struct soak *soak = replica->soak;
 	int64_t since_us = soak->evacuated_since_us[replica->zone];
-	int64_t late_us = g_get_monotonic_time() - since_us;
+	int64_t elapsed_us = g_get_monotonic_time() - since_us;
 
 	if (!soak->options.check_timing || !since_us ||
-	    late_us < DRAIN_BOUND_US)
+	    elapsed_us < DRAIN_GRACE_US)
 		return;
 	if (soak_is_fault_free_since(soak, NULL, since_us))
 		soak_report_violation(soak, "EVAC",
-				      "%s came to %s of zone %u after "
+				      "%s arrived at %s of zone %u after "
 				      "%d ms",
 				      id, replica->id, replica->zone,
-				      (int)(late_us / MS));
+				      (int)(elapsed_us / MS));
 }
 
 /*
- * The bound holds for any second.  It is not checked after harm to a link,
- * which may deliver delayed requests together.
+ * The limit holds for any period of a second.  It is not checked after a fault
+ * of a link, which may deliver delayed requests together.
  */
 static void check_cold(struct soak_replica *replica, const char *id)
 {
-	const uint32_t most =
+	const uint32_t max_per_s =
 		(uint32_t)(COLD_PER_S * COLD_OVERAGE + COLD_SLACK);
 	struct soak *soak = replica->soak;
 	int64_t now_us = g_get_monotonic_time();
@@ -218,10 +221,11 @@
 
 	if (now_us >= replica->cold_until_us)
 		return;
-	before_us = replica->n_arrivals < most ?
-			    0 :
-			    replica->arrivals_us[(replica->n_arrivals - most) %
-						 ARRIVAL_RING_SIZE];
+	before_us =
+		replica->n_arrivals < max_per_s ?
+			0 :
+			replica->arrivals_us[(replica->n_arrivals - max_per_s) %
+					     ARRIVAL_RING_SIZE];
 	replica->arrivals_us[replica->n_arrivals++ % ARRIVAL_RING_SIZE] =
 		now_us;
 	if (soak->options.check_timing && before_us &&
@@ -229,21 +233,23 @@
 	    soak_is_fault_free_since(soak, NULL, before_us))
 		soak_report_violation(
 			soak, "FAILBACK",
-			"%s is number %u in %d ms at %s, which is cold", id,
-			most + 1, (int)((now_us - before_us) / MS),
+			"%s is request %u in %d ms at %s, which is cold", id,
+			max_per_s + 1, (int)((now_us - before_us) / MS),
 			replica->id);
 }
 
-static void note_run(struct soak_replica *replica, struct soak_request *request)
+static void record_execution(struct soak_replica *replica,
+			     struct soak_request *request)
 {
-	struct soak_execution *run;
+	struct soak_execution *execution;
 
 	replica->soak->executions++;
 	if (request->n_executions == MAX_EXECUTIONS)
 		return;
-	run = &request->executions[request->n_executions++];
-	run->incarnation = replica->incarnation;
-	g_strlcpy(run->service, replica->service, sizeof(run->service));
+	execution = &request->executions[request->n_executions++];
+	execution->incarnation = replica->incarnation;
+	g_strlcpy(execution->service, replica->service,
+		  sizeof(execution->service));
 }
 
 static void start_work(struct soak_replica *replica,
@@ -253,7 +259,8 @@
 	struct soak *soak = replica->soak;
 	struct work *work = g_new0(struct work, 1);
 	int64_t pause_us = replica->paused_until_us - g_get_monotonic_time();
-	uint32_t work_ms = WORK_MS + soak_random_below(soak, MOST_MORE_MS) +
+	uint32_t work_ms = MIN_WORK_MS +
+			   soak_random_below(soak, MAX_RANDOM_WORK_MS) +
 			   replica->extra_work_ms;
 
 	work->replica = replica;
@@ -262,10 +269,10 @@
 	connection->user = work;
 	if (pause_us > 0)
 		work_ms += (uint32_t)(pause_us / MS);
-	g_timeout_add(work_ms, end_work, work);
+	g_timeout_add(work_ms, finish_work, work);
 }
 
-static void take_request(struct test_connection *connection)
+static void handle_request(struct test_connection *connection)
 {
 	struct soak_replica *replica = connection->server->data;
 	const char *id = test_request_header(connection, "request-id");
@@ -276,7 +283,7 @@
 
 	if (!request) {
 		soak_report_violation(replica->soak, "UNASKED",
-				      "%s came to %s, which nobody sent",
+				      "%s arrived at %s but was never sent",
 				      id ? id : "a request without id",
 				      replica->id);
 		test_reply_to(connection, 400, "Not-Executed: 1\r\n", "",
@@ -296,26 +303,26 @@
 			      false);
 		return;
 	}
-	check_run(replica, request, connection);
+	check_execution(replica, request, connection);
 	soak_check_query_of_death(replica->soak, request);
-	note_run(replica, request);
+	record_execution(replica, request);
 	start_work(replica, connection, request);
 }
 
-/* Starts of one replica differ, however soon they follow each other. */
-static int64_t next_born_ms(const struct soak_replica *replica)
+/* Start times of a replica differ, even if it restarts within 1 ms. */
+static int64_t next_start_ms(const struct soak_replica *replica)
 {
 	return MAX(g_get_real_time() / MS, replica->started_ms + 1);
 }
 
-static void begin_lifetime(struct soak_replica *replica, const char *service)
+static void start_incarnation(struct soak_replica *replica, const char *service)
 {
-	bool keeps_id = !strcmp(replica->service, service) &&
-			soak_chance(replica->soak, 0.5);
+	bool reuses_id = !strcmp(replica->service, service) &&
+			 soak_chance(replica->soak, 0.5);
 
 	replica->incarnation = ++replica->soak->last_incarnation;
-	replica->started_ms = next_born_ms(replica);
-	if (keeps_id)
+	replica->started_ms = next_start_ms(replica);
+	if (reuses_id)
 		replica->soak->reused_ids++;
 	else
 		g_snprintf(replica->id, sizeof(replica->id), "i-%u",
@@ -323,10 +330,10 @@
 	g_strlcpy(replica->service, service, sizeof(replica->service));
 	replica->draining_since_us = 0;
 	/*
-	 * A lifetime that reuses an id cannot be told from the one before
-	 * until its entry is read.
+	 * An incarnation that reuses an id can't be distinguished from the
+	 * previous one until its entry is read.
 	 */
-	replica->cold_until_us = replica->link && !keeps_id ?
+	replica->cold_until_us = replica->link && !reuses_id ?
 					 g_get_monotonic_time() + COLD_MS * MS :
 					 0;
 	replica->n_arrivals = 0;
@@ -344,9 +351,9 @@
 	replica->soak = soak;
 	replica->zone = zone;
 	replica->server.data = replica;
-	replica->server.request = take_request;
-	replica->server.closing = drop_connection;
-	begin_lifetime(replica, service);
+	replica->server.request = handle_request;
+	replica->server.closing = handle_close;
+	start_incarnation(replica, service);
 	replica->link = soak_new_link(soak, replica->server.port);
 	return replica;
 }
@@ -400,17 +407,17 @@
 		"ragwort/instances/odd",
 		"servers/odd\\",
 	};
-	char *own = g_strdup_printf("servers/%s", replica->id);
-	uint32_t drawn = soak_random_below(soak, G_N_ELEMENTS(keys) + 1);
+	char *own_key = g_strdup_printf("servers/%s", replica->id);
+	uint32_t selected = soak_random_below(soak, G_N_ELEMENTS(keys) + 1);
 
 	test_store_put(&soak->store,
-		       drawn < G_N_ELEMENTS(keys) ? keys[drawn] : own,
+		       selected < G_N_ELEMENTS(keys) ? keys[selected] : own_key,
 		       values[soak_random_below(soak, G_N_ELEMENTS(values))]);
-	g_free(own);
+	g_free(own_key);
 }
 
-/* Requests that it had: its runs count no more for the bound on attempts. */
-static void note_lost(struct soak_replica *replica)
+/* Exempt the requests that ran at this replica from the attempt limit. */
+static void mark_requests_lost(struct soak_replica *replica)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -429,7 +436,7 @@
 void soak_crash_replica(struct soak_replica *replica)
 {
 	replica->up = false;
-	note_lost(replica);
+	mark_requests_lost(replica);
 	soak_set_link_listening(replica->link, false);
 	test_stop_server(&replica->server);
 }
@@ -439,7 +446,7 @@
 	char *key = g_strdup_printf("servers/%s", replica->id);
 	char *id = g_strdup(replica->id);
 
-	begin_lifetime(replica, service);
+	start_incarnation(replica, service);
 	if (strcmp(id, replica->id) || soak_chance(replica->soak, 0.5))
 		test_store_remove(&replica->soak->store, key);
 	soak_register_replica(replica);
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -1,5 +1,5 @@
 /*
- * soak.c - start the world, let faults come, heal it, and report.
+ * soak.c - start the deployment, inject faults, wait for recovery and report.
  */
 #include "soak.h"
 
@@ -7,19 +7,19 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Between faults of a storm, and between steps of planned work. */
-#define LEAST_GAP_MS 60
-#define MOST_GAP_MS 400
+/* Time between random faults, and between planned changes. */
+#define MIN_GAP_MS 60
+#define MAX_GAP_MS 400
 #define PLANNED_GAP_MS 700
-#define STORM_MS 8000
+#define RANDOM_FAULTS_MS 8000
 #define PLANNED_MS 9000
-/* Longer than any fault, and than the span that rules ask to be calm. */
-#define LULL_MS 8000
-/* The span that the rules with bounds of time ask to be without harm. */
-#define CALM_US (4000 * MS)
-/* Each instance serves a search again within this, however slow the machine. */
+/* Longer than any fault, and than FAULT_FREE_US. */
+#define QUIET_MS 8000
+/* Time without faults that the rules with time limits require. */
+#define FAULT_FREE_US (4000 * MS)
+/* Time limit for searches to succeed again, also on a slow machine. */
 #define RECOVERY_LIMIT_MS 60000
-#define REPLICAS_OF_SINGLE 3
+#define REPLICAS_PER_SINGLE_SERVICE 3
 
 void soak_report_violation(struct soak *soak, const char *rule,
 			   const char *format, ...)
@@ -51,18 +51,18 @@
 			      const struct soak_instance *instance,
 			      int64_t since_us)
 {
-	int64_t from_us = since_us - CALM_US;
+	int64_t from_us = since_us - FAULT_FREE_US;
 
 	if (soak->last_fault_us > from_us)
 		return false;
 	if (instance)
 		return instance->last_fault_us <= from_us;
 	for (guint i = 0; i < soak->instances->len; i++) {
-		const struct soak_instance *each =
+		const struct soak_instance *other =
 			g_ptr_array_index(soak->instances, i);
 
-		if (each->last_fault_us > from_us || each->frozen ||
-		    !each->process)
+		if (other->last_fault_us > from_us || other->frozen ||
+		    !other->process)
 			return false;
 	}
 	return true;
@@ -87,7 +87,7 @@
 	}
 }
 
-static void make_world(struct soak *soak)
+static void start_deployment(struct soak *soak)
 {
 	char name[4];
 
@@ -97,8 +97,8 @@
 			   i % SHARDS);
 		add_replicas(soak, name, 2);
 	}
-	add_replicas(soak, "a1", REPLICAS_OF_SINGLE);
-	add_replicas(soak, "b1", REPLICAS_OF_SINGLE);
+	add_replicas(soak, "a1", REPLICAS_PER_SINGLE_SERVICE);
+	add_replicas(soak, "b1", REPLICAS_PER_SINGLE_SERVICE);
 	soak_write_config(soak);
 	for (uint32_t i = 0; i < soak->options.instances; i++)
 		g_ptr_array_add(soak->instances, soak_new_instance(soak, i));
@@ -115,7 +115,7 @@
 			soak_new_caller(soak, i % soak->options.instances));
 }
 
-static gboolean end_wait(gpointer data)
+static gboolean set_flag(gpointer data)
 {
 	*(bool *)data = true;
 	return G_SOURCE_REMOVE;
@@ -123,21 +123,21 @@
 
 static void run_for(uint32_t ms)
 {
-	bool over = false;
+	bool done = false;
 
-	g_timeout_add(ms, end_wait, &over);
-	while (!over)
+	g_timeout_add(ms, set_flag, &done);
+	while (!done)
 		g_main_context_iteration(NULL, TRUE);
 }
 
-/* Searches that were answered whole reach `n` more; false in vain. */
-static bool wait_for_whole(struct soak *soak, uint32_t n)
+/* Wait for `n` more complete answers; return false on timeout. */
+static bool wait_for_complete_answers(struct soak *soak, uint32_t n)
 {
 	uint32_t wanted = soak->complete + n;
 
 	for (int ms = 0; ms < RECOVERY_LIMIT_MS && soak->complete < wanted;
-	     ms += LEAST_GAP_MS)
-		run_for(LEAST_GAP_MS);
+	     ms += MIN_GAP_MS)
+		run_for(MIN_GAP_MS);
 	return soak->complete >= wanted;
 }
 
@@ -149,21 +149,21 @@
 }
 
 static void run_phase(struct soak *soak, enum soak_phase phase,
-		      uint32_t phase_ms, uint32_t most_gap_ms)
+		      uint32_t phase_ms, uint32_t max_gap_ms)
 {
 	int64_t end_us = g_get_monotonic_time() + (int64_t)phase_ms * MS;
 
 	while (g_get_monotonic_time() < end_us && !soak->violations) {
 		check_instances(soak);
 		soak_inject_fault(soak, phase);
-		run_for(LEAST_GAP_MS +
-			soak_random_below(soak, most_gap_ms - LEAST_GAP_MS));
+		run_for(MIN_GAP_MS +
+			soak_random_below(soak, max_gap_ms - MIN_GAP_MS));
 	}
 }
 
 /*
- * A storm, and what is planned after a lull: only there do the rules apply
- * that have a bound of time.
+ * Run phases of random faults, each followed by a recovery and a phase of
+ * planned changes.  The rules with time limits apply only to the latter.
  */
 static void run_faults(struct soak *soak)
 {
@@ -171,9 +171,10 @@
 			 (int64_t)soak->options.seconds * 1000 * MS;
 
 	while (g_get_monotonic_time() < end_us && !soak->violations) {
-		run_phase(soak, SOAK_RANDOM_FAULTS, STORM_MS, MOST_GAP_MS);
+		run_phase(soak, SOAK_RANDOM_FAULTS, RANDOM_FAULTS_MS,
+			  MAX_GAP_MS);
 		soak_clear_faults(soak);
-		run_for(LULL_MS);
+		run_for(QUIET_MS);
 		run_phase(soak,
 			  SOAK_INSTANCE_STOPS +
 				  soak_random_below(
@@ -183,7 +184,7 @@
 	}
 }
 
-static void drop_all(struct soak *soak)
+static void free_all(struct soak *soak)
 {
 	for (guint i = 0; i < soak->callers->len; i++)
 		soak_drop_caller(g_ptr_array_index(soak->callers, i));
@@ -214,19 +215,19 @@
 			g_str_hash, g_str_equal, g_free, g_free),
 	};
 
-	make_world(&soak);
+	start_deployment(&soak);
 	start_callers(&soak);
-	if (!wait_for_whole(&soak, options->instances))
+	if (!wait_for_complete_answers(&soak, options->instances))
 		soak_report_violation(&soak, "RECOVER",
-				      "never served at first");
+				      "no service after the start");
 	run_faults(&soak);
 	soak_clear_faults(&soak);
-	/* Timers of faults run out, processes are back. */
-	run_for(LULL_MS);
+	/* Let the timers of faults expire and processes restart. */
+	run_for(QUIET_MS);
 	check_instances(&soak);
-	if (!wait_for_whole(&soak, 10 * options->instances))
+	if (!wait_for_complete_answers(&soak, 10 * options->instances))
 		soak_report_violation(&soak, "RECOVER",
-				      "does not serve any more");
+				      "no service after the faults");
 	printf("soak: seed=%u %s faults=%u requests=%u whole=%u partial=%u "
 	       "refused=%u unknown=%u cut=%u runs=%u crashes=%u "
 	       "violations=%u\n",
@@ -235,23 +236,25 @@
 	       soak.partial, soak.rejected, soak.unknown_outcome,
 	       soak.unanswered, soak.executions, soak.crashes, soak.violations);
 	fflush(stdout);
-	drop_all(&soak);
+	free_all(&soak);
 	return soak.violations ? 1 : 0;
 }
 
 int main(int argc, char **argv)
 {
-	struct arg_int *seed = arg_int0(NULL, "seed", "N", "what is drawn");
-	struct arg_int *seconds =
-		arg_int0(NULL, "seconds", "N", "of faults, 30 if left out");
-	struct arg_int *instances =
-		arg_int0(NULL, "instances", "N", "gateways, 6 if left out");
+	struct arg_int *seed =
+		arg_int0(NULL, "seed", "N", "random seed, default 1");
+	struct arg_int *seconds = arg_int0(
+		NULL, "seconds", "N", "duration of the faults, default 30");
+	struct arg_int *instances = arg_int0(NULL, "instances", "N",
+					     "number of gateways, default 6");
 	struct arg_int *callers = arg_int0(NULL, "callers", "N",
-					   "of each gateway, 4 if left out");
+					   "callers per gateway, default 4");
 	struct arg_lit *timing =
-		arg_lit0(NULL, "timing", "check bounds of time as well");
+		arg_lit0(NULL, "timing", "also check time limits");
 	struct arg_str *logs =
-		arg_str0(NULL, "logs", "DIR", "keep the gateways' lines there");
+		arg_str0(NULL, "logs", "DIR",
+			 "write the gateways' logs to this directory");
 	struct arg_lit *help = arg_lit0("h", "help", "print this and exit");
 	struct arg_end *end = arg_end(10);
 	void *table[] = { seed,	  seconds, instances, callers,
@@ -259,15 +262,15 @@
 	struct soak_options options = {
 		.seed = 1, .seconds = 30, .instances = 6, .callers = 4
 	};
-	int faults = arg_parse(argc, argv, table);
-	int code = 0;
+	int n_errors = arg_parse(argc, argv, table);
+	int exit_code = 0;
 
-	if (help->count || faults) {
+	if (help->count || n_errors) {
 		arg_print_errors(stderr, end, "soak");
 		printf("Usage: soak");
 		arg_print_syntax(stdout, table, "\n\n");
 		arg_print_glossary(stdout, table, "  %-20s %s\n");
-		code = faults ? 2 : 0;
+		exit_code = n_errors ? 2 : 0;
 	} else {
 		options.seed = seed->count ? (uint32_t)*seed->ival : 1;
 		options.seconds =
@@ -277,11 +280,11 @@
 		options.callers = callers->count ? (uint32_t)*callers->ival : 4;
 		options.check_timing = timing->count > 0;
 		options.log_dir = logs->count ? *logs->sval : NULL;
-		/* What was printed must outlive whatever ends this. */
+		/* Line-buffered, so that no output is lost if this process is killed. */
 		setvbuf(stdout, NULL, _IOLBF, 0);
 		printf("soak: seed=%u begins\n", options.seed);
-		code = run(&options);
+		exit_code = run(&options);
 	}
 	arg_freetable(table, G_N_ELEMENTS(table));
-	return code;
+	return exit_code;
 }
