--- a/bench/gate/emulated-crash.c
+++ b/bench/gate/emulated-crash.c
@@ -8,7 +8,7 @@
 #define RESTART_US (3 * G_USEC_PER_SEC)
 /* Delay from a write to the store until all instances have read it. */
 #define STORE_DELAY_US (400 * 1000)
-/* Time after the third crash until arrivals are counted as late. */
+/* Time after the third crash from which arrivals are counted. */
 #define SETTLED_US (4 * G_USEC_PER_SEC)
 
 static void abort_attempts(struct replica *replica)
@@ -177,7 +177,7 @@
 	struct store_update *store_update;
 
 	emulation->result->quarantine_reports++;
-	/* Claims for trials are ignored: runs are shorter than the wait for one. */
+	/* Ignore trial claims: a run ends before a trial is due. */
 	if (report->claim ||
 	    (!report->released && is_up_to_date(emulation, report->entry)))
 		return;
--- a/bench/gate/emulator-private.h
+++ b/bench/gate/emulator-private.h
@@ -89,7 +89,7 @@
 	int64_t now_us;
 	int64_t end_us;
 	GRand *rand;
-	/* Separate generators, so that the draws are the same with any policy. */
+	/* Separate generators: same sequence with any policy. */
 	GRand *arrivals_rand;
 	GRand *layout_rand;   /* service times, pauses, targets of faults */
 	GPtrArray *replicas;  /* struct replica */
@@ -103,7 +103,7 @@
 	int64_t third_crash_us;	  /* time of the third of these; 0: not yet */
 	GHashTable *late_numbers; /* counted in late_queries_of_death */
 	GHashTable *
-		quarantine_entries; /* low half of a fingerprint to the store's entry */
+		quarantine_entries; /* low half of a fingerprint to its entry */
 };
 
 /* emulator.c */
--- a/bench/gate/emulator.c
+++ b/bench/gate/emulator.c
@@ -46,7 +46,7 @@
 
 /* The gate's clock. */
 
-static void tick(void *context_options, void *data)
+static void tick(void *context, void *data)
 {
 	struct instance *instance = data;
 	int64_t now_us = instance->emulation->now_us;
@@ -97,7 +97,7 @@
 	return mean_us * (0.5 - 0.5 * log(1 - draw_uniform(emulation)));
 }
 
-static void handle_connect_timeout(void *context_options, void *data)
+static void handle_connect_timeout(void *context, void *data)
 {
 	struct emulated_attempt *attempt = data;
 
@@ -135,18 +135,18 @@
 	return request ? request : instance->submitting;
 }
 
-static void send_attempt(void *data, const struct rr_gate_attempt_info *send)
+static void send_attempt(void *data, const struct rr_gate_attempt_info *info)
 {
 	struct instance *instance = data;
 	struct emulation *emulation = instance->emulation;
-	struct request *request = find_request(instance, send->request);
+	struct request *request = find_request(instance, info->request);
 	struct emulated_attempt *attempt = g_new0(struct emulated_attempt, 1);
 	int64_t delay_us;
 
 	attempt->emulation = emulation;
-	attempt->attempt_id = send->attempt;
+	attempt->attempt_id = info->attempt;
 	attempt->instance_number = instance->number;
-	attempt->replica = find_replica(emulation, send->incarnation);
+	attempt->replica = find_replica(emulation, info->incarnation);
 	attempt->request_number = request->number;
 	attempt->is_query_of_death = request->is_query_of_death;
 	attempt->work_us = draw_work_us(emulation, request->route);
@@ -219,7 +219,7 @@
 	bool reachable;
 };
 
-static void end_probe(void *context_options, void *data)
+static void end_probe(void *context, void *data)
 {
 	struct probe *probe = data;
 	struct instance *instance = probe->instance;
--- a/bench/gate/emulator.h
+++ b/bench/gate/emulator.h
@@ -95,12 +95,12 @@
 	double slot_use;
 	uint64_t crashes;	     /* crashes of replicas */
 	uint64_t quarantine_reports; /* updates published by instances */
-	uint64_t
-		late_queries_of_death; /* received SETTLED_US after the third crash */
+	/* Queries of death received SETTLED_US or more after the third crash. */
+	uint64_t late_queries_of_death;
 	uint64_t
 		evacuated_arrivals; /* requests received in an evacuated zone */
 	uint64_t cold_excess;	    /* requests above a cold replica's limit */
-	GArray *latencies_us; /* double; from a caller's first send to its answer */
+	GArray *latencies_us; /* double; first send to answer, at the caller */
 };
 
 /* Set the defaults for all keys that a scenario file may omit. */
--- a/bench/policy/model.c
+++ b/bench/policy/model.c
@@ -343,7 +343,7 @@
 		rr_counter_value(model->ctx, RR_N_SNAPSHOT_RESTARTS);
 	rr_drop_core(model->core);
 	rr_drop_context(model->ctx);
-	/* The model and its pending events are released only at process exit. */
+	/* The model and its events are released only at process exit. */
 }
 
 void clear_result(struct run_result *result)
--- a/soak/soak-fault.c
+++ b/soak/soak-fault.c
@@ -426,7 +426,7 @@
 	g_free(key);
 }
 
-/* End the evacuations that have lasted EVACUATED_MS. */
+/* End the evacuations that have lasted EVACUATION_MS. */
 static gboolean end_old_evacuations(gpointer data)
 {
 	struct soak *soak = data;
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -280,7 +280,7 @@
 		options.callers = callers->count ? (uint32_t)*callers->ival : 4;
 		options.check_timing = timing->count > 0;
 		options.log_dir = logs->count ? *logs->sval : NULL;
-		/* Line-buffered, so that no output is lost if this process is killed. */
+		/* Line-buffered: keeps the output if this is killed. */
 		setvbuf(stdout, NULL, _IOLBF, 0);
 		printf("soak: seed=%u begins\n", options.seed);
 		exit_code = run(&options);
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -134,8 +134,8 @@
 	uint32_t last_incarnation;
 	uint64_t last_request_number;
 	uint64_t config_version;
-	bool use_second_shards;	 /* set of shards in the current version */
-	bool use_second_service; /* single service in the current version */
+	bool use_second_shards;		   /* in the current version */
+	bool use_second_service;	   /* for single requests, likewise */
 	int64_t evacuated_since_us[ZONES]; /* 0: not evacuated */
 	int64_t last_fault_us; /* last fault of the store or of a replica */
 	uint32_t n_faults;
@@ -159,8 +159,9 @@
 bool soak_chance(struct soak *soak, double share);
 /*
  * Return whether there was no fault of the store, of a replica or of `instance`
- * (NULL: of any instance) since `since_us` and for some time before it, as the
- * rules with time limits require.
+ * since `since_us` and for some time before it, as the rules with time limits
+ * require.  If `instance` is NULL, check all instances, which must also be
+ * running and not frozen.
  */
 bool soak_is_fault_free_since(const struct soak *soak,
 			      const struct soak_instance *instance,
