--- a/bench/gate.c
+++ b/bench/gate.c
@@ -17,7 +17,7 @@
 #include "support/paths.h"
 
 #define SCENARIOS "bench/gate/scenarios"
-#define MAX_SET 16
+#define MAX_SET_ARGS 16
 
 struct experiment {
 	uint32_t seed;
@@ -308,7 +308,7 @@
 		.ablate = arg_str0(
 			NULL, "ablate", "NAME",
 			"turn off a switch of the policy, or all in turn"),
-		.set = arg_strn(NULL, "set", "NAME=VALUE", 0, MAX_SET,
+		.set = arg_strn(NULL, "set", "NAME=VALUE", 0, MAX_SET_ARGS,
 				"set a policy setting for all runs"),
 		.drawn = arg_int0(NULL, "drawn", "N",
 				  "run N randomly generated deployments"),
--- a/bench/gate/scenario.c
+++ b/bench/gate/scenario.c
@@ -107,10 +107,9 @@
 			continue;
 		if (end == text || *end || number < keys[i].min ||
 		    number > keys[i].max)
-			rr_add_diagnostic(
-				diagnostics, file, entry->line,
-				"%s: allowed is a number from %g to %g",
-				entry->key, keys[i].min, keys[i].max);
+			rr_add_diagnostic(diagnostics, file, entry->line,
+					  "%s: must be a number from %g to %g",
+					  entry->key, keys[i].min, keys[i].max);
 		else
 			*(double *)(void *)((char *)target + keys[i].offset) =
 				number;
@@ -194,7 +193,7 @@
 
 	if (entry->value->kind != RR_YAML_LIST || items->len > max) {
 		rr_add_diagnostic(diagnostics, file, entry->line,
-				  "%s: allowed is a list of up to %u mappings",
+				  "%s: must be a list of up to %u mappings",
 				  entry->key, max);
 		return;
 	}
--- a/bench/ledger.c
+++ b/bench/ledger.c
@@ -38,7 +38,7 @@
 	uint32_t seed;
 };
 
-struct pending {
+struct execution {
 	int64_t due_us;
 	uint64_t claim; /* claim id, or the number of its key */
 	int instance;
@@ -69,13 +69,13 @@
 	struct run *run = instance->run;
 	int64_t *started_us = g_hash_table_lookup(instance->started, &claim);
 	int64_t latency_us = run->store->now_us - *started_us;
-	struct pending *pending = g_new(struct pending, 1);
+	struct execution *execution = g_new(struct execution, 1);
 
 	g_array_append_val(run->latencies_us, latency_us);
-	pending->due_us = run->store->now_us + EXECUTION_US;
-	pending->claim = claim;
-	pending->instance = (int)(instance - run->instances);
-	g_queue_push_tail(&run->running, pending);
+	execution->due_us = run->store->now_us + EXECUTION_US;
+	execution->claim = claim;
+	execution->instance = (int)(instance - run->instances);
+	g_queue_push_tail(&run->running, execution);
 }
 
 static void handle_claim_result(void *data,
@@ -185,26 +185,26 @@
 
 static void end_reservation(struct run *run)
 {
-	struct pending *pending = g_queue_pop_head(&run->running);
-	struct instance *instance = &run->instances[pending->instance];
+	struct execution *execution = g_queue_pop_head(&run->running);
+	struct instance *instance = &run->instances[execution->instance];
 
 	if (run->options.scheme == SCHEME_KEY_EACH)
-		write_own_key(instance, pending->claim + 1, pending->claim, 1,
-			      RESULT);
+		write_own_key(instance, execution->claim + 1, execution->claim,
+			      1, RESULT);
 	else
 		rr_record_claim_result(instance->ctx, instance->ledger,
-				       run->store->now_us, pending->claim,
+				       run->store->now_us, execution->claim,
 				       RESULT, strlen(RESULT));
-	g_free(pending);
+	g_free(execution);
 }
 
 static int64_t next_wake_us(struct run *run)
 {
 	int64_t wake_us = fake_store_due_us(run->store);
-	struct pending *pending = g_queue_peek_head(&run->running);
+	struct execution *execution = g_queue_peek_head(&run->running);
 
-	if (pending)
-		wake_us = MIN(wake_us, pending->due_us);
+	if (execution)
+		wake_us = MIN(wake_us, execution->due_us);
 	for (int i = 0; i < INSTANCES; i++)
 		wake_us = MIN(wake_us,
 			      rr_ledger_wake_us(run->instances[i].ledger));
@@ -217,13 +217,13 @@
 
 	while (next_wake_us(run) <= until_us) {
 		int64_t wake_us = next_wake_us(run);
-		struct pending *pending;
+		struct execution *execution;
 
 		if (fake_store_due_us(store) <= wake_us)
 			run_fake_store_event(store);
 		store->now_us = MAX(store->now_us, wake_us);
-		pending = g_queue_peek_head(&run->running);
-		if (pending && pending->due_us <= store->now_us)
+		execution = g_queue_peek_head(&run->running);
+		if (execution && execution->due_us <= store->now_us)
 			end_reservation(run);
 		for (int i = 0; i < INSTANCES; i++) {
 			struct instance *instance = &run->instances[i];
