--- a/bench/ledger.c
+++ b/bench/ledger.c
@@ -58,7 +58,7 @@
 	GRand *random;
 	struct fake_store *store;
 	struct instance instances[INSTANCES];
-	GQueue running; /* struct pending, in order of due_us */
+	GQueue running; /* struct execution, in order of due_us */
 	GArray *latencies_us;
 	uint64_t rejected;
 	uint64_t unresolved;
