--- a/source/daemon/daemon.c
+++ b/source/daemon/daemon.c
@@ -1,6 +1,8 @@
 /*
- * daemon.c - wiring: adapters hand events to the core, its actions go back
- * to them.
+ * daemon.c - Connects the core with the network adapters.
+ *
+ * Adapters pass their events to the core; the core's actions call the
+ * adapters.
  */
 #include "daemon/daemon.h"
 
@@ -16,15 +18,15 @@
 #include "ragwort/net-upstream.h"
 #include "ragwort/record.h"
 
-/* How many instances of a zone watch the configuration record. */
+/* Number of instances per zone that watch the configuration record. */
 #define WATCHERS_PER_ZONE 2
-/* A draining instance stays until nothing has come for this long. */
-#define QUIET_US (300 * 1000)
+/* A draining instance exits once it has been idle for this long. */
+#define DRAIN_IDLE_US (300 * 1000)
 #define DRAIN_CHECK_MS 20
 
-/* Ticks the core at the time it asked for. */
+/* Event source that ticks the core at the wake-up time it requested. */
 struct tick_source {
-	GSource source; /* first: GLib allocates the whole */
+	GSource source; /* must be first: GLib allocates the whole struct */
 	struct rr_daemon *daemon;
 };
 
@@ -39,20 +41,23 @@
 	struct rr_platform_client *platform;
 	char *site;
 	char *start_file;
-	bool keyed;			  /* peers speak under CURVE keys */
-	struct rr_log_settings start_log; /* of the start file */
-	GQueue records; /* GBytes, from peers, to put in force */
+	bool uses_curve_keys;		  /* peer connections use CURVE keys */
+	struct rr_log_settings start_log; /* log settings of the start file */
+	GQueue records; /* GBytes: records from peers waiting to be applied */
 	guint record_source;
 	guint drain_source;
 	guint signal_sources[3];
 	uint32_t drain_timeout_ms;
-	int64_t drain_began_us; /* 0: not draining */
-	int64_t busy_us;	/* last time a draining one had work */
+	int64_t drain_started_us; /* 0: not draining */
+	int64_t last_busy_us;	  /* last time there was work, for draining */
 	bool was_ready;
 };
 
-/* After each event: the core may want its tick earlier. */
-static void settle(struct rr_daemon *daemon)
+/*
+ * Called after each event: the core may request an earlier tick, and its
+ * readiness may change.
+ */
+static void update_after_event(struct rr_daemon *daemon)
 {
 	bool ready;
 
@@ -76,13 +81,13 @@
 
 	g_source_set_ready_time(source, -1);
 	rr_core_tick(daemon->ctx, daemon->core, g_get_monotonic_time());
-	settle(daemon);
+	update_after_event(daemon);
 	return G_SOURCE_CONTINUE;
 }
 
 static GSourceFuncs tick_funcs = { .dispatch = dispatch_tick };
 
-/* The core's actions. */
+/* Actions of the core. */
 
 static void send_attempt(void *data, const struct rr_attempt *attempt)
 {
@@ -98,7 +103,7 @@
 	rr_cancel_attempt(daemon->ctx, daemon->upstreams, attempt_id);
 }
 
-static void give_answer(void *data, const struct rr_answer *answer)
+static void send_answer(void *data, const struct rr_answer *answer)
 {
 	struct rr_daemon *daemon = data;
 
@@ -121,7 +126,7 @@
 				address);
 }
 
-/* Put a record in force; a malformed one changes nothing. */
+/* Apply a configuration record; a malformed one is logged and ignored. */
 static void apply_record(struct rr_daemon *daemon, const char *text,
 			 size_t length)
 {
@@ -139,7 +144,7 @@
 				       length))
 			rr_apply_log_settings(daemon->ctx, &daemon->start_log,
 					      &config->log);
-		settle(daemon);
+		update_after_event(daemon);
 	} else {
 		const struct rr_diagnostic *fault =
 			faults->len ? g_ptr_array_index(faults, 0) : NULL;
@@ -173,8 +178,11 @@
 	return G_SOURCE_REMOVE;
 }
 
-/* The core may not be called from inside its own actions: later. */
-static void keep_record(void *data, const char *record, size_t length)
+/*
+ * The core must not be called from inside its own actions, so the record is
+ * applied from an idle source.
+ */
+static void queue_record(void *data, const char *record, size_t length)
 {
 	struct rr_daemon *daemon = data;
 
@@ -183,97 +191,97 @@
 		daemon->record_source = g_idle_add(apply_records, daemon);
 }
 
-/* Events for the core. */
+/* Events passed to the core. */
 
-static uint64_t take_request(void *data, const struct rr_request *request)
+static uint64_t handle_request(void *data, const struct rr_request *request)
 {
 	struct rr_daemon *daemon = data;
 	uint64_t query_id;
 
-	daemon->busy_us = g_get_monotonic_time();
+	daemon->last_busy_us = g_get_monotonic_time();
 	query_id = rr_core_handle_request(daemon->ctx, daemon->core,
-					  daemon->busy_us, g_get_real_time(),
-					  request);
-	settle(daemon);
+					  daemon->last_busy_us,
+					  g_get_real_time(), request);
+	update_after_event(daemon);
 	return query_id;
 }
 
-static void take_leaver(void *data, uint64_t query_id)
+static void handle_disconnect(void *data, uint64_t query_id)
 {
 	struct rr_daemon *daemon = data;
 
 	rr_core_cancel(daemon->ctx, daemon->core, g_get_monotonic_time(),
 		       query_id);
-	settle(daemon);
+	update_after_event(daemon);
 }
 
-static bool tell_ready(void *data, const char **reason)
+static bool is_ready(void *data, const char **reason)
 {
 	struct rr_daemon *daemon = data;
 
 	return rr_core_is_ready(daemon->core, reason);
 }
 
-static void tell_status(void *data, GString *out)
+static void append_status(void *data, GString *out)
 {
 	struct rr_daemon *daemon = data;
 
 	rr_core_format_status(daemon->core, g_get_monotonic_time(), out);
 }
 
-static void take_reply(void *data, const struct rr_reply *reply)
+static void handle_reply(void *data, const struct rr_reply *reply)
 {
 	struct rr_daemon *daemon = data;
 
 	rr_core_handle_reply(daemon->ctx, daemon->core, g_get_monotonic_time(),
 			     reply);
-	settle(daemon);
+	update_after_event(daemon);
 }
 
-static void take_health(void *data, const struct rr_health *health)
+static void handle_health(void *data, const struct rr_health *health)
 {
 	struct rr_daemon *daemon = data;
 
 	rr_core_handle_health(daemon->ctx, daemon->core, g_get_monotonic_time(),
 			      health);
-	settle(daemon);
+	update_after_event(daemon);
 }
 
-static void take_store_reply(void *data, const struct rr_store_reply *reply)
+static void handle_store_reply(void *data, const struct rr_store_reply *reply)
 {
 	struct rr_daemon *daemon = data;
 
 	rr_core_handle_store_reply(daemon->ctx, daemon->core,
 				   g_get_monotonic_time(), reply);
-	settle(daemon);
+	update_after_event(daemon);
 }
 
-static void take_record(void *data, const char *record, size_t length)
+static void handle_record(void *data, const char *record, size_t length)
 {
 	apply_record(data, record, length);
 }
 
-static void take_member(void *data, const char *name, const char *zone,
-			const char *address)
+static void handle_member(void *data, const char *name, const char *zone,
+			  const char *address)
 {
 	struct rr_daemon *daemon = data;
 
 	rr_core_hint_member(daemon->ctx, daemon->core, g_get_monotonic_time(),
 			    name, zone, address);
-	settle(daemon);
+	update_after_event(daemon);
 }
 
-static void take_replica(void *data, const char *name, int64_t born_ms,
-			 enum rr_upstream_state state)
+static void handle_replica(void *data, const char *name, int64_t born_ms,
+			   enum rr_upstream_state state)
 {
 	struct rr_daemon *daemon = data;
 
 	rr_core_hint_replica(daemon->ctx, daemon->core, g_get_monotonic_time(),
 			     name, born_ms, state);
-	settle(daemon);
+	update_after_event(daemon);
 }
 
-static bool tell_watches(void *data)
+static bool is_watcher(void *data)
 {
 	struct rr_daemon *daemon = data;
 
@@ -288,15 +296,16 @@
 	rr_core_handle_peer_message(daemon->ctx, daemon->core,
 				    g_get_monotonic_time(), g_get_real_time(),
 				    message);
-	settle(daemon);
+	update_after_event(daemon);
 }
 
 /* Signals. */
 
 /*
- * A draining instance ends when the core has nothing left, every reply is
- * written and nothing new has come for a moment: a request or relay that was
- * under way when the stop began would otherwise be cut off.
+ * A draining instance exits when the core has no work left, every reply is
+ * written and nothing new has arrived for DRAIN_IDLE_US.  Without the idle
+ * time, a client's request or a forwarded one that was in transit when the
+ * drain started would be cut off.
  */
 static gboolean check_drained(gpointer data)
 {
@@ -305,33 +314,33 @@
 
 	if (!rr_core_is_drained(daemon->core) ||
 	    rr_count_open_calls(daemon->callers))
-		daemon->busy_us = now_us;
-	if (now_us - daemon->drain_began_us >
+		daemon->last_busy_us = now_us;
+	if (now_us - daemon->drain_started_us >
 	    (int64_t)daemon->drain_timeout_ms * 1000) {
 		rr_log(daemon->ctx, RR_LOG_WARNING, "drain-timeout",
 		       RR_FIELD_U64("open_calls",
 				    rr_count_open_calls(daemon->callers)));
 		g_main_loop_quit(daemon->loop);
-	} else if (now_us - daemon->busy_us > QUIET_US) {
+	} else if (now_us - daemon->last_busy_us > DRAIN_IDLE_US) {
 		g_main_loop_quit(daemon->loop);
 	}
 	return G_SOURCE_CONTINUE;
 }
 
-static gboolean begin_stop(gpointer data)
+static gboolean start_drain(gpointer data)
 {
 	struct rr_daemon *daemon = data;
 
-	if (daemon->drain_began_us)
+	if (daemon->drain_started_us)
 		return G_SOURCE_CONTINUE;
 	rr_log(daemon->ctx, RR_LOG_INFO, "draining",
 	       RR_FIELD_U64("open_calls",
 			    rr_count_open_calls(daemon->callers)));
-	daemon->drain_began_us = g_get_monotonic_time();
-	daemon->busy_us = daemon->drain_began_us;
+	daemon->drain_started_us = g_get_monotonic_time();
+	daemon->last_busy_us = daemon->drain_started_us;
 	rr_drain_caller_server(daemon->callers);
-	rr_core_drain(daemon->ctx, daemon->core, daemon->drain_began_us);
-	settle(daemon);
+	rr_core_drain(daemon->ctx, daemon->core, daemon->drain_started_us);
+	update_after_event(daemon);
 	daemon->drain_source =
 		g_timeout_add(DRAIN_CHECK_MS, check_drained, daemon);
 	return G_SOURCE_CONTINUE;
@@ -340,14 +349,14 @@
 static gboolean reload(gpointer data)
 {
 	struct rr_daemon *daemon = data;
-	struct rr_reload_targets parts = {
+	struct rr_reload_targets targets = {
 		.caller_server = daemon->callers,
 		.peer_transport = daemon->peers,
 		.start_file = daemon->start_file,
-		.uses_curve_keys = daemon->keyed,
+		.uses_curve_keys = daemon->uses_curve_keys,
 	};
 
-	rr_reload_credentials(daemon->ctx, &parts);
+	rr_reload_credentials(daemon->ctx, &targets);
 	return G_SOURCE_CONTINUE;
 }
 
@@ -364,10 +373,10 @@
 		.actions = {
 			.send_attempt = send_attempt,
 			.cancel_attempt = cancel_attempt,
-			.send_answer = give_answer,
+			.send_answer = send_answer,
 			.send_peer_message = send_peer,
 			.poll_health = poll_health,
-			.apply_config_record = keep_record,
+			.apply_config_record = queue_record,
 			.data = daemon,
 		},
 		.store = rr_make_store_port(daemon->platform),
@@ -385,8 +394,8 @@
 {
 	struct rr_upstream_client_options options = {
 		.instance = settings->instance,
-		.replied = take_reply,
-		.polled = take_health,
+		.replied = handle_reply,
+		.polled = handle_health,
 		.data = daemon,
 	};
 
@@ -401,11 +410,11 @@
 		.instance = settings->instance,
 		.zone = settings->zone,
 		.peer_address = settings->peer_address,
-		.replied = take_store_reply,
-		.record_received = take_record,
-		.member_listed = take_member,
-		.replica_listed = take_replica,
-		.is_watcher = tell_watches,
+		.replied = handle_store_reply,
+		.record_received = handle_record,
+		.member_listed = handle_member,
+		.replica_listed = handle_replica,
+		.is_watcher = is_watcher,
 		.data = daemon,
 	};
 
@@ -425,8 +434,8 @@
 
 	if (!rr_read_peer_keys(settings, &keys, &secret_key, error))
 		return false;
-	daemon->keyed = keys.public_key != NULL;
-	if (daemon->keyed)
+	daemon->uses_curve_keys = keys.public_key != NULL;
+	if (daemon->uses_curve_keys)
 		options.keys = &keys;
 	daemon->peers = rr_new_peer_transport(daemon->ctx, &options, error);
 	rr_wipe_secret_key(secret_key);
@@ -446,10 +455,10 @@
 		.tls_certificate_file = settings->tls_certificate_file,
 		.tls_key_file = settings->tls_key_file,
 		.token_file = settings->caller_token_file,
-		.request = take_request,
-		.disconnected = take_leaver,
-		.is_ready = tell_ready,
-		.append_status = tell_status,
+		.request = handle_request,
+		.disconnected = handle_disconnect,
+		.is_ready = is_ready,
+		.append_status = append_status,
 		.data = daemon,
 	};
 
@@ -464,9 +473,9 @@
 	daemon->ticker->daemon = daemon;
 	g_source_attach(&daemon->ticker->source, NULL);
 	daemon->signal_sources[0] =
-		g_unix_signal_add(SIGTERM, begin_stop, daemon);
+		g_unix_signal_add(SIGTERM, start_drain, daemon);
 	daemon->signal_sources[1] =
-		g_unix_signal_add(SIGINT, begin_stop, daemon);
+		g_unix_signal_add(SIGINT, start_drain, daemon);
 	daemon->signal_sources[2] = g_unix_signal_add(SIGHUP, reload, daemon);
 }
 
@@ -496,7 +505,7 @@
 	}
 	start_sources(daemon);
 	make_core(daemon, settings);
-	settle(daemon);
+	update_after_event(daemon);
 	return daemon;
 }
 
@@ -521,7 +530,7 @@
 	rr_drop_peer_transport(daemon->peers);
 	rr_drop_platform_client(daemon->platform);
 	rr_drop_upstream_client(daemon->upstreams);
-	/* What the ports cancelled is freed by the main loop. */
+	/* Operations that the adapters cancelled are freed by the main loop. */
 	while (g_main_context_iteration(NULL, FALSE))
 		;
 	rr_drop_core(daemon->core);
--- a/source/daemon/daemon.h
+++ b/source/daemon/daemon.h
@@ -1,5 +1,5 @@
 /*
- * daemon.h - an entry instance: the core with its adapters on one main loop.
+ * daemon.h - An instance: the core and its network adapters on one main loop.
  */
 #ifndef RAGWORT_DAEMON_H
 #define RAGWORT_DAEMON_H
@@ -14,38 +14,42 @@
 struct rr_daemon;
 
 /*
- * Read an instance's start file.  NULL with an error when it is unreadable,
- * without one and with faults appended when it is faulty.
+ * Read an instance's start file.  Returns NULL with `error` set if the file
+ * cannot be read, and NULL without an error, with the reasons appended to
+ * `faults`, if its contents are invalid.
  */
 struct rr_start_settings *rr_read_start_file(const char *file,
 					     GPtrArray *faults, GError **error);
 
 /*
- * Listen and connect; NULL with an error.  The settings are not kept; the
- * file they are from is read again on SIGHUP.
+ * Create an instance, open its listening sockets and connect to the platform.
+ * Returns NULL with `error` set on failure.  `settings` is only used during
+ * the call; `start_file`, from which it was read, is read again on SIGHUP.
  */
 struct rr_daemon *rr_new_daemon(struct rr_context *ctx, const char *start_file,
 				const struct rr_start_settings *settings,
 				GError **error);
 void rr_drop_daemon(struct rr_daemon *daemon);
-/* Run until SIGTERM or SIGINT and the graceful stop that follows. */
+/* Run until SIGTERM or SIGINT, and then until the drain has finished. */
 void rr_run_daemon(struct rr_daemon *daemon);
 
 /*
- * Read the keys that the start file names; they stay unset where it names
- * none.  *secret_key belongs to the caller, for rr_wipe_secret_key().
+ * Read the CURVE keys that the start file names.  Keys that it does not name
+ * stay unset.  The caller owns *secret_key and releases it with
+ * rr_wipe_secret_key().  Returns false with `error` set if the file of the
+ * secret key cannot be read.
  */
 bool rr_read_peer_keys(const struct rr_start_settings *settings,
 		       struct rr_peer_keys *keys, char **secret_key,
 		       GError **error);
-/* Overwrite and free. NULL is allowed. */
+/* Overwrite a secret key with zeros and free it.  NULL is allowed. */
 void rr_wipe_secret_key(char *secret_key);
 
-/* Write log lines to stderr: for struct rr_log_options. */
+/* Write a log line to stderr; the `write` callback of rr_log_options. */
 void rr_write_log_line(void *data, enum rr_log_level level, const char *line);
 /*
- * Log as the operators' files say, and as the start file says where they say
- * nothing.
+ * Apply the log settings of the operators' configuration files (`site`).
+ * Those that they leave unset are taken from the start file (`start`).
  */
 void rr_apply_log_settings(struct rr_context *ctx,
 			   const struct rr_log_settings *start,
--- a/source/daemon/logger.c
+++ b/source/daemon/logger.c
@@ -1,5 +1,5 @@
 /*
- * logger.c - log lines to stderr, and which of them.
+ * logger.c - Log output to stderr, and the log settings in effect.
  */
 #include <stdio.h>
 
--- a/source/daemon/main.c
+++ b/source/daemon/main.c
@@ -1,5 +1,5 @@
 /*
- * main.c - ragwortd: its start file, and a run by it.
+ * main.c - Entry point of ragwortd.
  */
 #include <stdio.h>
 
@@ -8,7 +8,7 @@
 
 #define PROGRAM "ragwortd"
 
-/* NULL when the file is unreadable or faulty; all faults are printed. */
+/* Returns NULL if the file is unreadable or invalid; prints all errors. */
 static struct rr_start_settings *read_settings(const char *file)
 {
 	GPtrArray *faults = rr_new_diagnostics();
@@ -25,8 +25,8 @@
 	return settings;
 }
 
-static enum rr_program_exit run_by(const char *file,
-				   const struct rr_start_settings *settings)
+static enum rr_program_exit
+run_instance(const char *file, const struct rr_start_settings *settings)
 {
 	struct rr_context_options options = {
 		.seed = g_random_int(),
@@ -64,7 +64,7 @@
 	if (!settings)
 		return RR_PROGRAM_USAGE;
 	if (!check_only)
-		code = run_by(file, settings);
+		code = run_instance(file, settings);
 	rr_drop_start_settings(settings);
 	return code;
 }
@@ -74,8 +74,8 @@
 	static const struct rr_program program = {
 		.name = PROGRAM,
 		.settings_help = "the instance's start file",
-		.signals_help = "SIGTERM stops gracefully, SIGHUP reads "
-				"certificate, tokens and peers' keys again.\n",
+		.signals_help = "SIGTERM drains and exits; SIGHUP reloads "
+				"certificate, tokens and peer keys.\n",
 		.run = run,
 	};
 
--- a/source/daemon/peer-keys.c
+++ b/source/daemon/peer-keys.c
@@ -1,5 +1,5 @@
 /*
- * peer-keys.c - the CURVE keys that peers speak under.
+ * peer-keys.c - CURVE keys for peer connections.
  */
 #include <string.h>
 
--- a/source/daemon/reload.c
+++ b/source/daemon/reload.c
@@ -1,5 +1,5 @@
 /*
- * reload.c - SIGHUP: certificate, tokens and peers' keys read again.
+ * reload.c - Reload of certificate, tokens and peer keys on SIGHUP.
  */
 #include "daemon/reload.h"
 
@@ -7,7 +7,7 @@
 #include "ragwort/error.h"
 #include "ragwort/log.h"
 
-static void set_fault(const GPtrArray *faults, GError **error)
+static void set_error_from_faults(const GPtrArray *faults, GError **error)
 {
 	const struct rr_diagnostic *fault;
 
@@ -18,35 +18,36 @@
 		    fault->line, fault->message);
 }
 
-static struct rr_start_settings *read_again(const char *file, GError **error)
+static struct rr_start_settings *reread_settings(const char *file,
+						 GError **error)
 {
 	GPtrArray *faults = rr_new_diagnostics();
 	struct rr_start_settings *settings =
 		rr_read_start_file(file, faults, error);
 
 	if (!settings)
-		set_fault(faults, error);
+		set_error_from_faults(faults, error);
 	g_ptr_array_unref(faults);
 	return settings;
 }
 
 static bool reload_peers(struct rr_context *ctx,
 			 struct rr_peer_transport *peers,
-			 const struct rr_start_settings *settings, bool keyed,
-			 GError **error)
+			 const struct rr_start_settings *settings,
+			 bool uses_curve_keys, GError **error)
 {
 	struct rr_peer_keys keys = { 0 };
 	char *secret_key;
 	bool ok;
 
-	if (keyed != (settings->peer_public_key != NULL)) {
+	if (uses_curve_keys != (settings->peer_public_key != NULL)) {
 		g_set_error(error, RR_ERROR, RR_ERROR_RESTART_REQUIRED,
-			    "'curve' was %s the start file: that needs a "
-			    "restart",
-			    keyed ? "taken out of" : "put into");
+			    "'curve' was %s the start file; this change "
+			    "requires a restart",
+			    uses_curve_keys ? "removed from" : "added to");
 		return false;
 	}
-	if (!keyed)
+	if (!uses_curve_keys)
 		return true;
 	if (!rr_read_peer_keys(settings, &keys, &secret_key, error))
 		return false;
@@ -55,8 +56,8 @@
 	return ok;
 }
 
-/* Log how it went; clears the error. */
-static bool tell(struct rr_context *ctx, const char *what, GError **error)
+/* Log the result of one part and clear the error; true on success. */
+static bool log_result(struct rr_context *ctx, const char *what, GError **error)
 {
 	bool ok = !*error;
 
@@ -72,23 +73,23 @@
 }
 
 /*
- * Each part by itself: an expired certificate that cannot be read must not
- * keep a peer's removed key alive.
+ * The parts are reloaded independently of each other: a certificate that is
+ * expired or unreadable must not keep a removed peer key accepted.
  */
 void rr_reload_credentials(struct rr_context *ctx,
-			   const struct rr_reload_targets *parts)
+			   const struct rr_reload_targets *targets)
 {
 	struct rr_start_settings *settings;
 	GError *error = NULL;
 	bool ok;
 
-	rr_reload_caller_server(ctx, parts->caller_server, &error);
-	ok = tell(ctx, "callers' certificate and tokens", &error);
-	settings = read_again(parts->start_file, &error);
+	rr_reload_caller_server(ctx, targets->caller_server, &error);
+	ok = log_result(ctx, "callers' certificate and tokens", &error);
+	settings = reread_settings(targets->start_file, &error);
 	if (settings)
-		reload_peers(ctx, parts->peer_transport, settings,
-			     parts->uses_curve_keys, &error);
-	ok = tell(ctx, "peers' keys", &error) && ok;
+		reload_peers(ctx, targets->peer_transport, settings,
+			     targets->uses_curve_keys, &error);
+	ok = log_result(ctx, "peers' keys", &error) && ok;
 	rr_drop_start_settings(settings);
 	rr_count(ctx, ok ? RR_N_RELOADS : RR_N_RELOAD_FAILURES, 1);
 }
--- a/source/daemon/reload.h
+++ b/source/daemon/reload.h
@@ -1,5 +1,5 @@
 /*
- * reload.h - what an instance reads again without a stop.
+ * reload.h - Reload of an instance's credentials without a restart.
  */
 #ifndef RAGWORT_DAEMON_RELOAD_H
 #define RAGWORT_DAEMON_RELOAD_H
@@ -11,14 +11,15 @@
 	struct rr_caller_server *caller_server;
 	struct rr_peer_transport *peer_transport;
 	const char *start_file;
-	bool uses_curve_keys; /* the peer port was made with keys */
+	bool uses_curve_keys; /* the peer transport was created with keys */
 };
 
 /*
- * Read certificate, key and tokens again, and the keys that the start file
- * names.  What fails is logged as "reload-failed" and stays as it was.
+ * Reload the certificate, its key and the tokens, and the peer keys that the
+ * start file names.  A part that fails is logged as "reload-failed" and keeps
+ * its previous values.
  */
 void rr_reload_credentials(struct rr_context *ctx,
-			   const struct rr_reload_targets *parts);
+			   const struct rr_reload_targets *targets);
 
 #endif
