--- a/fuzz/cursor.c
+++ b/fuzz/cursor.c
@@ -1,5 +1,5 @@
 /*
- * cursor.c - fuzz target: cursors, as text and as numbers.
+ * cursor.c - Fuzz target: cursors, decoded from text and built from numbers.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -10,7 +10,10 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t length);
 
-/* The check sum keeps random text out: begin from numbers as well. */
+/*
+ * Random text rarely passes the checksum, so cursors are also built from the
+ * input's bytes as numbers.
+ */
 static void check_numbers(const uint8_t *data, size_t length)
 {
 	struct rr_cursor cursor;
--- a/fuzz/entries.c
+++ b/fuzz/entries.c
@@ -1,10 +1,12 @@
 /*
- * entries.c - fuzz target: what anybody may write into the store under the
- * keys of replicas, instances, evacuated zones and queries of death, how it is
- * passed on, what instances ask each other to write, and what replicas tell of
- * their load.
+ * entries.c - Fuzz target: store entries, change feed, registrations and load.
  *
- * The first byte is the length of the key, the key and its value follow.
+ * Any client may write store entries under the keys of replicas, instances,
+ * evacuated zones and queries of death.  The input is also passed through the
+ * change feed, parsed as a request of one instance to another to write
+ * registrations, and parsed as the load that a replica reports.
+ *
+ * The first byte is the length of the key; the key and its value follow.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -13,8 +15,8 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t length);
 
-/* Either a listing with all that is used of it, or a reason. */
-static void decode_listing(const char *id, const char *text, size_t length)
+/* Either a replica with valid values in all fields that are used, or a reason. */
+static void decode_replica(const char *id, const char *text, size_t length)
 {
 	struct rr_feed_item *item = g_new0(struct rr_feed_item, 1);
 	const char *fault;
@@ -44,8 +46,9 @@
 	rr_free_instance(instance);
 }
 
-/* Any value is accepted, but not a key without a zone name. */
-static void judge_evacuation(const char *zone, const char *text, size_t length)
+/* Any value is accepted; a key without a zone name is rejected. */
+static void validate_evacuation(const char *zone, const char *text,
+				size_t length)
 {
 	const char *fault = rr_validate_evacuation(zone, text, length);
 
@@ -53,7 +56,7 @@
 		abort();
 }
 
-/* Either an entry with crashed replicas, or a reason. */
+/* Either an entry that names crashed replicas, or a reason. */
 static void decode_quarantine(const char *id, const char *text, size_t length)
 {
 	const char *fault;
@@ -68,7 +71,7 @@
 	rr_free_quarantine_entry(entry);
 }
 
-/* Either figures that can be reckoned with, or nothing. */
+/* Either non-zero slots and pace, or no reported load. */
 static void decode_load(const char *text, size_t length)
 {
 	char *copy = g_strndup(text, length);
@@ -81,8 +84,9 @@
 	g_free(copy);
 }
 
-/* What is passed on is read as it was, whatever the key is. */
-static void pass_on(const char *key, const char *text, size_t length)
+/* An entry sent through the change feed is decoded unchanged, for any key. */
+static void check_change_feed_round_trip(const char *key, const char *text,
+					 size_t length)
 {
 	struct rr_change_feed_request call = { .after_revision = 1 };
 	GArray *items =
@@ -109,8 +113,8 @@
 	g_free(value);
 }
 
-/* Either entries that may be written, or a reason. */
-static void parse_entries(const char *text, size_t length)
+/* Either registrations that may be written, or a reason. */
+static void parse_registration(const char *text, size_t length)
 {
 	const char *fault;
 	struct rr_registration_request *call =
@@ -142,13 +146,13 @@
 	key = g_strndup((const char *)data + 1, key_length);
 	text = (const char *)data + 1 + key_length;
 	length -= 1 + key_length;
-	decode_listing(key, text, length);
+	decode_replica(key, text, length);
 	decode_instance(key, text, length);
-	judge_evacuation(key, text, length);
+	validate_evacuation(key, text, length);
 	decode_quarantine(key, text, length);
 	decode_load(text, length);
-	pass_on(key, text, length);
-	parse_entries(text, length);
+	check_change_feed_round_trip(key, text, length);
+	parse_registration(text, length);
 	g_free(key);
 	return 0;
 }
--- a/fuzz/http-reader.c
+++ b/fuzz/http-reader.c
@@ -1,6 +1,7 @@
 /*
- * http-reader.c - fuzz target: a stream of requests or responses.  However
- * it is cut into pieces, the same messages come out.
+ * http-reader.c - Fuzz target: a stream of HTTP requests or responses.
+ *
+ * The parsed messages must not depend on how the stream is split into chunks.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -9,9 +10,9 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t length);
 
-/* Read with pieces of `piece` bytes; the sum of what was read. */
-static uint64_t read_all(const uint8_t *data, size_t length, size_t piece,
-			 bool responses)
+/* Parse in chunks of `chunk_size` bytes; returns a hash of the messages. */
+static uint64_t read_stream(const uint8_t *data, size_t length,
+			    size_t chunk_size, bool responses)
 {
 	struct rr_http_reader_options options = {
 		.parse_responses = responses,
@@ -21,17 +22,18 @@
 	struct rr_http_reader *reader = rr_new_http_reader(&options);
 	enum rr_http_result result = RR_HTTP_INCOMPLETE;
 	uint64_t sum = 0;
-	size_t at = 0;
+	size_t offset = 0;
 
-	while (at < length &&
+	while (offset < length &&
 	       (result == RR_HTTP_INCOMPLETE || result == RR_HTTP_COMPLETE)) {
-		size_t n = length - at < piece ? length - at : piece;
+		size_t n = length - offset < chunk_size ? length - offset :
+							  chunk_size;
 		size_t used;
 
-		result = rr_parse_http(reader, data + at, n, &used);
+		result = rr_parse_http(reader, data + offset, n, &used);
 		if (used > n)
 			abort();
-		at += used;
+		offset += used;
 		if (result != RR_HTTP_COMPLETE)
 			continue;
 		sum = sum * 31 + rr_http_message(reader)->body_length;
@@ -46,8 +48,8 @@
 {
 	if (!length)
 		return 0;
-	if (read_all(data + 1, length - 1, length, data[0] & 1) !=
-	    read_all(data + 1, length - 1, 1, data[0] & 1))
+	if (read_stream(data + 1, length - 1, length, data[0] & 1) !=
+	    read_stream(data + 1, length - 1, 1, data[0] & 1))
 		abort();
 	return 0;
 }
--- a/fuzz/ledger-value.c
+++ b/fuzz/ledger-value.c
@@ -1,6 +1,7 @@
 /*
- * ledger-value.c - fuzz target: ledger buckets as the store hands them over.
- * What is accepted has to survive encoding.
+ * ledger-value.c - Fuzz target: ledger buckets as read from the store.
+ *
+ * An accepted value must decode to the same entries after it is encoded.
  */
 #include <stdlib.h>
 
@@ -8,19 +9,19 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t length);
 
-static void check_again(const struct rr_ledger_value *value)
+static void check_round_trip(const struct rr_ledger_value *value)
 {
 	size_t length;
 	char *bytes = rr_encode_ledger_value(value, &length);
-	struct rr_ledger_value *again =
+	struct rr_ledger_value *decoded =
 		rr_decode_ledger_value(bytes, length, NULL);
 
-	if (!again ||
-	    g_hash_table_size(again->entries) !=
+	if (!decoded ||
+	    g_hash_table_size(decoded->entries) !=
 		    g_hash_table_size(value->entries) ||
-	    again->min_created_s != value->min_created_s)
+	    decoded->min_created_s != value->min_created_s)
 		abort();
-	rr_drop_ledger_value(again);
+	rr_drop_ledger_value(decoded);
 	g_free(bytes);
 }
 
@@ -33,7 +34,7 @@
 	if ((value == NULL) != (error != NULL))
 		abort();
 	if (value)
-		check_again(value);
+		check_round_trip(value);
 	g_clear_error(&error);
 	rr_drop_ledger_value(value);
 	return 0;
--- a/fuzz/peer.c
+++ b/fuzz/peer.c
@@ -1,6 +1,6 @@
 /*
  * peer.c - fuzz target: peer messages.  What is accepted has to be encoded
- * and decoded again to the same bytes.
+ * and decoded decoded to the same bytes.
  */
 #include <stdlib.h>
 
@@ -8,23 +8,23 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t length);
 
-static void check_again(const struct rr_peer_message *message)
+static void check_round_trip(const struct rr_peer_message *message)
 {
 	GBytes *bytes = rr_encode_peer_message(message);
 	gsize length;
 	const uint8_t *data = g_bytes_get_data(bytes, &length);
-	struct rr_peer_message *again =
+	struct rr_peer_message *decoded =
 		rr_decode_peer_message(data, length, NULL);
-	GBytes *bytes_again;
+	GBytes *reencoded;
 
-	if (!again)
+	if (!decoded)
 		abort();
-	bytes_again = rr_encode_peer_message(again);
-	if (!g_bytes_equal(bytes, bytes_again))
+	reencoded = rr_encode_peer_message(decoded);
+	if (!g_bytes_equal(bytes, reencoded))
 		abort();
-	g_bytes_unref(bytes_again);
+	g_bytes_unref(reencoded);
 	g_bytes_unref(bytes);
-	rr_drop_peer_message(again);
+	rr_drop_peer_message(decoded);
 }
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t length)
@@ -36,7 +36,7 @@
 	if ((message == NULL) != (error != NULL))
 		abort();
 	if (message)
-		check_again(message);
+		check_round_trip(message);
 	g_clear_error(&error);
 	rr_drop_peer_message(message);
 	return 0;
--- a/fuzz/record.c
+++ b/fuzz/record.c
@@ -1,6 +1,8 @@
 /*
- * record.c - fuzz target: the configuration record as the store and peers
- * hand it over.  What is accepted has to survive encoding unchanged.
+ * record.c - Fuzz target: the configuration record from the store or a peer.
+ *
+ * An accepted record must keep its hash and revision after it is encoded and
+ * decoded.
  */
 #include <stdlib.h>
 
@@ -8,19 +10,19 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t length);
 
-static void check_again(const struct rr_config_record *record)
+static void check_round_trip(const struct rr_config_record *record)
 {
 	size_t length;
 	char *text = rr_encode_config_record(record, &length);
-	struct rr_config_record *again =
+	struct rr_config_record *decoded =
 		rr_decode_config_record(text, length, NULL);
 
-	if (!again ||
-	    rr_hash_config_record(again) != rr_hash_config_record(record) ||
-	    rr_config_record_revision(again) !=
+	if (!decoded ||
+	    rr_hash_config_record(decoded) != rr_hash_config_record(record) ||
+	    rr_config_record_revision(decoded) !=
 		    rr_config_record_revision(record))
 		abort();
-	rr_drop_config_record(again);
+	rr_drop_config_record(decoded);
 	g_free(text);
 }
 
@@ -33,7 +35,7 @@
 	if ((record == NULL) != (error != NULL))
 		abort();
 	if (record)
-		check_again(record);
+		check_round_trip(record);
 	g_clear_error(&error);
 	rr_drop_config_record(record);
 	return 0;
--- a/fuzz/request-id.c
+++ b/fuzz/request-id.c
@@ -1,5 +1,5 @@
 /*
- * request-id.c - fuzz target: callers' Idempotency-Key.
+ * request-id.c - Fuzz target: the Idempotency-Key header of client requests.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -12,13 +12,13 @@
 {
 	GError *error = NULL;
 	char *text = g_strndup((const char *)data, length);
-	int64_t made_s = -1;
-	bool valid = rr_parse_request_id(text, &made_s, &error);
+	int64_t created_s = -1;
+	bool valid = rr_parse_request_id(text, &created_s, &error);
 
 	if (valid == (error != NULL))
 		abort();
-	/* The age has to be the number before the first dash. */
-	if (valid && (made_s < 0 || made_s != atoll(text) ||
+	/* The creation time is the number before the first dash. */
+	if (valid && (created_s < 0 || created_s != atoll(text) ||
 		      strlen(strchr(text, '-') + 1) < 8))
 		abort();
 	g_clear_error(&error);
--- a/fuzz/start-settings.c
+++ b/fuzz/start-settings.c
@@ -1,5 +1,5 @@
 /*
- * start-settings.c - fuzz target: an instance's start file.
+ * start-settings.c - Fuzz target: an instance's start file.
  */
 #include <stdlib.h>
 
--- a/fuzz/store-reply.c
+++ b/fuzz/store-reply.c
@@ -1,17 +1,17 @@
 /*
- * store-reply.c - fuzz target: what the platform's store answers, with the
- * configuration and the listings in it.
+ * store-reply.c - Fuzz target: replies of the platform's store, and the route
+ * tables in them.
  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "platform/platform.h"
 
-#define KINDS (RR_FEED_REPORT + 1)
+#define N_KINDS (RR_FEED_REPORT + 1)
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t length);
 
-static void decode_texts(const uint8_t *data, size_t length)
+static void decode_route_table(const uint8_t *data, size_t length)
 {
 	const char *text = (const char *)data;
 	const char *fault;
@@ -31,11 +31,11 @@
 
 	if (!length)
 		return 0;
-	kind = (enum rr_feed_call_kind)(data[0] % KINDS);
+	kind = (enum rr_feed_call_kind)(data[0] % N_KINDS);
 	rr_decode_feed_reply(kind, kind == RR_FEED_REPORT ? 412 : 200, data + 1,
 			     length - 1, &reply);
 	if (reply.items)
 		g_ptr_array_unref(reply.items);
-	decode_texts(data + 1, length - 1);
+	decode_route_table(data + 1, length - 1);
 	return 0;
 }
--- a/fuzz/upstream.c
+++ b/fuzz/upstream.c
@@ -1,6 +1,8 @@
 /*
- * upstream.c - fuzz target: bodies of upstreams' replies.  What is accepted
- * has to be whole, and every row has to be JSON on its own.
+ * upstream.c - Fuzz target: reply bodies of upstreams.
+ *
+ * An accepted body must be complete, and every row must be valid JSON on its
+ * own.
  */
 #include <stdlib.h>
 #include <yajl/yajl_parse.h>
