--- a/fuzz/entries.c
+++ b/fuzz/entries.c
@@ -15,7 +15,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t length);
 
-/* Either a replica with valid values in all fields that are used, or a reason. */
+/* Either a replica with all fields that are used, or a reason. */
 static void decode_replica(const char *id, const char *text, size_t length)
 {
 	struct rr_feed_item *item = g_new0(struct rr_feed_item, 1);
--- a/fuzz/peer.c
+++ b/fuzz/peer.c
@@ -1,6 +1,8 @@
 /*
- * peer.c - fuzz target: peer messages.  What is accepted has to be encoded
- * and decoded decoded to the same bytes.
+ * peer.c - Fuzz target: peer messages.
+ *
+ * An accepted message that is encoded, decoded and encoded again must give
+ * the same bytes both times.
  */
 #include <stdlib.h>
 
