--- a/tests/support/call-counts.c
+++ b/tests/support/call-counts.c
@@ -1,11 +1,11 @@
 /*
- * call-counts.c - count calls by key prefix and bound their rate.
+ * call-counts.c - Counts calls by key prefix and limits their rate.
  */
 #include "support/call-counts.h"
 
 #include <string.h>
 
-/* The brief's rates: about two thousand reads to several hundred writes. */
+/* The platform allows about two thousand reads to several hundred writes. */
 #define READS_PER_WRITE 5
 
 struct test_call_counts {
@@ -33,16 +33,16 @@
 	const char *slash = strchr(key, '/');
 	char *prefix =
 		g_strndup(key, slash ? (size_t)(slash - key) : strlen(key));
-	struct test_prefix_counts *calls =
+	struct test_prefix_counts *prefix_counts =
 		g_hash_table_lookup(counts->by_prefix, prefix);
 
-	if (calls) {
+	if (prefix_counts) {
 		g_free(prefix);
-		return calls;
+		return prefix_counts;
 	}
-	calls = g_new0(struct test_prefix_counts, 1);
-	g_hash_table_insert(counts->by_prefix, prefix, calls);
-	return calls;
+	prefix_counts = g_new0(struct test_prefix_counts, 1);
+	g_hash_table_insert(counts->by_prefix, prefix, prefix_counts);
+	return prefix_counts;
 }
 
 char *test_format_call_counts(const struct test_call_counts *counts)
@@ -54,7 +54,7 @@
 
 	g_hash_table_iter_init(&iter, counts->by_prefix);
 	while (g_hash_table_iter_next(&iter, &prefix, &data)) {
-		const struct test_prefix_counts *calls = data;
+		const struct test_prefix_counts *prefix_counts = data;
 
 		g_string_append_printf(
 			text,
@@ -62,8 +62,9 @@
 			", \"writes\": %" G_GUINT64_FORMAT
 			", \"watches\": %" G_GUINT64_FORMAT
 			", \"conflicts\": %" G_GUINT64_FORMAT "}",
-			text->len > 1 ? ", " : "", (char *)prefix, calls->reads,
-			calls->writes, calls->watches, calls->conflicts);
+			text->len > 1 ? ", " : "", (char *)prefix,
+			prefix_counts->reads, prefix_counts->writes,
+			prefix_counts->watches, prefix_counts->conflicts);
 	}
 	g_string_append(text, "}\n");
 	return g_string_free(text, FALSE);
--- a/tests/support/call-counts.h
+++ b/tests/support/call-counts.h
@@ -1,6 +1,6 @@
 /*
- * call-counts.h - the calls that the platform's stand-in has had, by key
- * prefix, and the rate over which it refuses them.
+ * call-counts.h - Call counters by key prefix and the rate limit of the
+ * platform stand-in.
  */
 #ifndef TESTS_SUPPORT_CALL_COUNTS_H
 #define TESTS_SUPPORT_CALL_COUNTS_H
@@ -17,23 +17,29 @@
 };
 
 struct test_call_rate_limiter {
-	uint32_t max_writes_per_s; /* writes per second; 0: none */
-	int64_t current_second;
-	uint32_t reads;
-	uint32_t writes;
+	uint32_t max_writes_per_s; /* writes per second; 0: unlimited */
+	int64_t current_second;	   /* monotonic time, seconds */
+	uint32_t reads;		   /* in the current second */
+	uint32_t writes;	   /* in the current second */
 };
 
 struct test_call_counts;
 
 struct test_call_counts *test_new_call_counts(void);
 void test_drop_call_counts(struct test_call_counts *counts);
-/* The calls on keys of the prefix before the first slash; made if new. */
+/*
+ * Return the counters for the key's prefix, the part before the first slash.
+ * Creates them if they do not exist; `counts` owns them.
+ */
 struct test_prefix_counts *
 test_get_prefix_counts(struct test_call_counts *counts, const char *key);
-/* All as a JSON object; freed with g_free(). */
+/* Format all counters as a JSON object; free it with g_free(). */
 char *test_format_call_counts(const struct test_call_counts *counts);
 
-/* Over the rate the platform refuses a call, with nothing done for it. */
+/*
+ * Count a call and return true if it exceeds the rate limit.  The platform
+ * rejects such a call without executing it.
+ */
 bool test_rate_limit_call(struct test_call_rate_limiter *rate, bool write);
 
 #endif
--- a/tests/support/deployment.c
+++ b/tests/support/deployment.c
@@ -1,5 +1,5 @@
 /*
- * deployment.c - start, ask and check whole deployments.
+ * deployment.c - Starts, queries and checks whole deployments.
  */
 #include "support/deployment.h"
 #include "support/port.h"
@@ -62,11 +62,11 @@
 	return reply;
 }
 
-/* Put the configuration's record into the platform. */
+/* Write the configuration record to the platform's store. */
 static void put_record(struct test_deployment *d)
 {
 	char *base = make_base(d);
-	struct rr_key_reply present;
+	struct rr_key_reply current;
 	struct rr_store_request call;
 	struct test_http_reply *reply;
 	size_t length;
@@ -75,17 +75,17 @@
 	rr_make_get_request(&call, RR_CONFIG_RECORD_KEY);
 	reply = call_platform(d, &call);
 	rr_decode_get_reply((uint16_t)reply->status, reply->body,
-			    strlen(reply->body), &present);
+			    strlen(reply->body), &current);
 	test_drop_reply(reply);
 	rr_update_config_record(d->config_record, RR_CONFIG_BASE_FILE, base,
 				"change", "test", 1);
 	text = rr_encode_config_record(d->config_record, &length);
-	rr_make_cas_request(&call, RR_CONFIG_RECORD_KEY, present.revision, text,
+	rr_make_cas_request(&call, RR_CONFIG_RECORD_KEY, current.revision, text,
 			    length);
 	reply = call_platform(d, &call);
 	assert_int_equal(reply->status, 200);
 	test_drop_reply(reply);
-	rr_clear_key_reply(&present);
+	rr_clear_key_reply(&current);
 	g_free(text);
 	g_free(base);
 }
@@ -174,8 +174,8 @@
 	assert_true(test_wait_until(is_ready, &readiness));
 }
 
-/* Whether an instance sees all the others: gauge "members". */
-static bool sees_all(void *data)
+/* Whether each instance has all instances as members (gauge "members"). */
+static bool all_see_all_members(void *data)
 {
 	struct test_deployment *d = data;
 
@@ -215,7 +215,7 @@
 		test_start_instance(d, i);
 	for (int i = 0; i < options->n_instances; i++)
 		test_wait_ready(d, i);
-	assert_true(test_wait_until(sees_all, d));
+	assert_true(test_wait_until(all_see_all_members, d));
 	return d;
 }
 
@@ -248,7 +248,7 @@
 	gint done;
 };
 
-static gpointer run_pending(gpointer data)
+static gpointer run_pending_request(gpointer data)
 {
 	struct test_pending_request *pending = data;
 	const char *headers[] = { pending->header, pending->value, NULL };
@@ -272,7 +272,7 @@
 	pending->header = g_strdup(header);
 	pending->value = g_strdup(value);
 	pending->body = g_strdup(body);
-	pending->thread = g_thread_new("call", run_pending, pending);
+	pending->thread = g_thread_new("call", run_pending_request, pending);
 	return pending;
 }
 
@@ -316,7 +316,7 @@
 			       g_get_real_time() / G_USEC_PER_SEC, name);
 }
 
-static JsonArray *lacking_of(const struct test_http_reply *reply)
+static JsonArray *get_missing_shards(const struct test_http_reply *reply)
 {
 	JsonObject *coverage;
 
@@ -328,12 +328,12 @@
 
 const char *test_missing_reason(const struct test_http_reply *reply)
 {
-	JsonArray *lacking = lacking_of(reply);
+	JsonArray *missing = get_missing_shards(reply);
 
-	if (!json_array_get_length(lacking))
+	if (!json_array_get_length(missing))
 		return "";
 	return json_object_get_string_member(
-		json_array_get_object_element(lacking, 0), "reason");
+		json_array_get_object_element(missing, 0), "reason");
 }
 
 int test_check_search(struct test_deployment *d,
@@ -342,7 +342,7 @@
 	JsonObject *object;
 	JsonArray *rows;
 	JsonArray *covered;
-	int n_lacking;
+	int n_missing;
 	int n_covered;
 
 	assert_int_equal(reply->status, 200);
@@ -350,23 +350,23 @@
 	rows = json_object_get_array_member(object, "rows");
 	covered = json_object_get_array_member(
 		json_object_get_object_member(object, "coverage"), "covered");
-	n_lacking = (int)json_array_get_length(lacking_of(reply));
+	n_missing = (int)json_array_get_length(get_missing_shards(reply));
 	n_covered = (int)json_array_get_length(covered);
-	assert_int_equal(n_covered + n_lacking, d->options.n_shards);
+	assert_int_equal(n_covered + n_missing, d->options.n_shards);
 	assert_int_equal(json_array_get_length(rows), n_covered * 10);
 	for (guint i = 0; i < json_array_get_length(rows); i++) {
 		JsonObject *row = json_object_get_object_member(
 			json_array_get_object_element(rows, i), "row");
 		const char *shard = json_object_get_string_member(row, "shard");
-		const char *home =
+		const char *expected_shard =
 			json_array_get_string_element(covered, i / 10);
 
-		assert_string_equal(shard, home);
+		assert_string_equal(shard, expected_shard);
 		assert_int_equal(
 			json_object_get_int_member(row, "version"),
 			json_object_get_int_member(object, "index_version"));
 	}
-	return n_lacking;
+	return n_missing;
 }
 
 bool test_search_is_complete(void *deployment)
--- a/tests/support/event-queue.c
+++ b/tests/support/event-queue.c
@@ -1,5 +1,5 @@
 /*
- * event-queue.c - a heap of events.
+ * event-queue.c - Event queue in virtual time, as a binary heap.
  */
 #include "support/event-queue.h"
 
@@ -15,7 +15,7 @@
 struct event_queue {
 	struct event *heap;
 	size_t length;
-	size_t room;
+	size_t capacity;
 	uint64_t sequence;
 };
 
@@ -37,7 +37,7 @@
 	return &queue->heap[i];
 }
 
-static bool earlier(const struct event *a, const struct event *b)
+static bool is_earlier(const struct event *a, const struct event *b)
 {
 	if (a->at_us != b->at_us)
 		return a->at_us < b->at_us;
@@ -58,19 +58,20 @@
 	struct event event = { at_us, queue->sequence++, run, data };
 	size_t i = queue->length++;
 
-	if (queue->length > queue->room) {
-		queue->room = MAX(64, 2 * queue->room);
-		queue->heap = g_renew(struct event, queue->heap, queue->room);
+	if (queue->length > queue->capacity) {
+		queue->capacity = MAX(64, 2 * queue->capacity);
+		queue->heap =
+			g_renew(struct event, queue->heap, queue->capacity);
 	}
 	queue->heap[i] = event;
 	while (i > 0 &&
-	       earlier(event_at(queue, i), event_at(queue, (i - 1) / 2))) {
+	       is_earlier(event_at(queue, i), event_at(queue, (i - 1) / 2))) {
 		swap_events(queue, i, (i - 1) / 2);
 		i = (i - 1) / 2;
 	}
 }
 
-static void sink_first(struct event_queue *queue)
+static void sift_down(struct event_queue *queue)
 {
 	size_t i = 0;
 
@@ -80,9 +81,10 @@
 		if (child >= queue->length)
 			break;
 		if (child + 1 < queue->length &&
-		    earlier(event_at(queue, child + 1), event_at(queue, child)))
+		    is_earlier(event_at(queue, child + 1),
+			       event_at(queue, child)))
 			child++;
-		if (!earlier(event_at(queue, child), event_at(queue, i)))
+		if (!is_earlier(event_at(queue, child), event_at(queue, i)))
 			break;
 		swap_events(queue, i, child);
 		i = child;
@@ -102,7 +104,7 @@
 		return false;
 	event = *event_at(queue, 0);
 	swap_events(queue, 0, --queue->length);
-	sink_first(queue);
+	sift_down(queue);
 	*now_us = MAX(*now_us, event.at_us);
 	event.run(context, event.data);
 	return true;
--- a/tests/support/event-queue.h
+++ b/tests/support/event-queue.h
@@ -1,6 +1,8 @@
 /*
- * event-queue.h - events in virtual time, run in order of time and then of
- * arrival, so that a run repeats exactly.
+ * event-queue.h - Event queue in virtual time.
+ *
+ * Events run in the order of their times; events of the same time run in the
+ * order in which they were pushed, so that a run is reproducible.
  */
 #ifndef RAGWORT_TESTS_EVENT_QUEUE_H
 #define RAGWORT_TESTS_EVENT_QUEUE_H
@@ -11,17 +13,20 @@
 struct event_queue;
 
 struct event_queue *new_event_queue(void);
-/* Free the data of each event left; `free_data` NULL: it is left alone. */
+/*
+ * Free the queue, and the data of each remaining event with `free_data`.  If
+ * `free_data` is NULL, the data is not freed.
+ */
 void drop_event_queue(struct event_queue *queue, void (*free_data)(void *data));
 
-/* Call `run(context, data)` at a time; `run` owns the data. */
+/* Schedule `run(context, data)` for `at_us`; `run` takes over the data. */
 void push_event(struct event_queue *queue, int64_t at_us,
 		void (*run)(void *context, void *data), void *data);
-/* When the next event is due; INT64_MAX for none. */
+/* Return the time of the next event; INT64_MAX if the queue is empty. */
 int64_t next_event_us(const struct event_queue *queue);
 /*
- * Move *now_us on to the next event's time, unless it is past, and run it;
- * false if there is none.
+ * Run the next event, after advancing *now_us to its time unless that has
+ * already passed.  Returns false if the queue is empty.
  */
 bool run_next_event(struct event_queue *queue, int64_t *now_us, void *context);
 
--- a/tests/support/paths.c
+++ b/tests/support/paths.c
@@ -1,5 +1,5 @@
 /*
- * paths.c - where a test finds the programs and the files of its checkout.
+ * paths.c - Paths of programs and source files for tests.
  */
 #include "support/paths.h"
 
@@ -12,7 +12,7 @@
 
 #include <glib.h>
 
-static char *find_build(void)
+static char *find_build_directory(void)
 {
 	char *self = g_file_read_link("/proc/self/exe", NULL);
 	char *tests = g_path_get_dirname(self);
@@ -25,7 +25,7 @@
 
 char *rr_source_path(const char *name)
 {
-	char *build = find_build();
+	char *build = find_build_directory();
 	char *root = g_path_get_dirname(build);
 	char *path = g_build_filename(root, name, NULL);
 
@@ -36,20 +36,20 @@
 
 char *rr_build_path(const char *name)
 {
-	char *build = find_build();
+	char *build = find_build_directory();
 	char *path = g_build_filename(build, name, NULL);
 
 	g_free(build);
 	return path;
 }
 
-void rr_assert_page_is_current(const char *name, const char *made)
+void rr_assert_page_is_current(const char *name, const char *generated)
 {
 	char *path = rr_source_path(name);
 	char *page = NULL;
 
 	assert_true(g_file_get_contents(path, &page, NULL, NULL));
-	assert_string_equal(page, made);
+	assert_string_equal(page, generated);
 	g_free(page);
 	g_free(path);
 }
--- a/tests/support/paths.h
+++ b/tests/support/paths.h
@@ -1,16 +1,23 @@
 /*
- * paths.h - where a test finds the programs and the files of its checkout.
+ * paths.h - Paths of programs and source files for tests.
  *
- * A test is BUILD/tests/NAME, and BUILD stands in the checkout.
+ * They are derived from the path of the running test, BUILD/tests/NAME, where
+ * BUILD is a directory at the top of the source tree.
  */
 #ifndef TESTS_SUPPORT_PATHS_H
 #define TESTS_SUPPORT_PATHS_H
 
-/* A file of the checkout, such as "docs/SETTINGS.md"; g_free() it. */
+/*
+ * Return the path of a file in the source tree, such as "docs/SETTINGS.md";
+ * free it with g_free().
+ */
 char *rr_source_path(const char *name);
-/* A program of the same build, such as "ragwort"; g_free() it. */
+/*
+ * Return the path of a program of the same build, such as "ragwort"; free it
+ * with g_free().
+ */
 char *rr_build_path(const char *name);
-/* A committed page is what the program makes of it now. */
-void rr_assert_page_is_current(const char *name, const char *made);
+/* Assert that a committed page equals the text that the program generates. */
+void rr_assert_page_is_current(const char *name, const char *generated);
 
 #endif
--- a/tests/support/process.c
+++ b/tests/support/process.c
@@ -1,5 +1,5 @@
 /*
- * process.c - start, signal, ask and end processes from tests.
+ * process.c - Starts, signals, queries and ends processes from tests.
  */
 #include "support/process.h"
 
@@ -13,13 +13,13 @@
 #include "support/paths.h"
 #include "support/raw-http.h"
 
-/* A test that fails ends without clean-up; its processes end with it. */
-static void end_with_parent(gpointer data)
+/* A failing test exits without clean-up; the kernel then kills its children. */
+static void kill_with_parent(gpointer data)
 {
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
 }
 
-/* With a launcher that says where its output goes; it is dropped here. */
+/* Takes over `launcher`, which defines where the output goes. */
 static struct test_process *launch(GSubprocessLauncher *launcher,
 				   const char *program,
 				   const char *const *arguments)
@@ -33,7 +33,7 @@
 	for (; arguments && *arguments; arguments++)
 		g_ptr_array_add(argv, (char *)*arguments);
 	g_ptr_array_add(argv, NULL);
-	g_subprocess_launcher_set_child_setup(launcher, end_with_parent, NULL,
+	g_subprocess_launcher_set_child_setup(launcher, kill_with_parent, NULL,
 					      NULL);
 	process->handle = g_subprocess_launcher_spawnv(
 		launcher, (const gchar *const *)argv->pdata, &error);
@@ -213,7 +213,7 @@
 	return reply;
 }
 
-struct call_in_thread {
+struct run_call {
 	const char *method;
 	uint16_t port;
 	const char *path;
@@ -222,9 +222,9 @@
 	gint done;
 };
 
-static gpointer call_in_thread(gpointer data)
+static gpointer run_call(gpointer data)
 {
-	struct call_in_thread *call = data;
+	struct run_call *call = data;
 	struct test_http_reply *reply =
 		test_http_request(call->method, call->port, call->path,
 				  call->headers, call->body);
@@ -238,8 +238,8 @@
 test_http_request_in_thread(const char *method, uint16_t port, const char *path,
 			    const char *const *headers, const char *body)
 {
-	struct call_in_thread call = { method, port, path, headers, body, 0 };
-	GThread *thread = g_thread_new("caller", call_in_thread, &call);
+	struct run_call call = { method, port, path, headers, body, 0 };
+	GThread *thread = g_thread_new("caller", run_call, &call);
 
 	while (!g_atomic_int_get(&call.done))
 		g_main_context_iteration(NULL, TRUE);
@@ -311,15 +311,15 @@
 	return read_count(upstreams, -1, "runs", key);
 }
 
-static gboolean give_up(gpointer data)
+static gboolean handle_timeout(gpointer data)
 {
-	g_error("an awaited event did not come within %d ms", TEST_TIMEOUT_MS);
+	g_error("timed out: no event within %d ms", TEST_TIMEOUT_MS);
 	return G_SOURCE_REMOVE;
 }
 
 void test_run_until(const bool *done)
 {
-	guint timer = g_timeout_add(TEST_TIMEOUT_MS, give_up, NULL);
+	guint timer = g_timeout_add(TEST_TIMEOUT_MS, handle_timeout, NULL);
 
 	while (!*done)
 		g_main_context_iteration(NULL, TRUE);
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -1,8 +1,8 @@
 /*
- * process.h - programs under test and stand-ins as processes of their own.
+ * process.h - Programs under test and stand-ins as separate processes.
  *
- * Programs are found beside the running test: build/tests/NAME looks in
- * build/ and build/standin/.
+ * Programs are located relative to the running test: build/tests/NAME looks
+ * in build/ and build/standin/.
  */
 #ifndef TESTS_SUPPORT_PROCESS_H
 #define TESTS_SUPPORT_PROCESS_H
@@ -12,29 +12,33 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* How long an event may take before a test gives up. */
+/* Time limit for an expected event; the test fails after it. */
 #define TEST_TIMEOUT_MS 30000
 
 struct test_process {
 	GSubprocess *handle;
-	GDataInputStream *output; /* NULL unless asked for */
+	GDataInputStream *output; /* standard output; NULL unless requested */
 	pid_t pid;
 };
 
-/* Start build/PROGRAM; `arguments` is NULL-terminated. Aborts on failure. */
+/*
+ * Start build/PROGRAM.  `arguments` is NULL-terminated, or NULL.  With
+ * `read_output` its standard output can be read from `output`.  Aborts on
+ * failure.
+ */
 struct test_process *test_start_process(const char *program,
 					const char *const *arguments,
 					bool read_output);
-/* The same, with its standard output appended to a file. */
+/* The same, with the standard output written to `log_file`. */
 struct test_process *test_start_logged_process(const char *program,
 					       const char *const *arguments,
 					       const char *log_file);
-/* Start a gateway with this settings file. Aborts on failure. */
+/* Start a gateway with this settings file.  Aborts on failure. */
 struct test_process *test_start_gateway(const char *settings_path);
 void test_signal_process(struct test_process *process, int signal_number);
-/* Wait for the end; returns the exit code, -1 if a signal ended it. */
+/* Wait for exit; returns the exit code, or -1 if a signal ended the process. */
 int test_wait_process(struct test_process *process);
-/* Kill if it still runs, wait and free. */
+/* Kill the process if it still runs, wait for it and free it; NULL allowed. */
 void test_drop_process(struct test_process *process);
 
 #define TEST_MAX_REPLICAS 64
@@ -46,7 +50,10 @@
 	int n_replicas;
 };
 
-/* Start the upstream stand-in with further arguments (may be NULL). */
+/*
+ * Start the upstream stand-in and wait until it is ready.  `arguments` holds
+ * further arguments, NULL-terminated, or is NULL.  Aborts on failure.
+ */
 struct test_upstreams *test_start_upstreams(int n_replicas,
 					    const char *const *arguments);
 void test_drop_upstreams(struct test_upstreams *upstreams);
@@ -56,46 +63,53 @@
 	uint16_t control_port;
 };
 
-/* Start the platform stand-in. */
+/* Start the platform stand-in and wait for its ports.  Aborts on failure. */
 struct test_platform *test_start_platform(void);
 void test_drop_platform(struct test_platform *platform);
 
-/* POST /control. */
+/* Send POST /control to a stand-in; aborts unless the reply is a 200. */
 void test_post_control(uint16_t control_port, const char *json);
-/* A number from GET /control/counts; `replica` -1: of the whole. */
+/*
+ * Return a number from GET /control/counts of one replica, or, with `replica`
+ * -1, of the whole process; 0 if the member is absent.
+ */
 int64_t test_read_count(const struct test_upstreams *upstreams, int replica,
 			const char *name);
-/* How often an idempotency key ran. */
+/* Return how many times the requests of an idempotency key were executed. */
 int64_t test_read_run_count(const struct test_upstreams *upstreams,
 			    const char *key);
 
 struct test_http_reply {
-	uint32_t status; /* 0: no reply */
+	uint32_t status; /* 0: no reply received */
 	char *body;
-	JsonNode *json;	   /* NULL if the body is none */
-	char *retry_after; /* header, NULL if none */
+	JsonNode *json;	   /* NULL if the body is not JSON */
+	char *retry_after; /* Retry-After header; NULL if absent */
 };
 
 /*
- * A blocking HTTP call over a connection of its own; `headers` are pairs,
- * NULL-terminated, or NULL.
+ * Send an HTTP request over a new connection and block until the reply.
+ * `headers` holds name and value pairs, NULL-terminated, or is NULL.  Free the
+ * reply with test_drop_reply().
  */
 struct test_http_reply *test_http_request(const char *method, uint16_t port,
 					  const char *path,
 					  const char *const *headers,
 					  const char *body);
-/* The same from a thread, while this one runs its main loop. */
+/* The same from another thread, while this one runs its main loop. */
 struct test_http_reply *
 test_http_request_in_thread(const char *method, uint16_t port, const char *path,
 			    const char *const *headers, const char *body);
 void test_drop_reply(struct test_http_reply *reply);
-/* A string member at the top of a reply's JSON; "" if there is none. */
+/* Return a top-level string member of a reply's JSON; "" if absent. */
 const char *test_get_reply_string(const struct test_http_reply *reply,
 				  const char *name);
 
-/* Run the main loop until *done; fails the test after TEST_TIMEOUT_MS. */
+/* Run the main loop until *done; aborts after TEST_TIMEOUT_MS. */
 void test_run_until(const bool *done);
-/* Call until it gives true, 20 ms apart; false after TEST_TIMEOUT_MS. */
+/*
+ * Call `condition` every 20 ms until it returns true.  Returns false after
+ * TEST_TIMEOUT_MS.
+ */
 bool test_wait_until(bool (*condition)(void *data), void *data);
 
 #endif
