--- a/tests/standin/check.c
+++ b/tests/standin/check.c
@@ -1,17 +1,17 @@
 /*
- * check.c - checks answers against the rows the upstream stand-in makes up,
- * for scripts/demo.
+ * check.c - Checks answers against the upstream stand-in's rows, for
+ * scripts/demo.
  *
  *     check ports N                print N free TCP ports of 127.0.0.1
- *     check search SHARDS FILE     every row there, right and of one version
+ *     check search SHARDS FILE     all rows present, correct, of one version
  *     check lookup KEY FILE
  *     check reserve KEY FILE
  *     check list SHARDS FILE...    the pages of one list, in order
  *     check member NAME FILE       print a member of the answer
  *
  * Shard NN of a service holds the keys [(NN-1)*1000, NN*1000), every 100th
- * of which has a row.  Prints one line of facts; exit code 1 with a reason
- * when an answer is wrong.
+ * of which has a row.  Prints a one-line summary of the answer.  If an answer
+ * is wrong, prints the reason and exits with code 1.
  */
 #include <gio/gio.h>
 #include <json-glib/json-glib.h>
@@ -33,7 +33,7 @@
 	JsonObject *object;
 	JsonArray *rows;
 	JsonArray *covered;
-	JsonArray *lacking;
+	JsonArray *missing;
 	const char *outcome;
 	gint64 version;
 };
@@ -61,15 +61,15 @@
 		fail("%s", error->message);
 	answer.root = json_from_string(text, &error);
 	if (!answer.root || !JSON_NODE_HOLDS_OBJECT(answer.root))
-		fail("%s: no JSON object: %s", file, text);
+		fail("%s: not a JSON object: %s", file, text);
 	g_free(text);
 	answer.object = json_node_get_object(answer.root);
 	if (!json_object_has_member(answer.object, "coverage"))
-		fail("%s: no coverage", file);
+		fail("%s: no member 'coverage'", file);
 	coverage = json_object_get_object_member(answer.object, "coverage");
 	answer.rows = json_object_get_array_member(answer.object, "rows");
 	answer.covered = json_object_get_array_member(coverage, "covered");
-	answer.lacking = json_object_get_array_member(coverage, "lacking");
+	answer.missing = json_object_get_array_member(coverage, "lacking");
 	answer.outcome =
 		json_object_get_string_member(answer.object, "outcome");
 	answer.version =
@@ -78,47 +78,50 @@
 }
 
 /* The last number in a shard's name. */
-static guint shard_number(const char *name)
+static guint parse_shard_number(const char *name)
 {
 	const char *dash = strrchr(name, '-');
 
 	return dash ? (guint)atoi(dash + 1) : 0;
 }
 
-/* A row has the key, version and shard that the stand-in gives it. */
+/* Check that a row has the expected key, version and shard; returns its key. */
 static gint64 check_row(const struct answer *answer, guint i)
 {
 	JsonObject *row = json_array_get_object_element(answer->rows, i);
 	gint64 key = json_object_get_int_member(row, "key");
-	JsonObject *inner = json_object_get_object_member(row, "row");
-	guint shard =
-		shard_number(json_object_get_string_member(inner, "shard"));
+	JsonObject *content = json_object_get_object_member(row, "row");
+	guint shard = parse_shard_number(
+		json_object_get_string_member(content, "shard"));
 
-	if (json_object_get_int_member(inner, "key") != key)
-		fail("row %u: key %" G_GINT64_FORMAT " has another inside", i,
-		     key);
-	if (json_object_get_int_member(inner, "version") != answer->version)
-		fail("row %u is not of the answer's index version", i);
+	if (json_object_get_int_member(content, "key") != key)
+		fail("row %u: key %" G_GINT64_FORMAT
+		     " differs from the key in the row's content",
+		     i, key);
+	if (json_object_get_int_member(content, "version") != answer->version)
+		fail("row %u: version differs from the answer's index version",
+		     i);
 	if (shard != (guint)(key / KEYS_PER_SHARD) + 1)
-		fail("row %u: key %" G_GINT64_FORMAT " came from shard %u", i,
-		     key, shard);
+		fail("row %u: key %" G_GINT64_FORMAT
+		     " is from the wrong shard %u",
+		     i, key, shard);
 	return key;
 }
 
-static void print_facts(const struct answer *answer)
+static void print_summary(const struct answer *answer)
 {
 	printf("%s, version %" G_GINT64_FORMAT ", %u rows, %u covered",
 	       answer->outcome, answer->version,
 	       json_array_get_length(answer->rows),
 	       json_array_get_length(answer->covered));
-	for (guint i = 0; i < json_array_get_length(answer->lacking); i++) {
-		JsonObject *lacking =
-			json_array_get_object_element(answer->lacking, i);
+	for (guint i = 0; i < json_array_get_length(answer->missing); i++) {
+		JsonObject *missing =
+			json_array_get_object_element(answer->missing, i);
 
 		printf("%s%s (yard %s): %s", i ? ", " : "; lacking ",
-		       json_object_get_string_member(lacking, "shard"),
-		       json_object_get_string_member(lacking, "yard"),
-		       json_object_get_string_member(lacking, "reason"));
+		       json_object_get_string_member(missing, "shard"),
+		       json_object_get_string_member(missing, "yard"),
+		       json_object_get_string_member(missing, "reason"));
 	}
 	printf("\n");
 }
@@ -127,32 +130,33 @@
 {
 	struct answer answer = read_answer(file);
 	guint n_covered = json_array_get_length(answer.covered);
-	guint n_lacking = json_array_get_length(answer.lacking);
+	guint n_missing = json_array_get_length(answer.missing);
 	bool *covered = g_new0(bool, n_shards + 1);
 	gint64 last = -1;
 
-	if (strcmp(answer.outcome, n_lacking ? "partial" : "complete") != 0)
-		fail("outcome %s with %u lacking", answer.outcome, n_lacking);
-	if (n_covered + n_lacking != n_shards)
-		fail("%u covered and %u lacking of %u shards", n_covered,
-		     n_lacking, n_shards);
+	if (strcmp(answer.outcome, n_missing ? "partial" : "complete") != 0)
+		fail("outcome %s with %u missing shards", answer.outcome,
+		     n_missing);
+	if (n_covered + n_missing != n_shards)
+		fail("%u covered and %u missing of %u shards", n_covered,
+		     n_missing, n_shards);
 	for (guint i = 0; i < n_covered; i++)
-		covered[shard_number(json_array_get_string_element(
+		covered[parse_shard_number(json_array_get_string_element(
 			answer.covered, i))] = true;
 	for (guint i = 0; i < json_array_get_length(answer.rows); i++) {
 		gint64 key = check_row(&answer, i);
 
 		if (key <= last)
-			fail("row %u is out of order or doubled", i);
+			fail("row %u is out of order or duplicated", i);
 		if (!covered[key / KEYS_PER_SHARD + 1])
-			fail("a row of a shard that is not covered");
+			fail("row %u is of a shard that is not covered", i);
 		last = key;
 	}
 	if (json_array_get_length(answer.rows) != n_covered * ROWS_PER_SHARD)
-		fail("%u rows of %u covered shards",
+		fail("%u rows for %u covered shards",
 		     json_array_get_length(answer.rows), n_covered);
 	g_free(covered);
-	print_facts(&answer);
+	print_summary(&answer);
 }
 
 static void check_lookup(gint64 key, const char *file)
@@ -162,13 +166,14 @@
 	if (!strcmp(answer.outcome, "complete")) {
 		if (json_array_get_length(answer.rows) != 1 ||
 		    check_row(&answer, 0) != key)
-			fail("not the row of key %" G_GINT64_FORMAT, key);
+			fail("expected only the row of key %" G_GINT64_FORMAT,
+			     key);
 	} else if (json_array_get_length(answer.rows) != 0 ||
-		   json_array_get_length(answer.lacking) != 1) {
-		fail("outcome %s, but rows or no lacking shard",
+		   json_array_get_length(answer.missing) != 1) {
+		fail("outcome %s with rows, or without one missing shard",
 		     answer.outcome);
 	}
-	print_facts(&answer);
+	print_summary(&answer);
 }
 
 static void check_reserve(gint64 key, const char *file)
@@ -181,7 +186,7 @@
 		fail("outcome %s", answer.outcome);
 	result = json_object_get_object_member(answer.object, "result");
 	if (!result || json_object_get_int_member(result, "reserved") != key)
-		fail("not the result of key %" G_GINT64_FORMAT, key);
+		fail("expected the result of key %" G_GINT64_FORMAT, key);
 	printf("complete%s, replica %" G_GINT64_FORMAT "\n",
 	       replayed ? ", replayed" : "",
 	       json_object_get_int_member(result, "replica"));
@@ -200,20 +205,22 @@
 		if (strcmp(answer.outcome, "complete") != 0)
 			fail("page %d: outcome %s", page, answer.outcome);
 		if (version && answer.version != version)
-			fail("page %d is of another index version", page);
+			fail("page %d has a different index version", page);
 		version = answer.version;
 		for (guint i = 0; i < json_array_get_length(answer.rows); i++) {
 			if (check_row(&answer, i) != next)
-				fail("page %d: not key %" G_GINT64_FORMAT
+				fail("page %d: expected key %" G_GINT64_FORMAT
 				     " at row %u",
 				     page, next, i);
 			next += KEY_STEP;
 		}
 		if (last != (page == n_pages - 1))
-			fail("page %d: a cursor is missing or too much", page);
+			fail("page %d: missing or unexpected cursor", page);
 	}
 	if (next != (gint64)n_shards * KEYS_PER_SHARD)
-		fail("the list ends before key %" G_GINT64_FORMAT, next);
+		fail("the list ends before key %" G_GINT64_FORMAT
+		     ", not at the end of the last shard",
+		     next);
 	printf("complete, version %" G_GINT64_FORMAT ", %" G_GINT64_FORMAT
 	       " rows in %d pages\n",
 	       version, next / KEY_STEP, n_pages);
--- a/tests/standin/platform.c
+++ b/tests/standin/platform.c
@@ -1,22 +1,25 @@
 /*
- * platform.c - the platform's stand-in as a process: its key-value store in
- * its own protocol, and the list of replicas and instances in it.  Faults come
- * by POST /control while it runs:
+ * platform.c - The platform stand-in as a process.
  *
- *     {"outage": true}        connections end; "refuse": no listener, "hang":
- *                             no reply, false: none
- *     {"slow_ms": N}          each reply is held back so long
- *     {"lose_replies": N}     the next N writes take effect, no reply comes
+ * Serves the platform's key-value store in its protocol, with the list of
+ * replicas and instances in it.  POST /control injects faults while it runs:
+ *
+ *     {"outage": true}        connections are closed; "refuse": closes the
+ *                             listening socket, "hang": sends no replies,
+ *                             false: ends the outage
+ *     {"slow_ms": N}          each reply is delayed by N ms
+ *     {"lose_replies": N}     the next N writes take effect without a reply
  *     {"late_effect_ms": N}   the next write gets no reply and takes effect
  *                             after N ms, if its condition still holds;
- *                             "late_effects": how many writes
- *     {"rate_limit": N}       writes a second; more get 429
- *     {"instances": [...]}    who is listed, "kind" "entry" or "upstream",
- *                             after
- *     {"instances_lag_ms": N}
+ *                             "late_effects": the number of such writes
+ *     {"rate_limit": N}       writes per second; calls over the limit get 429
+ *     {"instances": [...]}    replaces the list, with "kind" "entry" for an
+ *                             instance and "upstream" for a replica
+ *     {"instances_lag_ms": N} delay before such a list takes effect
  *
- * GET /control/counts gives the calls per key prefix.  The second port
- * printed serves /control also while connections are refused.
+ * GET /control/counts returns the calls per key prefix.  Prints "port PORT",
+ * then "control PORT"; the control port serves /control even while the store's
+ * port refuses connections.
  */
 #include <argtable2.h>
 #include <glib-unix.h>
@@ -31,8 +34,8 @@
 	GMainLoop *loop;
 	struct test_store store;
 	SoupServer *control;
-	GPtrArray *listed; /* keys of those that the last list named */
-	uint32_t list_lag_ms;
+	GPtrArray *listed_keys; /* keys of the last list */
+	uint32_t list_delay_ms;
 };
 
 static void set_json(SoupServerMessage *message, const char *json)
@@ -42,43 +45,44 @@
 					 SOUP_MEMORY_COPY, json, strlen(json));
 }
 
-static const char *text_of(JsonObject *object, const char *name)
+static const char *get_string(JsonObject *object, const char *name)
 {
 	return json_object_get_string_member_with_default(object, name, "");
 }
 
-static char *key_of(JsonObject *object)
+static char *format_key(JsonObject *object)
 {
-	return g_strconcat(!strcmp(text_of(object, "kind"), "entry") ?
+	return g_strconcat(!strcmp(get_string(object, "kind"), "entry") ?
 				   "ragwort/instances/" :
 				   "servers/",
-			   text_of(object, "name"), NULL);
+			   get_string(object, "name"), NULL);
 }
 
-static char *value_of(JsonObject *object)
+static char *format_value(JsonObject *object)
 {
 	struct test_replica_entry replica = {
-		.address = text_of(object, "address"),
-		.zone = text_of(object, "zone"),
+		.address = get_string(object, "address"),
+		.zone = get_string(object, "zone"),
 		.slots = 2,
-		.draining = !strcmp(text_of(object, "state"), "leaving"),
+		.draining = !strcmp(get_string(object, "state"), "leaving"),
 	};
 
-	if (strcmp(text_of(object, "kind"), "entry"))
+	if (strcmp(get_string(object, "kind"), "entry"))
 		return test_make_replica_entry(&replica);
 	return g_strdup_printf(
 		"{\"zone\":\"%s\",\"address\":\"%s\",\"strength\":1000}",
-		text_of(object, "zone"), text_of(object, "address"));
+		get_string(object, "zone"), get_string(object, "address"));
 }
 
-/* What is no entry is listed all the same, under a value that is none. */
-static char *list_one(struct platform *platform, JsonNode *node, guint index)
+/* An invalid list element is stored as a malformed replica entry. */
+static char *put_list_entry(struct platform *platform, JsonNode *node,
+			    guint index)
 {
-	bool is_entry = JSON_NODE_HOLDS_OBJECT(node) &&
-			*text_of(json_node_get_object(node), "name");
-	char *key = is_entry ? key_of(json_node_get_object(node)) :
+	bool is_valid = JSON_NODE_HOLDS_OBJECT(node) &&
+			*get_string(json_node_get_object(node), "name");
+	char *key = is_valid ? format_key(json_node_get_object(node)) :
 			       g_strdup_printf("servers/bad-%u", index);
-	char *value = is_entry ? value_of(json_node_get_object(node)) :
+	char *value = is_valid ? format_value(json_node_get_object(node)) :
 				 json_to_string(node, FALSE);
 
 	test_store_put(&platform->store, key, value);
@@ -86,58 +90,59 @@
 	return key;
 }
 
-static bool names(GPtrArray *keys, const char *key)
+static bool contains_key(GPtrArray *keys, const char *key)
 {
 	return g_ptr_array_find_with_equal_func(keys, key, g_str_equal, NULL);
 }
 
-/* List those named now, and no longer those named before. */
-static void list_all(struct platform *platform, JsonNode *root)
+/* Store the entries of the list; remove those that it no longer contains. */
+static void put_list(struct platform *platform, JsonNode *root)
 {
 	JsonArray *array = json_node_get_array(root);
-	GPtrArray *before = platform->listed;
+	GPtrArray *previous_keys = platform->listed_keys;
 
-	platform->listed = g_ptr_array_new_with_free_func(g_free);
+	platform->listed_keys = g_ptr_array_new_with_free_func(g_free);
 	for (guint i = 0; i < json_array_get_length(array); i++)
-		g_ptr_array_add(platform->listed,
-				list_one(platform,
-					 json_array_get_element(array, i), i));
-	for (guint i = 0; i < before->len; i++) {
-		const char *key = g_ptr_array_index(before, i);
+		g_ptr_array_add(platform->listed_keys,
+				put_list_entry(platform,
+					       json_array_get_element(array, i),
+					       i));
+	for (guint i = 0; i < previous_keys->len; i++) {
+		const char *key = g_ptr_array_index(previous_keys, i);
 
-		if (!names(platform->listed, key))
+		if (!contains_key(platform->listed_keys, key))
 			test_store_remove(&platform->store, key);
 	}
-	g_ptr_array_unref(before);
+	g_ptr_array_unref(previous_keys);
 }
 
-struct late_list {
+struct delayed_list {
 	struct platform *platform;
 	JsonNode *root;
 };
 
-static gboolean list_late(gpointer data)
+static gboolean put_delayed_list(gpointer data)
 {
-	struct late_list *late = data;
+	struct delayed_list *delayed = data;
 
-	list_all(late->platform, late->root);
-	json_node_unref(late->root);
-	g_free(late);
+	put_list(delayed->platform, delayed->root);
+	json_node_unref(delayed->root);
+	g_free(delayed);
 	return G_SOURCE_REMOVE;
 }
 
 static void set_instances(struct platform *platform, JsonNode *node)
 {
-	struct late_list *late;
+	struct delayed_list *delayed;
 
-	if (!platform->list_lag_ms) {
-		list_all(platform, node);
+	if (!platform->list_delay_ms) {
+		put_list(platform, node);
 		return;
 	}
-	late = g_new0(struct late_list, 1);
-	late->platform = platform;
-	late->root = json_node_copy(node);
-	g_timeout_add(platform->list_lag_ms, list_late, late);
+	delayed = g_new0(struct delayed_list, 1);
+	delayed->platform = platform;
+	delayed->root = json_node_copy(node);
+	g_timeout_add(platform->list_delay_ms, put_delayed_list, delayed);
 }
 
 static void set_outage(struct platform *platform, JsonNode *node)
@@ -166,18 +171,18 @@
 		*number = (uint32_t)json_object_get_int_member(object, name);
 }
 
-static void obey(struct platform *platform, JsonObject *object)
+static void apply_control(struct platform *platform, JsonObject *object)
 {
 	struct test_store *store = &platform->store;
-	uint32_t before_ms = store->write_delay_ms;
+	uint32_t previous_delay_ms = store->write_delay_ms;
 
 	set_number(object, "slow_ms", &store->answer_delay_ms);
 	set_number(object, "lose_replies", &store->lose_next_writes);
 	set_number(object, "late_effect_ms", &store->write_delay_ms);
-	if (store->write_delay_ms != before_ms)
+	if (store->write_delay_ms != previous_delay_ms)
 		store->delay_next_writes = store->write_delay_ms ? 1 : 0;
 	set_number(object, "late_effects", &store->delay_next_writes);
-	set_number(object, "instances_lag_ms", &platform->list_lag_ms);
+	set_number(object, "instances_lag_ms", &platform->list_delay_ms);
 	set_number(object, "rate_limit", &store->rate.max_writes_per_s);
 	if (json_object_has_member(object, "instances"))
 		set_instances(platform,
@@ -186,8 +191,8 @@
 		set_outage(platform, json_object_get_member(object, "outage"));
 }
 
-static void take_control(SoupServer *server, SoupServerMessage *message,
-			 const char *path, GHashTable *query, gpointer data)
+static void handle_control(SoupServer *server, SoupServerMessage *message,
+			   const char *path, GHashTable *query, gpointer data)
 {
 	struct platform *platform = data;
 	SoupMessageBody *body = soup_server_message_get_request_body(message);
@@ -207,9 +212,10 @@
 	root = json_from_string(text, NULL);
 	if (root && JSON_NODE_HOLDS_OBJECT(root)) {
 		set_json(message, "{}\n");
-		obey(platform, json_node_get_object(root));
+		apply_control(platform, json_node_get_object(root));
 	} else {
-		soup_server_message_set_status(message, 400, "no JSON object");
+		soup_server_message_set_status(message, 400,
+					       "body is not a JSON object");
 	}
 	g_clear_pointer(&root, json_node_unref);
 	g_free(text);
@@ -226,7 +232,7 @@
 	int port;
 
 	platform->control = soup_server_new(NULL, NULL);
-	soup_server_add_handler(platform->control, "/control", take_control,
+	soup_server_add_handler(platform->control, "/control", handle_control,
 				platform, NULL);
 	if (!soup_server_listen(platform->control, address, 0, &error))
 		g_error("platform: %s", error->message);
@@ -249,9 +255,10 @@
 int main(int argc, char **argv)
 {
 	struct platform platform = { 0 };
-	struct arg_int *port = arg_int0(NULL, "port", "N", "0: any");
-	struct arg_int *rate_limit =
-		arg_int0(NULL, "rate-limit", "N", "writes per second; 0: none");
+	struct arg_int *port =
+		arg_int0(NULL, "port", "N", "port of the store; 0: any free");
+	struct arg_int *rate_limit = arg_int0(
+		NULL, "rate-limit", "N", "writes per second; 0: unlimited");
 	struct arg_end *end = arg_end(5);
 	void *table[] = { port, rate_limit, end };
 	uint16_t control;
@@ -261,7 +268,7 @@
 		return 2;
 	}
 	platform.loop = g_main_loop_new(NULL, FALSE);
-	platform.listed = g_ptr_array_new_with_free_func(g_free);
+	platform.listed_keys = g_ptr_array_new_with_free_func(g_free);
 	test_open_store_at(&platform.store,
 			   port->count ? (uint16_t)port->ival[0] : 0, 1);
 	platform.store.counts = test_new_call_counts();
@@ -276,7 +283,7 @@
 	g_main_loop_run(platform.loop);
 	test_drop_call_counts(platform.store.counts);
 	test_close_store(&platform.store);
-	g_ptr_array_unref(platform.listed);
+	g_ptr_array_unref(platform.listed_keys);
 	g_object_unref(platform.control);
 	g_main_loop_unref(platform.loop);
 	arg_freetable(table, G_N_ELEMENTS(table));
--- a/tests/standin/upstream.c
+++ b/tests/standin/upstream.c
@@ -1,15 +1,17 @@
 /*
- * upstream.c - a stand-in for upstream replicas, many in one process.
+ * upstream.c - A stand-in for upstream replicas, many in one process.
  *
- * Speaks docs/FORMATS.md "Upstreams" on plain sockets, so that it can break
- * off anywhere.  Rows are a function of shard, key and index version: keys
- * that are multiples of --key-step have one.  POST /control takes faults for
- * one replica or all, GET /control/counts gives what was seen and run.
+ * Implements the protocol of docs/FORMATS.md "Upstreams" on plain sockets, so
+ * that it can break off a reply at any point.  Rows are a function of shard,
+ * key and index version: each key that is a multiple of --key-step has a row.
+ * POST /control sets faults of one replica or of all; GET /control/counts
+ * returns the numbers of requests received and executed.
  *
- * On SIGTERM all replicas tell "draining", refuse new work, finish what they
- * have and go; while {"stay": 1} is set they go on telling it.
+ * On SIGTERM all replicas report "draining", reject new requests and finish
+ * those that they have; then the process exits.  While {"stay": 1} is set, it
+ * keeps running and reports "draining".
  *
- * Prints "control PORT", one "replica N PORT" a line, then "ready".
+ * Prints "control PORT", then "replica N PORT" for each replica, then "ready".
  */
 #include <glib-unix.h>
 #include <stdbool.h>
@@ -23,11 +25,11 @@
 #define COLD_FACTOR 5
 #define IDLE_CHECK_MS 20
 
-/* What a connection's request is doing. */
-struct work {
-	bool in_slot;	/* it is in service */
-	guint timer;	/* of the service or the connect cost */
-	guint deadline; /* of a waiting request */
+/* State of the request of a connection. */
+struct request_state {
+	bool in_slot; /* executing, occupies a slot */
+	guint timer;  /* source for the service time or connect time; or 0 */
+	guint deadline_timer; /* source for the deadline while queued; or 0 */
 };
 
 static struct test_replica *replicas;
@@ -51,100 +53,102 @@
 	.range_to = G_MAXINT64,
 };
 static int cold_ms;
-static GHashTable *runs;     /* idempotency key to times run */
-static GHashTable *attempts; /* attempt id to times seen */
+static GHashTable *runs;     /* idempotency key to number of executions */
+static GHashTable *attempts; /* ids of the attempts received */
 static int64_t repeated_attempts;
-static GRand *dice;
+static GRand *random_source;
 static GMainLoop *loop;
-static bool stay;
+static bool stay_after_drain;
 
-static void listen_replica(struct test_replica *replica);
-static void start_waiting(struct test_replica *replica);
+static void update_listening(struct test_replica *replica);
+static void start_queued_requests(struct test_replica *replica);
 
-static struct test_replica *replica_of(struct test_connection *connection)
+static struct test_replica *get_replica(struct test_connection *connection)
 {
 	return connection->server->data;
 }
 
-static void leave_slot(struct test_connection *connection)
+static void release_slot(struct test_connection *connection)
 {
-	struct test_replica *replica = replica_of(connection);
-	struct work *work = connection->user;
-
-	if (work->timer)
-		g_source_remove(work->timer);
-	if (work->deadline)
-		g_source_remove(work->deadline);
-	work->timer = 0;
-	work->deadline = 0;
+	struct test_replica *replica = get_replica(connection);
+	struct request_state *request_state = connection->user;
+
+	if (request_state->timer)
+		g_source_remove(request_state->timer);
+	if (request_state->deadline_timer)
+		g_source_remove(request_state->deadline_timer);
+	request_state->timer = 0;
+	request_state->deadline_timer = 0;
 	g_queue_remove(&replica->waiting, connection);
-	if (work->in_slot)
+	if (request_state->in_slot)
 		replica->running--;
-	work->in_slot = false;
+	request_state->in_slot = false;
 }
 
-/* `extra` holds further header lines, each ended by CRLF. */
+/* `extra` holds additional header lines, each terminated by CRLF. */
 static void reply(struct test_connection *connection, int status,
 		  const char *extra, const char *body)
 {
-	struct test_replica *replica = replica_of(connection);
-	bool half = replica->fault == TEST_FAULT_HALF_BODY && status == 200 &&
-		    g_str_has_prefix(connection->path, "/v1/shards/");
-
-	leave_slot(connection);
-	test_reply_to(connection, status, extra, body, half);
-	start_waiting(replica);
+	struct test_replica *replica = get_replica(connection);
+	bool truncated = replica->fault == TEST_FAULT_HALF_BODY &&
+			 status == 200 &&
+			 g_str_has_prefix(connection->path, "/v1/shards/");
+
+	release_slot(connection);
+	test_reply_to(connection, status, extra, body, truncated);
+	start_queued_requests(replica);
 }
 
-static void end_connection(struct test_connection *connection)
+static void handle_closing(struct test_connection *connection)
 {
 	if (connection->busy)
-		replica_of(connection)->abandoned++;
-	leave_slot(connection);
+		get_replica(connection)->abandoned++;
+	release_slot(connection);
 }
 
-static void count_connections(struct test_server *server)
+static void handle_closed(struct test_server *server)
 {
-	listen_replica(server->data);
-	start_waiting(server->data);
+	update_listening(server->data);
+	start_queued_requests(server->data);
 }
 
-static void refuse(struct test_connection *connection, int status,
-		   const char *why)
+static void reject(struct test_connection *connection, int status,
+		   const char *reason)
 {
-	struct test_replica *replica = replica_of(connection);
+	struct test_replica *replica = get_replica(connection);
 	char *extra = g_strdup_printf(
 		"X-Not-Run: %s\r\nX-Retry-After-Ms: 50\r\n"
 		"X-Oldest-Version: %" G_GINT64_FORMAT "\r\n"
 		"X-Newest-Version: %" G_GINT64_FORMAT "\r\n",
-		why, replica->oldest_version, replica->newest_version);
+		reason, replica->oldest_version, replica->newest_version);
 
 	reply(connection, status, extra, "{}");
 	g_free(extra);
 }
 
-static int64_t member_i64(JsonObject *object, const char *name,
-			  int64_t otherwise)
+static int64_t get_member_i64(JsonObject *object, const char *name,
+			      int64_t fallback)
 {
 	if (!object || !json_object_has_member(object, name))
-		return otherwise;
+		return fallback;
 	return json_object_get_int_member(object, name);
 }
 
 static char *make_answer(struct test_connection *connection)
 {
-	struct test_replica *replica = replica_of(connection);
+	struct test_replica *replica = get_replica(connection);
 	char **parts = g_strsplit(connection->path, "/", -1);
 	const char *shard = parts[3];
 	const char *id = test_request_header(connection, "idempotency-key");
 	JsonNode *root = json_from_string(connection->body, NULL);
-	JsonObject *asked = root && JSON_NODE_HOLDS_OBJECT(root) ?
-				    json_node_get_object(root) :
-				    NULL;
-	int64_t from =
-		MAX(member_i64(asked, "key_from", 0), replica->range_from);
-	int64_t to = MIN(member_i64(asked, "key_to", 0), replica->range_to);
-	int64_t limit = member_i64(asked, "limit", 1000);
+	JsonObject *request_object = root && JSON_NODE_HOLDS_OBJECT(root) ?
+					     json_node_get_object(root) :
+					     NULL;
+	int64_t from = MAX(get_member_i64(request_object, "key_from", 0),
+			   replica->range_from);
+	int64_t to = MIN(get_member_i64(request_object, "key_to", 0),
+			 replica->range_to);
+	int64_t limit = get_member_i64(request_object, "limit", 1000);
 	int64_t version =
 		(int64_t)test_request_header_i64(connection, "x-index-version");
 	bool reserve = g_strcmp0(parts[4], "reserve") == 0;
@@ -188,14 +192,14 @@
 	return g_string_free(out, FALSE);
 }
 
-/* The work is done: this is where a request has run. */
+/* Sends the reply at the end of the service time. */
 static gboolean finish_service(gpointer data)
 {
 	struct test_connection *connection = data;
-	struct test_replica *replica = replica_of(connection);
+	struct test_replica *replica = get_replica(connection);
 	char *body;
 
-	((struct work *)connection->user)->timer = 0;
+	((struct request_state *)connection->user)->timer = 0;
 	body = make_answer(connection);
 	if (replica->fault == TEST_FAULT_TRUNCATED_JSON)
 		body[strlen(body) * 2 / 3] = '\0';
@@ -216,7 +220,7 @@
 	double ms = replica->service_ms * replica->service_time_factor;
 
 	if (replica->slow_share > 0 &&
-	    g_rand_double(dice) < replica->slow_share)
+	    g_rand_double(random_source) < replica->slow_share)
 		ms += replica->slow_ms;
 	if (replica->cold_until_us > g_get_monotonic_time())
 		ms *= COLD_FACTOR;
@@ -226,54 +230,54 @@
 static void count_run(struct test_connection *connection)
 {
 	const char *id = test_request_header(connection, "idempotency-key");
-	gpointer times;
+	gpointer n_runs;
 
-	replica_of(connection)->ran++;
+	get_replica(connection)->ran++;
 	if (!id)
 		return;
-	times = g_hash_table_lookup(runs, id);
+	n_runs = g_hash_table_lookup(runs, id);
 	g_hash_table_replace(runs, g_strdup(id),
-			     GINT_TO_POINTER(GPOINTER_TO_INT(times) + 1));
+			     GINT_TO_POINTER(GPOINTER_TO_INT(n_runs) + 1));
 }
 
 static void start_service(struct test_connection *connection)
 {
-	struct test_replica *replica = replica_of(connection);
-	struct work *work = connection->user;
+	struct test_replica *replica = get_replica(connection);
+	struct request_state *request_state = connection->user;
 
 	replica->running++;
-	work->in_slot = true;
-	if (work->deadline)
-		g_source_remove(work->deadline);
-	work->deadline = 0;
+	request_state->in_slot = true;
+	if (request_state->deadline_timer)
+		g_source_remove(request_state->deadline_timer);
+	request_state->deadline_timer = 0;
 	count_run(connection);
 	if (replica->fault == TEST_FAULT_NO_REPLY) {
 		connection->busy = false;
 		test_close_connection(connection);
 		return;
 	}
-	work->timer = g_timeout_add(service_time_ms(replica), finish_service,
-				    connection);
+	request_state->timer = g_timeout_add(service_time_ms(replica),
+					     finish_service, connection);
 }
 
-static void start_waiting(struct test_replica *replica)
+static void start_queued_requests(struct test_replica *replica)
 {
 	while (replica->running < replica->slots && replica->waiting.length)
 		start_service(g_queue_pop_head(&replica->waiting));
 }
 
-static gboolean expire_waiting(gpointer data)
+static gboolean expire_queued_request(gpointer data)
 {
 	struct test_connection *connection = data;
 
-	((struct work *)connection->user)->deadline = 0;
-	refuse(connection, 503, "refused");
+	((struct request_state *)connection->user)->deadline_timer = 0;
+	reject(connection, 503, "refused");
 	return G_SOURCE_REMOVE;
 }
 
-static void note_attempt(struct test_connection *connection)
+static void record_attempt(struct test_connection *connection)
 {
-	struct test_replica *replica = replica_of(connection);
+	struct test_replica *replica = get_replica(connection);
 	const char *id = test_request_header(connection, "x-attempt-id");
 
 	replica->requests++;
@@ -287,33 +291,34 @@
 
 static void handle_attempt(struct test_connection *connection)
 {
-	struct test_replica *replica = replica_of(connection);
-	struct work *work = connection->user;
+	struct test_replica *replica = get_replica(connection);
+	struct request_state *request_state = connection->user;
 	int64_t version =
 		(int64_t)test_request_header_i64(connection, "x-index-version");
 	int64_t deadline_ms =
 		test_request_header_i64(connection, "x-deadline-ms");
 
-	note_attempt(connection);
+	record_attempt(connection);
 	if (!strcmp(replica->state, "draining")) {
-		refuse(connection, 503, "draining");
+		reject(connection, 503, "draining");
 	} else if (replica->shed || replica->waiting.length >= replica->queue) {
-		refuse(connection, 503, "shed");
+		reject(connection, 503, "shed");
 	} else if (version && (version < replica->oldest_version ||
 			       version > replica->newest_version)) {
-		refuse(connection, 409, "no-version");
+		reject(connection, 409, "no-version");
 	} else {
 		if (deadline_ms)
-			work->deadline = g_timeout_add(
-				(guint)deadline_ms, expire_waiting, connection);
+			request_state->deadline_timer = g_timeout_add(
+				(guint)deadline_ms, expire_queued_request,
+				connection);
 		g_queue_push_tail(&replica->waiting, connection);
-		start_waiting(replica);
+		start_queued_requests(replica);
 	}
 }
 
 static void cancel_attempt(struct test_connection *connection)
 {
-	struct test_replica *replica = replica_of(connection);
+	struct test_replica *replica = get_replica(connection);
 	const char *id = test_request_header(connection, "x-attempt-id");
 
 	replica->cancel_calls++;
@@ -332,9 +337,9 @@
 	reply(connection, 200, "", "{}");
 }
 
-static void tell_health(struct test_connection *connection)
+static void send_health(struct test_connection *connection)
 {
-	struct test_replica *replica = replica_of(connection);
+	struct test_replica *replica = get_replica(connection);
 	char *body = g_strdup_printf(
 		"{\"state\":\"%s\",\"load\":%.3f,\"oldest\":%" G_GINT64_FORMAT
 		",\"newest\":%" G_GINT64_FORMAT ",\"epoch\":%" G_GINT64_FORMAT
@@ -347,7 +352,7 @@
 	g_free(body);
 }
 
-static void take_control(struct test_connection *connection)
+static void apply_control(struct test_connection *connection)
 {
 	JsonNode *root = json_from_string(connection->body, NULL);
 	JsonObject *object = root && JSON_NODE_HOLDS_OBJECT(root) ?
@@ -359,7 +364,7 @@
 	JsonNode *node;
 
 	if (object && json_object_has_member(object, "stay"))
-		stay = json_object_get_int_member(object, "stay");
+		stay_after_drain = json_object_get_int_member(object, "stay");
 	if (object && json_object_has_member(object, "replica"))
 		only = json_object_get_int_member(object, "replica");
 	for (int i = 0; object && i < n_replicas; i++) {
@@ -368,14 +373,14 @@
 		json_object_iter_init(&iter, object);
 		while (json_object_iter_next(&iter, &name, &node))
 			test_set_replica_option(&replicas[i], name, node);
-		listen_replica(&replicas[i]);
+		update_listening(&replicas[i]);
 	}
 	test_reply_to(connection, object ? 200 : 400, "", "{}", false);
 	if (root)
 		json_node_unref(root);
 }
 
-static void tell_counts(struct test_connection *connection)
+static void send_counts(struct test_connection *connection)
 {
 	GString *out = g_string_new("{\"replicas\":[");
 	GHashTableIter iter;
@@ -408,17 +413,17 @@
 	g_string_free(out, TRUE);
 }
 
-static void take_control_request(struct test_connection *connection)
+static void handle_control_request(struct test_connection *connection)
 {
 	if (!strcmp(connection->path, "/control"))
-		take_control(connection);
+		apply_control(connection);
 	else if (!strcmp(connection->path, "/control/counts"))
-		tell_counts(connection);
+		send_counts(connection);
 	else
 		test_reply_to(connection, 404, "", "{}", false);
 }
 
-static void take_request(struct test_connection *connection)
+static void handle_request(struct test_connection *connection)
 {
 	const char *path = connection->path;
 
@@ -427,7 +432,7 @@
 	else if (!strcmp(path, "/v1/cancel"))
 		cancel_attempt(connection);
 	else if (!strcmp(path, "/v1/health"))
-		tell_health(connection);
+		send_health(connection);
 	else
 		reply(connection, 404, "", "{}");
 }
@@ -436,29 +441,29 @@
 {
 	struct test_connection *connection = data;
 
-	((struct work *)connection->user)->timer = 0;
+	((struct request_state *)connection->user)->timer = 0;
 	test_release_connection(connection);
 	return G_SOURCE_REMOVE;
 }
 
-static void take_connection(struct test_connection *connection)
+static void handle_accepted(struct test_connection *connection)
 {
-	struct test_replica *replica = replica_of(connection);
-	struct work *work = g_new0(struct work, 1);
+	struct test_replica *replica = get_replica(connection);
+	struct request_state *request_state = g_new0(struct request_state, 1);
 
-	connection->user = work;
+	connection->user = request_state;
 	connection->held = replica->connect_ms > 0;
 	if (connection->held)
-		work->timer = g_timeout_add((guint)replica->connect_ms,
-					    finish_connect, connection);
+		request_state->timer = g_timeout_add(
+			(guint)replica->connect_ms, finish_connect, connection);
 	replica->accepted++;
 	replica->peak_connections = MAX(replica->peak_connections,
 					replica->server.connections->len);
-	listen_replica(replica);
+	update_listening(replica);
 }
 
-/* Over the cap connections are refused. */
-static void listen_replica(struct test_replica *replica)
+/* Listens unless a fault or the connection limit forbids it. */
+static void update_listening(struct test_replica *replica)
 {
 	replica->server.reset = replica->fault == TEST_FAULT_RESET;
 	test_set_listening(&replica->server,
@@ -474,10 +479,10 @@
 	replica->server = (struct test_server){
 		.port = (uint16_t)(base_port ? base_port + index : 0),
 		.data = replica,
-		.accepted = take_connection,
-		.request = take_request,
-		.closing = end_connection,
-		.closed = count_connections,
+		.accepted = handle_accepted,
+		.request = handle_request,
+		.closing = handle_closing,
+		.closed = handle_closed,
 		.connections = g_ptr_array_new(),
 	};
 	replica->state = "ready";
@@ -485,11 +490,11 @@
 	if (cold_ms)
 		replica->cold_until_us =
 			g_get_monotonic_time() + (int64_t)cold_ms * 1000;
-	listen_replica(replica);
+	update_listening(replica);
 	printf("replica %d %u\n", index, replica->server.port);
 }
 
-static gboolean move_versions(gpointer data)
+static gboolean advance_versions(gpointer data)
 {
 	for (int i = 0; i < n_replicas; i++) {
 		struct test_replica *replica = &replicas[i];
@@ -503,9 +508,9 @@
 	return G_SOURCE_CONTINUE;
 }
 
-static gboolean leave_when_idle(gpointer data)
+static gboolean exit_when_idle(gpointer data)
 {
-	bool busy = stay;
+	bool busy = stay_after_drain;
 
 	for (int i = 0; i < n_replicas; i++)
 		busy |= replicas[i].running || replicas[i].waiting.length;
@@ -520,38 +525,42 @@
 		replicas[i].state = "draining";
 		replicas[i].draining_since_us = g_get_monotonic_time();
 	}
-	g_timeout_add(IDLE_CHECK_MS, leave_when_idle, NULL);
+	g_timeout_add(IDLE_CHECK_MS, exit_when_idle, NULL);
 	return G_SOURCE_REMOVE;
 }
 
-static const GOptionEntry entries[] = {
-	{ "replicas", 0, 0, G_OPTION_ARG_INT, &n_replicas, "how many", "N" },
+static const GOptionEntry option_entries[] = {
+	{ "replicas", 0, 0, G_OPTION_ARG_INT, &n_replicas, "number of replicas",
+	  "N" },
 	{ "base-port", 0, 0, G_OPTION_ARG_INT, &base_port,
-	  "the first's port; 0: free ones", "PORT" },
+	  "port of the first replica, consecutive from there; 0: any free",
+	  "PORT" },
 	{ "control-port", 0, 0, G_OPTION_ARG_INT, &control_port,
-	  "0: a free one", "PORT" },
+	  "port for /control; 0: any free", "PORT" },
 	{ "key-step", 0, 0, G_OPTION_ARG_INT, &key_step,
 	  "every Nth key has a row", "N" },
-	{ "slots", 0, 0, G_OPTION_ARG_INT64, &defaults.slots, "at once", "N" },
+	{ "slots", 0, 0, G_OPTION_ARG_INT64, &defaults.slots,
+	  "concurrent requests per replica", "N" },
 	{ "queue", 0, 0, G_OPTION_ARG_INT64, &defaults.queue,
-	  "waiting before it sheds", "N" },
+	  "queued requests before the replica sheds load", "N" },
 	{ "connections", 0, 0, G_OPTION_ARG_INT64, &defaults.max_connections,
-	  "cap", "N" },
+	  "maximum number of connections per replica", "N" },
 	{ "connect-ms", 0, 0, G_OPTION_ARG_INT64, &defaults.connect_ms,
-	  "cost of a new connection", "MS" },
+	  "delay of a new connection", "MS" },
 	{ "service-ms", 0, 0, G_OPTION_ARG_INT64, &defaults.service_ms,
-	  "time of one request", "MS" },
+	  "service time of a request", "MS" },
 	{ "slow-ms", 0, 0, G_OPTION_ARG_INT64, &defaults.slow_ms,
-	  "added to slow requests", "MS" },
+	  "additional service time of slow requests", "MS" },
 	{ "slow-share", 0, 0, G_OPTION_ARG_DOUBLE, &defaults.slow_share,
 	  "share of slow requests", "0..1" },
-	{ "cold-ms", 0, 0, G_OPTION_ARG_INT, &cold_ms, "cold after start",
-	  "MS" },
+	{ "cold-ms", 0, 0, G_OPTION_ARG_INT, &cold_ms,
+	  "time for which replicas are cold after start", "MS" },
 	{ "version-period-ms", 0, 0, G_OPTION_ARG_INT, &version_period_ms,
-	  "a new index version each", "MS" },
+	  "period of new index versions; 0: none", "MS" },
 	{ "versions-kept", 0, 0, G_OPTION_ARG_INT, &versions_kept,
-	  "versions held at once", "N" },
-	{ "seed", 0, 0, G_OPTION_ARG_INT, &seed, "of the dice", "N" },
+	  "index versions kept at a time", "N" },
+	{ "seed", 0, 0, G_OPTION_ARG_INT, &seed, "seed of the random numbers",
+	  "N" },
 	{ NULL, 0, 0, 0, NULL, NULL, NULL },
 };
 
@@ -560,16 +569,16 @@
 	GOptionContext *options = g_option_context_new(NULL);
 	GError *error = NULL;
 	static struct test_server control = {
-		.request = take_control_request,
+		.request = handle_control_request,
 	};
 
-	g_option_context_add_main_entries(options, entries, NULL);
+	g_option_context_add_main_entries(options, option_entries, NULL);
 	if (!g_option_context_parse(options, &argc, &argv, &error)) {
 		fprintf(stderr, "upstream: %s\n", error->message);
 		return 1;
 	}
 	g_option_context_free(options);
-	dice = g_rand_new_with_seed((guint32)seed);
+	random_source = g_rand_new_with_seed((guint32)seed);
 	runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	attempts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	control.port = (uint16_t)control_port;
@@ -579,7 +588,7 @@
 	for (int i = 0; i < n_replicas; i++)
 		make_replica(&replicas[i], i);
 	if (version_period_ms)
-		g_timeout_add((guint)version_period_ms, move_versions, NULL);
+		g_timeout_add((guint)version_period_ms, advance_versions, NULL);
 	printf("ready\n");
 	fflush(stdout);
 	loop = g_main_loop_new(NULL, FALSE);
