--- a/fuzz/request-id.c
+++ b/fuzz/request-id.c
@@ -1,5 +1,5 @@
 /*
- * request-id.c - Fuzz target: the Idempotency-Key header of client requests.
+ * request-id.c - Fuzz target: the Idempotency-Key header of callers' requests.
  */
 #include <stdlib.h>
 #include <string.h>
