--- a/tests/test-process-change.c
+++ b/tests/test-process-change.c
@@ -1,6 +1,7 @@
 /*
- * test-process-change.c - real processes while things change: a new
- * configuration, new instances, upstreams that leave.
+ * test-process-change.c - Process tests of changes during operation.
+ *
+ * The changes are a new configuration, new instances and draining upstreams.
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -14,13 +15,14 @@
 
 #define SETTINGS "    deadline_ms: 5000\n    attempt_timeout_ms: 5000\n"
 
-static struct test_deployment *start(int n_entries, int n_copies)
+static struct test_deployment *start_deployment(int n_instances,
+						int replicas_per_shard)
 {
 	struct test_deployment_options options = {
 		.n_shards = 3,
-		.replicas_per_shard = n_copies,
+		.replicas_per_shard = replicas_per_shard,
 		.n_zones = 1,
-		.n_instances = n_entries,
+		.n_instances = n_instances,
 		.service_settings = SETTINGS,
 	};
 
@@ -65,13 +67,15 @@
 }
 
 /*
- * Four instances of one zone, of which two watch the record: a change must
- * come into force at all four, the others by their peers.  Each change ends
- * the two waits and begins two; four watching would begin four.
+ * Guards against a configuration change that reaches only the instances that
+ * watch the record, and against a zone in which all instances watch it.  Two
+ * of the zone's four instances watch; the others get the change from peers.
+ * Each change ends the two pending watches and starts two; if all four
+ * instances watched, it would start four.
  */
-static void test_change_reaches_instances_that_do_not_watch(void **state)
+static void test_config_change_reaches_instances_without_watch(void **state)
 {
-	struct test_deployment *d = start(4, 1);
+	struct test_deployment *d = start_deployment(4, 1);
 	const int64_t changes = 4;
 	int64_t before = 0;
 
@@ -79,7 +83,7 @@
 		const char *settings =
 			change % 2 ? SETTINGS : SETTINGS "    slots: 3\n";
 
-		/* All began to watch before they knew each other. */
+		/* Until the instances know each other, all of them watch. */
 		if (change == 1)
 			before = count_watches(d);
 		wait_for_revision(d, test_change_settings(d, settings));
@@ -89,12 +93,12 @@
 }
 
 /*
- * The platform is out and an instance is replaced.  The new one has no
- * configuration of its own; it must take its peers' and serve.
+ * Guards against an instance that cannot start during a platform outage.  It
+ * has no configuration of its own and must get it from its peers.
  */
-static void test_new_instance_learns_from_peers(void **state)
+static void test_new_instance_gets_config_from_peers(void **state)
 {
-	struct test_deployment *d = start(2, 1);
+	struct test_deployment *d = start_deployment(2, 1);
 	struct test_http_reply *reply;
 
 	test_post_control(d->platform->control_port, "{\"outage\":\"refuse\"}");
@@ -108,10 +112,14 @@
 	test_drop_deployment(d);
 }
 
-/* With neither platform nor peers it stays not ready, says why and waits. */
-static void test_alone_without_platform_is_not_ready(void **state)
+/*
+ * Guards against an instance that serves or exits when it can get no
+ * configuration from either the platform or peers.  It must report not ready
+ * with the reason, and become ready once the platform is reachable again.
+ */
+static void test_single_instance_without_platform_is_not_ready(void **state)
 {
-	struct test_deployment *d = start(1, 1);
+	struct test_deployment *d = start_deployment(1, 1);
 	struct test_http_reply *reply;
 
 	test_post_control(d->platform->control_port, "{\"outage\":\"refuse\"}");
@@ -141,12 +149,13 @@
 }
 
 /*
- * The first copy's upstreams drain while searches go on.  They may get work
- * for a moment, until a refusal or a health poll tells; after that nothing.
+ * Guards against new work for draining upstreams.  The first replica of each
+ * shard drains during searches.  It may get requests until a rejected one or a
+ * health poll reports the state, and none after that.
  */
 static void test_draining_upstreams_get_no_new_work(void **state)
 {
-	struct test_deployment *d = start(2, 2);
+	struct test_deployment *d = start_deployment(2, 2);
 	struct test_http_reply *reply;
 	int64_t before;
 
@@ -166,7 +175,7 @@
 	}
 	assert_int_equal(test_read_count(d->upstreams[0], -1, "requests"),
 			 before);
-	/* They come back: work goes to them again. */
+	/* When they are ready again, they get work again. */
 	test_post_control(d->upstreams[0]->control_port,
 			  "{\"state\":\"ready\"}");
 	g_usleep(3 * G_USEC_PER_SEC);
@@ -180,13 +189,13 @@
 }
 
 /*
- * An instance is stopped while it holds a reservation that runs.  Its result
- * must be recorded before the process ends: the caller who asks again, at
- * another instance, gets that result and not "unknown".
+ * Guards against an instance that exits before it has recorded the result of
+ * a running reservation.  A caller that repeats the request at another
+ * instance must get that result and not "unknown".
  */
-static void test_sigterm_settles_a_reservation(void **state)
+static void test_sigterm_records_running_reservation(void **state)
 {
-	struct test_deployment *d = start(2, 1);
+	struct test_deployment *d = start_deployment(2, 1);
 	char *id = test_new_idempotency_key("sigterm-settles");
 	struct test_pending_request *pending;
 	struct test_http_reply *reply;
@@ -216,11 +225,12 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(
-			test_change_reaches_instances_that_do_not_watch),
-		cmocka_unit_test(test_new_instance_learns_from_peers),
-		cmocka_unit_test(test_alone_without_platform_is_not_ready),
+			test_config_change_reaches_instances_without_watch),
+		cmocka_unit_test(test_new_instance_gets_config_from_peers),
+		cmocka_unit_test(
+			test_single_instance_without_platform_is_not_ready),
 		cmocka_unit_test(test_draining_upstreams_get_no_new_work),
-		cmocka_unit_test(test_sigterm_settles_a_reservation),
+		cmocka_unit_test(test_sigterm_records_running_reservation),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-process-gateway.c
+++ b/tests/test-process-gateway.c
@@ -1,7 +1,8 @@
 /*
- * test-process-gateway.c - ragwort-gateway as a process, from end to end: a
- * store and replicas that speak the users' platform's protocol, callers over
- * HTTP, and a stop that cuts nobody off.
+ * test-process-gateway.c - End-to-end tests of ragwort-gateway as a process.
+ *
+ * A stand-in store and replicas implement the protocol of the users' platform;
+ * callers use HTTP.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -20,25 +21,25 @@
 #include "support/standin-store.h"
 #include "support/tool-run.h"
 
-#define SHARDS 3
+#define N_SHARDS 3
 
-struct world {
+struct fixture {
 	struct test_store store;
-	struct test_server replicas[SHARDS];
+	struct test_server replicas[N_SHARDS];
 	int runs;
-	bool hold;  /* replicas keep their requests */
-	bool apart; /* each shard's replica is in a zone of its own */
+	bool hold_replies;   /* replicas do not reply */
+	bool separate_zones; /* each shard's replica is in a separate zone */
 	char *caller_address;
 	char *ready_address;
 	char *start_file;
 	struct test_process *gateway;
 };
 
-/* Each replica has one record of its own letter. */
-static void answer_run(struct test_connection *connection)
+/* The replica of each shard returns one record of a letter of its own. */
+static void send_reply(struct test_connection *connection)
 {
-	struct world *world = connection->server->data;
-	long shard = connection->server - world->replicas;
+	struct fixture *fixture = connection->server->data;
+	long shard = connection->server - fixture->replicas;
 	char *extra = g_strdup_printf(
 		"Response-Seal: seal%ld\r\n"
 		"Request-Id: %s\r\n",
@@ -51,16 +52,16 @@
 	g_free(extra);
 }
 
-static void take_run(struct test_connection *connection)
+static void handle_run(struct test_connection *connection)
 {
-	struct world *world = connection->server->data;
+	struct fixture *fixture = connection->server->data;
 
-	world->runs++;
-	if (!world->hold)
-		answer_run(connection);
+	fixture->runs++;
+	if (!fixture->hold_replies)
+		send_reply(connection);
 }
 
-static char *config_of(int version, const char *prefix)
+static char *format_config(int version, const char *prefix)
 {
 	return g_strdup_printf(
 		"{\"version\":%d,\"routes\":[{\"name\":\"all\",\"host\":\"h\","
@@ -78,99 +79,99 @@
 		version, prefix);
 }
 
-static void announce_replica(struct world *world, int i, int64_t born_ms,
+static void register_replica(struct fixture *fixture, int i, int64_t started_ms,
 			     bool draining)
 {
 	char *id = g_strdup_printf("i-%d", i);
 	char *service = g_strdup_printf("s%d", i);
 	char *zone = g_strdup_printf("z%d", i);
 	char *address =
-		g_strdup_printf("127.0.0.1:%u", world->replicas[i].port);
+		g_strdup_printf("127.0.0.1:%u", fixture->replicas[i].port);
 	struct test_replica_entry entry = {
 		.id = id,
 		.service = service,
 		.address = address,
-		.zone = world->apart ? zone : NULL,
+		.zone = fixture->separate_zones ? zone : NULL,
 		.slots = 2,
 		.draining = draining,
-		.started_ms = born_ms,
+		.started_ms = started_ms,
 	};
 
-	test_store_put_replica(&world->store, &entry);
+	test_store_put_replica(&fixture->store, &entry);
 	g_free(zone);
 	g_free(address);
 	g_free(service);
 	g_free(id);
 }
 
-static void fill_store(struct world *world)
+static void fill_store(struct fixture *fixture)
 {
-	char *config = config_of(3, "/all/");
+	char *config = format_config(3, "/all/");
 
-	test_store_put(&world->store, "op/config", config);
-	for (int i = 0; i < SHARDS; i++)
-		announce_replica(world, i, 0, false);
+	test_store_put(&fixture->store, "op/config", config);
+	for (int i = 0; i < N_SHARDS; i++)
+		register_replica(fixture, i, 0, false);
 	g_free(config);
 }
 
-/* The gateway knows all that the store holds. */
-static void wait_until_followed(struct world *world)
+/* Wait until the gateway has received all changes of the store. */
+static void wait_for_current_watch(struct fixture *fixture)
 {
-	while (!test_store_has_current_watch(&world->store))
+	while (!test_store_has_current_watch(&fixture->store))
 		raw_run_for(1000);
 }
 
-static void start_gateway(struct world *world)
+static void start_gateway(struct fixture *fixture)
 {
 	char *text = g_strdup_printf(
 		"instance: gw-1\nzone: a\ncaller_address: \"%s\"\n"
 		"ready_address: \"%s\"\nstore_address: \"127.0.0.1:%u\"\n"
 		"stop_timeout_s: 6\n",
-		world->caller_address, world->ready_address,
-		world->store.server.port);
+		fixture->caller_address, fixture->ready_address,
+		fixture->store.server.port);
 
-	world->start_file = test_write_temp_file(text);
-	world->gateway = test_start_gateway(world->start_file);
-	wait_until_followed(world);
+	fixture->start_file = test_write_temp_file(text);
+	fixture->gateway = test_start_gateway(fixture->start_file);
+	wait_for_current_watch(fixture);
 	g_free(text);
 }
 
 static int set_up(void **state)
 {
-	struct world *world = g_new0(struct world, 1);
+	struct fixture *fixture = g_new0(struct fixture, 1);
 
-	test_open_store(&world->store, 1);
-	for (int i = 0; i < SHARDS; i++) {
-		world->replicas[i].data = world;
-		world->replicas[i].request = take_run;
-		test_set_listening(&world->replicas[i], true);
+	test_open_store(&fixture->store, 1);
+	for (int i = 0; i < N_SHARDS; i++) {
+		fixture->replicas[i].data = fixture;
+		fixture->replicas[i].request = handle_run;
+		test_set_listening(&fixture->replicas[i], true);
 	}
-	fill_store(world);
-	world->caller_address = test_reserve_address();
-	world->ready_address = test_reserve_address();
-	start_gateway(world);
-	*state = world;
+	fill_store(fixture);
+	fixture->caller_address = test_reserve_address();
+	fixture->ready_address = test_reserve_address();
+	start_gateway(fixture);
+	*state = fixture;
 	return 0;
 }
 
 static int tear_down(void **state)
 {
-	struct world *world = *state;
-
-	test_drop_process(world->gateway);
-	test_close_store(&world->store);
-	for (int i = 0; i < SHARDS; i++)
-		test_destroy_server(&world->replicas[i]);
-	test_remove_temp_file(world->start_file);
-	g_free(world->caller_address);
-	g_free(world->ready_address);
-	g_free(world);
+	struct fixture *fixture = *state;
+
+	test_drop_process(fixture->gateway);
+	test_close_store(&fixture->store);
+	for (int i = 0; i < N_SHARDS; i++)
+		test_destroy_server(&fixture->replicas[i]);
+	test_remove_temp_file(fixture->start_file);
+	g_free(fixture->caller_address);
+	g_free(fixture->ready_address);
+	g_free(fixture);
 	return 0;
 }
 
-static struct raw_peer *ask(struct world *world, const char *line)
+static struct raw_peer *send_request(struct fixture *fixture, const char *line)
 {
-	struct raw_peer *caller = raw_connect(world->caller_address);
+	struct raw_peer *caller = raw_connect(fixture->caller_address);
 	char *text = g_strdup_printf("%s HTTP/1.1\r\nHost: h\r\n"
 				     "Request-Id: id1\r\nDeadline-Ms: 4000\r\n"
 				     "Content-Length: 0\r\n\r\n",
@@ -183,190 +184,200 @@
 
 static void test_search(void **state)
 {
-	struct world *world = *state;
-	struct raw_peer *caller = ask(world, "GET /all/x");
+	struct fixture *fixture = *state;
+	struct raw_peer *caller = send_request(fixture, "GET /all/x");
 
 	raw_expect(caller, "ccccccccccccccccbbbbbbbbbbbbbbbb");
 	assert_non_null(strstr(caller->received->str, "HTTP/1.1 200 OK"));
 	assert_non_null(strstr(caller->received->str, "Part-Seals: "));
 	assert_null(strstr(caller->received->str, "Missing-Parts"));
-	assert_int_equal(world->runs, SHARDS);
+	assert_int_equal(fixture->runs, N_SHARDS);
 	raw_drop(caller);
 }
 
 static void test_forwarded_request(void **state)
 {
-	struct world *world = *state;
-	struct raw_peer *caller = ask(world, "POST /one/x");
+	struct fixture *fixture = *state;
+	struct raw_peer *caller = send_request(fixture, "POST /one/x");
 
 	raw_expect(caller, "aaaaaaaaaaaaaaaa");
 	assert_non_null(strstr(caller->received->str, "Response-Seal: seal0"));
 	raw_drop(caller);
 }
 
-/* A new version is in force as soon as the store tells of it. */
+/* Guards against a new configuration version that is not applied. */
 static void test_new_configuration(void **state)
 {
-	struct world *world = *state;
-	char *config = config_of(8, "/new/");
-	struct raw_peer *caller = ask(world, "GET /new/x");
+	struct fixture *fixture = *state;
+	char *config = format_config(8, "/new/");
+	struct raw_peer *caller = send_request(fixture, "GET /new/x");
 
 	raw_expect(caller, "HTTP/1.1 404 ");
 	raw_drop(caller);
-	test_store_put(&world->store, "op/config", config);
-	wait_until_followed(world);
-	caller = ask(world, "GET /new/x");
+	test_store_put(&fixture->store, "op/config", config);
+	wait_for_current_watch(fixture);
+	caller = send_request(fixture, "GET /new/x");
 	raw_expect(caller, "cccccccccccccccc");
 	raw_drop(caller);
 	g_free(config);
 }
 
-/* A draining replica gets nothing more: its part is lacking, and told so. */
+/*
+ * Guards against requests to a draining replica.  Its shard is missing and the
+ * response must report that.
+ */
 static void test_draining_replica(void **state)
 {
-	struct world *world = *state;
+	struct fixture *fixture = *state;
 	struct raw_peer *caller;
 
-	announce_replica(world, 2, 0, true);
-	wait_until_followed(world);
-	caller = ask(world, "GET /all/x");
+	register_replica(fixture, 2, 0, true);
+	wait_for_current_watch(fixture);
+	caller = send_request(fixture, "GET /all/x");
 	raw_expect(caller, "Missing-Parts: 1\r\n");
-	assert_int_equal(world->runs, 2);
+	assert_int_equal(fixture->runs, 2);
 	raw_drop(caller);
 }
 
 /*
- * Story: a replica drains, ends and starts again under its id, while somebody
- * writes nonsense under keys beside it.  Searches have all their parts again.
+ * Guards against a restarted replica that stays out of use.  It drains, exits
+ * and starts again under the same id, while invalid entries are written under
+ * neighbouring keys.  Searches must be complete again.
  */
-static void test_reborn_replica_beside_odd_entries(void **state)
+static void test_restarted_replica_beside_invalid_entries(void **state)
 {
-	struct world *world = *state;
+	struct fixture *fixture = *state;
 	struct raw_peer *caller;
 
-	announce_replica(world, 2, 1700000000000, true);
-	test_store_put(&world->store, "servers/i-\"9\n", "nonsense");
-	test_store_put(&world->store, "ragwort/instances/x", "{}");
-	announce_replica(world, 2, 1700000009000, false);
-	wait_until_followed(world);
-	caller = ask(world, "GET /all/x");
+	register_replica(fixture, 2, 1700000000000, true);
+	test_store_put(&fixture->store, "servers/i-\"9\n", "nonsense");
+	test_store_put(&fixture->store, "ragwort/instances/x", "{}");
+	register_replica(fixture, 2, 1700000009000, false);
+	wait_for_current_watch(fixture);
+	caller = send_request(fixture, "GET /all/x");
 	raw_expect(caller, "HTTP/1.1 200 OK");
-	assert_int_equal(world->runs, 3);
+	assert_int_equal(fixture->runs, 3);
 	raw_drop(caller);
 }
 
-/* Three zones with a shard each, known to the gateway. */
-static void place_apart(struct world *world)
+/* Move each shard to a separate zone and wait until the gateway knows it. */
+static void move_shards_to_separate_zones(struct fixture *fixture)
 {
-	world->apart = true;
-	for (int i = 0; i < SHARDS; i++)
-		announce_replica(world, i, 0, false);
-	wait_until_followed(world);
+	fixture->separate_zones = true;
+	for (int i = 0; i < N_SHARDS; i++)
+		register_replica(fixture, i, 0, false);
+	wait_for_current_watch(fixture);
 }
 
-/* One search that lacks a shard, and only that. */
-static void expect_one_lacks(struct world *world)
+/* Expect a search in which exactly one shard is missing. */
+static void expect_one_shard_missing(struct fixture *fixture)
 {
 	struct raw_peer *caller;
 
-	world->runs = 0;
-	caller = ask(world, "GET /all/x");
+	fixture->runs = 0;
+	caller = send_request(fixture, "GET /all/x");
 	raw_expect(caller, "Missing-Parts: 1\r\n");
-	assert_int_equal(world->runs, 2);
+	assert_int_equal(fixture->runs, 2);
 	raw_drop(caller);
 }
 
-/* Guards against an evacuation that is forgotten with the store or a start. */
-static void test_an_evacuated_zone_gets_nothing(void **state)
+/*
+ * Guards against an evacuation that is lost when the store is unavailable or
+ * the gateway restarts.
+ */
+static void test_evacuated_zone_gets_no_requests(void **state)
 {
-	struct world *world = *state;
+	struct fixture *fixture = *state;
 	struct raw_peer *caller;
 
-	place_apart(world);
-	test_store_put(&world->store, "op/evacuate/z2", "{}");
-	wait_until_followed(world);
-	expect_one_lacks(world);
-	test_store_set_state(&world->store, TEST_STORE_RESET);
-	expect_one_lacks(world);
-	test_store_set_state(&world->store, TEST_STORE_UP);
-	test_signal_process(world->gateway, SIGKILL);
-	test_wait_process(world->gateway);
-	test_drop_process(world->gateway);
-	test_remove_temp_file(world->start_file);
-	start_gateway(world);
-	expect_one_lacks(world);
-	test_store_remove(&world->store, "op/evacuate/z2");
-	wait_until_followed(world);
-	world->runs = 0;
-	caller = ask(world, "GET /all/x");
+	move_shards_to_separate_zones(fixture);
+	test_store_put(&fixture->store, "op/evacuate/z2", "{}");
+	wait_for_current_watch(fixture);
+	expect_one_shard_missing(fixture);
+	test_store_set_state(&fixture->store, TEST_STORE_RESET);
+	expect_one_shard_missing(fixture);
+	test_store_set_state(&fixture->store, TEST_STORE_UP);
+	test_signal_process(fixture->gateway, SIGKILL);
+	test_wait_process(fixture->gateway);
+	test_drop_process(fixture->gateway);
+	test_remove_temp_file(fixture->start_file);
+	start_gateway(fixture);
+	expect_one_shard_missing(fixture);
+	test_store_remove(&fixture->store, "op/evacuate/z2");
+	wait_for_current_watch(fixture);
+	fixture->runs = 0;
+	caller = send_request(fixture, "GET /all/x");
 	raw_expect(caller, "cccccccccccccccc");
-	assert_int_equal(world->runs, SHARDS);
+	assert_int_equal(fixture->runs, N_SHARDS);
 	raw_drop(caller);
 }
 
-/* Guards against callers who wait though nothing may be sent anywhere. */
+/*
+ * Guards against callers that have to wait for a response when no request may
+ * be sent because all zones are evacuated.
+ */
 static void test_all_zones_evacuated(void **state)
 {
-	struct world *world = *state;
+	struct fixture *fixture = *state;
 	struct raw_peer *caller;
 
-	place_apart(world);
-	test_store_put(&world->store, "op/evacuate/z0", "{}");
-	test_store_put(&world->store, "op/evacuate/z1", "no object");
-	test_store_put(&world->store, "op/evacuate/z2", "{}");
-	wait_until_followed(world);
-	caller = ask(world, "GET /all/x");
+	move_shards_to_separate_zones(fixture);
+	test_store_put(&fixture->store, "op/evacuate/z0", "{}");
+	test_store_put(&fixture->store, "op/evacuate/z1", "no object");
+	test_store_put(&fixture->store, "op/evacuate/z2", "{}");
+	wait_for_current_watch(fixture);
+	caller = send_request(fixture, "GET /all/x");
 	raw_expect(caller, "HTTP/1.1 503 ");
 	raw_expect(caller, "Retry-After: ");
 	raw_drop(caller);
-	assert_int_equal(world->runs, 0);
+	assert_int_equal(fixture->runs, 0);
 }
 
-static bool is_ready(struct world *world)
+static bool is_ready(struct fixture *fixture)
 {
-	struct raw_peer *asker = raw_connect(world->ready_address);
+	struct raw_peer *caller = raw_connect(fixture->ready_address);
 	bool ready;
 
-	raw_send(asker, "GET /v1/ready HTTP/1.1\r\nHost: h\r\n\r\n");
-	raw_expect(asker, "\r\n\r\n");
-	ready = strstr(asker->received->str, "HTTP/1.1 200") != NULL;
-	raw_drop(asker);
+	raw_send(caller, "GET /v1/ready HTTP/1.1\r\nHost: h\r\n\r\n");
+	raw_expect(caller, "\r\n\r\n");
+	ready = strstr(caller->received->str, "HTTP/1.1 200") != NULL;
+	raw_drop(caller);
 	return ready;
 }
 
 /*
- * Story: the platform stops an instance while a reservation runs and callers
- * still come.  It says at once that it is not ready, serves them all, and
- * ends by itself.
+ * Guards against a stop that aborts requests.  The platform stops an instance
+ * while a reservation runs and new requests arrive.  The instance must report
+ * not ready at once, serve them all, and then exit by itself.
  */
-static void test_stop_cuts_nobody_off(void **state)
+static void test_stop_completes_all_requests(void **state)
 {
-	struct world *world = *state;
-	struct raw_peer *busy;
+	struct fixture *fixture = *state;
+	struct raw_peer *running;
 	struct raw_peer *late;
 
-	assert_true(is_ready(world));
-	world->hold = true;
-	busy = ask(world, "POST /one/x");
-	raw_run_until(&world->runs, 1);
-	test_signal_process(world->gateway, SIGTERM);
-	while (is_ready(world))
+	assert_true(is_ready(fixture));
+	fixture->hold_replies = true;
+	running = send_request(fixture, "POST /one/x");
+	raw_run_until(&fixture->runs, 1);
+	test_signal_process(fixture->gateway, SIGTERM);
+	while (is_ready(fixture))
 		raw_run_for(1000);
-	world->hold = false;
-	late = ask(world, "GET /all/x");
+	fixture->hold_replies = false;
+	late = send_request(fixture, "GET /all/x");
 	raw_expect(late, "Connection: close\r\n");
 	raw_expect(late, "cccccccccccccccc");
-	for (guint i = 0; i < world->replicas[0].connections->len; i++) {
+	for (guint i = 0; i < fixture->replicas[0].connections->len; i++) {
 		struct test_connection *connection =
-			g_ptr_array_index(world->replicas[0].connections, i);
+			g_ptr_array_index(fixture->replicas[0].connections, i);
 
 		if (connection->busy)
-			answer_run(connection);
+			send_reply(connection);
 	}
-	raw_expect(busy, "aaaaaaaaaaaaaaaa");
-	raw_drop(busy);
+	raw_expect(running, "aaaaaaaaaaaaaaaa");
+	raw_drop(running);
 	raw_drop(late);
-	assert_int_equal(test_wait_process(world->gateway), 0);
+	assert_int_equal(test_wait_process(fixture->gateway), 0);
 }
 
 int main(void)
@@ -380,14 +391,15 @@
 		cmocka_unit_test_setup_teardown(test_draining_replica, set_up,
 						tear_down),
 		cmocka_unit_test_setup_teardown(
-			test_reborn_replica_beside_odd_entries, set_up,
+			test_restarted_replica_beside_invalid_entries, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			test_an_evacuated_zone_gets_nothing, set_up, tear_down),
+			test_evacuated_zone_gets_no_requests, set_up,
+			tear_down),
 		cmocka_unit_test_setup_teardown(test_all_zones_evacuated,
 						set_up, tear_down),
-		cmocka_unit_test_setup_teardown(test_stop_cuts_nobody_off,
-						set_up, tear_down),
+		cmocka_unit_test_setup_teardown(
+			test_stop_completes_all_requests, set_up, tear_down),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
