--- a/fuzz/entries.c
+++ b/fuzz/entries.c
@@ -1,10 +1,10 @@
 /*
  * entries.c - Fuzz target: store entries, change feed, registrations and load.
  *
- * Any client of the store may write entries under the keys of replicas, instances,
- * evacuated zones and queries of death.  The input is also passed through the
- * change feed, parsed as a request of one instance to another to write
- * registrations, and parsed as the load that a replica reports.
+ * Any client of the store may write entries under the keys of replicas,
+ * instances, evacuated zones and queries of death.  The input is also passed
+ * through the change feed, parsed as a request of one instance to another to
+ * write registrations, and parsed as the load that a replica reports.
  *
  * The first byte is the length of the key; the key and its value follow.
  */
--- a/tests/test-process-end-to-end.c
+++ b/tests/test-process-end-to-end.c
@@ -1,6 +1,8 @@
 /*
- * test-process-end-to-end.c - the whole path through real processes: relays,
- * pages, look-ups, moving index versions, exit codes.
+ * test-process-end-to-end.c - End-to-end tests with real processes.
+ *
+ * They cover relays, pages of a list, look-ups, changing index versions and
+ * exit codes.
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -14,15 +16,16 @@
 
 #include "support/deployment.h"
 
-#define SHARDS 40
+#define N_SHARDS 40
 
-static struct test_deployment *start(int n_entries, int n_copies)
+static struct test_deployment *start_deployment(int n_instances,
+						int replicas_per_shard)
 {
 	struct test_deployment_options options = {
-		.n_shards = SHARDS,
-		.replicas_per_shard = n_copies,
+		.n_shards = N_SHARDS,
+		.replicas_per_shard = replicas_per_shard,
 		.n_zones = 3,
-		.n_instances = n_entries,
+		.n_instances = n_instances,
 		.service_settings = "    deadline_ms: 5000\n"
 				    "    attempt_timeout_ms: 5000\n"
 				    "    hedge_budget: 0\n"
@@ -33,17 +36,18 @@
 }
 
 /*
- * An answer of 40 shards in three zones.  A message for each replica of
- * another zone would cost 27 messages; one for each owner costs two.
+ * Guards against a relay message per replica.  For a search over 40 shards in
+ * three zones, that would be 27 messages to replicas of other zones; one
+ * message per owner makes two.
  */
-static void test_one_relay_for_each_owner_and_query(void **state)
+static void test_one_relay_per_owner_and_query(void **state)
 {
-	struct test_deployment *d = start(3, 1);
+	struct test_deployment *d = start_deployment(3, 1);
 	struct test_http_reply *reply;
 	int64_t before = 0;
 
 	for (int i = 0; i < 11; i++) {
-		/* The first search learns the versions; it isn't counted. */
+		/* Not counted: the first search obtains the index versions. */
 		if (i == 1)
 			before = test_read_metric(d, 0, "relays_sent_total");
 		reply = test_search(d, 0);
@@ -56,12 +60,12 @@
 }
 
 /*
- * Intake rewrites the stock while searches run: a new index version each
- * 20 ms.  An answer must never have rows of two versions.
+ * Guards against answers that mix rows of two index versions, while replicas
+ * move to a new version, one per search.
  */
-static void test_moving_versions_are_never_mixed(void **state)
+static void test_changing_versions_are_never_mixed(void **state)
 {
-	struct test_deployment *d = start(3, 2);
+	struct test_deployment *d = start_deployment(3, 2);
 
 	for (int64_t version = 2; version < 60; version++) {
 		char *json =
@@ -70,11 +74,11 @@
 					version, MAX(1, version - 2));
 		struct test_http_reply *reply;
 
-		/* One copy moves first: half of the replicas are behind. */
+		/* One of two replicas of each shard moves first. */
 		test_post_control(d->upstreams[version % 2]->control_port,
 				  json);
 		reply = test_search(d, (int)(version % 3));
-		/* Checks that every row is of the answer's version. */
+		/* Checks that each row has the answer's index version. */
 		test_check_search(d, reply);
 		test_drop_reply(reply);
 		test_post_control(d->upstreams[1 - version % 2]->control_port,
@@ -84,8 +88,8 @@
 	test_drop_deployment(d);
 }
 
-static char *list_page(struct test_deployment *d, int i, const char *cursor,
-		       int64_t *next_key)
+static char *fetch_list_page(struct test_deployment *d, int i,
+			     const char *cursor, int64_t *next_key)
 {
 	char *path =
 		g_strdup_printf(TEST_SERVICE "/list?max_rows=70%s%s",
@@ -112,28 +116,28 @@
 }
 
 /*
- * A nightly job fetches a whole list, each page from another instance.  In
- * the middle its version is given up: the job is told that the list is gone,
- * and never gets a page of another version.
+ * Guards against a list whose pages are of different index versions.  Each
+ * page is requested from another instance.  Once the upstreams have dropped
+ * the version, the next page must fail with "gone".
  */
-static void test_pages_of_a_list_until_its_version_is_gone(void **state)
+static void test_list_pages_until_version_is_gone(void **state)
 {
-	struct test_deployment *d = start(3, 1);
+	struct test_deployment *d = start_deployment(3, 1);
 	int64_t next_key = 0;
-	char *cursor = list_page(d, 0, NULL, &next_key);
+	char *cursor = fetch_list_page(d, 0, NULL, &next_key);
 	char *path;
 	struct test_http_reply *reply;
 
 	for (int i = 1; *cursor; i++) {
-		char *next = list_page(d, i % 3, cursor, &next_key);
+		char *next = fetch_list_page(d, i % 3, cursor, &next_key);
 
 		g_free(cursor);
 		cursor = next;
 	}
-	assert_int_equal(next_key, SHARDS * 1000);
+	assert_int_equal(next_key, N_SHARDS * 1000);
 	g_free(cursor);
 	next_key = 0;
-	cursor = list_page(d, 0, NULL, &next_key);
+	cursor = fetch_list_page(d, 0, NULL, &next_key);
 	test_post_control(d->upstreams[0]->control_port,
 			  "{\"oldest\":5,\"newest\":6}");
 	path = g_strdup_printf(TEST_SERVICE "/list?max_rows=70&cursor=%s",
@@ -149,7 +153,7 @@
 
 static void test_lookup_and_unknown_names(void **state)
 {
-	struct test_deployment *d = start(3, 1);
+	struct test_deployment *d = start_deployment(3, 1);
 	struct test_http_reply *reply;
 	JsonArray *rows;
 	int64_t before = test_read_count(d->upstreams[0], -1, "requests");
@@ -162,7 +166,7 @@
 					    "rows");
 	assert_int_equal(json_array_get_length(rows), 1);
 	test_drop_reply(reply);
-	/* Only the one shard was asked. */
+	/* The look-up queried only one shard. */
 	assert_int_equal(test_read_count(d->upstreams[0], -1, "requests"),
 			 before + 1);
 	reply = test_http_request("POST", d->caller_ports[0],
@@ -199,7 +203,7 @@
 	option = g_strdup_printf("--settings=%s", file);
 	g_file_set_contents(file, "instance: x\ncolour: red\n", -1, NULL);
 	assert_int_equal(run_daemon(option), 2);
-	/* An address that this machine does not have. */
+	/* An address that is not local, so that listening on it fails. */
 	g_file_set_contents(file,
 			    "instance: x\nzone: z\nsite: s\n"
 			    "caller_address: 192.0.2.1:80\n"
@@ -215,10 +219,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_one_relay_for_each_owner_and_query),
-		cmocka_unit_test(test_moving_versions_are_never_mixed),
-		cmocka_unit_test(
-			test_pages_of_a_list_until_its_version_is_gone),
+		cmocka_unit_test(test_one_relay_per_owner_and_query),
+		cmocka_unit_test(test_changing_versions_are_never_mixed),
+		cmocka_unit_test(test_list_pages_until_version_is_gone),
 		cmocka_unit_test(test_lookup_and_unknown_names),
 		cmocka_unit_test(test_exit_codes),
 	};
--- a/tests/test-process-quarantine.c
+++ b/tests/test-process-quarantine.c
@@ -1,6 +1,8 @@
 /*
- * test-process-quarantine.c - several ragwort-gateway processes on one store,
- * and a request that crashes each replica that runs it (a query of death).
+ * test-process-quarantine.c - Process tests of quarantining queries of death.
+ *
+ * Several ragwort-gateway processes share one store.  A query of death is a
+ * request that crashes each replica that runs it.
  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -19,46 +21,47 @@
 #include "support/standin-store.h"
 #include "support/tool-run.h"
 
-#define GATEWAYS 3
-#define SHARDS 4
-#define COPIES 2
-#define SINGLES 3 /* replicas of the service of single requests */
-#define REPLICAS (SHARDS * COPIES + SINGLES)
+#define N_GATEWAYS 3
+#define N_SHARDS 4
+#define REPLICAS_PER_SHARD 2
+#define N_UNSHARDED_REPLICAS 3 /* replicas of the service without shards */
+#define N_REPLICAS (N_SHARDS * REPLICAS_PER_SHARD + N_UNSHARDED_REPLICAS)
 #define RUN_MS 5
 #define RESTART_MS 300
-#define VISIT_MS 400
-/* Instances know of a crash that is so long ago, and of the two before. */
+#define REQUEST_INTERVAL_MS 400
+/* Time after a crash by which all instances know of it and the two before. */
 #define SETTLED_US (1500 * 1000)
-#define MOST_LATE 3
+#define MAX_LATE_REQUESTS 3
 
-struct world;
+struct fixture;
 
 struct replica {
 	struct test_server server;
-	struct world *world;
+	struct fixture *fixture;
 	int index;
-	int generation; /* its lifetimes so far */
-	guint restart;	/* source; 0: it runs */
+	int generation; /* number of restarts so far */
+	guint restart;	/* source of the pending restart; 0: running */
 };
 
 struct run {
 	struct replica *replica;
-	struct test_connection *connection; /* NULL: it is gone */
+	struct test_connection *connection; /* NULL: closed */
 	guint source;
 };
 
-struct world {
+struct fixture {
 	struct test_store store;
-	struct replica replicas[REPLICAS];
+	struct replica replicas[N_REPLICAS];
 	GPtrArray *runs; /* struct run */
 	int crashes;
-	int64_t third_us; /* when the third replica crashed; 0: not yet */
-	int64_t calm_us;  /* when the last harm from outside was over */
-	bool hands_over;  /* the first instance is strong, the others weak */
-	GHashTable *late; /* ids of deadly requests that came after that */
-	char *callers[GATEWAYS];
-	char *start_files[GATEWAYS];
-	struct test_process *gateways[GATEWAYS];
+	int64_t third_crash_us;	 /* time of the third crash; 0: not yet */
+	int64_t faults_ended_us; /* end of the last injected fault */
+	bool forwards_to_strong; /* only instance 0 has a great strength */
+	/* Ids of deadly requests run when all instances knew of the crashes. */
+	GHashTable *late_requests;
+	char *caller_addresses[N_GATEWAYS];
+	char *start_files[N_GATEWAYS];
+	struct test_process *gateways[N_GATEWAYS];
 	int next_id;
 };
 
@@ -83,20 +86,20 @@
 
 /* Replicas. */
 
-static char *id_of(const struct replica *replica)
+static char *format_id(const struct replica *replica)
 {
 	return g_strdup_printf("i-%d-%d", replica->index, replica->generation);
 }
 
-static void announce_replica(struct replica *replica)
+static void register_replica(struct replica *replica)
 {
-	char *id = id_of(replica);
+	char *id = format_id(replica);
 	char *service =
-		replica->index < SHARDS * COPIES ?
-			g_strdup_printf("s%d", replica->index % SHARDS) :
+		replica->index < N_SHARDS * REPLICAS_PER_SHARD ?
+			g_strdup_printf("s%d", replica->index % N_SHARDS) :
 			g_strdup("k");
 	char *address = g_strdup_printf("127.0.0.1:%u", replica->server.port);
-	char zone[] = { (char)('a' + replica->index / SHARDS), '\0' };
+	char zone[] = { (char)('a' + replica->index / N_SHARDS), '\0' };
 	struct test_replica_entry entry = {
 		.id = id,
 		.service = service,
@@ -105,7 +108,7 @@
 		.slots = 2,
 	};
 
-	test_store_put_replica(&replica->world->store, &entry);
+	test_store_put_replica(&replica->fixture->store, &entry);
 	g_free(address);
 	g_free(service);
 	g_free(id);
@@ -114,30 +117,31 @@
 static gboolean restart(gpointer data)
 {
 	struct replica *replica = data;
-	char *id = id_of(replica);
+	char *id = format_id(replica);
 	char *key = g_strconcat("servers/", id, NULL);
 
-	test_store_remove(&replica->world->store, key);
+	test_store_remove(&replica->fixture->store, key);
 	replica->generation++;
 	replica->restart = 0;
 	test_set_listening(&replica->server, true);
-	announce_replica(replica);
+	register_replica(replica);
 	g_free(key);
 	g_free(id);
 	return G_SOURCE_REMOVE;
 }
 
-static void crash(struct replica *replica)
+static void crash_replica(struct replica *replica)
 {
-	struct world *world = replica->world;
+	struct fixture *fixture = replica->fixture;
 
 	test_stop_server(&replica->server);
 	replica->restart = g_timeout_add(RESTART_MS, restart, replica);
-	if (++world->crashes == 3)
-		world->third_us = g_get_monotonic_time();
+	if (++fixture->crashes == 3)
+		fixture->third_crash_us = g_get_monotonic_time();
 }
 
-static void answer(struct replica *replica, struct test_connection *connection)
+static void send_reply(struct replica *replica,
+		       struct test_connection *connection)
 {
 	char *extra = g_strdup_printf(
 		"Response-Seal: seal%d\r\n"
@@ -151,18 +155,18 @@
 	g_free(extra);
 }
 
-static gboolean end_run(gpointer data)
+static gboolean finish_run(gpointer data)
 {
 	struct run *run = data;
 	struct replica *replica = run->replica;
 	struct test_connection *connection = run->connection;
 
 	run->source = 0;
-	g_ptr_array_remove(replica->world->runs, run);
+	g_ptr_array_remove(replica->fixture->runs, run);
 	if (strstr(connection->path, "deadly"))
-		crash(replica);
+		crash_replica(replica);
 	else
-		answer(replica, connection);
+		send_reply(replica, connection);
 	return G_SOURCE_REMOVE;
 }
 
@@ -175,11 +179,11 @@
 	g_free(run);
 }
 
-/* A run whose connection is gone is dropped. */
+/* Drop the run of a closed connection. */
 static void drop_run(struct test_connection *connection)
 {
 	struct replica *replica = connection->server->data;
-	GPtrArray *runs = replica->world->runs;
+	GPtrArray *runs = replica->fixture->runs;
 
 	for (guint i = 0; i < runs->len; i++) {
 		struct run *run = g_ptr_array_index(runs, i);
@@ -191,70 +195,74 @@
 	}
 }
 
-static void take_run(struct test_connection *connection)
+static void handle_run(struct test_connection *connection)
 {
 	struct replica *replica = connection->server->data;
-	struct world *world = replica->world;
+	struct fixture *fixture = replica->fixture;
 	struct run *run = g_new0(struct run, 1);
 
 	run->replica = replica;
 	run->connection = connection;
-	run->source = g_timeout_add(RUN_MS, end_run, run);
-	g_ptr_array_add(world->runs, run);
-	if (strstr(connection->path, "deadly") && world->third_us &&
+	run->source = g_timeout_add(RUN_MS, finish_run, run);
+	g_ptr_array_add(fixture->runs, run);
+	if (strstr(connection->path, "deadly") && fixture->third_crash_us &&
 	    g_get_monotonic_time() >=
-		    MAX(world->third_us, world->calm_us) + SETTLED_US)
-		g_hash_table_add(world->late,
+		    MAX(fixture->third_crash_us, fixture->faults_ended_us) +
+			    SETTLED_US)
+		g_hash_table_add(fixture->late_requests,
 				 g_strdup(test_request_header(connection,
 							      "request-id")));
 }
 
 /* Gateways. */
 
-static void start_gateway(struct world *world, int i)
+static void start_gateway(struct fixture *fixture, int i)
 {
 	char *ready = test_reserve_address();
 	char *peers = test_reserve_address();
-	bool weak = world->hands_over && i;
+	bool weak = fixture->forwards_to_strong && i;
 	char *text = g_strdup_printf(
 		"instance: gw-%d\nzone: %c\ncaller_address: \"%s\"\n"
 		"ready_address: \"%s\"\npeer_address: \"%s\"\n"
 		"store_address: \"127.0.0.1:%u\"\nstop_timeout_s: 6\n"
 		"extra_slack: 100\nstrength: %s\n",
-		i, world->hands_over ? 'a' : 'a' + i, world->callers[i], ready,
-		peers, world->store.server.port, weak ? "0.2" : "1");
+		i, fixture->forwards_to_strong ? 'a' : 'a' + i,
+		fixture->caller_addresses[i], ready, peers,
+		fixture->store.server.port, weak ? "0.2" : "1");
 
-	world->start_files[i] = test_write_temp_file(text);
-	world->gateways[i] = test_start_gateway(world->start_files[i]);
+	fixture->start_files[i] = test_write_temp_file(text);
+	fixture->gateways[i] = test_start_gateway(fixture->start_files[i]);
 	g_free(text);
 	g_free(peers);
 	g_free(ready);
 }
 
-static void stop_gateway(struct world *world, int i)
+static void stop_gateway(struct fixture *fixture, int i)
 {
-	test_drop_process(world->gateways[i]);
-	test_remove_temp_file(world->start_files[i]);
+	test_drop_process(fixture->gateways[i]);
+	test_remove_temp_file(fixture->start_files[i]);
 }
 
-static struct raw_peer *ask(struct world *world, int gateway, const char *line)
+static struct raw_peer *send_request(struct fixture *fixture, int gateway,
+				     const char *line)
 {
-	struct raw_peer *caller = raw_connect(world->callers[gateway]);
+	struct raw_peer *caller =
+		raw_connect(fixture->caller_addresses[gateway]);
 	char *text = g_strdup_printf("%s HTTP/1.1\r\nHost: h\r\n"
 				     "Request-Id: id%d\r\nDeadline-Ms: 4000\r\n"
 				     "Content-Length: 0\r\n\r\n",
-				     line, world->next_id++);
+				     line, fixture->next_id++);
 
 	raw_send(caller, text);
 	g_free(text);
 	return caller;
 }
 
-/* Ask, and whether the answer's status was this one. */
-static bool is_answered(struct world *world, int gateway, const char *line,
-			const char *status)
+/* Send a request; returns whether the response has this status. */
+static bool has_status(struct fixture *fixture, int gateway, const char *line,
+		       const char *status)
 {
-	struct raw_peer *caller = ask(world, gateway, line);
+	struct raw_peer *caller = send_request(fixture, gateway, line);
 	bool same;
 
 	raw_expect(caller, "\r\n\r\n");
@@ -264,213 +272,223 @@
 	return same;
 }
 
-static void wait_until_served(struct world *world, int gateway)
+static void wait_until_served(struct fixture *fixture, int gateway)
 {
-	while (raw_is_refused(world->callers[gateway]) ||
-	       !is_answered(world, gateway, "GET /all/fine", "200") ||
-	       !is_answered(world, gateway, "GET /one/fine", "200"))
+	while (raw_is_refused(fixture->caller_addresses[gateway]) ||
+	       !has_status(fixture, gateway, "GET /all/fine", "200") ||
+	       !has_status(fixture, gateway, "GET /one/fine", "200"))
 		raw_run_for(20 * 1000);
 }
 
-static int set_up_world(void **state, bool hands_over)
+static int set_up_fixture(void **state, bool forwards_to_strong)
 {
-	struct world *world = g_new0(struct world, 1);
+	struct fixture *fixture = g_new0(struct fixture, 1);
 
-	world->hands_over = hands_over;
-	test_open_store(&world->store, 1);
-	test_store_put(&world->store, "op/config", config);
-	world->runs = g_ptr_array_new_with_free_func(free_run);
-	world->late =
+	fixture->forwards_to_strong = forwards_to_strong;
+	test_open_store(&fixture->store, 1);
+	test_store_put(&fixture->store, "op/config", config);
+	fixture->runs = g_ptr_array_new_with_free_func(free_run);
+	fixture->late_requests =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	for (int i = 0; i < REPLICAS; i++) {
-		struct replica *replica = &world->replicas[i];
+	for (int i = 0; i < N_REPLICAS; i++) {
+		struct replica *replica = &fixture->replicas[i];
 
-		replica->world = world;
+		replica->fixture = fixture;
 		replica->index = i;
 		replica->server.data = replica;
-		replica->server.request = take_run;
+		replica->server.request = handle_run;
 		replica->server.closing = drop_run;
 		test_set_listening(&replica->server, true);
-		announce_replica(replica);
+		register_replica(replica);
 	}
-	for (int i = 0; i < GATEWAYS; i++) {
-		world->callers[i] = test_reserve_address();
-		start_gateway(world, i);
+	for (int i = 0; i < N_GATEWAYS; i++) {
+		fixture->caller_addresses[i] = test_reserve_address();
+		start_gateway(fixture, i);
 	}
-	for (int i = 0; i < GATEWAYS; i++)
-		wait_until_served(world, i);
-	*state = world;
+	for (int i = 0; i < N_GATEWAYS; i++)
+		wait_until_served(fixture, i);
+	*state = fixture;
 	return 0;
 }
 
 static int set_up(void **state)
 {
-	return set_up_world(state, false);
+	return set_up_fixture(state, false);
 }
 
-static int set_up_weak(void **state)
+static int set_up_forwarding(void **state)
 {
-	return set_up_world(state, true);
+	return set_up_fixture(state, true);
 }
 
 static int tear_down(void **state)
 {
-	struct world *world = *state;
+	struct fixture *fixture = *state;
 
-	for (int i = 0; i < GATEWAYS; i++) {
-		stop_gateway(world, i);
-		g_free(world->callers[i]);
+	for (int i = 0; i < N_GATEWAYS; i++) {
+		stop_gateway(fixture, i);
+		g_free(fixture->caller_addresses[i]);
 	}
-	g_ptr_array_set_size(world->runs, 0);
-	for (int i = 0; i < REPLICAS; i++) {
-		struct replica *replica = &world->replicas[i];
+	g_ptr_array_set_size(fixture->runs, 0);
+	for (int i = 0; i < N_REPLICAS; i++) {
+		struct replica *replica = &fixture->replicas[i];
 
 		if (replica->restart)
 			g_source_remove(replica->restart);
 		test_destroy_server(&replica->server);
 	}
-	g_ptr_array_unref(world->runs);
-	g_hash_table_unref(world->late);
-	test_close_store(&world->store);
-	g_free(world);
+	g_ptr_array_unref(fixture->runs);
+	g_hash_table_unref(fixture->late_requests);
+	test_close_store(&fixture->store);
+	g_free(fixture);
 	return 0;
 }
 
-/* The same request comes to one instance after the other. */
-static void visit_in_turn(struct world *world, const char *line, int visits)
+/* Send the same request to the instances in turn, without awaiting replies. */
+static void send_in_turn(struct fixture *fixture, const char *line,
+			 int n_requests)
 {
-	for (int i = 0; i < visits; i++) {
-		raw_drop(ask(world, i % GATEWAYS, line));
-		raw_run_for(VISIT_MS * 1000);
+	for (int i = 0; i < n_requests; i++) {
+		raw_drop(send_request(fixture, i % N_GATEWAYS, line));
+		raw_run_for(REQUEST_INTERVAL_MS * 1000);
 	}
 }
 
-/* As above, and each waits for its answer. */
-static void ask_in_turn(struct world *world, const char *line, int visits)
+/* As above, and wait for each response. */
+static void request_in_turn(struct fixture *fixture, const char *line,
+			    int n_requests)
 {
-	for (int i = 0; i < visits; i++) {
-		struct raw_peer *caller = ask(world, i % GATEWAYS, line);
+	for (int i = 0; i < n_requests; i++) {
+		struct raw_peer *caller =
+			send_request(fixture, i % N_GATEWAYS, line);
 
 		raw_expect(caller, "\r\n\r\n");
 		raw_drop(caller);
-		raw_run_for(VISIT_MS * 1000);
+		raw_run_for(REQUEST_INTERVAL_MS * 1000);
 	}
 }
 
-static void assert_kept_from_replicas(struct world *world)
+static void assert_quarantined(struct fixture *fixture)
 {
-	assert_true(world->crashes >= 3);
-	assert_in_range(g_hash_table_size(world->late), 0, MOST_LATE);
+	assert_true(fixture->crashes >= 3);
+	assert_in_range(g_hash_table_size(fixture->late_requests), 0,
+			MAX_LATE_REQUESTS);
 }
 
-/* Guards against a search that crashes a replica of each shard at each visit. */
-static void test_a_search_that_crashes_replicas_is_kept_from_them(void **state)
+/* Guards against a search that crashes a replica of each shard each time. */
+static void test_deadly_search_is_quarantined(void **state)
 {
-	struct world *world = *state;
+	struct fixture *fixture = *state;
 
-	ask_in_turn(world, "GET /all/deadly", 15);
-	assert_kept_from_replicas(world);
-	for (int i = 0; i < GATEWAYS; i++)
-		wait_until_served(world, i);
+	request_in_turn(fixture, "GET /all/deadly", 15);
+	assert_quarantined(fixture);
+	for (int i = 0; i < N_GATEWAYS; i++)
+		wait_until_served(fixture, i);
 }
 
 /*
- * Guards against crashes that no instance counts to three: each sees two of
- * them at a visit.
+ * Guards against crashes that no instance alone counts up to three: each
+ * observes two of them per request.
  */
-static void test_a_request_that_crashes_replicas_is_kept_from_them(void **state)
+static void test_deadly_unsharded_request_is_quarantined(void **state)
 {
-	struct world *world = *state;
+	struct fixture *fixture = *state;
 
-	ask_in_turn(world, "GET /one/deadly", 15);
-	assert_kept_from_replicas(world);
+	request_in_turn(fixture, "GET /one/deadly", 15);
+	assert_quarantined(fixture);
 }
 
-/* Guards against one that is never repeated here, and by its caller only. */
-static void test_one_that_runs_once_is_kept_from_them(void **state)
+/*
+ * Guards against a query of death that the gateway never retries and only its
+ * caller repeats.
+ */
+static void test_deadly_non_idempotent_request_is_quarantined(void **state)
 {
-	struct world *world = *state;
+	struct fixture *fixture = *state;
 
-	ask_in_turn(world, "POST /once/deadly", 18);
-	assert_kept_from_replicas(world);
+	request_in_turn(fixture, "POST /once/deadly", 18);
+	assert_quarantined(fixture);
 }
 
-/* Guards against crashes that count only for a caller that waits to the end. */
-static void test_one_whose_caller_leaves_is_kept_from_them(void **state)
+/* Guards against crashes that count only if the caller awaits the response. */
+static void
+test_deadly_search_of_disconnected_caller_is_quarantined(void **state)
 {
-	struct world *world = *state;
+	struct fixture *fixture = *state;
 
-	ask_in_turn(world, "GET /all/deadly", 1);
-	visit_in_turn(world, "GET /all/deadly", 12);
-	assert_kept_from_replicas(world);
+	request_in_turn(fixture, "GET /all/deadly", 1);
+	send_in_turn(fixture, "GET /all/deadly", 12);
+	assert_quarantined(fixture);
 }
 
-/* Guards against an instance that starts again and knows nothing of it. */
-static void test_an_instance_that_starts_again_knows_of_it(void **state)
+/* Guards against a restarted instance that does not load the quarantine. */
+static void test_restarted_instance_loads_quarantine(void **state)
 {
-	struct world *world = *state;
+	struct fixture *fixture = *state;
 
-	ask_in_turn(world, "GET /all/deadly", 3);
+	request_in_turn(fixture, "GET /all/deadly", 3);
 	raw_run_for(2 * SETTLED_US);
-	for (int i = 0; i < GATEWAYS; i++) {
-		test_signal_process(world->gateways[i], SIGKILL);
-		test_wait_process(world->gateways[i]);
-		stop_gateway(world, i);
-		start_gateway(world, i);
+	for (int i = 0; i < N_GATEWAYS; i++) {
+		test_signal_process(fixture->gateways[i], SIGKILL);
+		test_wait_process(fixture->gateways[i]);
+		stop_gateway(fixture, i);
+		start_gateway(fixture, i);
 	}
-	for (int i = 0; i < GATEWAYS; i++)
-		wait_until_served(world, i);
-	ask_in_turn(world, "GET /all/deadly", 6);
-	assert_kept_from_replicas(world);
+	for (int i = 0; i < N_GATEWAYS; i++)
+		wait_until_served(fixture, i);
+	request_in_turn(fixture, "GET /all/deadly", 6);
+	assert_quarantined(fixture);
 }
 
-/* Guards against a strong instance that gathers it for each weak one. */
-static void test_one_that_is_handed_over_is_kept_from_them(void **state)
+/*
+ * Guards against a strong instance that runs the query of death again for
+ * each weak instance that forwards it.
+ */
+static void test_deadly_search_at_weak_instance_is_quarantined(void **state)
 {
-	struct world *world = *state;
+	struct fixture *fixture = *state;
 
-	ask_in_turn(world, "GET /all/deadly", 15);
-	assert_kept_from_replicas(world);
-	for (int i = 0; i < GATEWAYS; i++)
-		wait_until_served(world, i);
+	request_in_turn(fixture, "GET /all/deadly", 15);
+	assert_quarantined(fixture);
+	for (int i = 0; i < N_GATEWAYS; i++)
+		wait_until_served(fixture, i);
 }
 
-/* Guards against crashes that are forgotten since the store was away. */
-static void test_a_store_that_is_away_is_told_later(void **state)
+/* Guards against crashes that are lost because the store was unavailable. */
+static void test_crashes_are_written_after_store_outage(void **state)
 {
-	struct world *world = *state;
-
-	test_store_set_state(&world->store, TEST_STORE_RESET);
-	ask_in_turn(world, "GET /all/deadly", 6);
-	test_store_set_state(&world->store, TEST_STORE_UP);
-	world->calm_us = g_get_monotonic_time() + SETTLED_US;
-	ask_in_turn(world, "GET /all/deadly", 18);
-	assert_kept_from_replicas(world);
+	struct fixture *fixture = *state;
+
+	test_store_set_state(&fixture->store, TEST_STORE_RESET);
+	request_in_turn(fixture, "GET /all/deadly", 6);
+	test_store_set_state(&fixture->store, TEST_STORE_UP);
+	fixture->faults_ended_us = g_get_monotonic_time() + SETTLED_US;
+	request_in_turn(fixture, "GET /all/deadly", 18);
+	assert_quarantined(fixture);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(
-			test_a_search_that_crashes_replicas_is_kept_from_them,
-			set_up, tear_down),
+			test_deadly_search_is_quarantined, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			test_a_request_that_crashes_replicas_is_kept_from_them,
-			set_up, tear_down),
-		cmocka_unit_test_setup_teardown(
-			test_one_that_runs_once_is_kept_from_them, set_up,
+			test_deadly_unsharded_request_is_quarantined, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			test_one_whose_caller_leaves_is_kept_from_them, set_up,
-			tear_down),
+			test_deadly_non_idempotent_request_is_quarantined,
+			set_up, tear_down),
+		cmocka_unit_test_setup_teardown(
+			test_deadly_search_of_disconnected_caller_is_quarantined,
+			set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			test_an_instance_that_starts_again_knows_of_it, set_up,
+			test_restarted_instance_loads_quarantine, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			test_one_that_is_handed_over_is_kept_from_them,
-			set_up_weak, tear_down),
+			test_deadly_search_at_weak_instance_is_quarantined,
+			set_up_forwarding, tear_down),
 		cmocka_unit_test_setup_teardown(
-			test_a_store_that_is_away_is_told_later, set_up,
+			test_crashes_are_written_after_store_outage, set_up,
 			tear_down),
 	};
 
--- a/tests/test-process-replica.c
+++ b/tests/test-process-replica.c
@@ -1,6 +1,8 @@
 /*
- * test-process-replica.c - real processes whose upstream replicas are
- * replaced, moved or tell lies.  Waits for events, asserts no times.
+ * test-process-replica.c - Process tests with changing upstream replicas.
+ *
+ * Replicas are replaced, repartitioned, or report a false load.  The tests
+ * wait for events and assert no durations.
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -14,11 +16,12 @@
 
 #define N_RESERVATIONS 4
 
-static struct test_deployment *start(int n_shards, int n_copies)
+static struct test_deployment *start_deployment(int n_shards,
+						int replicas_per_shard)
 {
 	struct test_deployment_options options = {
 		.n_shards = n_shards,
-		.replicas_per_shard = n_copies,
+		.replicas_per_shard = replicas_per_shard,
 		.n_zones = 1,
 		.n_instances = 1,
 		.service_settings = "    deadline_ms: 8000\n"
@@ -79,7 +82,7 @@
 	assert_true(test_wait_until(has_state, &wait));
 }
 
-static bool first_copy_works(void *data)
+static bool is_first_replica_busy(void *data)
 {
 	struct test_deployment *d = data;
 
@@ -89,16 +92,16 @@
 }
 
 /*
- * An operator replaces one copy of the upstreams while mechanics wait for
- * answers and pallets are being reserved at it.  It gets SIGTERM, tells that
- * it is draining, finishes and goes.  No search lacks a yard, each
- * reservation runs once, and after the news nothing new comes to it.
+ * Guards against work that is lost when upstream replicas are stopped.  One
+ * replica of each shard gets SIGTERM during a search and reservations; it
+ * reports "draining", finishes and exits.  Each search must be complete, each
+ * reservation must run once, and a draining replica must get no new requests.
  */
-static void test_sigterm_of_replicas_loses_nothing(void **state)
+static void test_sigterm_of_replicas_loses_no_work(void **state)
 {
-	struct test_deployment *d = start(2, 2);
+	struct test_deployment *d = start_deployment(2, 2);
 	struct test_pending_request *search;
-	struct test_pending_request *reserves[N_RESERVATIONS];
+	struct test_pending_request *reservations[N_RESERVATIONS];
 	char *ids[N_RESERVATIONS];
 	struct test_http_reply *reply;
 	int64_t before;
@@ -114,18 +117,18 @@
 		char *name = g_strdup_printf("replica-drain-%d", i);
 
 		ids[i] = test_new_idempotency_key(name);
-		reserves[i] = test_start_request(
+		reservations[i] = test_start_request(
 			d->caller_ports[0], TEST_SERVICE "/reserve",
 			"Idempotency-Key", ids[i], "{\"key\":0}");
 		g_free(name);
 	}
-	assert_true(test_wait_until(first_copy_works, d));
+	assert_true(test_wait_until(is_first_replica_busy, d));
 	test_signal_process(d->upstreams[0]->process, SIGTERM);
 	reply = test_finish_request(search);
 	assert_int_equal(test_check_search(d, reply), 0);
 	test_drop_reply(reply);
 	for (int i = 0; i < N_RESERVATIONS; i++) {
-		reply = test_finish_request(reserves[i]);
+		reply = test_finish_request(reservations[i]);
 		assert_int_equal(reply->status, 200);
 		test_drop_reply(reply);
 		assert_int_equal(
@@ -147,8 +150,10 @@
 	test_drop_deployment(d);
 }
 
-/* Every row's key is a multiple of 100, comes once, and is in the right
- * shard; returns how many rows have a key in [from, to). */
+/*
+ * Check that each row's key is a multiple of 100, unique, and in the right
+ * shard; returns the number of rows with a key in [from, to).
+ */
 static int check_rows(const struct test_http_reply *reply, int64_t first_end,
 		      int64_t from, int64_t to)
 {
@@ -173,7 +178,7 @@
 	return n;
 }
 
-static bool moved_search_is_complete(void *data)
+static bool is_search_complete_after_move(void *data)
 {
 	struct test_deployment *d = data;
 	struct test_http_reply *reply = test_search(d, 0);
@@ -185,14 +190,14 @@
 }
 
 /*
- * Half of the first shard's keys move to the second while a search runs at
- * both.  That search gets what the first shard still has, and is told that
- * the shard has moved and not that its yard has no more pallets.  With the
- * new map in force a search has every row again, each once.
+ * Guards against rows that disappear silently during a repartition.  Half of
+ * the first shard's keys move to the second while a search runs at both.  The
+ * search must return the rows that the first shard still has and report the
+ * shard as moved.  With the new map a search must return each row once.
  */
-static void test_repartition_in_mid_query(void **state)
+static void test_repartition_during_query(void **state)
 {
-	struct test_deployment *d = start(2, 1);
+	struct test_deployment *d = start_deployment(2, 1);
 	struct test_pending_request *search;
 	struct test_http_reply *reply;
 
@@ -215,11 +220,11 @@
 			  "{\"service_ms\":1,\"epoch\":2}");
 	d->options.n_moved_keys = 500;
 	test_change_settings(d, d->options.service_settings);
-	assert_true(test_wait_until(moved_search_is_complete, d));
+	assert_true(test_wait_until(is_search_complete_after_move, d));
 	test_drop_deployment(d);
 }
 
-static bool first_copy_is_asked(void *data)
+static bool is_first_replica_used(void *data)
 {
 	struct test_deployment *d = data;
 
@@ -228,13 +233,14 @@
 }
 
 /*
- * A replica dies and another takes its place at the same address, cold: each
- * of its first answers takes five times as long and it says so.  Searches
- * stay complete all the while, and once it is warm it is asked again.
+ * Guards against a replaced replica that causes partial answers or stays
+ * unused.  A replica is killed and replaced at the same address.  The new one
+ * is cold: its first answers take five times as long, and it reports that.
+ * Searches must stay complete, and it must get requests once it is warm.
  */
-static void test_cold_replacement_is_taken_in(void **state)
+static void test_cold_replacement_is_used_once_warm(void **state)
 {
-	struct test_deployment *d = start(1, 2);
+	struct test_deployment *d = start_deployment(1, 2);
 	char *port =
 		g_strdup_printf("--base-port=%u", d->upstreams[0]->ports[0]);
 	const char *arguments[] = { port, "--cold-ms=600000", NULL };
@@ -248,19 +254,20 @@
 	search_all(d, 20);
 	test_post_control(d->upstreams[0]->control_port, "{\"cold_ms\":0}");
 	wait_for_state(d, "desk-01-a", "ready");
-	assert_true(test_wait_until(first_copy_is_asked, d));
+	assert_true(test_wait_until(is_first_replica_used, d));
 	g_free(port);
 	test_drop_deployment(d);
 }
 
 /*
- * One copy is very slow and tells that it is idle; the other is quick and
- * tells that it is full.  What the instance sees itself must count for more:
- * the quick one gets most of the work, and every search is complete.
+ * Guards against trusting false load reports.  One replica of each shard is
+ * very slow and reports that it is idle; the other is fast and reports full
+ * load.  The instance's own measurements must have more weight: the fast one
+ * gets most of the work, and each search is complete.
  */
-static void test_false_load_reports_are_seen_through(void **state)
+static void test_false_load_reports_have_little_weight(void **state)
 {
-	struct test_deployment *d = start(2, 2);
+	struct test_deployment *d = start_deployment(2, 2);
 	int64_t requests[2];
 
 	test_post_control(d->upstreams[0]->control_port,
@@ -283,10 +290,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_sigterm_of_replicas_loses_nothing),
-		cmocka_unit_test(test_repartition_in_mid_query),
-		cmocka_unit_test(test_cold_replacement_is_taken_in),
-		cmocka_unit_test(test_false_load_reports_are_seen_through),
+		cmocka_unit_test(test_sigterm_of_replicas_loses_no_work),
+		cmocka_unit_test(test_repartition_during_query),
+		cmocka_unit_test(test_cold_replacement_is_used_once_warm),
+		cmocka_unit_test(test_false_load_reports_have_little_weight),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test-process-stop.c
+++ b/tests/test-process-stop.c
@@ -1,6 +1,7 @@
 /*
- * test-process-stop.c - real processes that are stopped: gracefully, killed,
- * or paused.  Waits for events, asserts no times.
+ * test-process-stop.c - Process tests of drained, killed and paused processes.
+ *
+ * The tests wait for events and assert no durations.
  */
 #include <setjmp.h>
 #include <signal.h>
@@ -12,13 +13,14 @@
 
 #include "support/deployment.h"
 
-static struct test_deployment *start(int n_zones, int n_entries, int n_copies)
+static struct test_deployment *start_deployment(int n_zones, int n_instances,
+						int replicas_per_shard)
 {
 	struct test_deployment_options options = {
 		.n_shards = 4,
-		.replicas_per_shard = n_copies,
+		.replicas_per_shard = replicas_per_shard,
 		.n_zones = n_zones,
-		.n_instances = n_entries,
+		.n_instances = n_instances,
 		.service_settings = "    deadline_ms: 8000\n"
 				    "    attempt_timeout_ms: 8000\n"
 				    "    retry_budget: 1.0\n",
@@ -27,7 +29,7 @@
 	return test_start_deployment(&options);
 }
 
-static bool work_is_running(void *data)
+static bool is_work_running(void *data)
 {
 	struct test_deployment *d = data;
 
@@ -50,8 +52,8 @@
 	g_free(json);
 }
 
-/* A search that the replicas work on for so long. */
-static struct test_pending_request *begin_search(struct test_deployment *d,
+/* Start a search whose attempts each take `service_ms` at the replicas. */
+static struct test_pending_request *start_search(struct test_deployment *d,
 						 int service_ms)
 {
 	struct test_pending_request *pending;
@@ -59,12 +61,12 @@
 	set_service_ms(d, service_ms);
 	pending = test_start_request(d->caller_ports[0], TEST_SERVICE "/search",
 				     NULL, NULL, "{\"query\":1}");
-	assert_true(test_wait_until(work_is_running, d));
+	assert_true(test_wait_until(is_work_running, d));
 	return pending;
 }
 
-static void expect_whole_answer(struct test_deployment *d,
-				struct test_pending_request *pending)
+static void expect_complete_answer(struct test_deployment *d,
+				   struct test_pending_request *pending)
 {
 	struct test_http_reply *reply = test_finish_request(pending);
 
@@ -73,55 +75,55 @@
 }
 
 /*
- * An operator replaces an instance while a contractor waits for its answer.
- * The instance gets SIGTERM with attempts in flight; the contractor must
- * still get the whole answer, and only then the process may end.
+ * Guards against requests that are lost when an instance is replaced.  It
+ * gets SIGTERM with attempts in flight; the caller must still get the complete
+ * answer before the process exits.
  */
-static void test_sigterm_answers_what_is_in_flight(void **state)
+static void test_sigterm_completes_requests_in_flight(void **state)
 {
-	struct test_deployment *d = start(1, 1, 1);
-	struct test_pending_request *pending = begin_search(d, 1500);
+	struct test_deployment *d = start_deployment(1, 1, 1);
+	struct test_pending_request *pending = start_search(d, 1500);
 
 	test_signal_process(d->instances[0], SIGTERM);
-	expect_whole_answer(d, pending);
+	expect_complete_answer(d, pending);
 	assert_int_equal(test_wait_process(d->instances[0]), 0);
 	test_drop_deployment(d);
 }
 
 /*
- * The same for an instance that runs attempts on behalf of one in another
- * availability zone: the relay's reply must leave before the process ends.
+ * The same for an instance that runs attempts for one in another availability
+ * zone: it must send the reply to the relay before the process exits.
  */
-static void test_sigterm_of_an_owner_ends_its_relays(void **state)
+static void test_sigterm_of_owner_completes_relays(void **state)
 {
-	struct test_deployment *d = start(2, 2, 1);
-	struct test_pending_request *pending = begin_search(d, 1500);
+	struct test_deployment *d = start_deployment(2, 2, 1);
+	struct test_pending_request *pending = start_search(d, 1500);
 
-	/* Both zones' attempts have started when replica 2 (zone 1) works. */
+	/* Attempts run in both zones once replica 1 (in zone 1) is busy. */
 	while (!test_read_count(d->upstreams[0], 1, "running"))
 		g_usleep(10 * 1000);
 	test_signal_process(d->instances[1], SIGTERM);
-	expect_whole_answer(d, pending);
+	expect_complete_answer(d, pending);
 	assert_int_equal(test_wait_process(d->instances[1]), 0);
 	test_drop_deployment(d);
 }
 
 /*
- * All first replicas die in the middle of a search.  The caller gets either
- * the other replicas' rows or is told what lacks, never half of a shard; the
- * next search is complete.
+ * Guards against partial shards when the first replica of each shard is killed
+ * during a search.  For each shard the caller gets either all rows, from the
+ * other replica, or a missing shard; the next search is complete.
  */
-static void test_sigkill_of_replicas_in_mid_query(void **state)
+static void test_sigkill_of_replicas_during_query(void **state)
 {
-	struct test_deployment *d = start(1, 1, 2);
-	struct test_pending_request *pending = begin_search(d, 1000);
+	struct test_deployment *d = start_deployment(1, 1, 2);
+	struct test_pending_request *pending = start_search(d, 1000);
 	struct test_http_reply *reply;
 
 	test_signal_process(d->upstreams[0]->process, SIGKILL);
 	reply = test_finish_request(pending);
 	test_check_search(d, reply);
 	test_drop_reply(reply);
-	/* One process is gone: its counts can't be read any more. */
+	/* The killed process does not serve its counts any more. */
 	test_post_control(d->upstreams[1]->control_port, "{\"service_ms\":1}");
 	reply = test_search(d, 0);
 	assert_int_equal(test_check_search(d, reply), 0);
@@ -130,14 +132,15 @@
 }
 
 /*
- * An instance is paused (a stopped virtual machine) with a reservation in
- * flight, long enough that its peers give it up, and wakes up believing that
- * no time has passed.  The caller has tried again under the same id at
- * another instance meanwhile.  The reservation must have run once at most.
+ * Guards against a reservation that runs twice when an instance is paused,
+ * such as by a stopped virtual machine.  It is paused with a reservation in
+ * flight for long enough that its peers consider it dead, and resumes without
+ * noticing the time that has passed.  In the meantime the caller has repeated
+ * the request with the same id at another instance.
  */
-static void test_paused_instance_reserves_once(void **state)
+static void test_paused_instance_runs_reservation_once(void **state)
 {
-	struct test_deployment *d = start(1, 2, 1);
+	struct test_deployment *d = start_deployment(1, 2, 1);
 	char *id = test_new_idempotency_key("paused-instance");
 	struct test_pending_request *pending;
 	struct test_http_reply *reply;
@@ -146,7 +149,7 @@
 	pending =
 		test_start_request(d->caller_ports[0], TEST_SERVICE "/reserve",
 				   "Idempotency-Key", id, "{\"key\":0}");
-	assert_true(test_wait_until(work_is_running, d));
+	assert_true(test_wait_until(is_work_running, d));
 	test_signal_process(d->instances[0], SIGSTOP);
 	reply = test_reserve(d, 1, id);
 	assert_true(reply->status == 200 || reply->status == 503 ||
@@ -182,49 +185,53 @@
 	return writes;
 }
 
-/* Instance 1 counts itself alone. */
-static bool peer_is_given_up(void *data)
+/* Whether instance 1 has no other members left. */
+static bool is_peer_dead(void *data)
 {
 	return test_read_metric(data, 1, "members") == 1;
 }
 
-struct repeat {
+struct repeated_request {
 	struct test_deployment *d;
 	const char *id;
 };
 
-static bool is_told_of_the_claim(void *data)
+static bool is_claim_reported(void *data)
 {
-	struct repeat *repeat = data;
-	struct test_http_reply *reply = test_reserve(repeat->d, 1, repeat->id);
-	bool told = reply->status == 504;
+	struct repeated_request *repeated_request = data;
+	struct test_http_reply *reply =
+		test_reserve(repeated_request->d, 1, repeated_request->id);
+	bool reported = reply->status == 504;
 
-	assert_true(told || reply->status == 503);
-	assert_int_equal(
-		test_read_run_count(repeat->d->upstreams[0], repeat->id), 0);
+	assert_true(reported || reply->status == 503);
+	assert_int_equal(test_read_run_count(repeated_request->d->upstreams[0],
+					     repeated_request->id),
+			 0);
 	test_drop_reply(reply);
-	return told;
+	return reported;
 }
 
 /*
- * An instance has claimed a reservation and is paused before it has sent it.
- * Its peers give it up, and the same id comes to another instance, which must
- * not take the claim over.  Awake again, the holder goes on where it was.  In
- * the end it has run once at most, and "not run" is true.
+ * Guards against a claim that is taken over from a paused instance.  The
+ * instance has claimed a reservation and is paused before it sends the
+ * attempt.  Its peers consider it dead, and the same id is sent to another
+ * instance, which must not take over the claim.  After the pause the holder
+ * continues.  The reservation must have run at most once, and an outcome
+ * "not run" must be true.
  */
-static void test_holder_paused_after_its_claim(void **state)
+static void test_holder_paused_after_claim(void **state)
 {
-	struct test_deployment *d = start(1, 2, 1);
+	struct test_deployment *d = start_deployment(1, 2, 1);
 	char *id = test_new_idempotency_key("paused-holder");
-	struct repeat repeat = { d, id };
+	struct repeated_request repeated_request = { d, id };
 	struct test_pending_request *pending;
 	struct test_http_reply *reply;
 	int64_t runs;
 
 	/*
-	 * The claim's reply is lost and the holder reads it back, which takes
-	 * a while: time to stop it.  Should it send before, the long service
-	 * still keeps it from a result.
+	 * The reply to the claim is lost and the holder reads the claim back,
+	 * which takes long enough to pause it.  If it sends the attempt before
+	 * the pause, the long service time still delays the result.
 	 */
 	set_service_ms(d, 3000);
 	test_post_control(d->platform->control_port,
@@ -236,9 +243,9 @@
 		g_usleep(1000);
 	test_signal_process(d->instances[0], SIGSTOP);
 	test_post_control(d->platform->control_port, "{\"slow_ms\":0}");
-	assert_true(test_wait_until(is_told_of_the_claim, &repeat));
-	assert_true(test_wait_until(peer_is_given_up, d));
-	assert_true(test_wait_until(is_told_of_the_claim, &repeat));
+	assert_true(test_wait_until(is_claim_reported, &repeated_request));
+	assert_true(test_wait_until(is_peer_dead, d));
+	assert_true(test_wait_until(is_claim_reported, &repeated_request));
 	set_service_ms(d, 1);
 	test_signal_process(d->instances[0], SIGCONT);
 	reply = test_finish_request(pending);
@@ -257,13 +264,13 @@
 }
 
 /*
- * The only instance of a zone dies without warning.  The others go on: an
- * answer may lack its zone's shards for a moment and then says so, and the
- * zone's replicas soon fall to instances of other zones.
+ * Guards against shards that stay missing when the only instance of a zone is
+ * killed.  An answer may lack the zone's shards at first, and must report
+ * them as missing; then instances of other zones take over its replicas.
  */
-static void test_sigkill_of_the_only_instance_of_a_zone(void **state)
+static void test_sigkill_of_only_instance_of_zone(void **state)
 {
-	struct test_deployment *d = start(2, 2, 1);
+	struct test_deployment *d = start_deployment(2, 2, 1);
 	struct test_http_reply *reply;
 
 	reply = test_search(d, 0);
@@ -281,12 +288,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_sigterm_answers_what_is_in_flight),
-		cmocka_unit_test(test_sigterm_of_an_owner_ends_its_relays),
-		cmocka_unit_test(test_sigkill_of_replicas_in_mid_query),
-		cmocka_unit_test(test_paused_instance_reserves_once),
-		cmocka_unit_test(test_holder_paused_after_its_claim),
-		cmocka_unit_test(test_sigkill_of_the_only_instance_of_a_zone),
+		cmocka_unit_test(test_sigterm_completes_requests_in_flight),
+		cmocka_unit_test(test_sigterm_of_owner_completes_relays),
+		cmocka_unit_test(test_sigkill_of_replicas_during_query),
+		cmocka_unit_test(test_paused_instance_runs_reservation_once),
+		cmocka_unit_test(test_holder_paused_after_claim),
+		cmocka_unit_test(test_sigkill_of_only_instance_of_zone),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
