--- a/tests/random/callers.c
+++ b/tests/random/callers.c
@@ -1,15 +1,17 @@
 /*
- * callers.c - callers that search, look up, reserve, list, ask again, long
- * after too, and leave.
+ * callers.c - Simulated callers.
+ *
+ * They search, look up, reserve, list, repeat requests, also long after the
+ * first one, and disconnect.
  */
 #include "random/simulation.h"
 
 #include <stdio.h>
 #include <string.h>
 
-#define MOST_IDS 2000 /* that may be asked again */
+#define MAX_RECENT_KEYS 2000 /* idempotency keys that may be repeated */
 
-struct asking {
+struct caller_request {
 	struct rr_request request;
 	struct issued_request *issued;
 	char request_id[24];
@@ -17,60 +19,61 @@
 	char *id;
 };
 
-static void drop_asking(void *data)
+static void drop_caller_request(void *data)
 {
-	struct asking *asking = data;
+	struct caller_request *caller_request = data;
 
-	g_free(asking->cursor);
-	g_free(asking->id);
-	g_free(asking);
+	g_free(caller_request->cursor);
+	g_free(caller_request->id);
+	g_free(caller_request);
 }
 
-static int64_t wall_us(struct simulation *simulation)
+static int64_t wall_clock_us(struct simulation *simulation)
 {
 	return WALL_START_US + simulation->now_us + simulation->wall_offset_us;
 }
 
-static void ask(struct instance *instance, void *data)
+static void send_caller_request(struct instance *instance, void *data)
 {
-	struct asking *asking = data;
+	struct caller_request *caller_request = data;
 	struct simulation *simulation = instance->simulation;
 	struct issued_request *issued;
 	uint64_t query_id;
-	uint32_t deadline_ms =
-		asking->request.deadline_ms ? asking->request.deadline_ms : 300;
+	uint32_t deadline_ms = caller_request->request.deadline_ms ?
+				       caller_request->request.deadline_ms :
+				       300;
 
-	issued = add_issued_request(simulation, instance, asking->request.kind,
-				    deadline_ms);
-	g_strlcpy(issued->service, asking->request.service,
+	issued = add_issued_request(simulation, instance,
+				    caller_request->request.kind, deadline_ms);
+	g_strlcpy(issued->service, caller_request->request.service,
 		  sizeof(issued->service));
-	if (asking->request.idempotency_key)
+	if (caller_request->request.idempotency_key)
 		g_strlcpy(issued->idempotency_key,
-			  asking->request.idempotency_key,
+			  caller_request->request.idempotency_key,
 			  sizeof(issued->idempotency_key));
 	issued->key_created_us =
 		g_ascii_strtoll(issued->idempotency_key, NULL, 10) *
 			G_USEC_PER_SEC -
 		WALL_START_US;
-	issued->key = asking->request.key;
-	issued->max_rows = asking->request.max_rows;
-	issued->list_number = asking->issued->list_number;
-	snprintf(asking->request_id, sizeof(asking->request_id),
+	issued->key = caller_request->request.key;
+	issued->max_rows = caller_request->request.max_rows;
+	issued->list_number = caller_request->issued->list_number;
+	snprintf(caller_request->request_id, sizeof(caller_request->request_id),
 		 "r%" G_GUINT64_FORMAT, issued->number);
-	asking->request.request_id = asking->request_id;
-	asking->request.cursor = asking->cursor;
+	caller_request->request.request_id = caller_request->request_id;
+	caller_request->request.cursor = caller_request->cursor;
 	query_id = rr_core_handle_request(
 		instance->ctx, instance->core, simulation->now_us,
-		wall_us(simulation), &asking->request);
+		wall_clock_us(simulation), &caller_request->request);
 	check(simulation, query_id != 0, "query id 0");
 	check(simulation, !issued->query_id || issued->query_id == query_id,
-	      "answered under another query id");
+	      "answered with a different query id");
 	issued->query_id = query_id;
-	g_free(asking->issued);
+	g_free(caller_request->issued);
 }
 
-/* Ids are asked again soon, or long after: past their retention too. */
-static const char *choose_id(struct simulation *simulation)
+/* Keys are repeated soon, or long after, even past their retention. */
+static const char *choose_idempotency_key(struct simulation *simulation)
 {
 	guint n = simulation->recent_keys->len;
 
@@ -83,7 +86,7 @@
 				(guint)g_rand_int_range(simulation->random, 0,
 							(int)newest));
 	}
-	if (n >= MOST_IDS)
+	if (n >= MAX_RECENT_KEYS)
 		g_ptr_array_remove_index(simulation->recent_keys, 0);
 	g_ptr_array_add(simulation->recent_keys,
 			g_strdup_printf("%" G_GINT64_FORMAT
@@ -95,37 +98,42 @@
 				 simulation->recent_keys->len - 1);
 }
 
-/* The caller of a list asks page by page, and gives up after a while. */
-static bool plan_list(struct simulation *simulation, struct asking *asking)
+/*
+ * Prepare the request for the next page of a list.  Returns false while a page
+ * is pending; a list whose page is pending for 20 s is abandoned.
+ */
+static bool prepare_list(struct simulation *simulation,
+			 struct caller_request *caller_request)
 {
 	GHashTableIter iter;
 	gpointer value = NULL;
-	struct paged_list *chain = NULL;
+	struct paged_list *list = NULL;
 
 	g_hash_table_iter_init(&iter, simulation->paged_lists);
 	if (g_hash_table_iter_next(&iter, NULL, &value))
-		chain = value;
-	if (chain && chain->page_sent_us) {
-		if (simulation->now_us - chain->page_sent_us > 20000 * MS)
+		list = value;
+	if (list && list->page_sent_us) {
+		if (simulation->now_us - list->page_sent_us > 20000 * MS)
 			g_hash_table_remove(simulation->paged_lists,
-					    &chain->number);
+					    &list->number);
 		return false;
 	}
-	if (!chain) {
-		chain = g_new0(struct paged_list, 1);
-		chain->number = ++simulation->last_list_number;
-		g_hash_table_insert(simulation->paged_lists, &chain->number,
-				    chain);
+	if (!list) {
+		list = g_new0(struct paged_list, 1);
+		list->number = ++simulation->last_list_number;
+		g_hash_table_insert(simulation->paged_lists, &list->number,
+				    list);
 	}
-	chain->page_sent_us = simulation->now_us;
-	asking->issued->list_number = chain->number;
-	asking->cursor = g_strdup(chain->cursor);
+	list->page_sent_us = simulation->now_us;
+	caller_request->issued->list_number = list->number;
+	caller_request->cursor = g_strdup(list->cursor);
 	return true;
 }
 
-static void plan_request(struct simulation *simulation, struct asking *asking)
+static void prepare_request(struct simulation *simulation,
+			    struct caller_request *caller_request)
 {
-	struct rr_request *request = &asking->request;
+	struct rr_request *request = &caller_request->request;
 
 	request->kind = RR_SEARCH;
 	request->service =
@@ -149,7 +157,7 @@
 	case 2:
 		request->kind = RR_RESERVE;
 		request->service = SERVICE_WRITE;
-		request->idempotency_key = choose_id(simulation);
+		request->idempotency_key = choose_idempotency_key(simulation);
 		request->key = g_str_hash(request->idempotency_key) % KEY_END;
 		break;
 	case 3:
@@ -162,21 +170,24 @@
 
 void send_random_request(struct simulation *simulation)
 {
-	struct asking *asking = g_new0(struct asking, 1);
-
-	asking->issued = g_new0(struct issued_request, 1);
-	plan_request(simulation, asking);
-	if (asking->request.kind == RR_LIST && !plan_list(simulation, asking))
-		asking->request.kind = RR_SEARCH;
-	/* Kept here: the caller's list of ids moves on. */
-	asking->id = g_strdup(asking->request.idempotency_key);
-	asking->request.idempotency_key = asking->id;
+	struct caller_request *caller_request =
+		g_new0(struct caller_request, 1);
+
+	caller_request->issued = g_new0(struct issued_request, 1);
+	prepare_request(simulation, caller_request);
+	if (caller_request->request.kind == RR_LIST &&
+	    !prepare_list(simulation, caller_request))
+		caller_request->request.kind = RR_SEARCH;
+	/* A copy, since the key may be removed from recent_keys. */
+	caller_request->id = g_strdup(caller_request->request.idempotency_key);
+	caller_request->request.idempotency_key = caller_request->id;
 	schedule_delivery(simulation,
 			  g_rand_int_range(simulation->random, 0, N_INSTANCES),
-			  simulation->now_us, ask, asking, drop_asking);
+			  simulation->now_us, send_caller_request,
+			  caller_request, drop_caller_request);
 }
 
-static void cancel(struct instance *instance, void *data)
+static void cancel_request(struct instance *instance, void *data)
 {
 	struct simulation *simulation = instance->simulation;
 	struct issued_request *issued =
@@ -200,6 +211,6 @@
 
 	if (issued)
 		schedule_delivery(simulation, issued->instance,
-				  simulation->now_us, cancel,
+				  simulation->now_us, cancel_request,
 				  g_memdup2(&number, sizeof(number)), g_free);
 }
--- a/tests/random/check.c
+++ b/tests/random/check.c
@@ -1,6 +1,7 @@
 /*
- * check.c - answers against what the fakes saw, never against the program's
- * own word.
+ * check.c - Checks of answers against the events that the fakes observed.
+ *
+ * They never rely on what the program under test reports.
  */
 #include "random/simulation.h"
 
@@ -9,10 +10,10 @@
 
 #define ROWS_PER_SHARD (KEYS_PER_SHARD / KEY_STEP)
 #define SLACK_US (150 * MS)
-/* A reservation may settle its claim for a while after its deadline. */
+/* A reservation may take this long after its deadline to record its result. */
 #define LEDGER_SLACK_US (2500 * MS)
 
-/* The keys of an answer's or a relay's rows, with all that can be wrong. */
+/* Check a row of an answer or a relay reply, and mark its key as seen. */
 static void check_row(struct simulation *simulation, const char *text,
 		      size_t length, uint64_t row_key, uint64_t version,
 		      uint64_t number, bool *seen)
@@ -45,8 +46,8 @@
 	simulation->n_rows_checked++;
 }
 
-/* Whether all rows of a shard's declared keys were seen. */
-static bool shard_whole(const bool *seen, int shard)
+/* Whether all rows of a shard's configured key range were seen. */
+static bool is_shard_complete(const bool *seen, int shard)
 {
 	for (int i = 0; i < ROWS_PER_SHARD; i++) {
 		if (!seen[shard * ROWS_PER_SHARD + i])
@@ -55,7 +56,7 @@
 	return true;
 }
 
-static int shard_of_name(struct simulation *simulation, const char *name)
+static int parse_shard_name(struct simulation *simulation, const char *name)
 {
 	int shard = -1;
 
@@ -74,19 +75,20 @@
 	size_t n_asked = issued->kind == RR_SEARCH ? N_SHARDS : 1;
 
 	for (size_t i = 0; i < answer->n_covered; i++) {
-		int shard = shard_of_name(simulation, answer->covered[i]);
+		int shard = parse_shard_name(simulation, answer->covered[i]);
 
 		check(simulation, !named[shard], "shard %d named twice", shard);
 		named[shard] = true;
 		if (issued->kind != RR_SEARCH || answer->has_more)
 			continue;
-		check(simulation, shard_whole(seen, shard),
-		      "true-coverage: shard %d is said to be covered and lacks "
-		      "rows (request %" G_GUINT64_FORMAT ")",
+		check(simulation, is_shard_complete(seen, shard),
+		      "true-coverage: shard %d is reported as covered without "
+		      "all rows (request %" G_GUINT64_FORMAT ")",
 		      shard, issued->number);
 	}
 	for (size_t i = 0; i < answer->n_missing; i++) {
-		int shard = shard_of_name(simulation, answer->missing[i].shard);
+		int shard =
+			parse_shard_name(simulation, answer->missing[i].shard);
 
 		check(simulation, !named[shard], "shard %d named twice", shard);
 		named[shard] = true;
@@ -94,14 +96,14 @@
 		      answer->missing[i].reason > RR_MISSING_NONE &&
 			      answer->missing[i].reason <
 				      RR_MISSING_REASON_COUNT,
-		      "shard %d is lacking without a reason", shard);
+		      "shard %d is missing without a reason", shard);
 		check(simulation, answer->missing[i].public_name != NULL,
-		      "no yard");
+		      "missing shard without a public name");
 	}
 	check(simulation,
 	      (answer->outcome == RR_COMPLETE) == !answer->n_missing,
-	      "outcome %s with %d lacking", rr_outcome_name(answer->outcome),
-	      (int)answer->n_missing);
+	      "outcome %s with %d missing shards",
+	      rr_outcome_name(answer->outcome), (int)answer->n_missing);
 	if (issued->kind == RR_LIST)
 		return;
 	check(simulation, answer->n_covered + answer->n_missing == n_asked,
@@ -113,43 +115,43 @@
 		       struct issued_request *issued,
 		       const struct rr_answer *answer)
 {
-	struct paged_list *chain = g_hash_table_lookup(simulation->paged_lists,
-						       &issued->list_number);
+	struct paged_list *list = g_hash_table_lookup(simulation->paged_lists,
+						      &issued->list_number);
 	uint64_t expected;
 
-	if (!chain)
+	if (!list)
 		return;
-	chain->page_sent_us = 0;
+	list->page_sent_us = 0;
 	if (answer->outcome != RR_COMPLETE) {
-		/* The caller may ask again for the same page. */
-		if (answer->outcome == RR_GONE || chain->n_pages > 200)
+		/* The caller may request the same page again. */
+		if (answer->outcome == RR_GONE || list->n_pages > 200)
 			g_hash_table_remove(simulation->paged_lists,
 					    &issued->list_number);
 		return;
 	}
-	if (!chain->version)
-		chain->version = answer->index_version;
+	if (!list->version)
+		list->version = answer->index_version;
 	check(simulation,
-	      !answer->n_rows || answer->index_version == chain->version,
-	      "one-snapshot: a list moved from version %d to %d",
-	      (int)chain->version, (int)answer->index_version);
-	expected = chain->next_key;
+	      !answer->n_rows || answer->index_version == list->version,
+	      "one-snapshot: a list changed from version %d to %d",
+	      (int)list->version, (int)answer->index_version);
+	expected = list->next_key;
 	for (size_t i = 0; i < answer->n_rows; i++) {
 		uint64_t key =
 			rr_row_key(answer->rows[i].rows, answer->rows[i].index);
 
 		check(simulation, key == expected,
-		      "list page gives key %d where %d is next", (int)key,
+		      "list page has key %d, expected %d", (int)key,
 		      (int)expected);
 		expected += KEY_STEP;
 	}
-	chain->next_key = expected;
-	chain->n_pages++;
-	g_free(chain->cursor);
-	chain->cursor = g_strdup(answer->next_cursor);
-	if (!chain->cursor) {
-		check(simulation, chain->next_key == KEY_END,
-		      "list ended at key %d", (int)chain->next_key);
+	list->next_key = expected;
+	list->n_pages++;
+	g_free(list->cursor);
+	list->cursor = g_strdup(answer->next_cursor);
+	if (!list->cursor) {
+		check(simulation, list->next_key == KEY_END,
+		      "list ended at key %d", (int)list->next_key);
 		g_hash_table_remove(simulation->paged_lists,
 				    &issued->list_number);
 	}
@@ -203,7 +205,8 @@
 	check(simulation, !issued->answered,
 	      "request %" G_GUINT64_FORMAT " answered twice", number);
 	check(simulation, !issued->cancelled,
-	      "request %" G_GUINT64_FORMAT " answered after its caller left",
+	      "request %" G_GUINT64_FORMAT
+	      " answered after its caller disconnected",
 	      number);
 	check(simulation,
 	      issued->instance == instance->index &&
@@ -247,7 +250,7 @@
 		check(simulation,
 		      answer->outcome == RR_NOT_RUN ||
 			      answer->outcome == RR_INVALID,
-		      "graceful: a draining instance took a request");
+		      "graceful: a draining instance accepted a request");
 	switch (answer->outcome) {
 	case RR_COMPLETE:
 	case RR_PARTIAL:
@@ -257,20 +260,20 @@
 	case RR_NOT_RUN:
 		check_not_run(simulation, issued);
 		check(simulation, answer->retry_after_ms > 0,
-		      "no time to return");
+		      "no retry_after_ms");
 		break;
 	case RR_UNKNOWN:
 		check(simulation, answer->retry_after_ms > 0,
-		      "no time to return");
+		      "no retry_after_ms");
 		break;
 	case RR_INVALID:
-		/* An id past its retention; nothing else is wrong here. */
+		/* Only an id past its retention is invalid in this simulation. */
 		check(simulation,
 		      issued->kind == RR_RESERVE &&
 			      simulation->now_us - issued->key_created_us >
 				      (RETENTION_S - 5) * G_USEC_PER_SEC,
-		      "request %d is called invalid: %s", (int)issued->number,
-		      answer->reason);
+		      "request %d is reported as invalid: %s",
+		      (int)issued->number, answer->reason);
 		check_not_run(simulation, issued);
 		break;
 	case RR_GONE:
@@ -279,7 +282,7 @@
 	}
 	if (issued->kind == RR_LOOKUP && answer->outcome == RR_COMPLETE)
 		check(simulation, seen[issued->key / KEY_STEP],
-		      "look-up of key %d is complete without it",
+		      "look-up of key %d is complete without its row",
 		      (int)issued->key);
 	if (issued->kind == RR_RESERVE)
 		check_reservation(simulation, issued, answer);
@@ -296,18 +299,18 @@
 	struct issued_request *issued;
 
 	check(simulation, number != NULL,
-	      "right-answer: a second or foreign relay reply %" G_GUINT64_FORMAT,
+	      "right-answer: duplicate or unknown relay reply %" G_GUINT64_FORMAT,
 	      reply->query_id);
 	issued = g_hash_table_lookup(simulation->issued_requests, number);
 	if (!issued)
-		return; /* over long ago */
+		return; /* finished long ago */
 	/*
-	 * A doubled relay of a read is run and answered again once the first
-	 * is over: the owner remembers reads only while they run, and the
-	 * sender drops the second answer.
+	 * A duplicate relay of a read is run and answered again once the first
+	 * one has finished: the owner keeps reads only while they run, and the
+	 * sender drops the second reply.
 	 */
 	check(simulation, !issued->answered || issued->kind == RR_SEARCH,
-	      "at-most-once: a doubled relay was answered twice");
+	      "at-most-once: a duplicate relay was answered twice");
 	issued->answered = true;
 	simulation->n_relay_replies++;
 	for (size_t i = 0; i < rr_count_rows(reply->rows); i++) {
@@ -320,12 +323,12 @@
 	for (size_t i = 0; i < reply->n_outcomes; i++) {
 		const struct rr_relay_outcome *outcome = &reply->outcomes[i];
 
-		shard_of_name(simulation, outcome->shard);
+		parse_shard_name(simulation, outcome->shard);
 		if (outcome->not_run && issued->kind == RR_RESERVE)
 			check_not_run(simulation, issued);
 		if (!outcome->covered)
 			check(simulation, outcome->reason != RR_MISSING_NONE,
-			      "relayed shard lacking without a reason");
+			      "relayed shard missing without a reason");
 		for (size_t j = 0; outcome->covered && j < outcome->n_ranges;
 		     j++) {
 			uint64_t key = outcome->ranges[j].from;
@@ -347,22 +350,24 @@
 	while ((issued = g_queue_peek_head(simulation->requests_by_age))) {
 		struct instance *instance =
 			&simulation->instances[issued->instance];
-		int64_t due_us = issued->deadline_us + SLACK_US;
-		bool over = issued->answered || issued->cancelled ||
-			    issued->from_peer ||
-			    issued->incarnation != instance->incarnation;
+		int64_t answer_due_us = issued->deadline_us + SLACK_US;
+		bool finished = issued->answered || issued->cancelled ||
+				issued->from_peer ||
+				issued->incarnation != instance->incarnation;
 
 		if (issued->kind == RR_RESERVE)
-			due_us += LEDGER_SLACK_US;
-		/* A paused process answers once it goes on. */
-		due_us = MAX(due_us, instance->paused_until_us + SLACK_US);
-		check(simulation, over || simulation->now_us <= due_us,
+			answer_due_us += LEDGER_SLACK_US;
+		/* A paused process answers once it resumes. */
+		answer_due_us = MAX(answer_due_us,
+				    instance->paused_until_us + SLACK_US);
+		check(simulation,
+		      finished || simulation->now_us <= answer_due_us,
 		      "request %" G_GUINT64_FORMAT
 		      " of kind %d was due at %" G_GINT64_FORMAT
 		      " and has no answer",
 		      issued->number, issued->kind, issued->deadline_us);
-		/* Kept for a while: it must not run after "not run". */
-		if (!over || simulation->now_us < due_us + 5000 * MS)
+		/* Kept for 5 s, to detect that it runs after "not run". */
+		if (!finished || simulation->now_us < answer_due_us + 5000 * MS)
 			return;
 		g_queue_pop_head(simulation->requests_by_age);
 		g_hash_table_remove(simulation->issued_requests,
--- a/tests/random/peer.c
+++ b/tests/random/peer.c
@@ -1,6 +1,8 @@
 /*
- * peer.c - fake peers: instances that answer pings and relays, come, go, come
- * back, answer twice, late or not at all, and relay work of their own.
+ * peer.c - Fake peers.
+ *
+ * They answer pings and relays, fail and restart, reply twice, late or not at
+ * all, and send relays.
  */
 #include "random/simulation.h"
 
@@ -95,8 +97,9 @@
 	return message;
 }
 
-static void send_to(struct simulation *simulation, struct instance *instance,
-		    struct rr_peer_message *message)
+static void send_message(struct simulation *simulation,
+			 struct instance *instance,
+			 struct rr_peer_message *message)
 {
 	int64_t delay_us = random_between(simulation, 200, 3 * MS);
 
@@ -118,37 +121,40 @@
 			  message, drop_message);
 }
 
-struct visit {
+struct inbound_message {
 	struct fake_peer *peer;
 	int instance;
 	struct rr_peer_message *message;
 };
 
-static void send_ack(struct simulation *simulation, struct visit *visit)
+static void send_ack(struct simulation *simulation,
+		     struct inbound_message *inbound_message)
 {
-	struct instance *instance = &simulation->instances[visit->instance];
+	struct instance *instance =
+		&simulation->instances[inbound_message->instance];
 	struct rr_peer_message *ack =
-		new_message(visit->peer, instance, RR_PEER_ACK);
+		new_message(inbound_message->peer, instance, RR_PEER_ACK);
 
-	ack->sequence = visit->message->sequence;
-	ack->target = g_strdup(visit->message->target);
+	ack->sequence = inbound_message->message->sequence;
+	ack->target = g_strdup(inbound_message->message->target);
 	ack->updates = g_new0(struct rr_member_update, 1);
 	ack->n_updates = 1;
-	ack->updates[0].instance = g_strdup(visit->peer->name);
-	ack->updates[0].zone = g_strdup(peer_zone(simulation, visit->peer));
-	ack->updates[0].address = g_strdup(visit->peer->address);
-	ack->updates[0].incarnation = visit->peer->incarnation;
+	ack->updates[0].instance = g_strdup(inbound_message->peer->name);
+	ack->updates[0].zone =
+		g_strdup(peer_zone(simulation, inbound_message->peer));
+	ack->updates[0].address = g_strdup(inbound_message->peer->address);
+	ack->updates[0].incarnation = inbound_message->peer->incarnation;
 	if (random_one_in(simulation, 10)) {
-		/* False news of the instance itself: it has to refute. */
+		/* A false suspicion of the instance, which it has to refute. */
 		g_free(ack->updates[0].instance);
 		ack->updates[0].instance = g_strdup(instance->name);
 		ack->updates[0].incarnation = instance->incarnation;
 		ack->updates[0].state = RR_MEMBER_SUSPECT;
 	}
-	send_to(simulation, instance, ack);
+	send_message(simulation, instance, ack);
 }
 
-/* Run one shard of a relay at some replica of the peer's zone. */
+/* Run one shard of a relay at a replica of the peer's zone. */
 static void relay_shard(struct simulation *simulation, struct fake_peer *peer,
 			const struct rr_relay *relay, size_t i,
 			struct rr_relay_reply *reply,
@@ -210,12 +216,14 @@
 	rr_add_range(coverage, held);
 }
 
-static void run_relay(struct simulation *simulation, struct visit *visit)
+static void run_relay(struct simulation *simulation,
+		      struct inbound_message *inbound_message)
 {
-	const struct rr_relay *relay = visit->message->relay;
-	struct instance *instance = &simulation->instances[visit->instance];
-	struct rr_peer_message *message =
-		new_message(visit->peer, instance, RR_PEER_RELAY_REPLY);
+	const struct rr_relay *relay = inbound_message->message->relay;
+	struct instance *instance =
+		&simulation->instances[inbound_message->instance];
+	struct rr_peer_message *message = new_message(
+		inbound_message->peer, instance, RR_PEER_RELAY_REPLY);
 	struct rr_relay_reply *reply = g_new0(struct rr_relay_reply, 1);
 	struct rr_coverage *coverage = rr_new_coverage();
 
@@ -226,67 +234,70 @@
 	reply->outcomes = g_new0(struct rr_relay_outcome, relay->n_shards);
 	reply->n_outcomes = relay->n_shards;
 	for (size_t i = 0; i < relay->n_shards; i++)
-		relay_shard(simulation, visit->peer, relay, i, reply, coverage);
+		relay_shard(simulation, inbound_message->peer, relay, i, reply,
+			    coverage);
 	rr_drop_coverage(coverage);
 	if (random_one_in(simulation, 50))
 		reply->query_id ^=
 			G_GUINT64_CONSTANT(1)
-			<< random_between(simulation, 24, 60); /* foreign */
+			<< random_between(simulation, 24, 60); /* unknown id */
 	if (random_one_in(simulation, 50))
 		message->from_incarnation--; /* of an earlier process */
-	send_to(simulation, instance, message);
+	send_message(simulation, instance, message);
 }
 
-static void send_record(struct simulation *simulation, struct visit *visit)
+static void send_config_record(struct simulation *simulation,
+			       struct inbound_message *inbound_message)
 {
-	struct instance *instance = &simulation->instances[visit->instance];
+	struct instance *instance =
+		&simulation->instances[inbound_message->instance];
 	struct rr_peer_message *message;
 
-	if (!visit->peer->config_revision)
+	if (!inbound_message->peer->config_revision)
 		return;
-	message = new_message(visit->peer, instance, RR_PEER_CONFIG);
-	message->config_record = g_strdup_printf("%" G_GUINT64_FORMAT,
-						 visit->peer->config_revision);
+	message = new_message(inbound_message->peer, instance, RR_PEER_CONFIG);
+	message->config_record = g_strdup_printf(
+		"%" G_GUINT64_FORMAT, inbound_message->peer->config_revision);
 	message->config_length = strlen(message->config_record);
-	send_to(simulation, instance, message);
+	send_message(simulation, instance, message);
 }
 
-static void visit_peer(struct simulation *simulation, void *data)
+static void handle_inbound_message(struct simulation *simulation, void *data)
 {
-	struct visit *visit = data;
-	struct rr_peer_message *message = visit->message;
+	struct inbound_message *inbound_message = data;
+	struct rr_peer_message *message = inbound_message->message;
 	bool lost =
 		!simulation->faults_stopped && random_one_in(simulation, 40);
 
-	if (!visit->peer->up || lost)
+	if (!inbound_message->peer->up || lost)
 		goto out;
 	if (message->to_incarnation &&
-	    message->to_incarnation != visit->peer->incarnation)
+	    message->to_incarnation != inbound_message->peer->incarnation)
 		goto out;
 	switch (message->kind) {
 	case RR_PEER_PING:
-		send_ack(simulation, visit);
+		send_ack(simulation, inbound_message);
 		break;
 	case RR_PEER_PING_REQUEST: {
 		struct fake_peer *target =
 			find_peer(simulation, message->target);
 
 		if (target && target->up)
-			send_ack(simulation, visit);
+			send_ack(simulation, inbound_message);
 		break;
 	}
 	case RR_PEER_RELAY:
-		run_relay(simulation, visit);
+		run_relay(simulation, inbound_message);
 		break;
 	case RR_PEER_CONFIG_GET:
-		send_record(simulation, visit);
+		send_config_record(simulation, inbound_message);
 		break;
 	default:
 		break;
 	}
 out:
-	rr_drop_peer_message(visit->message);
-	g_free(visit);
+	rr_drop_peer_message(inbound_message->message);
+	g_free(inbound_message);
 }
 
 void handle_peer_message(struct simulation *simulation,
@@ -294,28 +305,28 @@
 			 const struct rr_peer_message *message)
 {
 	struct fake_peer *peer = find_peer(simulation, to);
-	struct visit *visit;
+	struct inbound_message *inbound_message;
 
 	check(simulation, peer != NULL, "message to unknown peer %s", to);
 	check(simulation,
 	      message->from && !strcmp(message->from, instance->name) &&
 		      message->from_incarnation == instance->incarnation,
-	      "right-answer: message to %s does not say whom it is from", to);
+	      "right-answer: message to %s has a wrong sender", to);
 	if (message->kind == RR_PEER_RELAY_REPLY)
 		check_relay_reply(simulation, message->relay_reply);
 	if (message->kind == RR_PEER_RELAY)
 		simulation->n_relays_sent++;
-	visit = g_new0(struct visit, 1);
-	visit->peer = peer;
-	visit->instance = instance->index;
-	visit->message = copy_message(simulation, message);
+	inbound_message = g_new0(struct inbound_message, 1);
+	inbound_message->peer = peer;
+	inbound_message->instance = instance->index;
+	inbound_message->message = copy_message(simulation, message);
 	schedule_event(
 		simulation,
 		simulation->now_us +
 			(random_one_in(simulation, 40) ?
 				 random_between(simulation, 0, 400 * MS) :
 				 random_between(simulation, 200, 3 * MS)),
-		visit_peer, visit);
+		handle_inbound_message, inbound_message);
 }
 
 void perturb_peers(struct simulation *simulation)
@@ -328,7 +339,7 @@
 		peer->up = random_one_in(simulation, 2);
 		break;
 	case 1:
-		/* Replaced: a new process under the same name. */
+		/* Replaced by a new process with the same name. */
 		peer->incarnation += 1000;
 		peer->up = true;
 		break;
@@ -407,9 +418,9 @@
 	g_hash_table_insert(simulation->relayed_requests, query_id,
 			    g_memdup2(&issued->number, sizeof(uint64_t)));
 	if (random_one_in(simulation, 40)) {
-		/* For an instance that was replaced: nobody may run it. */
+		/* Addressed to a replaced process: it must not be run. */
 		message->to_incarnation--;
 		issued->reported_not_run = true;
 	}
-	send_to(simulation, instance, message);
+	send_message(simulation, instance, message);
 }
--- a/tests/random/platform.c
+++ b/tests/random/platform.c
@@ -1,6 +1,9 @@
 /*
- * platform.c - the fake platform: values with revisions, outages, slow
- * replies, replies lost after the effect, and writes that take effect late.
+ * platform.c - The fake platform's store.
+ *
+ * It keeps values with revisions.  Its faults are outages, slow replies,
+ * replies that are lost after the write took effect, and writes that take
+ * effect late.
  */
 #include "random/simulation.h"
 
@@ -28,61 +31,63 @@
 struct call {
 	int instance;
 	uint64_t id;
-	bool swap;
-	bool loses_reply;
+	bool is_write;
+	bool reply_lost;
 	char *key;
 	char *value;
 	size_t length;
 	uint64_t revision;
 };
 
-struct answer {
+struct pending_reply {
 	struct rr_store_reply reply;
 	char *value;
 };
 
-static void drop_answer(void *data)
+static void drop_pending_reply(void *data)
 {
-	struct answer *answer = data;
+	struct pending_reply *pending_reply = data;
 
-	g_free(answer->value);
-	g_free(answer);
+	g_free(pending_reply->value);
+	g_free(pending_reply);
 }
 
-static void deliver_answer(struct instance *instance, void *data)
+static void deliver_store_reply(struct instance *instance, void *data)
 {
-	struct answer *answer = data;
+	struct pending_reply *pending_reply = data;
 
-	answer->reply.value = answer->value;
+	pending_reply->reply.value = pending_reply->value;
 	rr_core_handle_store_reply(instance->ctx, instance->core,
 				   instance->simulation->now_us,
-				   &answer->reply);
+				   &pending_reply->reply);
 }
 
-static void answer_call(struct simulation *simulation, int instance,
-			uint64_t id, enum rr_store_status status,
-			const struct store_value *value, int64_t delay_us)
+static void reply_to_call(struct simulation *simulation, int instance,
+			  uint64_t id, enum rr_store_status status,
+			  const struct store_value *value, int64_t delay_us)
 {
-	struct answer *answer = g_new0(struct answer, 1);
+	struct pending_reply *pending_reply = g_new0(struct pending_reply, 1);
 
-	answer->reply.call_id = id;
-	answer->reply.status = status;
+	pending_reply->reply.call_id = id;
+	pending_reply->reply.status = status;
 	if (status == RR_STORE_OK && value) {
-		answer->value = g_memdup2(value->value, value->length + 1);
-		answer->reply.length = value->length;
-		answer->reply.revision = value->revision;
+		pending_reply->value =
+			g_memdup2(value->value, value->length + 1);
+		pending_reply->reply.length = value->length;
+		pending_reply->reply.revision = value->revision;
 	}
 	schedule_delivery(simulation, instance, simulation->now_us + delay_us,
-			  deliver_answer, answer, drop_answer);
+			  deliver_store_reply, pending_reply,
+			  drop_pending_reply);
 }
 
 static enum rr_store_status swap_value(struct simulation *simulation,
 				       struct call *call,
 				       struct store_value **value)
 {
-	uint64_t present = *value ? (*value)->revision : 0;
+	uint64_t current_revision = *value ? (*value)->revision : 0;
 
-	if (present != call->revision)
+	if (current_revision != call->revision)
 		return RR_STORE_CONFLICT;
 	if (!*value) {
 		*value = g_new0(struct store_value, 1);
@@ -103,12 +108,13 @@
 	enum rr_store_status status = RR_STORE_OK;
 
 	value = g_hash_table_lookup(simulation->store_values, call->key);
-	if (call->swap)
+	if (call->is_write)
 		status = swap_value(simulation, call, &value);
-	if (!call->loses_reply)
-		answer_call(simulation, call->instance, call->id, status,
-			    call->swap && status != RR_STORE_OK ? NULL : value,
-			    random_between(simulation, 200, 2 * MS));
+	if (!call->reply_lost)
+		reply_to_call(simulation, call->instance, call->id, status,
+			      call->is_write && status != RR_STORE_OK ? NULL :
+									value,
+			      random_between(simulation, 200, 2 * MS));
 	g_free(call->key);
 	g_free(call->value);
 	g_free(call);
@@ -125,31 +131,31 @@
 	if (simulation->store_down ||
 	    (!simulation->faults_stopped && random_one_in(simulation, 60))) {
 		/*
-		 * Proof of no effect, or none: the connection was refused, or
-		 * broke at some time after the call had left.
+		 * Either the connection was refused, which proves that the call
+		 * had no effect, or it was lost after the call was sent.
 		 */
 		if (random_one_in(simulation, 2)) {
-			answer_call(simulation, call->instance, call->id,
-				    RR_STORE_UNAVAILABLE, NULL, delay_us);
+			reply_to_call(simulation, call->instance, call->id,
+				      RR_STORE_UNAVAILABLE, NULL, delay_us);
 			g_free(call->key);
 			g_free(call->value);
 			g_free(call);
 			return;
 		}
-		call->loses_reply = true;
+		call->reply_lost = true;
 	}
 	if (simulation->store_loses_replies && random_one_in(simulation, 2))
-		call->loses_reply = true;
-	if (call->loses_reply) {
-		answer_call(simulation, call->instance, call->id,
-			    RR_STORE_UNKNOWN, NULL, delay_us);
+		call->reply_lost = true;
+	if (call->reply_lost) {
+		reply_to_call(simulation, call->instance, call->id,
+			      RR_STORE_UNKNOWN, NULL, delay_us);
 		if (random_one_in(simulation, 2)) {
 			g_free(call->key);
 			g_free(call->value);
 			g_free(call);
-			return; /* never had an effect */
+			return; /* without effect */
 		}
-		/* Takes effect, perhaps long after the caller gave up. */
+		/* Takes effect, perhaps long after the call has timed out. */
 		delay_us = random_between(simulation, 0, 3000 * MS);
 	}
 	schedule_event(simulation, simulation->now_us + delay_us, run_call,
@@ -173,7 +179,7 @@
 	struct call *call = g_new0(struct call, 1);
 
 	call->id = call_id;
-	call->swap = true;
+	call->is_write = true;
 	call->key = g_strdup(key);
 	call->revision = revision;
 	call->value = g_malloc0(length + 1);
--- a/tests/random/simulation.c
+++ b/tests/random/simulation.c
@@ -1,5 +1,5 @@
 /*
- * simulation.c - virtual time, the event queue and seeded chance.
+ * simulation.c - Virtual time, the event queue and seeded random numbers.
  */
 #include "random/simulation.h"
 
@@ -28,29 +28,31 @@
 			       (double)(high - low));
 }
 
-struct planned {
+struct scheduled_event {
 	void (*run)(struct simulation *simulation, void *data);
 	void *data;
 };
 
-static void run_planned(void *context, void *data)
+static void run_scheduled_event(void *context, void *data)
 {
-	struct planned planned = *(struct planned *)data;
+	struct scheduled_event scheduled_event =
+		*(struct scheduled_event *)data;
 
 	g_free(data);
-	planned.run(context, planned.data);
+	scheduled_event.run(context, scheduled_event.data);
 }
 
 void schedule_event(struct simulation *simulation, int64_t at_us,
 		    void (*run)(struct simulation *simulation, void *data),
 		    void *data)
 {
-	struct planned *planned = g_new(struct planned, 1);
+	struct scheduled_event *scheduled_event =
+		g_new(struct scheduled_event, 1);
 
 	simulation->sequence++;
-	*planned = (struct planned){ run, data };
+	*scheduled_event = (struct scheduled_event){ run, data };
 	push_event(simulation->events, MAX(at_us, simulation->now_us),
-		   run_planned, planned);
+		   run_scheduled_event, scheduled_event);
 }
 
 bool run_event(struct simulation *simulation)
@@ -72,7 +74,7 @@
 	struct delivery *delivery = data;
 	struct instance *instance = &simulation->instances[delivery->index];
 
-	/* A paused process finds all that came meanwhile when it goes on. */
+	/* A paused process receives its pending events when it resumes. */
 	if (instance->paused_until_us > simulation->now_us) {
 		schedule_event(simulation, instance->paused_until_us, deliver,
 			       delivery);
--- a/tests/random/upstream.c
+++ b/tests/random/upstream.c
@@ -1,6 +1,8 @@
 /*
- * upstream.c - the fake upstream: replicas that answer late, twice, cut
- * short, wrongly or not at all, while versions and key ranges move.
+ * upstream.c - The fake upstream.
+ *
+ * Its replicas reply late, twice, truncated, wrongly or not at all, while
+ * index versions and key ranges change.
  */
 #include "random/simulation.h"
 
@@ -107,7 +109,7 @@
 		issued->n_executions++;
 		check(simulation, !issued->reported_not_run,
 		      "request %" G_GUINT64_FORMAT
-		      " ran after its caller was told not-run",
+		      " ran after it was reported as not-run",
 		      number);
 	}
 	if (id && *id) {
@@ -126,8 +128,8 @@
 	}
 }
 
-/* An attempt on its way: a copy of what the core asked for. */
-struct journey {
+/* An attempt in transit to a replica: a copy of the core's attempt. */
+struct attempt_in_transit {
 	int instance;
 	uint64_t incarnation;
 	uint64_t id;
@@ -136,51 +138,53 @@
 	char idempotency_key[48];
 	uint64_t number;
 	enum rr_request_kind kind;
-	struct rr_key_range asked;
+	struct rr_key_range range;
 	uint32_t limit;
 	uint64_t version;
 };
 
-/* A reply on its way back, with all it points to. */
-struct returning {
+/* A reply in transit to an instance, with the data that it refers to. */
+struct reply_in_transit {
 	struct rr_reply reply;
 	struct rr_key_range range;
 	struct replica *replica;
 	int service;
-	bool draining_news;
+	bool reports_draining;
 	uint64_t incarnation; /* of the instance that sent the attempt */
 	char result[48];
 };
 
-static void drop_returning(void *data)
+static void drop_reply(void *data)
 {
-	struct returning *back = data;
+	struct reply_in_transit *transit = data;
 
-	rr_drop_rows(back->reply.rows);
-	g_free(back);
+	rr_drop_rows(transit->reply.rows);
+	g_free(transit);
 }
 
 static void deliver_reply(struct instance *instance, void *data)
 {
-	struct returning *back = data;
+	struct reply_in_transit *transit = data;
 	struct simulation *simulation = instance->simulation;
-	int64_t *told_us;
-
-	told_us = &back->replica
-			   ->draining_seen_us[back->service][instance->index];
-	/* News of a reply that the instance has to drop does not count. */
-	if (back->draining_news && back->incarnation == instance->incarnation &&
+	int64_t *known_draining_us;
+
+	known_draining_us =
+		&transit->replica
+			 ->draining_seen_us[transit->service][instance->index];
+	/* The state in a reply that the instance has to drop does not count. */
+	if (transit->reports_draining &&
+	    transit->incarnation == instance->incarnation &&
 	    !g_hash_table_contains(simulation->cancelled_attempts,
-				   &back->reply.attempt_id) &&
-	    !*told_us)
-		*told_us = simulation->now_us;
+				   &transit->reply.attempt_id) &&
+	    !*known_draining_us)
+		*known_draining_us = simulation->now_us;
 	rr_core_handle_reply(instance->ctx, instance->core, simulation->now_us,
-			     &back->reply);
+			     &transit->reply);
 }
 
-static struct returning *copy_returning(struct returning *back)
+static struct reply_in_transit *copy_reply(struct reply_in_transit *transit)
 {
-	struct returning *copy = g_memdup2(back, sizeof(*back));
+	struct reply_in_transit *copy = g_memdup2(transit, sizeof(*transit));
 
 	if (copy->reply.n_ranges)
 		copy->reply.ranges = &copy->range;
@@ -188,240 +192,260 @@
 		rr_keep_rows(copy->reply.rows);
 	if (copy->reply.result)
 		copy->reply.result = copy->result;
-	copy->draining_news = false;
+	copy->reports_draining = false;
 	return copy;
 }
 
-static void send_back(struct simulation *simulation, int instance,
-		      struct returning *back, int64_t delay_us)
+static void send_reply(struct simulation *simulation, int instance,
+		       struct reply_in_transit *transit, int64_t delay_us)
 {
 	if (random_one_in(simulation, 40)) {
-		/* Doubled: the second may be much later. */
+		/* A duplicate, which may arrive much later. */
 		schedule_delivery(
 			simulation, instance,
 			simulation->now_us +
 				random_between(simulation, 0, 900 * MS),
-			deliver_reply, copy_returning(back), drop_returning);
+			deliver_reply, copy_reply(transit), drop_reply);
 	}
 	if (random_one_in(simulation, 60)) {
-		/* Foreign: to the other instance, or under another id. */
-		struct returning *foreign = copy_returning(back);
+		/* A stray reply: to the other instance, or with another id. */
+		struct reply_in_transit *stray = copy_reply(transit);
 
 		if (random_one_in(simulation, 2))
-			foreign->reply.attempt_id ^=
+			stray->reply.attempt_id ^=
 				G_GUINT64_CONSTANT(1)
 				<< random_between(simulation, 24, 60);
 		else
 			instance = 1 - instance;
 		schedule_delivery(simulation, instance,
 				  simulation->now_us + delay_us, deliver_reply,
-				  foreign, drop_returning);
-		if (foreign->reply.attempt_id == back->reply.attempt_id)
+				  stray, drop_reply);
+		if (stray->reply.attempt_id == transit->reply.attempt_id)
 			instance = 1 - instance;
 	}
 	schedule_delivery(simulation, instance, simulation->now_us + delay_us,
-			  deliver_reply, back, drop_returning);
+			  deliver_reply, transit, drop_reply);
 }
 
-static struct returning *new_returning(struct journey *journey,
-				       enum rr_reply_status status)
+static struct reply_in_transit *
+new_reply(struct attempt_in_transit *attempt_in_transit,
+	  enum rr_reply_status status)
 {
-	struct returning *back = g_new0(struct returning, 1);
-	struct replica *replica = journey->replica;
-
-	back->replica = replica;
-	back->service = journey->service;
-	back->incarnation = journey->incarnation;
-	back->reply.attempt_id = journey->id;
-	back->reply.status = status;
-	back->reply.state = RR_UPSTREAM_UNKNOWN;
-	back->reply.load = -1.0;
+	struct reply_in_transit *transit = g_new0(struct reply_in_transit, 1);
+	struct replica *replica = attempt_in_transit->replica;
+
+	transit->replica = replica;
+	transit->service = attempt_in_transit->service;
+	transit->incarnation = attempt_in_transit->incarnation;
+	transit->reply.attempt_id = attempt_in_transit->id;
+	transit->reply.status = status;
+	transit->reply.state = RR_UPSTREAM_UNKNOWN;
+	transit->reply.load = -1.0;
 	if (status == RR_REPLY_LOST)
-		return back;
-	back->reply.newest_version = replica->newest_version;
-	back->reply.oldest_version =
+		return transit;
+	transit->reply.newest_version = replica->newest_version;
+	transit->reply.oldest_version =
 		replica->newest_version - VERSIONS_KEPT + 1;
-	back->reply.map_epoch = replica->map_epoch;
+	transit->reply.map_epoch = replica->map_epoch;
 	if (replica->draining) {
-		back->reply.state = RR_UPSTREAM_DRAINING;
-		back->draining_news = true;
+		transit->reply.state = RR_UPSTREAM_DRAINING;
+		transit->reports_draining = true;
 	}
-	return back;
+	return transit;
 }
 
-static void refuse(struct simulation *simulation, struct journey *journey,
-		   enum rr_reply_status status)
+static void reject_attempt(struct simulation *simulation,
+			   struct attempt_in_transit *attempt_in_transit,
+			   enum rr_reply_status status)
 {
-	struct returning *back = new_returning(journey, status);
+	struct reply_in_transit *transit =
+		new_reply(attempt_in_transit, status);
 
 	if (status == RR_REPLY_SHED)
-		back->reply.retry_after_ms =
+		transit->reply.retry_after_ms =
 			(uint32_t)random_between(simulation, 5, 100);
 	if (status == RR_REPLY_REFUSED)
-		back->reply.newest_version = back->reply.oldest_version = 0;
-	send_back(simulation, journey->instance, back,
-		  random_between(simulation, 100, 5 * MS));
+		transit->reply.newest_version = transit->reply.oldest_version =
+			0;
+	send_reply(simulation, attempt_in_transit->instance, transit,
+		   random_between(simulation, 100, 5 * MS));
 }
 
-/* The reply of an attempt that runs. */
-static struct returning *make_reply(struct simulation *simulation,
-				    struct journey *journey, uint64_t version)
+/* Returns the reply to an attempt that is executed. */
+static struct reply_in_transit *
+make_reply(struct simulation *simulation,
+	   struct attempt_in_transit *attempt_in_transit, uint64_t version)
 {
-	struct returning *back = new_returning(journey, RR_REPLY_OK);
-	struct rr_key_range held = replica_range(simulation, journey->replica);
-
-	back->range.from = MAX(held.from, journey->asked.from);
-	back->range.to = MIN(held.to, journey->asked.to);
-	back->reply.version = version;
-	back->reply.rows = rr_new_rows();
-	if (back->range.from < back->range.to) {
-		back->reply.ranges = &back->range;
-		back->reply.n_ranges = 1;
-		back->reply.has_more =
-			fill_rows(simulation, back->reply.rows, back->range,
-				  version, journey->number, journey->limit);
+	struct reply_in_transit *transit =
+		new_reply(attempt_in_transit, RR_REPLY_OK);
+	struct rr_key_range held =
+		replica_range(simulation, attempt_in_transit->replica);
+
+	transit->range.from = MAX(held.from, attempt_in_transit->range.from);
+	transit->range.to = MIN(held.to, attempt_in_transit->range.to);
+	transit->reply.version = version;
+	transit->reply.rows = rr_new_rows();
+	if (transit->range.from < transit->range.to) {
+		transit->reply.ranges = &transit->range;
+		transit->reply.n_ranges = 1;
+		transit->reply.has_more = fill_rows(
+			simulation, transit->reply.rows, transit->range,
+			version, attempt_in_transit->number,
+			attempt_in_transit->limit);
 	}
-	back->reply.row_count = (uint32_t)rr_count_rows(back->reply.rows);
-	back->reply.body_complete = true;
-	if (back->reply.state == RR_UPSTREAM_UNKNOWN)
-		back->reply.state = RR_UPSTREAM_READY;
-	back->reply.load =
-		g_rand_double(simulation->random); /* means nothing */
-	if (journey->kind == RR_RESERVE) {
-		snprintf(back->result, sizeof(back->result),
-			 "{\"done\":%" G_GUINT64_FORMAT "}", journey->number);
-		back->reply.result = back->result;
-		back->reply.result_length = strlen(back->result);
+	transit->reply.row_count = (uint32_t)rr_count_rows(transit->reply.rows);
+	transit->reply.body_complete = true;
+	if (transit->reply.state == RR_UPSTREAM_UNKNOWN)
+		transit->reply.state = RR_UPSTREAM_READY;
+	transit->reply.load = g_rand_double(simulation->random); /* arbitrary */
+	if (attempt_in_transit->kind == RR_RESERVE) {
+		snprintf(transit->result, sizeof(transit->result),
+			 "{\"done\":%" G_GUINT64_FORMAT "}",
+			 attempt_in_transit->number);
+		transit->reply.result = transit->result;
+		transit->reply.result_length = strlen(transit->result);
 	}
-	return back;
+	return transit;
 }
 
-static void spoil_reply(struct simulation *simulation, struct returning *back)
+static void corrupt_reply(struct simulation *simulation,
+			  struct reply_in_transit *transit)
 {
 	switch (g_rand_int_range(simulation->random, 0, 3)) {
 	case 0:
-		back->reply.body_complete = false;
+		transit->reply.body_complete = false;
 		break;
 	case 1:
-		back->reply.row_count++;
+		transit->reply.row_count++;
 		break;
 	case 2: {
-		/* Cut: some rows are missing, the count is the true one. */
+		/* Truncated: rows are missing, and the row count tells so. */
 		struct rr_rows *rows = rr_new_rows();
 
-		back->reply.row_count =
-			(uint32_t)rr_count_rows(back->reply.rows) + 1;
-		rr_drop_rows(back->reply.rows);
-		back->reply.rows = rows;
+		transit->reply.row_count =
+			(uint32_t)rr_count_rows(transit->reply.rows) + 1;
+		rr_drop_rows(transit->reply.rows);
+		transit->reply.rows = rows;
 		break;
 	}
 	}
 }
 
-static void arrive(struct simulation *simulation, void *data)
+static void handle_arrival(struct simulation *simulation, void *data)
 {
-	struct journey *journey = data;
-	struct replica *replica = journey->replica;
-	uint64_t version = journey->version;
-	struct returning *back;
+	struct attempt_in_transit *attempt_in_transit = data;
+	struct replica *replica = attempt_in_transit->replica;
+	uint64_t version = attempt_in_transit->version;
+	struct reply_in_transit *transit;
 	bool cancelled = g_hash_table_contains(simulation->cancelled_attempts,
-					       &journey->id);
+					       &attempt_in_transit->id);
 
 	if (cancelled && random_one_in(simulation, 2))
-		goto out; /* withdrawn before it ran */
+		goto out; /* cancelled before it ran */
 	if (replica->down) {
 		if (random_one_in(simulation, 3))
 			goto out; /* the connection attempt hangs */
-		refuse(simulation, journey, RR_REPLY_REFUSED);
+		reject_attempt(simulation, attempt_in_transit,
+			       RR_REPLY_REFUSED);
 		goto out;
 	}
 	if (replica->shedding && !random_one_in(simulation, 4)) {
-		refuse(simulation, journey, RR_REPLY_SHED);
+		reject_attempt(simulation, attempt_in_transit, RR_REPLY_SHED);
 		goto out;
 	}
 	if (replica->draining && random_one_in(simulation, 2)) {
-		refuse(simulation, journey, RR_REPLY_DRAINING);
+		reject_attempt(simulation, attempt_in_transit,
+			       RR_REPLY_DRAINING);
 		goto out;
 	}
 	if (random_one_in(simulation, 30)) {
-		refuse(simulation, journey, RR_REPLY_REFUSED);
+		reject_attempt(simulation, attempt_in_transit,
+			       RR_REPLY_REFUSED);
 		goto out;
 	}
 	if (!version)
 		version = replica->newest_version;
 	if (!holds_version(replica, version)) {
 		if (!random_one_in(simulation, 8)) {
-			refuse(simulation, journey, RR_REPLY_NO_VERSION);
+			reject_attempt(simulation, attempt_in_transit,
+				       RR_REPLY_NO_VERSION);
 			goto out;
 		}
-		/* A faulty upstream answers with what it has. */
+		/* A faulty upstream replies with the version that it has. */
 		version = replica->newest_version;
 	}
 	if (replica->hung && random_one_in(simulation, 2))
-		goto out; /* read and never run */
-	count_run(simulation, journey->number, service_names[journey->service],
-		  journey->kind == RR_RESERVE ? journey->idempotency_key :
-						NULL);
+		goto out; /* received and never run */
+	count_run(simulation, attempt_in_transit->number,
+		  service_names[attempt_in_transit->service],
+		  attempt_in_transit->kind == RR_RESERVE ?
+			  attempt_in_transit->idempotency_key :
+			  NULL);
 	if (replica->hung)
 		goto out;
 	if (!simulation->faults_stopped && random_one_in(simulation, 30)) {
-		back = new_returning(journey, RR_REPLY_LOST);
+		transit = new_reply(attempt_in_transit, RR_REPLY_LOST);
 	} else {
-		back = make_reply(simulation, journey, version);
+		transit = make_reply(simulation, attempt_in_transit, version);
 		if (!simulation->faults_stopped &&
 		    random_one_in(simulation, 30))
-			spoil_reply(simulation, back);
+			corrupt_reply(simulation, transit);
 	}
-	send_back(simulation, journey->instance, back,
-		  random_one_in(simulation, 20) ?
-			  random_between(simulation, 50 * MS, 600 * MS) :
-			  random_between(simulation, 500, 10 * MS));
+	send_reply(simulation, attempt_in_transit->instance, transit,
+		   random_one_in(simulation, 20) ?
+			   random_between(simulation, 50 * MS, 600 * MS) :
+			   random_between(simulation, 500, 10 * MS));
 out:
-	g_free(journey);
+	g_free(attempt_in_transit);
 }
 
 void handle_attempt(struct simulation *simulation, struct instance *instance,
 		    const struct rr_attempt *attempt)
 {
-	struct journey *journey = g_new0(struct journey, 1);
+	struct attempt_in_transit *attempt_in_transit =
+		g_new0(struct attempt_in_transit, 1);
 	int service;
 	struct replica *replica =
 		find_replica(simulation, attempt->replica, &service);
-	int64_t told_us = replica->draining_seen_us[service][instance->index];
+	int64_t known_draining_us =
+		replica->draining_seen_us[service][instance->index];
 	char id[24];
 	char address[24];
 
 	simulation->n_attempts++;
 	format_replica(simulation, replica, service, id, address);
-	check(simulation, !told_us || simulation->now_us - told_us <= 3000 * MS,
+	check(simulation,
+	      !known_draining_us ||
+		      simulation->now_us - known_draining_us <= 3000 * MS,
 	      "drain: attempt to %s %" G_GINT64_FORMAT
-	      " us after it said draining",
-	      id, simulation->now_us - told_us);
+	      " us after it reported draining",
+	      id, simulation->now_us - known_draining_us);
 	check(simulation, !strcmp(attempt->address, address),
 	      "wrong address %s for %s", attempt->address, id);
 	check(simulation, !strcmp(attempt->service, service_names[service]),
-	      "attempt of service %s at %s", attempt->service, id);
-	journey->instance = instance->index;
-	journey->incarnation = instance->incarnation;
-	journey->id = attempt->id;
-	journey->replica = replica;
-	journey->service = service;
+	      "attempt of service %s sent to %s", attempt->service, id);
+	attempt_in_transit->instance = instance->index;
+	attempt_in_transit->incarnation = instance->incarnation;
+	attempt_in_transit->id = attempt->id;
+	attempt_in_transit->replica = replica;
+	attempt_in_transit->service = service;
 	if (attempt->idempotency_key)
-		g_strlcpy(journey->idempotency_key, attempt->idempotency_key,
-			  sizeof(journey->idempotency_key));
-	journey->number = parse_request_number(attempt->request_id);
-	journey->kind = attempt->kind;
-	journey->asked.from = attempt->key_from;
-	journey->asked.to = attempt->key_to;
-	journey->limit = attempt->row_limit;
-	journey->version = attempt->version;
+		g_strlcpy(attempt_in_transit->idempotency_key,
+			  attempt->idempotency_key,
+			  sizeof(attempt_in_transit->idempotency_key));
+	attempt_in_transit->number = parse_request_number(attempt->request_id);
+	attempt_in_transit->kind = attempt->kind;
+	attempt_in_transit->range.from = attempt->key_from;
+	attempt_in_transit->range.to = attempt->key_to;
+	attempt_in_transit->limit = attempt->row_limit;
+	attempt_in_transit->version = attempt->version;
 	schedule_event(simulation,
 		       simulation->now_us +
 			       random_between(simulation, 100, 3 * MS),
-		       arrive, journey);
+		       handle_arrival, attempt_in_transit);
 }
 
-struct health_news {
+struct health_reply {
 	struct replica *replica;
 	int service;
 	struct rr_health health;
@@ -430,24 +454,24 @@
 
 static void deliver_health(struct instance *instance, void *data)
 {
-	struct health_news *news = data;
-	int64_t *told_us =
-		&news->replica
-			 ->draining_seen_us[news->service][instance->index];
+	struct health_reply *reply = data;
+	int64_t *known_draining_us =
+		&reply->replica
+			 ->draining_seen_us[reply->service][instance->index];
 
 	/*
-	 * A new process that has no configuration yet does not know the
-	 * replica: the answer to its predecessor's poll tells it nothing
-	 * (seed 307: it was then paused for 5 s before its own first poll).
+	 * A new process without a configuration does not know the replica yet,
+	 * so the reply to its predecessor's poll does not count (seed 307: the
+	 * process was then paused for 5 s before its own first poll).
 	 */
-	if (instance->config_revision && !*told_us &&
-	    news->health.state == RR_UPSTREAM_DRAINING)
-		*told_us = instance->simulation->now_us;
-	if (news->health.reachable &&
-	    news->health.state != RR_UPSTREAM_DRAINING)
-		*told_us = 0;
+	if (instance->config_revision && !*known_draining_us &&
+	    reply->health.state == RR_UPSTREAM_DRAINING)
+		*known_draining_us = instance->simulation->now_us;
+	if (reply->health.reachable &&
+	    reply->health.state != RR_UPSTREAM_DRAINING)
+		*known_draining_us = 0;
 	rr_core_handle_health(instance->ctx, instance->core,
-			      instance->simulation->now_us, &news->health);
+			      instance->simulation->now_us, &reply->health);
 }
 
 void handle_health_poll(struct simulation *simulation,
@@ -455,43 +479,43 @@
 {
 	int service;
 	struct replica *replica = find_replica(simulation, id, &service);
-	struct health_news *news;
+	struct health_reply *reply;
 
 	if (replica->hung ||
 	    (!simulation->faults_stopped && random_one_in(simulation, 20)))
-		return; /* the poll is never answered */
-	news = g_new0(struct health_news, 1);
-	news->replica = replica;
-	news->service = service;
-	g_strlcpy(news->id, id, sizeof(news->id));
-	news->health.replica = news->id;
-	news->health.reachable = !replica->down;
-	news->health.load = g_rand_double(simulation->random);
+		return; /* the poll gets no reply */
+	reply = g_new0(struct health_reply, 1);
+	reply->replica = replica;
+	reply->service = service;
+	g_strlcpy(reply->id, id, sizeof(reply->id));
+	reply->health.replica = reply->id;
+	reply->health.reachable = !replica->down;
+	reply->health.load = g_rand_double(simulation->random);
 	if (!replica->down) {
-		news->health.state = replica->draining ? RR_UPSTREAM_DRAINING :
-							 RR_UPSTREAM_READY;
-		news->health.newest_version = replica->newest_version;
-		news->health.oldest_version =
+		reply->health.state = replica->draining ? RR_UPSTREAM_DRAINING :
+							  RR_UPSTREAM_READY;
+		reply->health.newest_version = replica->newest_version;
+		reply->health.oldest_version =
 			replica->newest_version - VERSIONS_KEPT + 1;
-		news->health.map_epoch = replica->map_epoch;
+		reply->health.map_epoch = replica->map_epoch;
 	}
 	schedule_delivery(simulation, instance->index,
 			  simulation->now_us +
 				  random_between(simulation, 200, 5 * MS),
-			  deliver_health, news, g_free);
+			  deliver_health, reply, g_free);
 }
 
 static void repartition(struct simulation *simulation)
 {
 	uint64_t *old = simulation->shard_bounds[simulation->map_epoch % 64];
 	uint64_t *bounds;
-	int moved = g_rand_int_range(simulation->random, 1, N_SHARDS);
+	int shard = g_rand_int_range(simulation->random, 1, N_SHARDS);
 
 	simulation->map_epoch++;
 	bounds = simulation->shard_bounds[simulation->map_epoch % 64];
 	memcpy(bounds, old, sizeof(simulation->shard_bounds[0]));
-	/* Never far from the declared place, so that shards keep keys. */
-	bounds[moved] = (uint64_t)moved * KEYS_PER_SHARD +
+	/* Close to the configured boundary, so that each shard keeps keys. */
+	bounds[shard] = (uint64_t)shard * KEYS_PER_SHARD +
 			(uint64_t)g_rand_int_range(simulation->random, -40, 41);
 }
 
@@ -523,7 +547,7 @@
 		replica->shedding = random_one_in(simulation, 4);
 		break;
 	default:
-		/* Recover, and catch up with index and map, on its own. */
+		/* Recover, and catch up with the index version and the map. */
 		if (random_one_in(simulation, 2)) {
 			replica->draining = false;
 			replica->down = false;
--- a/tests/test-random.c
+++ b/tests/test-random.c
@@ -1,9 +1,9 @@
 /*
- * test-random.c - the seeded randomised run: two instances' cores on one fake
- * platform, against fake upstreams and fake peers, in virtual time.
+ * test-random.c - Seeded randomised simulation of the core.
  *
- * `random --seed N --steps N` repeats a run exactly.  Without arguments the
- * fixed seeds below are run.
+ * Runs the cores of two instances on one fake platform, against fake upstreams
+ * and fake peers, in virtual time.  `random --seed N --steps N` repeats a run
+ * exactly.  Without arguments the fixed seeds below are run.
  */
 #include "random/simulation.h"
 
@@ -12,9 +12,9 @@
 #include <string.h>
 
 /*
- * Seeds that showed a fault once stay here.  2, 3, 4, 6, 11, 12: a list page
- * with a hole, where a lacking shard had merged part of its keys.  212: the
- * same where the page was cut by its number of rows.
+ * Seeds that have found a fault are kept here.  2, 3, 4, 6, 11, 12: a list page
+ * without some of its keys, since a missing shard had merged part of its keys.
+ * 212: the same with a page that was truncated at its maximum number of rows.
  */
 static const uint32_t fixed_seeds[] = { 1, 2, 3,  4,  5,  6,  7,
 					8, 9, 10, 11, 12, 212 };
@@ -104,7 +104,7 @@
 	return issued;
 }
 
-/* Carrier: what the cores ask for goes to the fakes. */
+/* Actions of the cores, which are passed to the fakes. */
 
 static void on_send_attempt(void *data, const struct rr_attempt *attempt)
 {
@@ -149,15 +149,15 @@
 	uint64_t revision = *(uint64_t *)data;
 	struct rr_config *config = make_config(simulation, revision);
 	char record[24];
-	bool taken;
+	bool applied;
 
 	snprintf(record, sizeof(record), "%" G_GUINT64_FORMAT, revision);
-	taken = rr_core_set_config(instance->ctx, instance->core,
-				   simulation->now_us, config, record,
-				   strlen(record));
-	check(simulation, taken == (revision > instance->config_revision),
-	      "config: revision %d over %d: taken %d", (int)revision,
-	      (int)instance->config_revision, taken);
+	applied = rr_core_set_config(instance->ctx, instance->core,
+				     simulation->now_us, config, record,
+				     strlen(record));
+	check(simulation, applied == (revision > instance->config_revision),
+	      "config: revision %d after %d: applied %d", (int)revision,
+	      (int)instance->config_revision, applied);
 	rr_drop_config(config);
 }
 
@@ -242,7 +242,7 @@
 static void tick(struct instance *instance, void *data)
 {
 	if (instance->next_tick_us > instance->simulation->now_us)
-		return; /* a later event planned another */
+		return; /* a later event has scheduled another tick */
 	instance->next_tick_us = INT64_MAX;
 	rr_core_tick(instance->ctx, instance->core,
 		     instance->simulation->now_us);
@@ -290,23 +290,24 @@
 
 /* Faults and changes. */
 
-static void drain(struct instance *instance, void *data)
+static void drain_instance(struct instance *instance, void *data)
 {
 	instance->draining = true;
 	rr_core_drain(instance->ctx, instance->core,
 		      instance->simulation->now_us);
 }
 
-static void hint(struct instance *instance, void *data)
+static void hint_instance(struct instance *instance, void *data)
 {
 	hint_peers(instance->simulation, instance);
 }
 
 /*
- * Killed and replaced; its replies come to the new process.  At times that
- * one soon ends too, while the first's replies are still on their way.
+ * Kill and replace an instance; replies to it arrive at the new process.  In
+ * most cases that one is killed soon too, while replies to the first are still
+ * in transit.
  */
-static void crash(struct simulation *simulation, void *data)
+static void crash_instance(struct simulation *simulation, void *data)
 {
 	int index = GPOINTER_TO_INT(data);
 
@@ -318,30 +319,30 @@
 		schedule_event(simulation,
 			       simulation->now_us +
 				       random_between(simulation, 0, 60 * MS),
-			       crash, data);
+			       crash_instance, data);
 }
 
-static void change_instance(struct simulation *simulation)
+static void perturb_instance(struct simulation *simulation)
 {
 	int index = g_rand_int_range(simulation->random, 0, N_INSTANCES);
 	struct instance *instance = &simulation->instances[index];
 
 	if (instance->draining && random_one_in(simulation, 8)) {
-		/* The platform ends a stop that takes too long. */
+		/* The platform kills an instance that drains for too long. */
 		stop_instance(simulation, index);
 		start_instance(simulation, index);
 		return;
 	}
 	switch (g_rand_int_range(simulation->random, 0, 40)) {
 	case 0:
-		crash(simulation, GINT_TO_POINTER(index));
+		crash_instance(simulation, GINT_TO_POINTER(index));
 		break;
 	case 1:
-		schedule_delivery(simulation, index, simulation->now_us, drain,
-				  NULL, NULL);
+		schedule_delivery(simulation, index, simulation->now_us,
+				  drain_instance, NULL, NULL);
 		break;
 	case 2:
-		/* Paused, at times for longer than any timeout. */
+		/* Paused, sometimes for longer than any time-out. */
 		instance->paused_until_us =
 			simulation->now_us +
 			random_between(simulation, 10 * MS, 6000 * MS);
@@ -351,19 +352,19 @@
 			random_between(simulation, -2000 * MS, 2000 * MS);
 		break;
 	default:
-		schedule_delivery(simulation, index, simulation->now_us, hint,
-				  NULL, NULL);
+		schedule_delivery(simulation, index, simulation->now_us,
+				  hint_instance, NULL, NULL);
 		break;
 	}
 }
 
-static void change_config(struct simulation *simulation)
+static void perturb_config(struct simulation *simulation)
 {
 	uint64_t revision;
 
 	if (random_one_in(simulation, 3))
 		simulation->config_revision++;
-	/* At times the one before, read from a lagging peer or store. */
+	/* Sometimes the previous one, read from a lagging peer or store. */
 	revision = simulation->config_revision -
 		   (uint64_t)(random_one_in(simulation, 3) ? 1 : 0);
 	if (revision)
@@ -373,7 +374,7 @@
 			revision);
 }
 
-static void act(struct simulation *simulation, void *data)
+static void run_random_action(struct simulation *simulation, void *data)
 {
 	if (simulation->faults_stopped)
 		return;
@@ -390,11 +391,11 @@
 		break;
 	case 3:
 		if (random_one_in(simulation, 8))
-			change_config(simulation);
+			perturb_config(simulation);
 		break;
 	case 4:
 		if (random_one_in(simulation, 2))
-			change_instance(simulation);
+			perturb_instance(simulation);
 		break;
 	case 5:
 		cancel_random_request(simulation);
@@ -410,20 +411,20 @@
 	schedule_event(simulation,
 		       simulation->now_us +
 			       random_between(simulation, 200, 6 * MS),
-		       act, NULL);
+		       run_random_action, NULL);
 }
 
-/* A run. */
+/* Runs. */
 
-static void free_chain(gpointer data)
+static void free_paged_list(gpointer data)
 {
-	struct paged_list *chain = data;
+	struct paged_list *list = data;
 
-	g_free(chain->cursor);
-	g_free(chain);
+	g_free(list->cursor);
+	g_free(list);
 }
 
-static struct simulation *new_world(uint32_t seed)
+static struct simulation *new_simulation(uint32_t seed)
 {
 	struct simulation *simulation = g_new0(struct simulation, 1);
 
@@ -433,7 +434,7 @@
 		g_int64_hash, g_int64_equal, NULL, g_free);
 	simulation->requests_by_age = g_queue_new();
 	simulation->paged_lists = g_hash_table_new_full(
-		g_int64_hash, g_int64_equal, NULL, free_chain);
+		g_int64_hash, g_int64_equal, NULL, free_paged_list);
 	simulation->executions_by_key =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	simulation->results_by_key =
@@ -453,8 +454,8 @@
 	return simulation;
 }
 
-/* After all faults are over everything has to come to rest. */
-static void come_to_rest(struct simulation *simulation)
+/* After all faults have ended, every request must finish. */
+static void finish_simulation(struct simulation *simulation)
 {
 	int64_t end_us;
 
@@ -466,13 +467,13 @@
 	for (int i = 0; i < N_INSTANCES; i++) {
 		simulation->instances[i].paused_until_us = 0;
 		schedule_delivery(simulation, i, simulation->now_us + 8000 * MS,
-				  drain, NULL, NULL);
+				  drain_instance, NULL, NULL);
 	}
-	/* An outcome that never comes is waited for for a minute. */
+	/* An outcome that never arrives is awaited for a minute. */
 	end_us = simulation->now_us + 100000 * MS;
 	while (simulation->now_us < end_us && run_event(simulation))
 		;
-	/* With nothing left to happen, time alone goes on. */
+	/* Without further events, only the time advances. */
 	simulation->now_us = end_us;
 	check_overdue(simulation);
 	check(simulation, !simulation->requests_by_age->length,
@@ -484,10 +485,10 @@
 		      "graceful: instance %d never drained", i);
 }
 
-/* Finished worlds whose last events, never run, are still in the queue. */
-static GPtrArray *finished_worlds;
+/* Finished simulations, whose queues still hold events that were not run. */
+static GPtrArray *finished_simulations;
 
-static void drop_world(struct simulation *simulation)
+static void drop_simulation(struct simulation *simulation)
 {
 	for (int i = 0; i < N_INSTANCES; i++)
 		stop_instance(simulation, i);
@@ -501,17 +502,17 @@
 	g_hash_table_destroy(simulation->relayed_requests);
 	g_ptr_array_free(simulation->recent_keys, TRUE);
 	g_rand_free(simulation->random);
-	g_ptr_array_add(finished_worlds, simulation);
+	g_ptr_array_add(finished_simulations, simulation);
 }
 
 static void run_seed(uint32_t seed, uint64_t steps)
 {
-	struct simulation *simulation = new_world(seed);
+	struct simulation *simulation = new_simulation(seed);
 
-	schedule_event(simulation, simulation->now_us, act, NULL);
+	schedule_event(simulation, simulation->now_us, run_random_action, NULL);
 	while (simulation->steps < steps && run_event(simulation))
 		;
-	come_to_rest(simulation);
+	finish_simulation(simulation);
 	printf("random: ok seed=%u steps=%" G_GUINT64_FORMAT
 	       " requests=%" G_GUINT64_FORMAT " complete=%" G_GUINT64_FORMAT
 	       " partial=%" G_GUINT64_FORMAT " not_run=%" G_GUINT64_FORMAT
@@ -530,7 +531,7 @@
 	       g_hash_table_size(simulation->executions_by_key),
 	       simulation->n_rows_checked, simulation->n_restarts);
 	fflush(stdout);
-	drop_world(simulation);
+	drop_simulation(simulation);
 }
 
 int main(int argc, char **argv)
@@ -551,7 +552,7 @@
 			return 2;
 		}
 	}
-	finished_worlds = g_ptr_array_new();
+	finished_simulations = g_ptr_array_new();
 	if (seed) {
 		run_seed(seed, steps);
 		return 0;
