--- a/tests/random/upstream.c
+++ b/tests/random/upstream.c
@@ -138,7 +138,7 @@
 	char idempotency_key[48];
 	uint64_t number;
 	enum rr_request_kind kind;
-	struct rr_key_range range;
+	struct rr_key_range requested;
 	uint32_t limit;
 	uint64_t version;
 };
@@ -281,8 +281,9 @@
 	struct rr_key_range held =
 		replica_range(simulation, attempt_in_transit->replica);
 
-	transit->range.from = MAX(held.from, attempt_in_transit->range.from);
-	transit->range.to = MIN(held.to, attempt_in_transit->range.to);
+	transit->range.from =
+		MAX(held.from, attempt_in_transit->requested.from);
+	transit->range.to = MIN(held.to, attempt_in_transit->requested.to);
 	transit->reply.version = version;
 	transit->reply.rows = rr_new_rows();
 	if (transit->range.from < transit->range.to) {
@@ -435,8 +436,8 @@
 			  sizeof(attempt_in_transit->idempotency_key));
 	attempt_in_transit->number = parse_request_number(attempt->request_id);
 	attempt_in_transit->kind = attempt->kind;
-	attempt_in_transit->range.from = attempt->key_from;
-	attempt_in_transit->range.to = attempt->key_to;
+	attempt_in_transit->requested.from = attempt->key_from;
+	attempt_in_transit->requested.to = attempt->key_to;
 	attempt_in_transit->limit = attempt->row_limit;
 	attempt_in_transit->version = attempt->version;
 	schedule_event(simulation,
