--- a/fuzz/store-reply.c
+++ b/fuzz/store-reply.c
@@ -1,6 +1,7 @@
 /*
- * store-reply.c - Fuzz target: replies of the platform's store, and the route
- * tables in them.
+ * store-reply.c - Fuzz target: replies of the platform's store.
+ *
+ * They contain the configuration with the route table, and store entries.
  */
 #include <stdlib.h>
 #include <string.h>
--- a/tests/random/upstream.c
+++ b/tests/random/upstream.c
@@ -320,7 +320,7 @@
 		transit->reply.row_count++;
 		break;
 	case 2: {
-		/* Truncated: rows are missing, and the row count tells so. */
+		/* Truncated: rows are missing, the row count is the true one. */
 		struct rr_rows *rows = rr_new_rows();
 
 		transit->reply.row_count =
--- a/tests/support/deployment.c
+++ b/tests/support/deployment.c
@@ -1,5 +1,5 @@
 /*
- * deployment.c - Starts, queries and checks whole deployments.
+ * deployment.c - Starts, queries and checks small deployments of processes.
  */
 #include "support/deployment.h"
 #include "support/port.h"
--- a/tests/test-process-end-to-end.c
+++ b/tests/test-process-end-to-end.c
@@ -74,7 +74,7 @@
 					version, MAX(1, version - 2));
 		struct test_http_reply *reply;
 
-		/* One of two replicas of each shard moves first. */
+		/* One replica of each shard moves first; the other is behind. */
 		test_post_control(d->upstreams[version % 2]->control_port,
 				  json);
 		reply = test_search(d, (int)(version % 3));
--- a/tests/test-process-key-rotation.c
+++ b/tests/test-process-key-rotation.c
@@ -275,8 +275,9 @@
 /*
  * Guards against a removed key that stays accepted on open connections, since
  * keys are only checked when a peer connects.  A stolen key is removed on all
- * instances but one, which has open connections.  Its connections must be
- * rejected and counted, and accepted again when it has the new key.
+ * instances but one, which was overlooked and has open connections.  Its
+ * connections must be rejected and counted, and accepted again when it has the
+ * new key.
  */
 static void test_removed_key_is_rejected_and_counted(void **state)
 {
--- a/tests/test-process-stop.c
+++ b/tests/test-process-stop.c
@@ -136,7 +136,8 @@
  * such as by a stopped virtual machine.  It is paused with a reservation in
  * flight for long enough that its peers consider it dead, and resumes without
  * noticing the time that has passed.  In the meantime the caller has repeated
- * the request with the same id at another instance.
+ * the request with the same id at another instance.  The reservation must have
+ * run at most once.
  */
 static void test_paused_instance_runs_reservation_once(void **state)
 {
