--- a/include/ragwort/gate.h
+++ b/include/ragwort/gate.h
@@ -289,7 +289,7 @@
 
 /* Pass the result of a probe. */
 void rr_gate_handle_probe_result(struct rr_context *ctx, struct rr_gate *gate,
-				 int64_t now_us, const char *lifetime,
+				 int64_t now_us, const char *incarnation,
 				 bool reached);
 
 /*
@@ -334,8 +334,7 @@
  * as possible.  If it is not ready, `*reason` is set to a static string.
  */
 bool rr_gate_is_ready(const struct rr_gate *gate, const char **reason);
-/* Return this instance's share of the connections to a replica. */
-uint32_t rr_gate_connection_share(const struct rr_gate *gate,
-				  const char *service);
+/* Return this instance's share of the connections to the replica `name`. */
+uint32_t rr_gate_connection_share(const struct rr_gate *gate, const char *name);
 
 #endif
--- a/include/ragwort/record.h
+++ b/include/ragwort/record.h
@@ -88,16 +88,16 @@
 
 /*
  * Build the configuration of one site, with the record's revision; see
- * settings.h.
+ * settings.h.  A site without an overlay uses the base alone.
  */
-/* A site without an overlay uses the base alone. */
 struct rr_config *rr_build_site_config(const struct rr_config_record *record,
-				       const char *site, GPtrArray *faults);
+				       const char *site,
+				       GPtrArray *diagnostics);
 /*
  * Check the merged result of every site with an overlay, or the base alone if
- * there are none; return false with faults appended.
+ * there are none; return false with `diagnostics` appended.
  */
 bool rr_check_config_record(const struct rr_config_record *record,
-			    GPtrArray *faults);
+			    GPtrArray *diagnostics);
 
 #endif
--- a/source/core/gate-private.h
+++ b/source/core/gate-private.h
@@ -296,12 +296,12 @@
 void rr_note_start(struct rr_gate *gate,
 		   const struct rr_endpoint_info *listing);
 /*
- * Make a name for an incarnation that differs from `before`, the name of the
+ * Make a name for an incarnation that differs from `previous`, the name of the
  * incarnation that it replaces (NULL if there is none).  Returns a new string,
  * to be freed with g_free().
  */
 char *rr_format_incarnation(const struct rr_endpoint_info *listing,
-			    uint64_t number, const char *before);
+			    uint64_t number, const char *previous);
 
 /* gate-zone.c */
 struct rr_gate_zone *rr_get_gate_zone(struct rr_gate *gate, const char *name);
@@ -324,7 +324,7 @@
 void rr_handle_probe_timer(struct rr_context *ctx, struct rr_gate *gate,
 			   uint64_t number);
 void rr_handle_zone_timer(struct rr_context *ctx, struct rr_gate *gate,
-			  uint64_t number, uint32_t watch);
+			  uint64_t number, uint32_t sequence);
 /* Re-evaluate whether this instance is isolated. */
 void rr_update_isolation(struct rr_context *ctx, struct rr_gate *gate);
 
@@ -523,30 +523,30 @@
 /* Check a new request against the quarantine. */
 enum rr_quarantine_step rr_check_quarantine(struct rr_context *ctx,
 					    struct rr_gate *gate,
-					    struct rr_gate_request *run);
+					    struct rr_gate_request *request);
 /* The timeout of a claim, and the end of a request with a claim pending. */
 void rr_handle_claim_timeout(struct rr_context *ctx, struct rr_gate *gate,
 			     uint64_t id);
 void rr_drop_pending_claim(struct rr_gate *gate,
-			   const struct rr_gate_request *run);
+			   const struct rr_gate_request *request);
 /* A request has ended: publish its record if that is due. */
 void rr_publish_suspicion(struct rr_context *ctx, struct rr_gate *gate,
 			  const struct rr_fingerprint *fingerprint);
 /* Start a suspected request with one attempt.  False if it is not suspected. */
 bool rr_start_canary(struct rr_context *ctx, struct rr_gate *gate,
-		     struct rr_gate_request *run);
+		     struct rr_gate_request *request);
 /* Send the next attempt, of any part.  Ends the request if none can be sent. */
 void rr_send_canary(struct rr_context *ctx, struct rr_gate *gate,
-		    struct rr_gate_request *run);
+		    struct rr_gate_request *request);
 /*
  * Handle an attempt that was not answered.  True if its request continues as a
  * canary, or has ended.
  */
 bool rr_continue_canary(struct rr_context *ctx, struct rr_gate *gate,
-			struct rr_gate_request *run);
+			struct rr_gate_request *request);
 /* An attempt of part `index` completed: send the other parts. */
 void rr_end_canary(struct rr_context *ctx, struct rr_gate *gate,
-		   struct rr_gate_request *run, size_t index);
+		   struct rr_gate_request *request, size_t index);
 
 /* gate-request.c */
 /* Send a new request. */
--- a/source/core/query-private.h
+++ b/source/core/query-private.h
@@ -315,14 +315,14 @@
 /* Return the reason for a shard whose relay had no reply by the deadline. */
 enum rr_missing_reason
 rr_unanswered_relay_reason(const struct rr_core *core,
-			   const struct rr_outgoing_relay *run);
+			   const struct rr_outgoing_relay *outgoing);
 /* Send no more shards of the query to this owner. */
 void rr_exclude_owner(struct rr_query *query, const char *instance);
 /* End a relay once outcomes for all of its shards have been received. */
 void rr_end_relay_if_complete(struct rr_core *core,
-			      struct rr_outgoing_relay *run);
+			      struct rr_outgoing_relay *outgoing);
 void rr_fail_relay(struct rr_context *ctx, struct rr_core *core, uint64_t id,
-		   const char *why);
+		   const char *reason);
 /*
  * Handle a relay time-out: the relay is lost unless its owner was in contact
  * since.
--- a/source/core/relay.c
+++ b/source/core/relay.c
@@ -314,25 +314,25 @@
 }
 
 void rr_fail_relay(struct rr_context *ctx, struct rr_core *core, uint64_t id,
-		   const char *why)
+		   const char *reason)
 {
 	struct rr_outgoing_relay *outgoing =
 		g_hash_table_lookup(core->relays, &id);
 	struct rr_query *query;
-	enum rr_missing_reason reason;
+	enum rr_missing_reason missing_reason;
 	GArray *tasks;
 
 	if (!outgoing)
 		return;
 	query = outgoing->query;
-	reason = loss_reason(core, outgoing);
+	missing_reason = loss_reason(core, outgoing);
 	back_off_silent_peer(core, outgoing);
 	g_ptr_array_add(query->excluded_owners, g_strdup(outgoing->instance));
 	rr_log(ctx, RR_LOG_DECISION, "relay-lost",
 	       RR_FIELD_STRING("request", query->request_id),
 	       RR_FIELD_U64("query", query->id), RR_FIELD_U64("relay", id),
 	       RR_FIELD_STRING("owner", outgoing->instance),
-	       RR_FIELD_STRING("reason", why));
+	       RR_FIELD_STRING("reason", reason));
 	tasks = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	for (guint i = 0; i < outgoing->tasks->len; i++) {
 		uint32_t task = g_array_index(outgoing->tasks, uint32_t, i);
@@ -344,7 +344,7 @@
 	for (guint i = 0; i < tasks->len; i++)
 		rr_handle_task_failure(ctx, core, query,
 				       g_array_index(tasks, uint32_t, i),
-				       reason, false);
+				       missing_reason, false);
 	g_array_unref(tasks);
 }
 
--- a/source/daemon/daemon.c
+++ b/source/daemon/daemon.c
@@ -271,13 +271,13 @@
 	update_after_event(daemon);
 }
 
-static void handle_replica(void *data, const char *name, int64_t born_ms,
+static void handle_replica(void *data, const char *name, int64_t started_ms,
 			   enum rr_upstream_state state)
 {
 	struct rr_daemon *daemon = data;
 
 	rr_core_hint_replica(daemon->ctx, daemon->core, g_get_monotonic_time(),
-			     name, born_ms, state);
+			     name, started_ms, state);
 	update_after_event(daemon);
 }
 
--- a/source/tool/bench-scrape.h
+++ b/source/tool/bench-scrape.h
@@ -53,6 +53,6 @@
 struct rr_bench_scrape *
 rr_scrape_bench_metrics(char *const *instances, char *const *control_addresses,
 			const struct rr_credentials *credentials);
-void rr_drop_bench_scrape(struct rr_bench_scrape *measure);
+void rr_drop_bench_scrape(struct rr_bench_scrape *scrape);
 
 #endif
