--- a/fuzz/entries.c
+++ b/fuzz/entries.c
@@ -19,10 +19,10 @@
 static void decode_replica(const char *id, const char *text, size_t length)
 {
 	struct rr_feed_item *item = g_new0(struct rr_feed_item, 1);
-	const char *fault;
+	const char *reason;
 
-	item->replica = rr_decode_endpoint_info(id, text, length, &fault);
-	if (!item->replica == !fault)
+	item->replica = rr_decode_endpoint_info(id, text, length, &reason);
+	if (!item->replica == !reason)
 		abort();
 	if (item->replica &&
 	    (!*item->replica->service || !*item->replica->zone ||
@@ -34,11 +34,11 @@
 
 static void decode_instance(const char *id, const char *text, size_t length)
 {
-	const char *fault;
+	const char *reason;
 	struct rr_instance *instance =
-		rr_decode_instance(id, text, length, &fault);
+		rr_decode_instance(id, text, length, &reason);
 
-	if (!instance == !fault)
+	if (!instance == !reason)
 		abort();
 	if (instance && (!instance->zone || !instance->address ||
 			 !(instance->strength >= 0)))
@@ -50,20 +50,20 @@
 static void validate_evacuation(const char *zone, const char *text,
 				size_t length)
 {
-	const char *fault = rr_validate_evacuation(zone, text, length);
+	const char *reason = rr_validate_evacuation(zone, text, length);
 
-	if (!*zone && !fault)
+	if (!*zone && !reason)
 		abort();
 }
 
 /* Either an entry that names crashed replicas, or a reason. */
 static void decode_quarantine(const char *id, const char *text, size_t length)
 {
-	const char *fault;
+	const char *reason;
 	struct rr_quarantine_entry *entry =
-		rr_decode_quarantine(id, text, length, &fault);
+		rr_decode_quarantine(id, text, length, &reason);
 
-	if (!entry == !fault)
+	if (!entry == !reason)
 		abort();
 	if (entry &&
 	    (!entry->crashed[0] || !rr_is_fingerprint_set(&entry->fingerprint)))
@@ -116,11 +116,11 @@
 /* Either registrations that may be written, or a reason. */
 static void parse_registration(const char *text, size_t length)
 {
-	const char *fault;
+	const char *reason;
 	struct rr_registration_request *call =
-		rr_parse_registration_request(text, length, &fault);
+		rr_parse_registration_request(text, length, &reason);
 
-	if (!call == !fault)
+	if (!call == !reason)
 		abort();
 	if (!call)
 		return;
--- a/fuzz/settings.c
+++ b/fuzz/settings.c
@@ -19,7 +19,7 @@
 		length ? g_strstr_len(text, (gssize)length, SEPARATOR) : NULL;
 	struct rr_settings_source base = { "base.yaml", text, length };
 	struct rr_settings_source overlay = { "overlay.yaml", NULL, 0 };
-	GPtrArray *faults = rr_new_diagnostics();
+	GPtrArray *diagnostics = rr_new_diagnostics();
 	struct rr_config *config;
 
 	if (separator) {
@@ -28,10 +28,10 @@
 		overlay.length = length - base.length - strlen(SEPARATOR);
 	}
 	config = rr_parse_config(&base, separator ? &overlay : NULL, "nairobi",
-				 faults);
-	if ((config == NULL) != (faults->len > 0))
+				 diagnostics);
+	if ((config == NULL) != (diagnostics->len > 0))
 		abort();
 	rr_drop_config(config);
-	g_ptr_array_unref(faults);
+	g_ptr_array_unref(diagnostics);
 	return 0;
 }
--- a/fuzz/store-reply.c
+++ b/fuzz/store-reply.c
@@ -15,12 +15,12 @@
 static void decode_route_table(const uint8_t *data, size_t length)
 {
 	const char *text = (const char *)data;
-	const char *fault;
-	struct rr_route_table *table = rr_decode_routes(text, length, &fault);
+	const char *reason;
+	struct rr_route_table *table = rr_decode_routes(text, length, &reason);
 
 	if (table && !rr_route_table_version(table))
 		abort();
-	if (!table == !fault)
+	if (!table == !reason)
 		abort();
 	rr_drop_route_table(table);
 }
--- a/source/core/gate-loop-delay.c
+++ b/source/core/gate-loop-delay.c
@@ -71,12 +71,12 @@
 
 	g_hash_table_iter_init(&iter, gate->requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct rr_gate_request *request = value;
+		const struct rr_gate_request *req = value;
 
-		for (size_t i = 0; i < request->n_parts; i++)
-			request->parts[i].last_sent_us =
-				add_delay(request->parts[i].last_sent_us,
-					  delay_us, gate->now_us);
+		for (size_t i = 0; i < req->n_parts; i++)
+			req->parts[i].last_sent_us =
+				add_delay(req->parts[i].last_sent_us, delay_us,
+					  gate->now_us);
 	}
 }
 
--- a/source/core/gate-private.h
+++ b/source/core/gate-private.h
@@ -523,30 +523,30 @@
 /* Check a new request against the quarantine. */
 enum rr_quarantine_step rr_check_quarantine(struct rr_context *ctx,
 					    struct rr_gate *gate,
-					    struct rr_gate_request *request);
+					    struct rr_gate_request *req);
 /* The timeout of a claim, and the end of a request with a claim pending. */
 void rr_handle_claim_timeout(struct rr_context *ctx, struct rr_gate *gate,
 			     uint64_t id);
 void rr_drop_pending_claim(struct rr_gate *gate,
-			   const struct rr_gate_request *request);
+			   const struct rr_gate_request *req);
 /* A request has ended: publish its record if that is due. */
 void rr_publish_suspicion(struct rr_context *ctx, struct rr_gate *gate,
 			  const struct rr_fingerprint *fingerprint);
 /* Start a suspected request with one attempt.  False if it is not suspected. */
 bool rr_start_canary(struct rr_context *ctx, struct rr_gate *gate,
-		     struct rr_gate_request *request);
+		     struct rr_gate_request *req);
 /* Send the next attempt, of any part.  Ends the request if none can be sent. */
 void rr_send_canary(struct rr_context *ctx, struct rr_gate *gate,
-		    struct rr_gate_request *request);
+		    struct rr_gate_request *req);
 /*
  * Handle an attempt that was not answered.  True if its request continues as a
  * canary, or has ended.
  */
 bool rr_continue_canary(struct rr_context *ctx, struct rr_gate *gate,
-			struct rr_gate_request *request);
+			struct rr_gate_request *req);
 /* An attempt of part `index` completed: send the other parts. */
 void rr_end_canary(struct rr_context *ctx, struct rr_gate *gate,
-		   struct rr_gate_request *request, size_t index);
+		   struct rr_gate_request *req, size_t index);
 
 /* gate-request.c */
 /* Send a new request. */
--- a/source/core/gate-quarantine.c
+++ b/source/core/gate-quarantine.c
@@ -71,10 +71,10 @@
 
 	g_hash_table_iter_init(&iter, gate->requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		struct rr_gate_request *request = value;
+		struct rr_gate_request *req = value;
 
-		if (rr_same_fingerprint(&request->fingerprint, fingerprint))
-			return request;
+		if (rr_same_fingerprint(&req->fingerprint, fingerprint))
+			return req;
 	}
 	return NULL;
 }
@@ -121,11 +121,11 @@
 fail_requests_by_fingerprint(struct rr_context *ctx, struct rr_gate *gate,
 			     const struct rr_fingerprint *fingerprint)
 {
-	struct rr_gate_request *request;
+	struct rr_gate_request *req;
 
-	while ((request = find_request_by_fingerprint(gate, fingerprint))) {
-		request->final_rejection = true;
-		rr_fail_request(ctx, gate, request, IN_QUARANTINE);
+	while ((req = find_request_by_fingerprint(gate, fingerprint))) {
+		req->final_rejection = true;
+		rr_fail_request(ctx, gate, req, IN_QUARANTINE);
 	}
 }
 
@@ -150,16 +150,16 @@
 /* Canary requests. */
 
 void rr_send_canary(struct rr_context *ctx, struct rr_gate *gate,
-		    struct rr_gate_request *request)
+		    struct rr_gate_request *req)
 {
-	for (size_t i = 0; i < request->n_parts; i++) {
-		if (request->parts[i].status == RR_PART_PENDING &&
-		    (rr_try_send_part(ctx, gate, request, i, "canary") ||
-		     request->parts[i].queued))
+	for (size_t i = 0; i < req->n_parts; i++) {
+		if (req->parts[i].status == RR_PART_PENDING &&
+		    (rr_try_send_part(ctx, gate, req, i, "canary") ||
+		     req->parts[i].queued))
 			return;
 	}
-	rr_fail_request(ctx, gate, request,
-			request->n_closed ? CRASHES_REPLICAS : "no-replica");
+	rr_fail_request(ctx, gate, req,
+			req->n_closed ? CRASHES_REPLICAS : "no-replica");
 }
 
 /*
@@ -167,35 +167,32 @@
  * that only lose responses.
  */
 static bool is_suspicious(const struct rr_gate *gate,
-			  const struct rr_gate_request *request)
+			  const struct rr_gate_request *req)
 {
 #ifdef RR_MUTANT_GATE_SENDS_ALL_AT_ONCE
 	return false;
 #endif
-	return !request->completed && request->n_crashed &&
+	return !req->completed && req->n_crashed &&
 	       !rr_is_harmless(gate->quarantine, gate->now_us,
-			       &request->fingerprint);
+			       &req->fingerprint);
 }
 
 /* Returns the latest attempt if it was sent after the first close, or NULL. */
-static struct rr_gate_attempt *
-find_canary(const struct rr_gate_request *request)
+static struct rr_gate_attempt *find_canary(const struct rr_gate_request *req)
 {
 	struct rr_gate_attempt *latest =
-		g_queue_peek_tail((GQueue *)&request->in_flight);
+		g_queue_peek_tail((GQueue *)&req->in_flight);
 
-	return latest && latest->sent_us >= request->first_close_us ? latest :
-								      NULL;
+	return latest && latest->sent_us >= req->first_close_us ? latest : NULL;
 }
 
 static void become_canary(struct rr_context *ctx, struct rr_gate *gate,
-			  struct rr_gate_request *request)
+			  struct rr_gate_request *req)
 {
-	request->canary = true;
-	rr_cancel_other_attempts(ctx, gate, request, find_canary(request),
-				 "suspected");
-	if (!request->in_flight.length)
-		rr_send_canary(ctx, gate, request);
+	req->canary = true;
+	rr_cancel_other_attempts(ctx, gate, req, find_canary(req), "suspected");
+	if (!req->in_flight.length)
+		rr_send_canary(ctx, gate, req);
 }
 
 /* Continues a request after the probe of a replica that closed its attempt. */
@@ -203,69 +200,66 @@
 			    const struct rr_closed_attempt *attempt,
 			    bool crashed)
 {
-	struct rr_gate_request *request =
-		rr_find_request(gate, attempt->request);
+	struct rr_gate_request *req = rr_find_request(gate, attempt->request);
 
-	if (!request)
+	if (!req)
 		return;
-	request->n_unresolved--;
-	request->n_crashed += crashed;
-	request->parts[attempt->part].n_crashed += crashed;
-	if (!request->canary) {
-		if (is_suspicious(gate, request))
-			become_canary(ctx, gate, request);
+	req->n_unresolved--;
+	req->n_crashed += crashed;
+	req->parts[attempt->part].n_crashed += crashed;
+	if (!req->canary) {
+		if (is_suspicious(gate, req))
+			become_canary(ctx, gate, req);
 		return;
 	}
-	if (request->in_flight.length || request->n_unresolved)
+	if (req->in_flight.length || req->n_unresolved)
 		return;
 	if (crashed)
-		rr_fail_request(ctx, gate, request, CRASHES_REPLICAS);
+		rr_fail_request(ctx, gate, req, CRASHES_REPLICAS);
 	else
-		rr_send_canary(ctx, gate, request);
+		rr_send_canary(ctx, gate, req);
 }
 
 bool rr_continue_canary(struct rr_context *ctx, struct rr_gate *gate,
-			struct rr_gate_request *request)
+			struct rr_gate_request *req)
 {
-	if (!request->canary && !is_suspicious(gate, request))
+	if (!req->canary && !is_suspicious(gate, req))
 		return false;
-	if (!request->canary)
-		become_canary(ctx, gate, request);
-	else if (!request->in_flight.length && !request->n_unresolved)
-		rr_send_canary(ctx, gate, request);
+	if (!req->canary)
+		become_canary(ctx, gate, req);
+	else if (!req->in_flight.length && !req->n_unresolved)
+		rr_send_canary(ctx, gate, req);
 	return true;
 }
 
 void rr_end_canary(struct rr_context *ctx, struct rr_gate *gate,
-		   struct rr_gate_request *request, size_t index)
+		   struct rr_gate_request *req, size_t index)
 {
-	request->completed = true;
-	if (!request->canary)
+	req->completed = true;
+	if (!req->canary)
 		return;
-	request->canary = false;
-	for (size_t i = 0; i < request->n_parts; i++) {
-		struct rr_gate_part *part = &request->parts[i];
+	req->canary = false;
+	for (size_t i = 0; i < req->n_parts; i++) {
+		struct rr_gate_part *part = &req->parts[i];
 
 		if (i == index || part->status != RR_PART_PENDING ||
 		    part->n_in_flight || part->queued)
 			continue;
-		if (!rr_try_send_part(ctx, gate, request, i,
-				      "canary-answered") &&
+		if (!rr_try_send_part(ctx, gate, req, i, "canary-answered") &&
 		    !part->queued)
-			rr_fail_part(request, part);
+			rr_fail_part(req, part);
 	}
 }
 
 bool rr_start_canary(struct rr_context *ctx, struct rr_gate *gate,
-		     struct rr_gate_request *request)
+		     struct rr_gate_request *req)
 {
-	if (!request->trial &&
+	if (!req->trial &&
 	    (rr_quarantine_is_empty(gate->quarantine) ||
-	     !rr_find_quarantine_record(gate->quarantine,
-					&request->fingerprint)))
+	     !rr_find_quarantine_record(gate->quarantine, &req->fingerprint)))
 		return false;
-	request->canary = true;
-	rr_send_canary(ctx, gate, request);
+	req->canary = true;
+	rr_send_canary(ctx, gate, req);
 	return true;
 }
 
@@ -273,19 +267,19 @@
 			    const struct rr_gate_attempt *attempt)
 {
 	struct rr_endpoint *endpoint = attempt->endpoint;
-	struct rr_gate_request *request = attempt->request;
+	struct rr_gate_request *req = attempt->request;
 	struct rr_closed_attempt closed = {
 		.crash = {
 			.fingerprint = attempt->fingerprint,
 			.sent_us = attempt->sent_us,
 			.closed_us = gate->now_us,
 		},
-		.request = request ? request->id : 0,
+		.request = req ? req->id : 0,
 		.part = attempt->part,
 	};
 
-	if (request && !request->n_closed++)
-		request->first_close_us = gate->now_us;
+	if (req && !req->n_closed++)
+		req->first_close_us = gate->now_us;
 	/* Draining and unlisted replicas are expected to exit. */
 	if (!gate->policy.quarantine_known ||
 	    endpoint->service == gate->coordinators || !endpoint->listed ||
@@ -297,8 +291,8 @@
 	if (endpoint->closed_attempts->len == MAX_CLOSED)
 		return;
 	g_array_append_val(endpoint->closed_attempts, closed);
-	if (request)
-		request->n_unresolved++;
+	if (req)
+		req->n_unresolved++;
 	if (endpoint->closed_attempts->len == 1)
 		gate->actions.probe(gate->actions.data, endpoint->incarnation,
 				    endpoint->address);
@@ -371,46 +365,44 @@
 /* Quarantine and trials. */
 
 static void reject_quarantined(struct rr_context *ctx, struct rr_gate *gate,
-			       struct rr_gate_request *request)
+			       struct rr_gate_request *req)
 {
-	const struct rr_quarantine_record *record = rr_find_quarantine_record(
-		gate->quarantine, &request->fingerprint);
+	const struct rr_quarantine_record *record =
+		rr_find_quarantine_record(gate->quarantine, &req->fingerprint);
 	int64_t wait_us = record ? record->next_trial_us - gate->now_us : 0;
 
 	/* If no hold remains, Retry-After is chosen as usual. */
 	if (wait_us > 0)
-		request->retry_after_ms =
-			(uint32_t)MIN(wait_us / 1000, G_MAXINT32);
-	request->final_rejection = true;
+		req->retry_after_ms = (uint32_t)MIN(wait_us / 1000, G_MAXINT32);
+	req->final_rejection = true;
 	rr_count(ctx, RR_N_QUARANTINE_REJECTED, 1);
-	rr_fail_request(ctx, gate, request, IN_QUARANTINE);
+	rr_fail_request(ctx, gate, req, IN_QUARANTINE);
 }
 
-static void claim_trial(struct rr_gate *gate, struct rr_gate_request *request,
+static void claim_trial(struct rr_gate *gate, struct rr_gate_request *req,
 			struct rr_quarantine_record *record)
 {
 	struct rr_quarantine_entry entry = rr_make_quarantine_entry(record);
 	struct rr_quarantine_report update = { .entry = &entry, .claim = true };
 
 	entry.trials++;
-	record->claimant_id = request->id;
-	request->claim_pending = true;
+	record->claimant_id = req->id;
+	req->claim_pending = true;
 	rr_set_timer(gate->timers,
 		     gate->now_us + gate->policy.quarantine_claim_us,
-		     RR_TIMER_GATE_CLAIM_TIMEOUT, request->id, 0);
+		     RR_TIMER_GATE_CLAIM_TIMEOUT, req->id, 0);
 	gate->actions.report(gate->actions.data, &update);
 }
 
 enum rr_quarantine_step rr_check_quarantine(struct rr_context *ctx,
 					    struct rr_gate *gate,
-					    struct rr_gate_request *request)
+					    struct rr_gate_request *req)
 {
 	struct rr_quarantine_record *record;
 
 	if (rr_quarantine_is_empty(gate->quarantine))
 		return RR_QUARANTINE_PASS;
-	record = rr_find_quarantine_record(gate->quarantine,
-					   &request->fingerprint);
+	record = rr_find_quarantine_record(gate->quarantine, &req->fingerprint);
 	if (!record)
 		return RR_QUARANTINE_PASS;
 #ifdef RR_MUTANT_GATE_IGNORES_QUARANTINE
@@ -419,34 +411,34 @@
 	if (!record->quarantined)
 		return RR_QUARANTINE_PASS;
 #ifdef RR_MUTANT_GATE_TRIES_AT_WILL
-	request->trial = true;
+	req->trial = true;
 	return RR_QUARANTINE_PASS;
 #endif
 	if (record->trials >= gate->policy.quarantine_trials ||
 	    gate->now_us < record->next_trial_us || record->claimant_id) {
-		reject_quarantined(ctx, gate, request);
+		reject_quarantined(ctx, gate, req);
 		return RR_QUARANTINE_REJECTED;
 	}
-	claim_trial(gate, request, record);
+	claim_trial(gate, req, record);
 	return RR_QUARANTINE_CLAIMING;
 }
 
 void rr_handle_claim_timeout(struct rr_context *ctx, struct rr_gate *gate,
 			     uint64_t id)
 {
-	struct rr_gate_request *request = rr_find_request(gate, id);
+	struct rr_gate_request *req = rr_find_request(gate, id);
 
-	if (request && request->claim_pending)
-		reject_quarantined(ctx, gate, request);
+	if (req && req->claim_pending)
+		reject_quarantined(ctx, gate, req);
 }
 
 void rr_drop_pending_claim(struct rr_gate *gate,
-			   const struct rr_gate_request *request)
+			   const struct rr_gate_request *req)
 {
-	struct rr_quarantine_record *record = rr_find_quarantine_record(
-		gate->quarantine, &request->fingerprint);
+	struct rr_quarantine_record *record =
+		rr_find_quarantine_record(gate->quarantine, &req->fingerprint);
 
-	if (record && record->claimant_id == request->id)
+	if (record && record->claimant_id == req->id)
 		record->claimant_id = 0;
 }
 
@@ -457,27 +449,27 @@
 {
 	struct rr_quarantine_record *record = rr_find_quarantine_record(
 		gate->quarantine, &entry->fingerprint);
-	struct rr_gate_request *request;
+	struct rr_gate_request *req;
 
 	gate->now_us = now_us;
 	if (!record)
 		return;
-	request = rr_find_request(gate, record->claimant_id);
+	req = rr_find_request(gate, record->claimant_id);
 	record->claimant_id = 0;
 	if (granted)
 		rr_update_trial_count(gate->quarantine, now_us, record,
 				      entry->trials);
-	if (!request || !request->claim_pending)
+	if (!req || !req->claim_pending)
 		return;
-	request->claim_pending = false;
+	req->claim_pending = false;
 	if (!granted) {
-		reject_quarantined(ctx, gate, request);
+		reject_quarantined(ctx, gate, req);
 		return;
 	}
 	log_record(ctx, gate, record, RR_LOG_WARNING, "request-tried",
 		   "hold-over");
-	request->trial = true;
-	rr_start_request(ctx, gate, request);
+	req->trial = true;
+	rr_start_request(ctx, gate, req);
 }
 
 void rr_gate_apply_quarantine(struct rr_context *ctx, struct rr_gate *gate,
--- a/source/daemon/daemon.c
+++ b/source/daemon/daemon.c
@@ -130,14 +130,15 @@
 static void apply_record(struct rr_daemon *daemon, const char *text,
 			 size_t length)
 {
-	GPtrArray *faults = rr_new_diagnostics();
+	GPtrArray *diagnostics = rr_new_diagnostics();
 	struct rr_config *config = NULL;
 	struct rr_config_record *record;
 	GError *error = NULL;
 
 	record = rr_decode_config_record(text, length, &error);
 	if (record)
-		config = rr_build_site_config(record, daemon->site, faults);
+		config =
+			rr_build_site_config(record, daemon->site, diagnostics);
 	if (config) {
 		if (rr_core_set_config(daemon->ctx, daemon->core,
 				       g_get_monotonic_time(), config, text,
@@ -146,20 +147,23 @@
 					      &config->log);
 		update_after_event(daemon);
 	} else {
-		const struct rr_diagnostic *fault =
-			faults->len ? g_ptr_array_index(faults, 0) : NULL;
+		const struct rr_diagnostic *diagnostic =
+			diagnostics->len ? g_ptr_array_index(diagnostics, 0) :
+					   NULL;
 
 		rr_log(daemon->ctx, RR_LOG_ERROR, "config-record-bad",
 		       RR_FIELD_STRING("error", error ? error->message :
-						fault ? fault->message :
+						diagnostic ?
+							diagnostic->message :
 							""),
-		       RR_FIELD_STRING("file", fault ? fault->file : ""),
-		       RR_FIELD_U64("line", fault ? fault->line : 0));
+		       RR_FIELD_STRING("file",
+				       diagnostic ? diagnostic->file : ""),
+		       RR_FIELD_U64("line", diagnostic ? diagnostic->line : 0));
 	}
 	g_clear_error(&error);
 	rr_drop_config(config);
 	rr_drop_config_record(record);
-	g_ptr_array_unref(faults);
+	g_ptr_array_unref(diagnostics);
 }
 
 static gboolean apply_records(gpointer data)
--- a/source/daemon/daemon.h
+++ b/source/daemon/daemon.h
@@ -16,10 +16,10 @@
 /*
  * Read an instance's start file.  Returns NULL with `error` set if the file
  * cannot be read, and NULL without an error, with the reasons appended to
- * `faults`, if its contents are invalid.
+ * `diagnostics`, if its contents are invalid.
  */
-struct rr_start_settings *rr_read_start_file(const char *file,
-					     GPtrArray *faults, GError **error);
+struct rr_start_settings *
+rr_read_start_file(const char *file, GPtrArray *diagnostics, GError **error);
 
 /*
  * Create an instance, open its listening sockets and connect to the platform.
--- a/source/daemon/main.c
+++ b/source/daemon/main.c
@@ -11,17 +11,17 @@
 /* Returns NULL if the file is unreadable or invalid; prints all errors. */
 static struct rr_start_settings *read_settings(const char *file)
 {
-	GPtrArray *faults = rr_new_diagnostics();
+	GPtrArray *diagnostics = rr_new_diagnostics();
 	GError *error = NULL;
 	struct rr_start_settings *settings =
-		rr_read_start_file(file, faults, &error);
+		rr_read_start_file(file, diagnostics, &error);
 
 	if (error) {
 		fprintf(stderr, "%s: %s\n", PROGRAM, error->message);
 		g_error_free(error);
 	}
-	rr_print_diagnostics(faults);
-	g_ptr_array_unref(faults);
+	rr_print_diagnostics(diagnostics);
+	g_ptr_array_unref(diagnostics);
 	return settings;
 }
 
--- a/source/daemon/reload.c
+++ b/source/daemon/reload.c
@@ -7,27 +7,28 @@
 #include "ragwort/error.h"
 #include "ragwort/log.h"
 
-static void set_error_from_faults(const GPtrArray *faults, GError **error)
+static void set_error_from_diagnostics(const GPtrArray *diagnostics,
+				       GError **error)
 {
-	const struct rr_diagnostic *fault;
+	const struct rr_diagnostic *diagnostic;
 
-	if (!faults->len)
+	if (!diagnostics->len)
 		return;
-	fault = g_ptr_array_index(faults, 0);
-	g_set_error(error, RR_ERROR, RR_ERROR_SYNTAX, "%s:%u: %s", fault->file,
-		    fault->line, fault->message);
+	diagnostic = g_ptr_array_index(diagnostics, 0);
+	g_set_error(error, RR_ERROR, RR_ERROR_SYNTAX, "%s:%u: %s",
+		    diagnostic->file, diagnostic->line, diagnostic->message);
 }
 
 static struct rr_start_settings *reread_settings(const char *file,
 						 GError **error)
 {
-	GPtrArray *faults = rr_new_diagnostics();
+	GPtrArray *diagnostics = rr_new_diagnostics();
 	struct rr_start_settings *settings =
-		rr_read_start_file(file, faults, error);
+		rr_read_start_file(file, diagnostics, error);
 
 	if (!settings)
-		set_error_from_faults(faults, error);
-	g_ptr_array_unref(faults);
+		set_error_from_diagnostics(diagnostics, error);
+	g_ptr_array_unref(diagnostics);
 	return settings;
 }
 
--- a/source/daemon/start-file.c
+++ b/source/daemon/start-file.c
@@ -3,8 +3,8 @@
  */
 #include "daemon/daemon.h"
 
-struct rr_start_settings *rr_read_start_file(const char *file,
-					     GPtrArray *faults, GError **error)
+struct rr_start_settings *
+rr_read_start_file(const char *file, GPtrArray *diagnostics, GError **error)
 {
 	struct rr_settings_source source = { .file = file };
 	struct rr_start_settings *settings;
@@ -13,7 +13,7 @@
 	if (!g_file_get_contents(file, &text, &source.length, error))
 		return NULL;
 	source.text = text;
-	settings = rr_parse_start_settings(&source, faults);
+	settings = rr_parse_start_settings(&source, diagnostics);
 	g_free(text);
 	return settings;
 }
--- a/source/gateway/gateway-callers.c
+++ b/source/gateway/gateway-callers.c
@@ -78,7 +78,8 @@
 }
 
 static void send_local_answer(struct rr_caller_conn *caller,
-			      const struct rr_gate_answer *answer, bool handed)
+			      const struct rr_gate_answer *answer,
+			      bool from_peer)
 {
 	char seconds[G_ASCII_DTOSTR_BUF_SIZE];
 	struct rr_http_header headers[] = {
@@ -88,8 +89,8 @@
 	struct rr_http_response reply = {
 		.status = answer->status,
 		.headers = headers,
-		.n_headers = answer->retry_after_ms ? (handed ? 2 : 1) : 0,
-		.close = answer->close_connection && !handed,
+		.n_headers = answer->retry_after_ms ? (from_peer ? 2 : 1) : 0,
+		.close = answer->close_connection && !from_peer,
 	};
 
 	g_ascii_formatd(seconds, sizeof(seconds), "%.3f",
@@ -163,28 +164,29 @@
 	}
 }
 
-static void preconnect_replica(void *data, const char *lifetime,
+static void preconnect_replica(void *data, const char *incarnation,
 			       const char *address)
 {
 	struct rr_gateway *gateway = data;
 
 	rr_preconnect_replica(gateway->replica_client, rr_gateway_now_us(),
-			      lifetime, address);
+			      incarnation, address);
 }
 
-static void probe_replica(void *data, const char *lifetime, const char *address)
+static void probe_replica(void *data, const char *incarnation,
+			  const char *address)
 {
 	struct rr_gateway *gateway = data;
 
-	rr_probe_replica(gateway->replica_client, rr_gateway_now_us(), lifetime,
-			 address);
+	rr_probe_replica(gateway->replica_client, rr_gateway_now_us(),
+			 incarnation, address);
 }
 
-static void close_idle_conns(void *data, const char *lifetime)
+static void close_idle_conns(void *data, const char *incarnation)
 {
 	struct rr_gateway *gateway = data;
 
-	rr_close_replica_conns(gateway->replica_client, lifetime);
+	rr_close_replica_conns(gateway->replica_client, incarnation);
 }
 
 static void report_quarantine(void *data,
@@ -252,7 +254,8 @@
 
 static void submit_request(struct rr_gateway *gateway,
 			   struct rr_caller_conn *caller,
-			   const struct rr_http_message *message, bool handed)
+			   const struct rr_http_message *message,
+			   bool from_peer)
 {
 	const char *host = rr_find_http_header(message, "Host");
 	struct rr_http_response bad_request = { .status = 400, .close = true };
@@ -268,9 +271,9 @@
 		.caller_rtt_us = rr_caller_rtt_us(caller),
 		.new_connection = rr_is_first_request(caller),
 		.forward_deadline_us =
-			handed ? parse_integer_header(message,
-						      FORWARD_DEADLINE_HEADER) :
-				 -1,
+			from_peer ? parse_integer_header(
+					    message, FORWARD_DEADLINE_HEADER) :
+				    -1,
 	};
 	struct open_request *open;
 	uint64_t id;
@@ -282,7 +285,7 @@
 	}
 	open = g_new0(struct open_request, 1);
 	open->caller = caller;
-	open->from_peer = handed;
+	open->from_peer = from_peer;
 	open->message = message;
 	open->request_id = info.request_id;
 	open->head = g_string_sized_new(512);
--- a/source/gateway/gateway-change-feed.c
+++ b/source/gateway/gateway-change-feed.c
@@ -123,14 +123,14 @@
 	struct rr_http_response accepted = { .status = 200,
 					     .body = (const uint8_t *)body,
 					     .length = strlen(body) };
-	const char *fault;
+	const char *reason;
 	struct rr_registration_request *request = rr_parse_registration_request(
-		(const char *)message->body, message->body_length, &fault);
+		(const char *)message->body, message->body_length, &reason);
 
 	if (!request) {
 		rr_count(gateway->ctx, RR_N_PEER_MESSAGES_BAD, 1);
 		rr_log(gateway->ctx, RR_LOG_WARNING, "entry-call-refused",
-		       RR_FIELD_STRING("reason", fault));
+		       RR_FIELD_STRING("reason", reason));
 		send_rejection(gateway, caller, 400);
 		return;
 	}
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -226,12 +226,13 @@
 	rr_gate_reply(gateway->ctx, gateway->gate, rr_gateway_now_us(), reply);
 }
 
-static void handle_probe_result(void *data, const char *lifetime, bool reached)
+static void handle_probe_result(void *data, const char *incarnation,
+				bool reached)
 {
 	struct rr_gateway *gateway = data;
 
 	rr_gate_handle_probe_result(gateway->ctx, gateway->gate,
-				    rr_gateway_now_us(), lifetime, reached);
+				    rr_gateway_now_us(), incarnation, reached);
 }
 
 /* Signals. */
--- a/source/gateway/main.c
+++ b/source/gateway/main.c
@@ -12,10 +12,10 @@
 
 /*
  * Read and parse the start file.  Returns NULL if it is unreadable or invalid.
- * All diagnostics are printed and added to `faults`.
+ * Prints all diagnostics and appends them to `diagnostics`.
  */
 static struct rr_gateway_settings *read_settings(const char *file,
-						 GPtrArray *faults)
+						 GPtrArray *diagnostics)
 {
 	struct rr_gateway_settings *settings = NULL;
 	struct rr_settings_source source = { .file = file };
@@ -24,13 +24,13 @@
 
 	if (g_file_get_contents(file, &text, &source.length, &error)) {
 		source.text = text;
-		settings = rr_parse_gateway_settings(&source, faults);
+		settings = rr_parse_gateway_settings(&source, diagnostics);
 		g_free(text);
 	} else {
 		fprintf(stderr, "%s: %s\n", PROGRAM, error->message);
 		g_error_free(error);
 	}
-	rr_print_diagnostics(faults);
+	rr_print_diagnostics(diagnostics);
 	return settings;
 }
 
@@ -39,20 +39,21 @@
  * number, and an invalid one is not used.
  */
 static void log_ignored_settings(struct rr_context *ctx,
-				 const GPtrArray *faults)
+				 const GPtrArray *diagnostics)
 {
-	for (guint i = 0; i < faults->len; i++) {
-		const struct rr_diagnostic *fault =
-			g_ptr_array_index(faults, i);
+	for (guint i = 0; i < diagnostics->len; i++) {
+		const struct rr_diagnostic *diagnostic =
+			g_ptr_array_index(diagnostics, i);
 
 		rr_log(ctx, RR_LOG_WARNING, "setting-left-out",
-		       RR_FIELD_STRING("reason", fault->message),
-		       RR_FIELD_U64("line", fault->line));
+		       RR_FIELD_STRING("reason", diagnostic->message),
+		       RR_FIELD_U64("line", diagnostic->line));
 	}
 }
 
 static enum rr_program_exit
-run_gateway(const struct rr_gateway_settings *settings, const GPtrArray *faults)
+run_gateway(const struct rr_gateway_settings *settings,
+	    const GPtrArray *diagnostics)
 {
 	struct rr_context_options options = {
 		.seed = g_random_int(),
@@ -69,7 +70,7 @@
 	struct rr_gateway *gateway;
 	GError *error = NULL;
 
-	log_ignored_settings(ctx, faults);
+	log_ignored_settings(ctx, diagnostics);
 	gateway = rr_new_gateway(ctx, settings, &error);
 	if (gateway) {
 		rr_run_gateway(gateway);
@@ -86,16 +87,16 @@
 
 static enum rr_program_exit run(const char *file, bool check_only)
 {
-	GPtrArray *faults = rr_new_diagnostics();
-	struct rr_gateway_settings *settings = read_settings(file, faults);
+	GPtrArray *diagnostics = rr_new_diagnostics();
+	struct rr_gateway_settings *settings = read_settings(file, diagnostics);
 	enum rr_program_exit code = RR_PROGRAM_OK;
 
 	if (!settings)
 		code = RR_PROGRAM_USAGE;
 	else if (!check_only)
-		code = run_gateway(settings, faults);
+		code = run_gateway(settings, diagnostics);
 	rr_drop_gateway_settings(settings);
-	g_ptr_array_unref(faults);
+	g_ptr_array_unref(diagnostics);
 	return code;
 }
 
--- a/tests/test-gateway-settings.c
+++ b/tests/test-gateway-settings.c
@@ -110,14 +110,14 @@
 {
 	char *filled = fill_template(field, text);
 	struct rr_settings_source file = { "boot", filled, strlen(filled) };
-	GPtrArray *faults = rr_new_diagnostics();
+	GPtrArray *diagnostics = rr_new_diagnostics();
 	struct rr_gateway_settings *settings =
-		rr_parse_gateway_settings(&file, faults);
+		rr_parse_gateway_settings(&file, diagnostics);
 
-	*n_left_out = faults->len;
+	*n_left_out = diagnostics->len;
 	if (!settings)
 		fail_msg("start file rejected with %s: %s", field, text);
-	g_ptr_array_unref(faults);
+	g_ptr_array_unref(diagnostics);
 	g_free(filled);
 	return settings;
 }
--- a/tests/test-platform-entries.c
+++ b/tests/test-platform-entries.c
@@ -215,11 +215,11 @@
 		.started_ms = 1700000000000,
 	};
 	char *text = rr_encode_instance(&instance);
-	const char *fault;
+	const char *reason;
 	struct rr_instance *decoded =
-		rr_decode_instance("gw-1", text, strlen(text), &fault);
+		rr_decode_instance("gw-1", text, strlen(text), &reason);
 
-	assert_null(fault);
+	assert_null(reason);
 	assert_string_equal(decoded->zone, "z");
 	assert_string_equal(decoded->address, "10.0.0.1:80");
 	assert_true(decoded->strength == 0.25);
@@ -246,12 +246,12 @@
 		"{\"zone\":\"z\",\"address\":\"\",\"strength\":1e300}",
 		"{\"zone\":\"z\",\"address\":\"\",\"strength\":1,\"born\":0.5}",
 	};
-	const char *fault;
+	const char *reason;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
 		assert_null(rr_decode_instance("gw-1", texts[i],
-					       strlen(texts[i]), &fault));
-		assert_non_null(fault);
+					       strlen(texts[i]), &reason));
+		assert_non_null(reason);
 	}
 }
 
@@ -398,9 +398,9 @@
 
 static struct rr_registration_request *parse_registration(const char *body)
 {
-	const char *fault;
+	const char *reason;
 
-	return rr_parse_registration_request(body, strlen(body), &fault);
+	return rr_parse_registration_request(body, strlen(body), &reason);
 }
 
 /* The receiver decodes a registration request as the sender encoded it. */
@@ -465,13 +465,13 @@
 
 static const char *check_quarantine(const char *id, const char *text)
 {
-	const char *fault;
+	const char *reason;
 	struct rr_quarantine_entry *entry =
-		rr_decode_quarantine(id, text, strlen(text), &fault);
+		rr_decode_quarantine(id, text, strlen(text), &reason);
 
-	assert_true(!entry == !!fault);
+	assert_true(!entry == !!reason);
 	rr_free_quarantine_entry(entry);
-	return fault;
+	return reason;
 }
 
 static void test_quarantine_round_trip(void **state)
@@ -484,9 +484,9 @@
 		.trials = 3,
 	};
 	char *text = rr_encode_quarantine(&entry);
-	const char *fault;
+	const char *reason;
 	struct rr_quarantine_entry *decoded =
-		rr_decode_quarantine(FINGERPRINT, text, strlen(text), &fault);
+		rr_decode_quarantine(FINGERPRINT, text, strlen(text), &reason);
 
 	(void)state;
 	assert_non_null(decoded);
--- a/tests/test-record.c
+++ b/tests/test-record.c
@@ -202,24 +202,24 @@
 
 static bool check(const struct rr_config_record *record)
 {
-	GPtrArray *faults = rr_new_diagnostics();
-	bool good = rr_check_config_record(record, faults);
+	GPtrArray *diagnostics = rr_new_diagnostics();
+	bool good = rr_check_config_record(record, diagnostics);
 
-	assert_int_equal(good, !faults->len);
-	for (guint i = 0; i < faults->len; i++) {
-		const struct rr_diagnostic *fault = faults->pdata[i];
+	assert_int_equal(good, !diagnostics->len);
+	for (guint i = 0; i < diagnostics->len; i++) {
+		const struct rr_diagnostic *diagnostic = diagnostics->pdata[i];
 
-		print_message("%s:%u: %s\n", fault->file, fault->line,
-			      fault->message);
+		print_message("%s:%u: %s\n", diagnostic->file, diagnostic->line,
+			      diagnostic->message);
 	}
-	g_ptr_array_unref(faults);
+	g_ptr_array_unref(diagnostics);
 	return good;
 }
 
 static void test_every_site_is_checked(void **state)
 {
 	struct rr_config_record *record = rr_new_config_record();
-	GPtrArray *faults = rr_new_diagnostics();
+	GPtrArray *diagnostics = rr_new_diagnostics();
 	struct rr_config *config;
 
 	(void)state;
@@ -230,7 +230,7 @@
 	rr_update_config_record(record, "sala", "owners_per_replica: 3\n",
 				"c-2", "bo", 101);
 	assert_true(check(record));
-	config = rr_build_site_config(record, "sala", faults);
+	config = rr_build_site_config(record, "sala", diagnostics);
 	assert_non_null(config);
 	assert_int_equal(config->revision, 2);
 	assert_int_equal(config->owners_per_replica, 3);
@@ -244,7 +244,7 @@
 	assert_false(check(record));
 	rr_update_config_record(record, "athi", NULL, "c-5", "bo", 104);
 	assert_true(check(record));
-	g_ptr_array_unref(faults);
+	g_ptr_array_unref(diagnostics);
 	rr_drop_config_record(record);
 }
 
