--- a/bench/gate/emulated-caller.c
+++ b/bench/gate/emulated-caller.c
@@ -127,7 +127,7 @@
 		return;
 	}
 	if (in_time)
-		result->in_time++;
+		result->answered_in_time++;
 	else
 		result->late++;
 	if (in_time && share < 1)
--- a/bench/gate/emulator.c
+++ b/bench/gate/emulator.c
@@ -463,8 +463,8 @@
 /* Requests without an answer count as failed. */
 static void count_unanswered(struct emulated_result *result)
 {
-	result->failed = result->requests - result->in_time - result->late -
-			 result->rejected;
+	result->failed = result->requests - result->answered_in_time -
+			 result->late - result->rejected;
 }
 
 void emulate_scenario(const struct emulated_scenario *scenario,
--- a/bench/gate/emulator.h
+++ b/bench/gate/emulator.h
@@ -83,9 +83,9 @@
 
 struct emulated_result {
 	uint64_t requests;
-	uint64_t in_time;
+	uint64_t answered_in_time;
 	uint64_t late;
-	uint64_t partial; /* included in in_time */
+	uint64_t partial; /* included in answered_in_time */
 	uint64_t rejected;
 	uint64_t caller_retries; /* sent again after a rejection or failure */
 	uint64_t failed;	 /* including requests without an answer */
--- a/soak/soak-fault.c
+++ b/soak/soak-fault.c
@@ -185,8 +185,8 @@
 	soak_set_link_state(replica->link, SOAK_LINK_UP, 0);
 	replica->extra_work_ms = 0;
 	replica->shed_share = 0;
-	replica->no_answer_share = 0;
-	replica->bad_answer_share = 0;
+	replica->lost_answer_share = 0;
+	replica->corrupt_answer_share = 0;
 	record_fault(replica->soak);
 	return G_SOURCE_REMOVE;
 }
@@ -258,7 +258,7 @@
 {
 	struct soak_replica *replica = random_replica(soak);
 
-	replica->no_answer_share = 0.3;
+	replica->lost_answer_share = 0.3;
 	schedule_replica_restore(replica);
 }
 
@@ -266,7 +266,7 @@
 {
 	struct soak_replica *replica = random_replica(soak);
 
-	replica->bad_answer_share = 0.3;
+	replica->corrupt_answer_share = 0.3;
 	schedule_replica_restore(replica);
 }
 
--- a/soak/soak-replica.c
+++ b/soak/soak-replica.c
@@ -89,9 +89,9 @@
 				work->request_id);
 
 	soak_make_part_records(work->request_id, replica->service, body);
-	if (soak_chance(soak, replica->no_answer_share))
+	if (soak_chance(soak, replica->lost_answer_share))
 		test_close_connection(work->connection);
-	else if (soak_chance(soak, replica->bad_answer_share))
+	else if (soak_chance(soak, replica->corrupt_answer_share))
 		send_corrupt_answer(soak, work, headers, body);
 	else
 		test_reply_to(work->connection, 200, headers, body, false);
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -100,8 +100,8 @@
 	uint32_t n_arrivals;
 	uint32_t extra_work_ms;
 	double shed_share;
-	double no_answer_share;	 /* share of executions without an answer */
-	double bad_answer_share; /* share of corrupt answers */
+	double lost_answer_share;    /* share of executions without an answer */
+	double corrupt_answer_share; /* share of corrupt answers */
 };
 
 struct soak_instance {
--- a/source/core/gate-attempt.c
+++ b/source/core/gate-attempt.c
@@ -38,7 +38,8 @@
 		.attempt = attempt->id,
 		.status = status,
 		.in_flight = endpoint->in_flight.length,
-		.slowness = rr_decayed_slowness(&endpoint->track, gate->now_us),
+		.slowness =
+			rr_decayed_slowness(&endpoint->health, gate->now_us),
 		.pace_percent = endpoint->pace_percent,
 		.extras_left = rr_extras_left(&endpoint->service->retry_budget,
 					      gate->now_us),
@@ -166,7 +167,7 @@
 			 struct rr_gate_request *req, size_t index)
 {
 	struct rr_gate_part *part = &req->parts[index];
-	struct rr_waiter waiter = {
+	struct rr_queue_entry entry = {
 		.request = req->id,
 		.part = (uint32_t)index,
 		.priority = req->route->priority,
@@ -178,7 +179,7 @@
 		return;
 	trace_part(gate, req, part, RR_TRACE_QUEUED, "no-room");
 	part->queued = true;
-	rr_push_waiter(&part->service->wait_queue, &waiter);
+	rr_push_queue_entry(&part->service->wait_queue, &entry);
 }
 
 static bool may_send(const struct rr_gate_request *req,
@@ -276,21 +277,21 @@
 			       struct rr_gate_service *service)
 {
 	struct rr_gate_request *req;
-	struct rr_waiter waiter;
+	struct rr_queue_entry entry;
 
-	if (!rr_pop_waiter(&service->wait_queue, gate->now_us,
-			   service->typical_us, &waiter))
+	if (!rr_pop_queue_entry(&service->wait_queue, gate->now_us,
+				service->typical_us, &entry))
 		return false;
-	req = rr_find_request(gate, waiter.request);
+	req = rr_find_request(gate, entry.request);
 	if (req)
-		retry_queued_part(ctx, gate, req, waiter.part);
+		retry_queued_part(ctx, gate, req, entry.part);
 	return true;
 }
 
 void rr_send_queued_parts(struct rr_context *ctx, struct rr_gate *gate,
 			  struct rr_gate_service *service)
 {
-	guint n = service->wait_queue.waiters->len;
+	guint n = service->wait_queue.entries->len;
 
 	while (n-- && rr_service_has_capacity(gate, service) &&
 	       retry_first_queued(ctx, gate, service))
@@ -300,7 +301,7 @@
 void rr_flush_queued_parts(struct rr_context *ctx, struct rr_gate *gate,
 			   struct rr_gate_service *service)
 {
-	guint n = service->wait_queue.waiters->len;
+	guint n = service->wait_queue.entries->len;
 
 	while (n-- && retry_first_queued(ctx, gate, service))
 		;
@@ -325,7 +326,7 @@
 		set_timer(gate, due_us, RR_TIMER_GATE_HEDGE, id);
 		return;
 	}
-	rr_observe_overdue(&attempt->endpoint->track, gate->now_us,
+	rr_observe_overdue(&attempt->endpoint->health, gate->now_us,
 			   gate->now_us - attempt->sent_us,
 			   rr_typical_attempt_us(gate, req->stats, req->route));
 	rr_note_attempt_overdue(ctx, gate, attempt->endpoint);
@@ -355,7 +356,7 @@
 		if (attempt->part != index || !attempt->idempotent)
 			continue;
 		rr_observe_overdue(
-			&attempt->endpoint->track, gate->now_us,
+			&attempt->endpoint->health, gate->now_us,
 			gate->now_us - attempt->sent_us,
 			rr_typical_attempt_us(gate, req->stats, req->route));
 		cancel_attempt(ctx, gate, attempt, "lost-to-another");
--- a/source/core/gate-choose.c
+++ b/source/core/gate-choose.c
@@ -52,7 +52,7 @@
 	const GPtrArray *endpoints = endpoint->service->endpoints;
 
 	if (endpoint->service == gate->coordinators ||
-	    endpoint->track.consecutive_silences > 1)
+	    endpoint->health.consecutive_suspicions > 1)
 		return false;
 	for (guint i = 0; i < endpoints->len; i++) {
 		const struct rr_endpoint *other =
@@ -78,7 +78,7 @@
 		return false;
 #endif
 	if (!gate->policy.choose_avoids_suspects ||
-	    !rr_is_suspected(&endpoint->track, gate->now_us))
+	    !rr_is_suspected(&endpoint->health, gate->now_us))
 		return true;
 		/*
 		 * Guards against excluding the only replica of a shard for
@@ -131,9 +131,9 @@
 
 	if (policy->choose_by_losses)
 		loss_rate =
-			rr_decayed_loss_rate(&endpoint->track, gate->now_us);
+			rr_decayed_loss_rate(&endpoint->health, gate->now_us);
 	if (policy->choose_by_slowness)
-		wait_us *= rr_decayed_slowness(&endpoint->track, gate->now_us);
+		wait_us *= rr_decayed_slowness(&endpoint->health, gate->now_us);
 	wait_us *= 1 + policy->choose_busy_weight * endpoint->in_flight.length;
 	if (rr_is_cold(gate, endpoint))
 		wait_us *= policy->choose_cold_factor;
--- a/source/core/gate-endpoint.c
+++ b/source/core/gate-endpoint.c
@@ -190,7 +190,7 @@
 	endpoint->zone = rr_get_gate_zone(gate, listing->zone);
 	endpoint->region = g_hash_table_lookup(gate->regions, listing->zone);
 	endpoint->service = rr_get_gate_service(gate, listing->service);
-	rr_init_passive_health(&endpoint->track);
+	rr_init_passive_health(&endpoint->health);
 	g_queue_init(&endpoint->in_flight);
 	g_ptr_array_add(endpoint->service->endpoints, endpoint);
 	g_hash_table_insert(gate->endpoints, endpoint->id, endpoint);
--- a/source/core/gate-loop-delay.c
+++ b/source/core/gate-loop-delay.c
@@ -22,8 +22,8 @@
 static void shift_health(struct rr_passive_health *health, int64_t delay_us,
 			 int64_t now_us)
 {
-	health->open_since_us =
-		add_delay(health->open_since_us, delay_us, now_us);
+	health->in_flight_since_us =
+		add_delay(health->in_flight_since_us, delay_us, now_us);
 }
 
 static void shift_zones(struct rr_gate *gate, int64_t delay_us)
@@ -31,7 +31,7 @@
 	for (guint i = 0; i < gate->zones->len; i++) {
 		struct rr_gate_zone *zone = g_ptr_array_index(gate->zones, i);
 
-		shift_health(&zone->track, delay_us, gate->now_us);
+		shift_health(&zone->health, delay_us, gate->now_us);
 		zone->suspected_us =
 			add_delay(zone->suspected_us, delay_us, gate->now_us);
 		zone->last_contact_us = add_delay(zone->last_contact_us,
@@ -46,7 +46,7 @@
 
 	g_hash_table_iter_init(&iter, gate->endpoints);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		shift_health(&((struct rr_endpoint *)value)->track, delay_us,
+		shift_health(&((struct rr_endpoint *)value)->health, delay_us,
 			     gate->now_us);
 }
 
--- a/source/core/gate-private.h
+++ b/source/core/gate-private.h
@@ -35,7 +35,7 @@
 	char *name;
 	bool is_local;			  /* the zone of this instance */
 	struct rr_evacuation *evacuation; /* owned by the gate */
-	struct rr_passive_health track;
+	struct rr_passive_health health;
 	uint32_t n_in_flight; /* attempts in flight there */
 	uint32_t unanswered; /* attempts lost or cancelled since last contact */
 	bool unreachable;    /* excluded until the next contact */
@@ -83,7 +83,7 @@
 	bool remote_coordinator;
 	uint32_t slots;
 	uint32_t pace_percent; /* last reported by its machine; 0 if never */
-	struct rr_passive_health track;
+	struct rr_passive_health health;
 	/* On attempts in flight; times are multiples of the typical time. */
 	struct rr_concurrency_limit limit;
 	GQueue in_flight; /* struct rr_gate_attempt, oldest first */
--- a/source/core/gate-reply.c
+++ b/source/core/gate-reply.c
@@ -15,7 +15,7 @@
 	int64_t typical_us =
 		rr_sketch_quantile_us(&attempt->stats->attempt_times, 0.5);
 
-	rr_observe_answer(&endpoint->track, gate->now_us, elapsed_us,
+	rr_observe_answer(&endpoint->health, gate->now_us, elapsed_us,
 			  typical_us);
 	rr_add_latency(&attempt->stats->attempt_times, elapsed_us);
 	if (!typical_us)
@@ -28,7 +28,7 @@
 
 static void record_rejection(struct rr_gate *gate, struct rr_endpoint *endpoint)
 {
-	rr_observe_rejection(&endpoint->track, gate->now_us);
+	rr_observe_rejection(&endpoint->health, gate->now_us);
 	rr_shrink_limit(&endpoint->limit, gate->policy.limit_shed_shrink);
 }
 
--- a/source/core/gate-zone.c
+++ b/source/core/gate-zone.c
@@ -26,7 +26,7 @@
 	zone->is_local = !g_strcmp0(name, gate->zone) ||
 			 !strcmp(name, RR_COORDINATOR_SERVICE);
 	zone->evacuation = rr_get_evacuation(gate, name);
-	rr_init_passive_health(&zone->track);
+	rr_init_passive_health(&zone->health);
 	g_ptr_array_add(gate->zones, zone);
 	return zone;
 }
@@ -42,17 +42,17 @@
 void rr_note_attempt_started(struct rr_gate *gate, struct rr_endpoint *endpoint)
 {
 	if (!endpoint->in_flight.length)
-		rr_resume_silence_clock(&endpoint->track, gate->now_us);
+		rr_resume_silence_clock(&endpoint->health, gate->now_us);
 	if (!endpoint->zone->n_in_flight++)
-		rr_resume_silence_clock(&endpoint->zone->track, gate->now_us);
+		rr_resume_silence_clock(&endpoint->zone->health, gate->now_us);
 }
 
 void rr_note_attempt_ended(struct rr_gate *gate, struct rr_endpoint *endpoint)
 {
 	if (!endpoint->in_flight.length)
-		rr_pause_silence_clock(&endpoint->track, gate->now_us);
+		rr_pause_silence_clock(&endpoint->health, gate->now_us);
 	if (!--endpoint->zone->n_in_flight)
-		rr_pause_silence_clock(&endpoint->zone->track, gate->now_us);
+		rr_pause_silence_clock(&endpoint->zone->health, gate->now_us);
 }
 
 static void schedule_probe(struct rr_gate *gate, struct rr_endpoint *endpoint)
@@ -169,7 +169,7 @@
 				     gate->policy.silence_unanswered;
 
 	return zone->unanswered >= threshold &&
-	       rr_silence_us(&zone->track, gate->now_us) >=
+	       rr_silence_us(&zone->health, gate->now_us) >=
 		       gate->policy.silence_zone_us;
 }
 
@@ -206,7 +206,7 @@
 	       RR_FIELD_STRING("zone", zone->name),
 	       RR_FIELD_U64("unanswered", zone->unanswered),
 	       RR_FIELD_I64("silent_us",
-			    rr_silence_us(&zone->track, gate->now_us)));
+			    rr_silence_us(&zone->health, gate->now_us)));
 	zone->suspected = false;
 	set_zone_timer(gate, zone, gate->policy.silence_probe_us);
 	suspect_other_zones(ctx, gate);
@@ -225,19 +225,20 @@
 		const struct rr_endpoint *endpoint = value;
 
 		if (endpoint->zone == zone && !endpoint->draining &&
-		    !rr_is_suspected(&endpoint->track, gate->now_us))
+		    !rr_is_suspected(&endpoint->health, gate->now_us))
 			return false;
 	}
 	return true;
 }
 
 /* Attempts in flight count too, since they may stay open for a second. */
-static void suspect_if_silent(struct rr_context *ctx, struct rr_gate *gate,
-			      struct rr_gate_zone *zone)
+static void suspect_if_unresponsive(struct rr_context *ctx,
+				    struct rr_gate *gate,
+				    struct rr_gate_zone *zone)
 {
 	if (zone->unanswered + zone->n_in_flight >=
 		    gate->policy.suspect_zone_unanswered &&
-	    rr_silence_us(&zone->track, gate->now_us) >=
+	    rr_silence_us(&zone->health, gate->now_us) >=
 		    gate->policy.suspect_zone_us)
 		suspect_zone(ctx, gate, zone);
 }
@@ -252,30 +253,30 @@
 		/* Connections are refused, so that no silence adds up. */
 		suspect_zone(ctx, gate, zone);
 	else
-		suspect_if_silent(ctx, gate, zone);
+		suspect_if_unresponsive(ctx, gate, zone);
 }
 
 static void suspect_replica(struct rr_context *ctx, struct rr_gate *gate,
 			    struct rr_endpoint *endpoint, const char *reason)
 {
-	bool was_suspected = rr_is_suspected(&endpoint->track, gate->now_us);
+	bool was_suspected = rr_is_suspected(&endpoint->health, gate->now_us);
 
-	rr_observe_loss(&endpoint->track, gate->now_us, RR_LOSS_UNREACHABLE);
+	rr_observe_loss(&endpoint->health, gate->now_us, RR_LOSS_UNREACHABLE);
 	if (was_suspected)
 		return;
 	rr_log(ctx, RR_LOG_INFO, "endpoint-suspected",
 	       RR_FIELD_STRING("endpoint", endpoint->id),
 	       RR_FIELD_STRING("service", endpoint->service->name),
 	       RR_FIELD_STRING("reason", reason),
-	       RR_FIELD_I64("for_us",
-			    endpoint->track.suspected_until_us - gate->now_us));
+	       RR_FIELD_I64("for_us", endpoint->health.suspected_until_us -
+					      gate->now_us));
 	schedule_probe(gate, endpoint);
 }
 
 static void check_replica(struct rr_context *ctx, struct rr_gate *gate,
 			  struct rr_endpoint *endpoint)
 {
-	if (rr_silence_us(&endpoint->track, gate->now_us) >=
+	if (rr_silence_us(&endpoint->health, gate->now_us) >=
 	    gate->policy.silence_replica_us)
 		suspect_replica(ctx, gate, endpoint, "silent");
 }
@@ -297,17 +298,17 @@
 {
 #ifndef RR_MUTANT_GATE_OPEN_IS_FINE
 	if (gate->policy.silence_of_open_attempts &&
-	    !rr_is_suspected(&endpoint->track, gate->now_us))
+	    !rr_is_suspected(&endpoint->health, gate->now_us))
 		check_replica(ctx, gate, endpoint);
 #endif
-	suspect_if_silent(ctx, gate, endpoint->zone);
+	suspect_if_unresponsive(ctx, gate, endpoint->zone);
 }
 
 void rr_note_attempt_lost(struct rr_context *ctx, struct rr_gate *gate,
 			  struct rr_endpoint *endpoint, enum rr_loss loss)
 {
 	if (loss == RR_LOSS_BROKEN) {
-		rr_observe_loss(&endpoint->track, gate->now_us, loss);
+		rr_observe_loss(&endpoint->health, gate->now_us, loss);
 		return;
 	}
 	suspect_replica(ctx, gate, endpoint, "unreachable");
@@ -317,7 +318,7 @@
 static void record_zone_contact(struct rr_context *ctx, struct rr_gate *gate,
 				struct rr_gate_zone *zone)
 {
-	rr_observe_contact(&zone->track, gate->now_us);
+	rr_observe_contact(&zone->health, gate->now_us);
 	zone->unanswered = 0;
 	zone->last_contact_us = gate->now_us;
 	zone->failed_probes = 0;
@@ -333,7 +334,7 @@
 void rr_note_contact(struct rr_context *ctx, struct rr_gate *gate,
 		     struct rr_endpoint *endpoint)
 {
-	rr_observe_contact(&endpoint->track, gate->now_us);
+	rr_observe_contact(&endpoint->health, gate->now_us);
 	record_zone_contact(ctx, gate, endpoint->zone);
 }
 
@@ -359,7 +360,7 @@
 	if (!endpoint)
 		return;
 	endpoint->probing = false;
-	if (endpoint->draining || !endpoint->track.consecutive_silences)
+	if (endpoint->draining || !endpoint->health.consecutive_suspicions)
 		return;
 	/* An unreachable zone is probed as a whole. */
 	if (endpoint->zone->unreachable) {
@@ -432,7 +433,7 @@
 	endpoint->probing = false;
 	rr_resolve_closed_attempts(ctx, gate, endpoint, reached);
 	if (reached) {
-		rr_observe_reachable(&endpoint->track);
+		rr_observe_reachable(&endpoint->health);
 		record_zone_contact(ctx, gate, endpoint->zone);
 		rr_send_queued_parts(ctx, gate, endpoint->service);
 		return;
@@ -441,8 +442,8 @@
 		    gate->policy.silence_failed_probes &&
 	    endpoint->zone->suspected)
 		mark_unreachable(ctx, gate, endpoint->zone);
-	if (endpoint->track.consecutive_silences && !endpoint->draining) {
-		rr_observe_unreachable(&endpoint->track, now_us);
+	if (endpoint->health.consecutive_suspicions && !endpoint->draining) {
+		rr_observe_unreachable(&endpoint->health, now_us);
 		schedule_probe(gate, endpoint);
 	}
 }
--- a/source/core/passive-health.c
+++ b/source/core/passive-health.c
@@ -76,11 +76,11 @@
 
 	if (health->suspected_until_us > now_us)
 		return;
-	for (uint32_t i = 0; i < health->consecutive_silences &&
+	for (uint32_t i = 0; i < health->consecutive_suspicions &&
 			     suspicion_us < MAX_SUSPICION_US;
 	     i++)
 		suspicion_us *= 2;
-	health->consecutive_silences++;
+	health->consecutive_suspicions++;
 	health->suspected_until_us =
 		now_us + MIN(suspicion_us, MAX_SUSPICION_US);
 }
@@ -95,19 +95,21 @@
 
 void rr_resume_silence_clock(struct rr_passive_health *health, int64_t now_us)
 {
-	health->open_since_us = now_us;
+	health->in_flight_since_us = now_us;
 }
 
 int64_t rr_silence_us(const struct rr_passive_health *health, int64_t now_us)
 {
-	return health->silent_us +
-	       (health->open_since_us ? now_us - health->open_since_us : 0);
+	return health->accumulated_silence_us +
+	       (health->in_flight_since_us ?
+			now_us - health->in_flight_since_us :
+			0);
 }
 
 void rr_pause_silence_clock(struct rr_passive_health *health, int64_t now_us)
 {
-	health->silent_us = rr_silence_us(health, now_us);
-	health->open_since_us = 0;
+	health->accumulated_silence_us = rr_silence_us(health, now_us);
+	health->in_flight_since_us = 0;
 }
 
 void rr_observe_rejection(struct rr_passive_health *health, int64_t now_us)
@@ -118,10 +120,10 @@
 
 void rr_observe_contact(struct rr_passive_health *health, int64_t now_us)
 {
-	health->silent_us = 0;
-	if (health->open_since_us)
-		health->open_since_us = now_us;
-	health->consecutive_silences = 0;
+	health->accumulated_silence_us = 0;
+	if (health->in_flight_since_us)
+		health->in_flight_since_us = now_us;
+	health->consecutive_suspicions = 0;
 	health->suspected_until_us = 0;
 }
 
@@ -154,5 +156,5 @@
 void rr_observe_reachable(struct rr_passive_health *health)
 {
 	health->suspected_until_us = 0;
-	health->silent_us = 0;
+	health->accumulated_silence_us = 0;
 }
--- a/source/core/passive-health.h
+++ b/source/core/passive-health.h
@@ -20,12 +20,12 @@
 	int64_t loss_sampled_us; /* time of the last loss or response */
 	/*
 	 * Time with an attempt in flight since the last contact, not counting
-	 * the time since `open_since_us`.
+	 * the time since `in_flight_since_us`.
 	 */
-	int64_t silent_us;
-	int64_t open_since_us;	       /* 0: no attempt is in flight */
-	uint32_t consecutive_silences; /* suspicions since the last contact */
-	int64_t suspected_until_us;    /* 0: not suspected */
+	int64_t accumulated_silence_us;
+	int64_t in_flight_since_us;	 /* 0: no attempt is in flight */
+	uint32_t consecutive_suspicions; /* suspicions since the last contact */
+	int64_t suspected_until_us;	 /* 0: not suspected */
 };
 
 /* Kinds of lost attempts. */
@@ -56,7 +56,7 @@
 /* Resume with the first attempt in flight; pause when the last one ends. */
 void rr_resume_silence_clock(struct rr_passive_health *health, int64_t now_us);
 void rr_pause_silence_clock(struct rr_passive_health *health, int64_t now_us);
-/* Return how long it has been silent while an attempt was in flight. */
+/* Return the time without contact while an attempt was in flight. */
 int64_t rr_silence_us(const struct rr_passive_health *health, int64_t now_us);
 /* Record a confirmed rejection for lack of capacity. */
 void rr_observe_rejection(struct rr_passive_health *health, int64_t now_us);
--- a/source/core/relay.c
+++ b/source/core/relay.c
@@ -292,8 +292,8 @@
 	return query->tasks[task].relay == outgoing;
 }
 
-static void back_off_silent_peer(struct rr_core *core,
-				 const struct rr_outgoing_relay *outgoing)
+static void back_off_unresponsive_peer(struct rr_core *core,
+				       const struct rr_outgoing_relay *outgoing)
 {
 	struct rr_peer *peer = rr_get_or_add_peer(core, outgoing->instance);
 
@@ -326,7 +326,7 @@
 		return;
 	query = outgoing->query;
 	missing_reason = loss_reason(core, outgoing);
-	back_off_silent_peer(core, outgoing);
+	back_off_unresponsive_peer(core, outgoing);
 	g_ptr_array_add(query->excluded_owners, g_strdup(outgoing->instance));
 	rr_log(ctx, RR_LOG_DECISION, "relay-lost",
 	       RR_FIELD_STRING("request", query->request_id),
@@ -437,7 +437,7 @@
 		message->to_incarnation = outgoing->incarnation;
 		message->cancel_query_id = outgoing->id;
 		if (core->now_us >= query->deadline_us)
-			back_off_silent_peer(core, outgoing);
+			back_off_unresponsive_peer(core, outgoing);
 		rr_send_peer_message(ctx, core, outgoing->instance,
 				     outgoing->address, message);
 		end_relay(core, outgoing);
--- a/source/core/wait-queue.c
+++ b/source/core/wait-queue.c
@@ -20,38 +20,40 @@
 
 void rr_init_wait_queue(struct rr_wait_queue *queue)
 {
-	queue->waiters = g_array_new(FALSE, FALSE, sizeof(struct rr_waiter));
+	queue->entries =
+		g_array_new(FALSE, FALSE, sizeof(struct rr_queue_entry));
 }
 
 void rr_clear_wait_queue(struct rr_wait_queue *queue)
 {
-	g_array_unref(queue->waiters);
-	queue->waiters = NULL;
+	g_array_unref(queue->entries);
+	queue->entries = NULL;
 }
 
-void rr_push_waiter(struct rr_wait_queue *queue, const struct rr_waiter *waiter)
+void rr_push_queue_entry(struct rr_wait_queue *queue,
+			 const struct rr_queue_entry *entry)
 {
-	g_array_append_val(queue->waiters, *waiter);
+	g_array_append_val(queue->entries, *entry);
 }
 
-static const struct rr_waiter *waiter_at(const struct rr_wait_queue *queue,
-					 guint i)
+static const struct rr_queue_entry *entry_at(const struct rr_wait_queue *queue,
+					     guint i)
 {
-	return &g_array_index(queue->waiters, struct rr_waiter, i);
+	return &g_array_index(queue->entries, struct rr_queue_entry, i);
 }
 
-static bool has_waited_long(const struct rr_waiter *waiter, int64_t now_us)
+static bool has_waited_long(const struct rr_queue_entry *entry, int64_t now_us)
 {
-	double allowed_us = (double)(waiter->answer_by_us - waiter->since_us);
+	double allowed_us = (double)(entry->answer_by_us - entry->since_us);
 
-	return (double)(now_us - waiter->since_us) >
+	return (double)(now_us - entry->since_us) >
 	       OVERLOAD_WAIT_FRACTION * allowed_us;
 }
 
 bool rr_is_overloaded(const struct rr_wait_queue *queue, int64_t now_us)
 {
-	for (guint i = 0; i < queue->waiters->len; i++) {
-		if (has_waited_long(waiter_at(queue, i), now_us))
+	for (guint i = 0; i < queue->entries->len; i++) {
+		if (has_waited_long(entry_at(queue, i), now_us))
 			return true;
 	}
 	return false;
@@ -61,7 +63,7 @@
 		       const struct rr_overload_inputs *inputs)
 {
 	double queued_work_us =
-		(double)queue->waiters->len * (double)inputs->typical_us;
+		(double)queue->entries->len * (double)inputs->typical_us;
 	double allowed_us = ADMISSION_WAIT_FRACTION *
 			    (double)(inputs->answer_by_us - inputs->now_us);
 
@@ -73,8 +75,8 @@
 }
 
 /* Whether `a`, the newer entry, is served before `b`. */
-static bool is_served_before(const struct rr_waiter *a,
-			     const struct rr_waiter *b, int64_t in_time_us,
+static bool is_served_before(const struct rr_queue_entry *a,
+			     const struct rr_queue_entry *b, int64_t in_time_us,
 			     bool newest_first)
 {
 	bool a_in_time = a->answer_by_us >= in_time_us;
@@ -87,8 +89,8 @@
 	return newest_first;
 }
 
-bool rr_pop_waiter(struct rr_wait_queue *queue, int64_t now_us,
-		   int64_t typical_us, struct rr_waiter *waiter)
+bool rr_pop_queue_entry(struct rr_wait_queue *queue, int64_t now_us,
+			int64_t typical_us, struct rr_queue_entry *entry)
 {
 	bool newest_first = rr_is_overloaded(queue, now_us);
 	guint best = 0;
@@ -97,15 +99,14 @@
 	newest_first = false;
 #endif
 
-	if (!queue->waiters->len)
+	if (!queue->entries->len)
 		return false;
-	for (guint i = 1; i < queue->waiters->len; i++) {
-		if (is_served_before(waiter_at(queue, i),
-				     waiter_at(queue, best),
+	for (guint i = 1; i < queue->entries->len; i++) {
+		if (is_served_before(entry_at(queue, i), entry_at(queue, best),
 				     now_us + typical_us, newest_first))
 			best = i;
 	}
-	*waiter = *waiter_at(queue, best);
-	g_array_remove_index(queue->waiters, best);
+	*entry = *entry_at(queue, best);
+	g_array_remove_index(queue->entries, best);
 	return true;
 }
--- a/source/core/wait-queue.h
+++ b/source/core/wait-queue.h
@@ -12,7 +12,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-struct rr_waiter {
+struct rr_queue_entry {
 	uint64_t request;     /* id of the request */
 	uint32_t part;	      /* index of the part in the request */
 	uint32_t priority;    /* 0 is the highest */
@@ -21,15 +21,15 @@
 };
 
 struct rr_wait_queue {
-	GArray *waiters; /* struct rr_waiter, oldest first */
+	GArray *entries; /* struct rr_queue_entry, oldest first */
 };
 
 /* Initialise an empty queue; rr_clear_wait_queue() frees its entries. */
 void rr_init_wait_queue(struct rr_wait_queue *queue);
 void rr_clear_wait_queue(struct rr_wait_queue *queue);
-/* Append a copy of `waiter`. */
-void rr_push_waiter(struct rr_wait_queue *queue,
-		    const struct rr_waiter *waiter);
+/* Append a copy of `entry`. */
+void rr_push_queue_entry(struct rr_wait_queue *queue,
+			 const struct rr_queue_entry *entry);
 /*
  * Remove the entry to serve next.  Return false if the queue is empty.  The
  * work takes about `typical_us`.
@@ -40,8 +40,8 @@
  * has spent much of its time waiting, more requests arrive than can be served,
  * and serving the oldest first would make it and all that follow late.
  */
-bool rr_pop_waiter(struct rr_wait_queue *queue, int64_t now_us,
-		   int64_t typical_us, struct rr_waiter *waiter);
+bool rr_pop_queue_entry(struct rr_wait_queue *queue, int64_t now_us,
+			int64_t typical_us, struct rr_queue_entry *entry);
 /* Whether more requests arrive than can be served; see above. */
 bool rr_is_overloaded(const struct rr_wait_queue *queue, int64_t now_us);
 
--- a/source/gateway/gateway-callers.c
+++ b/source/gateway/gateway-callers.c
@@ -327,13 +327,13 @@
 	struct rr_gateway *gateway = data;
 
 	rr_gate_half_close(gateway->ctx, gateway->gate, rr_gateway_now_us(),
-			   rr_caller_user_data(caller));
+			   rr_get_caller_user_data(caller));
 }
 
 void rr_handle_caller_disconnect(void *data, struct rr_caller_conn *caller)
 {
 	struct rr_gateway *gateway = data;
-	uint64_t id = rr_caller_user_data(caller);
+	uint64_t id = rr_get_caller_user_data(caller);
 
 	rr_gate_abandon(gateway->ctx, gateway->gate, rr_gateway_now_us(), id);
 	g_hash_table_remove(gateway->requests, &id);
--- a/source/net/http-listener.c
+++ b/source/net/http-listener.c
@@ -482,7 +482,7 @@
 	caller->user_data = user_data;
 }
 
-uint64_t rr_caller_user_data(const struct rr_caller_conn *caller)
+uint64_t rr_get_caller_user_data(const struct rr_caller_conn *caller)
 {
 	return caller->user_data;
 }
--- a/source/net/http-listener.h
+++ b/source/net/http-listener.h
@@ -73,7 +73,7 @@
 			   const struct rr_http_response *response);
 /* Store a value of the owner with a caller while its request is open. */
 void rr_set_caller_user_data(struct rr_caller_conn *caller, uint64_t user_data);
-uint64_t rr_caller_user_data(const struct rr_caller_conn *caller);
+uint64_t rr_get_caller_user_data(const struct rr_caller_conn *caller);
 int64_t rr_caller_rtt_us(const struct rr_caller_conn *caller);
 /* Return whether the current request is the first of its connection. */
 bool rr_is_first_request(const struct rr_caller_conn *caller);
--- a/source/net/replica-client.c
+++ b/source/net/replica-client.c
@@ -82,7 +82,7 @@
 		struct rr_replica_conn *conn = link->data;
 
 		conn->is_active = false;
-		rr_free_conn(conn);
+		rr_close_replica_conn(conn);
 	}
 	g_hash_table_iter_init(&iter, client->pools);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -91,7 +91,7 @@
 
 		pool->closing = false;
 		while ((conn = g_queue_pop_head(&pool->idle)))
-			rr_free_conn(conn);
+			rr_close_replica_conn(conn);
 	}
 	g_queue_clear_full(&client->deferred, free_deferred);
 	g_hash_table_unref(client->attempts);
@@ -142,7 +142,7 @@
 			rr_mark_conn_busy(conn);
 			return conn;
 		}
-		rr_free_conn(conn);
+		rr_close_replica_conn(conn);
 	}
 	return NULL;
 }
@@ -219,7 +219,7 @@
 			return;
 		}
 		/* No byte was sent: another connection may be tried. */
-		rr_free_conn(conn);
+		rr_close_replica_conn(conn);
 	}
 	conn = rr_open_replica_conn(client, pool);
 	if (!conn) {
@@ -238,7 +238,7 @@
 		g_hash_table_lookup(client->attempts, &attempt);
 
 	if (conn)
-		rr_free_conn(conn);
+		rr_close_replica_conn(conn);
 }
 
 bool rr_cancel_unsent_attempt(struct rr_replica_client *client,
@@ -249,7 +249,7 @@
 
 	if (!conn || conn->state != CONN_CONNECTING)
 		return false;
-	rr_free_conn(conn);
+	rr_close_replica_conn(conn);
 	return true;
 }
 
@@ -293,7 +293,7 @@
 	}
 	/* The pool is freed with its last connection. */
 	for (guint n = pool->idle.length; n; n--)
-		rr_free_conn(g_queue_pop_head(&pool->idle));
+		rr_close_replica_conn(g_queue_pop_head(&pool->idle));
 }
 
 static void report_deferred(struct rr_replica_client *client)
@@ -351,12 +351,12 @@
 	/* One per tick, because its end may change what the others wait for. */
 	conn = take_overdue_conn(client);
 	if (conn)
-		rr_fail_conn(conn,
-			     conn->state == CONN_CONNECTING ? RR_GATE_UNSENT :
-							      RR_GATE_NO_REPLY,
-			     conn->state == CONN_CONNECTING ?
-				     "connect-timeout" :
-				     "silent");
+		rr_fail_replica_conn(
+			conn,
+			conn->state == CONN_CONNECTING ? RR_GATE_UNSENT :
+							 RR_GATE_NO_REPLY,
+			conn->state == CONN_CONNECTING ? "connect-timeout" :
+							 "silent");
 }
 
 int64_t rr_replica_client_wake_us(const struct rr_replica_client *client)
--- a/source/net/replica-conn.c
+++ b/source/net/replica-conn.c
@@ -36,7 +36,7 @@
 }
 
 /* Closes and frees a connection. */
-void rr_free_conn(struct rr_replica_conn *conn)
+void rr_close_replica_conn(struct rr_replica_conn *conn)
 {
 	struct rr_replica_client *client = conn->client;
 	struct rr_conn_pool *pool = conn->pool;
@@ -92,7 +92,7 @@
 		       RR_FIELD_U64("attempt", conn->attempt),
 		       RR_FIELD_STRING("lifetime", conn->pool->incarnation),
 		       RR_FIELD_STRING("reason", reason));
-	rr_free_conn(conn);
+	rr_close_replica_conn(conn);
 	if (probed)
 		client->probed(client->data, probed, reached);
 	g_free(probed);
@@ -100,8 +100,8 @@
 		client->replied(client->data, &reply);
 }
 
-void rr_fail_conn(struct rr_replica_conn *conn, enum rr_gate_outcome outcome,
-		  const char *reason)
+void rr_fail_replica_conn(struct rr_replica_conn *conn,
+			  enum rr_gate_outcome outcome, const char *reason)
 {
 	close_failed_conn(conn, outcome, reason, false);
 }
@@ -230,7 +230,7 @@
 	if (reusable && !conn->pool->closing && is_below_idle_limit(conn))
 		start_idle(conn, keep_alive_us);
 	else
-		rr_free_conn(conn);
+		rr_close_replica_conn(conn);
 }
 
 /*
@@ -244,7 +244,7 @@
 	conn->no_reuse = true;
 	if (++conn->n_mismatched > MAX_MISMATCHED_ANSWERS ||
 	    rr_http_message(conn->reader)->close_delimited) {
-		rr_fail_conn(conn, RR_GATE_BROKEN, "foreign-answers");
+		rr_fail_replica_conn(conn, RR_GATE_BROKEN, "foreign-answers");
 		return false;
 	}
 	rr_reset_http_reader(conn->reader, conn->no_body);
@@ -261,7 +261,7 @@
 		return;
 #endif
 	if (conn->state != CONN_BUSY) {
-		rr_fail_conn(conn, RR_GATE_BROKEN, "unasked-bytes");
+		rr_fail_replica_conn(conn, RR_GATE_BROKEN, "unasked-bytes");
 		return;
 	}
 	while (at < length) {
@@ -273,7 +273,7 @@
 		if (result == RR_HTTP_INCOMPLETE)
 			return;
 		if (result != RR_HTTP_COMPLETE) {
-			rr_fail_conn(conn, RR_GATE_BROKEN, "no-answer");
+			rr_fail_replica_conn(conn, RR_GATE_BROKEN, "no-answer");
 			return;
 		}
 		if (!is_mismatched(conn, rr_http_message(conn->reader))) {
@@ -296,19 +296,21 @@
 		 * connection.
 		 */
 		conn->peer_reachable = end != RR_STREAM_REFUSED;
-		rr_fail_conn(conn, RR_GATE_UNSENT,
-			     conn->peer_reachable ? "reset" : "refused");
+		rr_fail_replica_conn(conn, RR_GATE_UNSENT,
+				     conn->peer_reachable ? "reset" :
+							    "refused");
 		return;
 	}
 	if (conn->state == CONN_IDLE) {
-		rr_free_conn(conn);
+		rr_close_replica_conn(conn);
 		return;
 	}
 	started = rr_http_is_started(conn->reader);
 	if (end == RR_STREAM_EOF && started &&
 	    rr_finish_http(conn->reader) == RR_HTTP_COMPLETE) {
 		if (is_mismatched(conn, rr_http_message(conn->reader)))
-			rr_fail_conn(conn, RR_GATE_BROKEN, "foreign-answer");
+			rr_fail_replica_conn(conn, RR_GATE_BROKEN,
+					     "foreign-answer");
 		else
 			handle_answer(conn, 0);
 		return;
--- a/source/net/replica-conn.h
+++ b/source/net/replica-conn.h
@@ -78,12 +78,12 @@
 /*
  * Close and free a connection; the last one of a closing pool frees the pool.
  */
-void rr_free_conn(struct rr_replica_conn *conn);
+void rr_close_replica_conn(struct rr_replica_conn *conn);
 /*
  * Close a failed connection and report the failure of its attempt or probe, if
  * any.
  */
-void rr_fail_conn(struct rr_replica_conn *conn, enum rr_gate_outcome outcome,
-		  const char *reason);
+void rr_fail_replica_conn(struct rr_replica_conn *conn,
+			  enum rr_gate_outcome outcome, const char *reason);
 
 #endif
--- a/tests/support/fake-store.c
+++ b/tests/support/fake-store.c
@@ -112,7 +112,7 @@
 		store->conflicts++;
 		call->status = RR_STORE_CONFLICT;
 	} else if (call->write) {
-		poke_fake_value(store, call->key, call->bytes, call->length);
+		set_fake_value(store, call->key, call->bytes, call->length);
 		call->revision = revision + 1;
 	} else if (value) {
 		call->found = true;
@@ -236,8 +236,8 @@
 	run_next_event(store->events, &store->now_us, store);
 }
 
-const char *peek_fake_value(struct fake_store *store, const char *key,
-			    size_t *length, uint64_t *revision)
+const char *get_fake_value(struct fake_store *store, const char *key,
+			   size_t *length, uint64_t *revision)
 {
 	struct fake_value *value = g_hash_table_lookup(store->values, key);
 
@@ -246,8 +246,8 @@
 	return value ? value->bytes : NULL;
 }
 
-void poke_fake_value(struct fake_store *store, const char *key,
-		     const char *bytes, size_t length)
+void set_fake_value(struct fake_store *store, const char *key,
+		    const char *bytes, size_t length)
 {
 	struct fake_value *value = g_hash_table_lookup(store->values, key);
 
--- a/tests/support/fake-store.h
+++ b/tests/support/fake-store.h
@@ -77,10 +77,10 @@
 void run_fake_store_event(struct fake_store *store);
 
 /* Return a value without a call; NULL if absent. */
-const char *peek_fake_value(struct fake_store *store, const char *key,
-			    size_t *length, uint64_t *revision);
+const char *get_fake_value(struct fake_store *store, const char *key,
+			   size_t *length, uint64_t *revision);
 /* Set a value without a call. */
-void poke_fake_value(struct fake_store *store, const char *key,
-		     const char *bytes, size_t length);
+void set_fake_value(struct fake_store *store, const char *key,
+		    const char *bytes, size_t length);
 
 #endif
--- a/tests/test-gate-emulated.c
+++ b/tests/test-gate-emulated.c
@@ -62,7 +62,7 @@
 		emulate_scenario(&scenario, &policy, seed, &result);
 		total_value += mean_answer_value(&result);
 		n_requests += result.requests;
-		n_in_time += result.in_time;
+		n_in_time += result.answered_in_time;
 		clear_emulated_result(&result);
 	}
 	if (in_time)
--- a/tests/test-ledger-random.c
+++ b/tests/test-ledger-random.c
@@ -477,8 +477,8 @@
 			g_strdup_printf("ledger/%d/%d", i / SLICES, i % SLICES);
 		uint64_t revision;
 		size_t length;
-		const char *bytes = peek_fake_value(simulation->store, key,
-						    &length, &revision);
+		const char *bytes = get_fake_value(simulation->store, key,
+						   &length, &revision);
 		struct rr_ledger_value *value;
 		GHashTableIter iter;
 		gpointer entry;
--- a/tests/test-ledger.c
+++ b/tests/test-ledger.c
@@ -250,7 +250,7 @@
 	/* The late write failed its comparison. */
 	assert_int_equal(fixture->store->conflicts, 1);
 	assert_int_equal(fixture->store->writes, 2);
-	bytes = peek_fake_value(fixture->store, KEY, &length, &revision);
+	bytes = get_fake_value(fixture->store, KEY, &length, &revision);
 	value = rr_decode_ledger_value(bytes, length, NULL);
 	assert_int_equal(revision, 1);
 	assert_int_equal(g_hash_table_size(value->entries), 1);
@@ -456,7 +456,7 @@
 		g_free(name);
 	}
 	bytes = rr_encode_ledger_value(value, &length);
-	poke_fake_value(fixture->store, KEY, bytes, length);
+	set_fake_value(fixture->store, KEY, bytes, length);
 	rr_drop_ledger_value(value);
 	g_free(bytes);
 	number = claim(fixture->a, ID, 1);
@@ -481,14 +481,14 @@
 	uint64_t number;
 	size_t length;
 
-	poke_fake_value(fixture->store, KEY, "nonsense", 8);
+	set_fake_value(fixture->store, KEY, "nonsense", 8);
 	number = claim(fixture->a, ID, 1);
 	run(fixture->a, NULL, 100000);
 	assert_outcome(fixture->a, number, RR_CLAIM_REJECTED,
 		       "ledger-unreadable");
 	assert_int_equal(
 		rr_counter_value(fixture->a->ctx, RR_N_LEDGER_VALUES_BAD), 1);
-	bytes = peek_fake_value(fixture->store, KEY, &length, &revision);
+	bytes = get_fake_value(fixture->store, KEY, &length, &revision);
 	assert_int_equal(length, 8);
 	assert_memory_equal(bytes, "nonsense", 8);
 	assert_int_equal(revision, 1);
--- a/tests/test-push.c
+++ b/tests/test-push.c
@@ -129,8 +129,8 @@
 {
 	uint64_t revision;
 	size_t length;
-	const char *text = peek_fake_value(store, RR_CONFIG_RECORD_KEY, &length,
-					   &revision);
+	const char *text =
+		get_fake_value(store, RR_CONFIG_RECORD_KEY, &length, &revision);
 	struct rr_config_record *record;
 
 	if (!text)
@@ -292,7 +292,7 @@
 	/* The record is older than the edited one: the store lost changes. */
 	start_push(&fixture->a, "sala", "owners_per_replica: 3\n", 7, "c-2");
 	assert_int_equal(run_push(&fixture->a), RR_PUSH_BAD_RECORD);
-	poke_fake_value(fixture->store, RR_CONFIG_RECORD_KEY, "nonsense", 8);
+	set_fake_value(fixture->store, RR_CONFIG_RECORD_KEY, "nonsense", 8);
 	start_push(&fixture->a, "sala", "owners_per_replica: 3\n", 1, "c-3");
 	assert_int_equal(run_push(&fixture->a), RR_PUSH_BAD_RECORD);
 	assert_int_equal(fixture->store->writes, 1);
@@ -352,8 +352,8 @@
 	uint64_t revision;
 	size_t length;
 
-	peek_fake_value(simulation->store, RR_CONFIG_RECORD_KEY, &length,
-			&revision);
+	get_fake_value(simulation->store, RR_CONFIG_RECORD_KEY, &length,
+		       &revision);
 	if (revision == simulation->key_revision)
 		return;
 	assert_int_equal(revision, simulation->key_revision + 1);
--- a/tests/test-wait-queue.c
+++ b/tests/test-wait-queue.c
@@ -18,22 +18,23 @@
 static void push(struct rr_wait_queue *queue, uint64_t request,
 		 uint32_t priority, int64_t since_us, int64_t answer_by_us)
 {
-	struct rr_waiter waiter = {
+	struct rr_queue_entry entry = {
 		.request = request,
 		.priority = priority,
 		.since_us = since_us,
 		.answer_by_us = answer_by_us,
 	};
 
-	rr_push_waiter(queue, &waiter);
+	rr_push_queue_entry(queue, &entry);
 }
 
 static uint64_t pop(struct rr_wait_queue *queue, int64_t now_us)
 {
-	struct rr_waiter waiter;
+	struct rr_queue_entry entry;
 
-	return rr_pop_waiter(queue, now_us, WORK_US, &waiter) ? waiter.request :
-								0;
+	return rr_pop_queue_entry(queue, now_us, WORK_US, &entry) ?
+		       entry.request :
+		       0;
 }
 
 static void test_oldest_first_without_overload(void **state)
@@ -106,7 +107,7 @@
 	const int64_t work_us = 12 * MS;
 	const int64_t allowed_us = 100 * MS;
 	struct rr_wait_queue queue;
-	struct rr_waiter waiter;
+	struct rr_queue_entry entry;
 	int64_t idle_us = 0;
 	int64_t next_us = 0;
 	uint64_t n = 0;
@@ -118,12 +119,12 @@
 			push(&queue, ++n, 1, next_us, next_us + allowed_us);
 			next_us += gap_us;
 		}
-		if (!rr_pop_waiter(&queue, idle_us, work_us, &waiter)) {
+		if (!rr_pop_queue_entry(&queue, idle_us, work_us, &entry)) {
 			idle_us = next_us;
 			continue;
 		}
-		idle_us = MAX(idle_us, waiter.since_us) + work_us;
-		if (idle_us <= waiter.answer_by_us)
+		idle_us = MAX(idle_us, entry.since_us) + work_us;
+		if (idle_us <= entry.answer_by_us)
 			in_time++;
 	}
 	/* The replica can serve at most 10 / 12 of the requests. */
@@ -142,7 +143,7 @@
 	const int64_t work_us = 60 * MS;
 	const int64_t allowed_us = 190 * MS;
 	struct rr_wait_queue queue;
-	struct rr_waiter waiter;
+	struct rr_queue_entry entry;
 	int64_t idle_us[2] = { 0, 0 };
 	int admitted = 0;
 	int in_time = 0;
@@ -158,10 +159,11 @@
 
 		for (int i = 0; i < 2; i++) {
 			if (idle_us[i] > now_us ||
-			    !rr_pop_waiter(&queue, now_us, work_us, &waiter))
+			    !rr_pop_queue_entry(&queue, now_us, work_us,
+						&entry))
 				continue;
 			idle_us[i] = now_us + work_us;
-			in_time += idle_us[i] <= waiter.answer_by_us;
+			in_time += idle_us[i] <= entry.answer_by_us;
 		}
 		if (rr_would_overload(&queue, &inputs))
 			continue;
