--- a/include/ragwort/core.h
+++ b/include/ragwort/core.h
@@ -10,7 +10,7 @@
  * - `now_us` is monotonic and never goes back; after each event call,
  *   rr_core_wake_us() returns when rr_core_tick() is due.
  * - Callbacks may run inside any event function.  They must not call the core;
- *   replies are handed in after the event function has returned.
+ *   replies are passed in after the event function has returned.
  * - Exactly one rr_core_handle_reply() follows every attempt sent, unless the
  *   attempt was cancelled; extra, late or unknown replies are counted and
  *   dropped.
@@ -34,7 +34,7 @@
 	void (*send_attempt)(void *data, const struct rr_attempt *attempt);
 	/*
 	 * Cancel an attempt that was sent: its reply is no longer needed, and
-	 * none has to be handed in.
+	 * none has to be passed in.
 	 */
 	void (*cancel_attempt)(void *data, uint64_t attempt_id);
 	/* Answer a caller; called exactly once for each query id. */
@@ -44,7 +44,7 @@
 				  const char *address,
 				  const struct rr_peer_message *message);
 	/*
-	 * Request a replica's health.  The reply is handed in by
+	 * Request a replica's health.  The reply is passed to
 	 * rr_core_handle_health().
 	 */
 	void (*poll_health)(void *data, const char *replica,
--- a/include/ragwort/route.h
+++ b/include/ragwort/route.h
@@ -74,7 +74,7 @@
 /*
  * Add to a table that is not yet shared.  The table takes ownership of the
  * route or service and its strings and parts, also on failure.  Returns false
- * if a route lacks its name, host or parts, has an invalid prefix or weight,
+ * if a route has no name, host or parts, has an invalid prefix or weight,
  * or has the same host and prefix as another.
  */
 bool rr_add_route(struct rr_route_table *table, struct rr_route *route);
--- a/source/core/attempt.c
+++ b/source/core/attempt.c
@@ -201,7 +201,7 @@
 	};
 
 	/*
-	 * An upstream that is draining would cut off new work when it exits.
+	 * A draining upstream would abort new work when it exits.
 	 * Its queue is emptied when the drain is reported, so nothing should
 	 * remain to be sent.
 	 */
--- a/source/core/feed-rank.h
+++ b/source/core/feed-rank.h
@@ -40,7 +40,7 @@
 guint rr_zone_watchers(guint n_instances);
 /*
  * Number of registrars in a zone of `n_instances`; more than one in a larger
- * zone, since one may fail or be cut off.
+ * zone, since one may fail or be isolated.
  */
 guint rr_zone_registrars(guint n_instances);
 /* Position of the instance of the given rank (0 is first) in a zone of `n`. */
--- a/source/core/feed.c
+++ b/source/core/feed.c
@@ -249,7 +249,7 @@
 		call.kind = RR_FEED_RANGE;
 		call.after_key = feed->after_key;
 		/*
-		 * The first watch reports what a stale copy lacks.  A later
+		 * The first watch reports what a stale copy misses.  A later
 		 * range from a stale copy would remove the items added since.
 		 */
 		call.allow_stale = !feed->has_synced || feed->found_no_peers;
--- a/source/core/gate-loop-delay.c
+++ b/source/core/gate-loop-delay.c
@@ -3,7 +3,7 @@
  *
  * While the event loop is busy, the process is stopped or its CPU quota is
  * exhausted, responses stay unread.  That time is excluded from the duration of
- * attempts and from the silence of replicas and zones.
+ * attempts and from the time without contact of replicas and zones.
  */
 #include "core/gate-private.h"
 
--- a/source/core/gate-private.h
+++ b/source/core/gate-private.h
@@ -460,7 +460,7 @@
 
 /*
  * Decide whether the eligible replicas can serve a request.  A search that
- * would most likely lack too many parts is rejected as a whole: the work for
+ * would most likely miss too many parts is rejected as a whole: the work for
  * its other parts would be wasted.
  */
 enum rr_admission rr_admit_request(const struct rr_gate *gate,
--- a/source/core/gate-zone.c
+++ b/source/core/gate-zone.c
@@ -250,7 +250,7 @@
 	if (seems_unreachable(gate, zone) || are_all_suspected(gate, zone))
 		mark_unreachable(ctx, gate, zone);
 	else if (zone->unanswered >= gate->policy.silence_unanswered)
-		/* Connections are refused, so that no silence adds up. */
+		/* Refused connections: no time without contact adds up. */
 		suspect_zone(ctx, gate, zone);
 	else
 		suspect_if_unresponsive(ctx, gate, zone);
@@ -289,7 +289,7 @@
 }
 
 /*
- * Checks the silence of attempts that are still in flight.  Without this check,
+ * Checks the time without contact while attempts are in flight.  Without this,
  * if the retry budget is exhausted, an attempt is not abandoned before its
  * request's deadline, and more requests would go to a dead replica until then.
  */
--- a/source/core/ledger-bucket.c
+++ b/source/core/ledger-bucket.c
@@ -334,7 +334,7 @@
 	 * store. Once the key has another revision, the write has either taken
 	 * effect or never will, and the value shows which. While the revision
 	 * is unchanged nothing is known: the write may still be in transit,
-	 * although the value just read lacks it.
+	 * although the value just read does not contain it.
 	 */
 	if (bucket->in_doubt_revision != reply->revision)
 		bucket->write_in_doubt = false;
--- a/source/core/member-private.h
+++ b/source/core/member-private.h
@@ -153,7 +153,7 @@
 struct rr_peer_message *rr_new_member_message(struct rr_members *members,
 					      enum rr_peer_kind kind,
 					      const struct member *about);
-/* Append updates that a peer with this member count and digest may lack. */
+/* Append updates that a peer with this member count and digest may miss. */
 void rr_append_repair_updates(struct rr_members *members,
 			      struct rr_peer_message *message, int64_t now_us,
 			      uint32_t peer_count, uint64_t peer_digest);
--- a/source/core/relay.c
+++ b/source/core/relay.c
@@ -207,8 +207,8 @@
 	rr_count(ctx, RR_N_RELAYS_SENT, 1);
 	rr_get_or_add_peer(core, outgoing->instance)->relays_in_flight++;
 	/*
-	 * Once the message is handed over, the tasks count as possibly run,
-	 * never as "not run".
+	 * Once the message is passed on for sending, the tasks count as
+	 * possibly run, never as "not run".
 	 */
 	for (guint i = 0; i < outgoing->tasks->len; i++) {
 		uint32_t task = g_array_index(outgoing->tasks, uint32_t, i);
--- a/source/daemon/daemon.c
+++ b/source/daemon/daemon.c
@@ -309,7 +309,7 @@
  * A draining instance exits when the core has no work left, every reply is
  * written and nothing new has arrived for DRAIN_IDLE_US.  Without the idle
  * time, a caller's request or a forwarded one that was in transit when the
- * drain started would be cut off.
+ * drain started would be aborted.
  */
 static gboolean check_drained(gpointer data)
 {
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -20,7 +20,7 @@
 /*
  * A main loop iteration of this length, or a wake-up this late, is reported to
  * the gate as a stall, since it delays the reading of replies.  Much shorter
- * than the silence after which a replica is suspected.
+ * than the time without contact after which a replica is suspected.
  */
 #define MIN_STALL_US (10 * 1000)
 /* For the readiness and metrics addresses, which get few requests. */
--- a/source/settings/record.c
+++ b/source/settings/record.c
@@ -107,7 +107,7 @@
 	for (GList *link = names; link; link = link->next) {
 		const char *text = rr_config_file_text(record, link->data);
 
-		/* Hash the NUL too, to tell "a","bc" from "ab","c". */
+		/* Hash the NUL too: "a","bc" must differ from "ab","c". */
 		hash = XXH3_64bits_withSeed(link->data, strlen(link->data) + 1,
 					    hash);
 		if (text)
--- a/tests/support/fake-cluster.h
+++ b/tests/support/fake-cluster.h
@@ -72,7 +72,7 @@
 	struct rr_core *core;
 	char *name;
 	char *zone;
-	bool partitioned;	   /* cut off from all peers */
+	bool partitioned;	   /* isolated from all peers */
 	GPtrArray *answers;	   /* struct fake_answer */
 	GString *log;		   /* log lines */
 	uint32_t sent_by_kind[16]; /* messages sent, by kind */
--- a/tests/test-change-log.c
+++ b/tests/test-change-log.c
@@ -93,8 +93,8 @@
 
 /*
  * An instance restarts and reads the list at revision 50; a replica was removed
- * at 45.  A reader that is at revision 40 turns to it.  Neither of them would
- * ever learn of the removal, so the reader has to read all items again.
+ * at 45.  A reader that is at revision 40 switches to it.  Neither of them
+ * would ever learn of the removal, so the reader has to read all items again.
  */
 static void test_removals_before_the_start(void **state)
 {
--- a/tests/test-core-config.c
+++ b/tests/test-core-config.c
@@ -121,7 +121,7 @@
 }
 
 /*
- * Guards against searches that are cut off when an instance is replaced.
+ * Guards against searches that are aborted when an instance is replaced.
  * Running searches complete, new ones are rejected at once, and only then is
  * the instance drained.
  */
--- a/tests/test-core-policy.c
+++ b/tests/test-core-policy.c
@@ -176,7 +176,7 @@
 
 /*
  * A replica that is being replaced still answers for half a minute, and
- * searches that it accepts then are cut off.  Guards against choosing it
+ * searches that it accepts then are aborted.  Guards against choosing it
  * although it has reported that it is draining.
  */
 static void test_draining_replica_gets_no_new_attempts(void **state)
@@ -265,8 +265,8 @@
 /*
  * An attempt that waits in a replica's own queue cannot be cancelled, and that
  * queue may be full.  So attempts are queued at the instance: never more
- * attempts than the two slots of a replica are in flight, and a replica whose
- * slots are full hands over queued attempts to an idle one of its shard.
+ * attempts than the two slots of a replica are in flight, and queued attempts of
+ * a replica whose slots are full move to an idle replica of its shard.
  */
 static void test_slots_limit_attempts_in_flight(void **state)
 {
--- a/tests/test-feed-peers.c
+++ b/tests/test-feed-peers.c
@@ -382,7 +382,7 @@
 }
 
 /*
- * A zone is cut off from the store.  Its watchers read from those of another
+ * A zone is isolated from the store.  Its watchers read from those of another
  * zone, which may in turn read from them: changes read from another zone are
  * not served.
  */
--- a/tests/test-feed-source.c
+++ b/tests/test-feed-source.c
@@ -283,7 +283,8 @@
 
 /*
  * Guards against two watchers in a zone of three, where each replica change is
- * paid for twice.  One watches; if it freezes, the next one turns to the store.
+ * paid for twice.  One watches; if it freezes, the next one reads from the
+ * store.
  */
 static void test_zone_of_three_has_one_watcher(void **state)
 {
--- a/tests/test-feed.c
+++ b/tests/test-feed.c
@@ -39,7 +39,7 @@
 
 /*
  * The pages come from stale copies, the second from an older one.  The first
- * watch reports what the second page lacks, if it starts from the older
+ * watch reports what the second page misses, if it starts from the older
  * revision.
  */
 static void test_pages_of_different_age(void **state)
--- a/tests/test-gate-choose.c
+++ b/tests/test-gate-choose.c
@@ -101,7 +101,7 @@
 
 /*
  * Guards against excluding the only replica of a shard for half a second after
- * one failed connection, during which every search lacks the shard.  As there
+ * one failed connection, during which every search misses the shard.  As there
  * is no alternative, it is tried until a probe fails.
  */
 static void test_keeps_trying_only_replica(void **state)
--- a/tests/test-gate-zone.c
+++ b/tests/test-gate-zone.c
@@ -69,8 +69,8 @@
  * Guards against slow detection when a zone is isolated from two others at
  * once.  Most attempts go to one of these, which is found unreachable by five
  * attempts without a reply.  To the other only three were in flight, and no
- * more are sent since the searches lack the first.  Callers were rejected for
- * 0.7 s longer, until two probes had failed.
+ * more are sent since the first is missing in all searches.  Callers were
+ * rejected for 0.7 s longer, until two probes had failed.
  */
 static void test_two_zones_unreachable_at_once(void **state)
 {
@@ -142,9 +142,9 @@
 }
 
 /*
- * The partition resets connections, so that no silence adds up, and requests
- * are sent to only some of the zone's replicas.  Probes of other replicas have
- * to show that the whole zone is unreachable.
+ * The partition resets connections, so that no time without contact adds up,
+ * and requests are sent to only some of the zone's replicas.  Probes of other
+ * replicas have to show that the whole zone is unreachable.
  */
 static void test_zone_resets_connections(void **state)
 {
@@ -287,12 +287,12 @@
 }
 
 /*
- * Guards against silence that is not detected while the retry budget is
+ * Guards against a dead replica that is not detected while the retry budget is
  * exhausted.  A replica dies; the attempt there is not hedged and so not
  * abandoned before its deadline ten seconds later, and until then more requests
  * are sent to the dead replica and wait as long.
  */
-static void test_silence_is_detected_without_retry_budget(void **state)
+static void test_dead_replica_is_detected_without_retry_budget(void **state)
 {
 	struct test_route route = test_idempotent_route;
 	struct gate_fixture *fixture = test_new_gate(7);
@@ -347,13 +347,13 @@
 }
 
 /*
- * Guards against taking the instance's own delay for silence.  A slow instance
- * gathers searches of 180 shards, and its own work blocks its event loop for
- * 150 ms while all responses wait unread.  It took all zones for unreachable
- * and reported that it was isolated, so that callers were directed away from a
- * healthy fleet.
+ * Guards against an instance that treats its own delay as time without contact
+ * of the replicas.  A slow instance gathers searches of 180 shards, and its own
+ * work blocks its event loop for 150 ms while all responses wait unread.  It
+ * considered all zones unreachable and reported that it was isolated, so that
+ * callers were directed away from a healthy fleet.
  */
-static void test_loop_delay_is_not_silence(void **state)
+static void test_loop_delay_suspects_no_replica(void **state)
 {
 	enum { SHARDS = 180 };
 	struct gate_fixture *fixture = test_new_gate(7);
@@ -384,7 +384,7 @@
 		test_reply_all(fixture);
 		test_advance_time(fixture, 100 * TEST_MS);
 	}
-	/* Without a delay the same silence causes probes. */
+	/* Without a delay the same time without contact causes probes. */
 	test_submit(fixture, "/search/1", 900);
 	test_advance_time(fixture, 300 * TEST_MS);
 	assert_true(fixture->probes->len > 0);
@@ -461,8 +461,9 @@
 		cmocka_unit_test(test_unreachable_replica_is_probed),
 		cmocka_unit_test(test_isolation_is_detected_before_abandonment),
 		cmocka_unit_test(test_pause_is_not_a_partition),
-		cmocka_unit_test(test_silence_is_detected_without_retry_budget),
-		cmocka_unit_test(test_loop_delay_is_not_silence),
+		cmocka_unit_test(
+			test_dead_replica_is_detected_without_retry_budget),
+		cmocka_unit_test(test_loop_delay_suspects_no_replica),
 		cmocka_unit_test(test_isolation_reported_by_peer),
 		cmocka_unit_test(test_false_isolation_report),
 	};
--- a/tests/test-ledger.c
+++ b/tests/test-ledger.c
@@ -258,9 +258,10 @@
 }
 
 /*
- * Guards against an entry that its claimant abandoned but nobody removes. The
- * write of a claim gets no reply and the store becomes unavailable; the write
- * takes effect seconds later, and other instances find the id held.
+ * Guards against an entry that its claimant abandoned and that is never
+ * removed. The write of a claim gets no reply and the store becomes
+ * unavailable; the write takes effect seconds later, and other instances find
+ * the id held.
  */
 static void test_unresolved_claim_is_released_later(void **state)
 {
--- a/tests/test-member.c
+++ b/tests/test-member.c
@@ -42,7 +42,7 @@
 
 /*
  * Guards against a crashed instance that stays in member lists: searches would
- * be relayed to it and lack its shards. It has to be removed from all member
+ * be relayed to it and miss its shards. It has to be removed from all member
  * lists within a time limit, and updates still in circulation must not keep it
  * alive.
  */
@@ -121,7 +121,7 @@
 /*
  * Guards against a partition that never heals: two zones are separated for five
  * minutes while the platform is down too. If each side considers the other dead
- * and pings only live members, searches in one zone lack all shards of the
+ * and pings only live members, searches in one zone miss all shards of the
  * other for ever after the network recovers.
  */
 static void test_partition_heals(void **state)
@@ -146,7 +146,7 @@
  * its first tick every suspicion is overdue, since no member could refute
  * during the pause, and it would relay nothing.
  */
-static void test_paused_member_suspects_nobody(void **state)
+static void test_paused_member_suspects_no_member(void **state)
 {
 	(void)state;
 	for (uint32_t seed = 1; seed <= 5; seed++) {
@@ -369,7 +369,7 @@
 		cmocka_unit_test(test_suspect_refutes),
 		cmocka_unit_test(test_one_way_loss_is_tolerated),
 		cmocka_unit_test(test_partition_heals),
-		cmocka_unit_test(test_paused_member_suspects_nobody),
+		cmocka_unit_test(test_paused_member_suspects_no_member),
 		cmocka_unit_test(test_leaving_member_is_removed),
 		cmocka_unit_test(test_restart_same_name),
 		cmocka_unit_test(test_address_is_reused),
--- a/tests/test-net-peer.c
+++ b/tests/test-net-peer.c
@@ -348,10 +348,10 @@
 }
 
 /*
- * The key pair must be replaceable while searches run, at a site that nobody
- * can log into. Both keys are allowed, the pair of one instance after the other
- * is changed, then only the new key is allowed: messages must arrive in both
- * directions after each change.
+ * The key pair must be replaceable while searches run, at a site without
+ * remote logins. Both keys are allowed, the pair of one instance after the
+ * other is changed, then only the new key is allowed: messages must arrive in
+ * both directions after each change.
  */
 static void test_key_rotation_while_running(void **state)
 {
--- a/tests/test-passive-health.c
+++ b/tests/test-passive-health.c
@@ -82,7 +82,7 @@
 	assert_int_equal(health.suspected_until_us - 3 * first_us, first_us);
 }
 
-static void test_broken_responses_are_not_silence(void **state)
+static void test_broken_responses_cause_no_suspicion(void **state)
 {
 	struct rr_passive_health health;
 
@@ -93,8 +93,8 @@
 	assert_true(health.loss_rate > 0.9);
 }
 
-/* Silence adds up only while an attempt is in flight, not while idle. */
-static void test_silence_adds_up_over_attempts(void **state)
+/* Only the time with an attempt in flight counts as time without contact. */
+static void test_time_without_contact_adds_up_over_attempts(void **state)
 {
 	struct rr_passive_health health;
 
@@ -144,8 +144,9 @@
 		cmocka_unit_test(test_one_pause_is_not_slowness),
 		cmocka_unit_test(test_overdue_attempts_count),
 		cmocka_unit_test(test_suspicion_doubles_and_ends),
-		cmocka_unit_test(test_broken_responses_are_not_silence),
-		cmocka_unit_test(test_silence_adds_up_over_attempts),
+		cmocka_unit_test(test_broken_responses_cause_no_suspicion),
+		cmocka_unit_test(
+			test_time_without_contact_adds_up_over_attempts),
 		cmocka_unit_test(test_limit_grows_without_a_queue),
 		cmocka_unit_test(test_rejections_shrink_the_limit),
 	};
--- a/tests/test-process-stop.c
+++ b/tests/test-process-stop.c
@@ -266,7 +266,7 @@
 
 /*
  * Guards against shards that stay missing when the only instance of a zone is
- * killed.  An answer may lack the zone's shards at first, and must report
+ * killed.  An answer may miss the zone's shards at first, and must report
  * them as missing; then instances of other zones take over its replicas.
  */
 static void test_sigkill_of_only_instance_of_zone(void **state)
