--- a/tests/test-core-policy.c
+++ b/tests/test-core-policy.c
@@ -265,8 +265,8 @@
 /*
  * An attempt that waits in a replica's own queue cannot be cancelled, and that
  * queue may be full.  So attempts are queued at the instance: never more
- * attempts than the two slots of a replica are in flight, and queued attempts of
- * a replica whose slots are full move to an idle replica of its shard.
+ * attempts than the two slots of a replica are in flight, and queued attempts
+ * of a replica whose slots are full move to an idle replica of its shard.
  */
 static void test_slots_limit_attempts_in_flight(void **state)
 {
