--- a/include/ragwort/gather.h
+++ b/include/ragwort/gather.h
@@ -36,7 +36,7 @@
 	int64_t answer_by_us;
 	size_t parts;
 	size_t answered; /* answered successfully */
-	size_t failed;	 /* failed for good */
+	size_t failed;	 /* failed permanently */
 	/*
 	 * Open parts at replicas that do not answer, so that no reply is
 	 * expected.
--- a/source/core/weighted-choice.h
+++ b/source/core/weighted-choice.h
@@ -14,7 +14,7 @@
  * positive.  The replica with the shorter wait is nearly always chosen, the
  * other occasionally: otherwise a replica that was slow once would get no
  * requests, so that its estimate would never be corrected and it would stay
- * idle for good.
+ * idle permanently.
  */
 bool rr_choose_by_wait(struct rr_context *ctx, double wait_x, double wait_y,
 		       double power);
--- a/source/net/http-listener.c
+++ b/source/net/http-listener.c
@@ -70,7 +70,7 @@
 	bool at_connection_limit;
 };
 
-static int64_t now_us(void)
+static int64_t monotonic_now_us(void)
 {
 	return g_get_monotonic_time();
 }
@@ -103,7 +103,7 @@
 static void set_state(struct rr_caller_conn *caller, enum caller_state state)
 {
 	caller->state = state;
-	caller->since_us = now_us();
+	caller->since_us = monotonic_now_us();
 }
 
 static void append_headers(GString *out, const struct rr_caller_conn *caller,
@@ -249,7 +249,7 @@
 	size_t used;
 
 	if (!rr_http_is_started(caller->reader))
-		caller->since_us = now_us();
+		caller->since_us = monotonic_now_us();
 	result = rr_parse_http(caller->reader, bytes, length, &used);
 	if (result == RR_HTTP_INCOMPLETE) {
 		if (!had_headers && rr_http_has_headers(caller->reader) &&
@@ -576,18 +576,18 @@
 /* Period of the timeout check; the timeouts are of the order of seconds. */
 #define CHECK_PERIOD_US (250 * 1000)
 
-void rr_tick_http_listener(struct rr_http_listener *listener, int64_t now)
+void rr_tick_http_listener(struct rr_http_listener *listener, int64_t now_us)
 {
 	GList *next;
 
-	if (now < listener->checked_us + CHECK_PERIOD_US)
+	if (now_us < listener->checked_us + CHECK_PERIOD_US)
 		return;
-	listener->checked_us = now;
+	listener->checked_us = now_us;
 	for (GList *l = listener->callers.head; l; l = next) {
 		struct rr_caller_conn *caller = l->data;
 
 		next = l->next;
-		if (get_deadline(caller) <= now)
+		if (get_deadline(caller) <= now_us)
 			close_overdue(caller);
 	}
 	if (listener->at_connection_limit &&
--- a/tests/support/caller-fixture.c
+++ b/tests/support/caller-fixture.c
@@ -13,37 +13,37 @@
 
 gboolean caller_send_answer(gpointer data)
 {
-	struct caller_fixture *f = data;
+	struct caller_fixture *fixture = data;
 
-	f->answer.query_id = f->requests;
-	rr_answer_call(f->ctx, f->server, &f->answer);
+	fixture->answer.query_id = fixture->requests;
+	rr_answer_call(fixture->ctx, fixture->server, &fixture->answer);
 	return G_SOURCE_REMOVE;
 }
 
 static uint64_t on_request(void *data, const struct rr_request *request)
 {
-	struct caller_fixture *f = data;
-
-	g_free(f->body);
-	g_free(f->service);
-	g_free(f->idempotency_key);
-	f->request = *request;
-	f->body = g_strdup(request->body);
-	f->service = g_strdup(request->service);
-	f->idempotency_key = g_strdup(request->idempotency_key);
-	f->requests++;
-	f->answer.request_id = "id-1";
-	if (!f->hold_answers)
-		g_idle_add(caller_send_answer, f);
-	return f->requests;
+	struct caller_fixture *fixture = data;
+
+	g_free(fixture->body);
+	g_free(fixture->service);
+	g_free(fixture->idempotency_key);
+	fixture->request = *request;
+	fixture->body = g_strdup(request->body);
+	fixture->service = g_strdup(request->service);
+	fixture->idempotency_key = g_strdup(request->idempotency_key);
+	fixture->requests++;
+	fixture->answer.request_id = "id-1";
+	if (!fixture->hold_answers)
+		g_idle_add(caller_send_answer, fixture);
+	return fixture->requests;
 }
 
 static void on_disconnected(void *data, uint64_t query_id)
 {
-	struct caller_fixture *f = data;
+	struct caller_fixture *fixture = data;
 
-	assert_int_equal(query_id, f->requests);
-	f->disconnected = true;
+	assert_int_equal(query_id, fixture->requests);
+	fixture->disconnected = true;
 }
 
 static bool is_ready(void *data, const char **reason)
@@ -57,8 +57,8 @@
 	g_string_append(out, "{\"instance\":\"x\"}");
 }
 
-static void start_server(struct caller_fixture *f, uint32_t max_body_bytes,
-			 const char *token_file)
+static void start_server(struct caller_fixture *fixture,
+			 uint32_t max_body_bytes, const char *token_file)
 {
 	struct rr_caller_server_options options = {
 		.address = "127.0.0.1:0",
@@ -69,43 +69,43 @@
 		.disconnected = on_disconnected,
 		.is_ready = is_ready,
 		.append_status = append_status,
-		.data = f,
+		.data = fixture,
 	};
 	GError *error = NULL;
 
-	f->server = rr_new_caller_server(f->ctx, &options, &error);
+	fixture->server = rr_new_caller_server(fixture->ctx, &options, &error);
 	assert_null(error);
-	f->tcp_port = rr_caller_server_tcp_port(f->server);
+	fixture->tcp_port = rr_caller_server_tcp_port(fixture->server);
 }
 
 int caller_set_up(void **state)
 {
-	struct caller_fixture *f = g_new0(struct caller_fixture, 1);
+	struct caller_fixture *fixture = g_new0(struct caller_fixture, 1);
 
-	f->ctx = rr_new_context(NULL);
-	start_server(f, 4096, NULL);
-	*state = f;
+	fixture->ctx = rr_new_context(NULL);
+	start_server(fixture, 4096, NULL);
+	*state = fixture;
 	return 0;
 }
 
 int caller_tear_down(void **state)
 {
-	struct caller_fixture *f = *state;
+	struct caller_fixture *fixture = *state;
 
-	rr_drop_caller_server(f->server);
+	rr_drop_caller_server(fixture->server);
 	while (g_main_context_iteration(NULL, FALSE))
 		;
-	rr_drop_context(f->ctx);
-	g_free(f->body);
-	g_free(f->service);
-	g_free(f->idempotency_key);
-	g_free(f);
+	rr_drop_context(fixture->ctx);
+	g_free(fixture->body);
+	g_free(fixture->service);
+	g_free(fixture->idempotency_key);
+	g_free(fixture);
 	return 0;
 }
 
-void caller_reopen_server(struct caller_fixture *f, uint32_t max_body_bytes,
-			  const char *token_file)
+void caller_reopen_server(struct caller_fixture *fixture,
+			  uint32_t max_body_bytes, const char *token_file)
 {
-	rr_drop_caller_server(f->server);
-	start_server(f, max_body_bytes, token_file);
+	rr_drop_caller_server(fixture->server);
+	start_server(fixture, max_body_bytes, token_file);
 }
--- a/tests/support/raw-http.h
+++ b/tests/support/raw-http.h
@@ -49,7 +49,7 @@
 void test_set_listening(struct test_server *server, bool open);
 /* Stop as if the process had ended: close the listener and all connections. */
 void test_stop_server(struct test_server *server);
-/* Stop for good, and free the connection list. */
+/* Stop permanently, and free the connection list. */
 void test_destroy_server(struct test_server *server);
 
 /* Return a header of the request, NULL if absent. */
--- a/tests/test-feed-source.c
+++ b/tests/test-feed-source.c
@@ -415,7 +415,7 @@
 	rr_update_source(fixture.sources, fixture.now_us, "strong1", NULL);
 	fixture.now_us += 11000 * MS;
 	assert_string_equal(pick(&fixture), "strong1");
-	/* It registers again; later it leaves for good. */
+	/* It registers again; later it leaves permanently. */
 	add_instance(&fixture, "strong1", "a", 5);
 	fixture.now_us += 11000 * MS;
 	assert_string_equal(pick(&fixture), "strong1");
