--- a/source/core/gate-loop-delay.c
+++ b/source/core/gate-loop-delay.c
@@ -3,7 +3,7 @@
  *
  * While the event loop is busy, the process is stopped or its CPU quota is
  * exhausted, responses stay unread.  That time is excluded from the duration of
- * attempts and from the silence of replicas and zones.
+ * attempts and from the time without contact of replicas and zones.
  */
 #include "core/gate-private.h"
 
@@ -22,8 +22,8 @@
 static void shift_health(struct rr_passive_health *health, int64_t delay_us,
 			 int64_t now_us)
 {
-	health->open_since_us =
-		add_delay(health->open_since_us, delay_us, now_us);
+	health->in_flight_since_us =
+		add_delay(health->in_flight_since_us, delay_us, now_us);
 }
 
 static void shift_zones(struct rr_gate *gate, int64_t delay_us)
@@ -31,7 +31,7 @@
 	for (guint i = 0; i < gate->zones->len; i++) {
 		struct rr_gate_zone *zone = g_ptr_array_index(gate->zones, i);
 
-		shift_health(&zone->track, delay_us, gate->now_us);
+		shift_health(&zone->health, delay_us, gate->now_us);
 		zone->suspected_us =
 			add_delay(zone->suspected_us, delay_us, gate->now_us);
 		zone->last_contact_us = add_delay(zone->last_contact_us,
@@ -46,7 +46,7 @@
 
 	g_hash_table_iter_init(&iter, gate->endpoints);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		shift_health(&((struct rr_endpoint *)value)->track, delay_us,
+		shift_health(&((struct rr_endpoint *)value)->health, delay_us,
 			     gate->now_us);
 }
 
@@ -71,12 +71,12 @@
 
 	g_hash_table_iter_init(&iter, gate->requests);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const struct rr_gate_request *request = value;
+		const struct rr_gate_request *req = value;
 
-		for (size_t i = 0; i < request->n_parts; i++)
-			request->parts[i].last_sent_us =
-				add_delay(request->parts[i].last_sent_us,
-					  delay_us, gate->now_us);
+		for (size_t i = 0; i < req->n_parts; i++)
+			req->parts[i].last_sent_us =
+				add_delay(req->parts[i].last_sent_us, delay_us,
+					  gate->now_us);
 	}
 }
 
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -20,7 +20,7 @@
 /*
  * A main loop iteration of this length, or a wake-up this late, is reported to
  * the gate as a stall, since it delays the reading of replies.  Much shorter
- * than the silence after which a replica is suspected.
+ * than the time without contact after which a replica is suspected.
  */
 #define MIN_STALL_US (10 * 1000)
 /* For the readiness and metrics addresses, which get few requests. */
@@ -226,12 +226,13 @@
 	rr_gate_reply(gateway->ctx, gateway->gate, rr_gateway_now_us(), reply);
 }
 
-static void handle_probe_result(void *data, const char *lifetime, bool reached)
+static void handle_probe_result(void *data, const char *incarnation,
+				bool reached)
 {
 	struct rr_gateway *gateway = data;
 
 	rr_gate_handle_probe_result(gateway->ctx, gateway->gate,
-				    rr_gateway_now_us(), lifetime, reached);
+				    rr_gateway_now_us(), incarnation, reached);
 }
 
 /* Signals. */
--- a/tests/test-feed-source.c
+++ b/tests/test-feed-source.c
@@ -283,7 +283,8 @@
 
 /*
  * Guards against two watchers in a zone of three, where each replica change is
- * paid for twice.  One watches; if it freezes, the next one turns to the store.
+ * paid for twice.  One watches; if it freezes, the next one reads from the
+ * store.
  */
 static void test_zone_of_three_has_one_watcher(void **state)
 {
@@ -414,7 +415,7 @@
 	rr_update_source(fixture.sources, fixture.now_us, "strong1", NULL);
 	fixture.now_us += 11000 * MS;
 	assert_string_equal(pick(&fixture), "strong1");
-	/* It registers again; later it leaves for good. */
+	/* It registers again; later it leaves permanently. */
 	add_instance(&fixture, "strong1", "a", 5);
 	fixture.now_us += 11000 * MS;
 	assert_string_equal(pick(&fixture), "strong1");
