--- a/include/ragwort/net-caller.h
+++ b/include/ragwort/net-caller.h
@@ -50,7 +50,9 @@
 	 * Returns whether the instance accepts callers; if not, sets *reason.
 	 */
 	bool (*is_ready)(void *data, const char **reason);
-	/* Appends the state as a JSON object. */
+	/*
+	 * Appends this instance's state as a JSON object, for the page /status.
+	 */
 	void (*append_status)(void *data, GString *out);
 	void *data;
 };
--- a/include/ragwort/net-platform.h
+++ b/include/ragwort/net-platform.h
@@ -15,7 +15,10 @@
 
 struct rr_platform_client_options {
 	const char *address; /* IP:PORT */
-	/* This instance's entry in the list; NULL: not registered. */
+	/*
+	 * Name, zone and peer address in this instance's entry of the list.
+	 * Without a name (NULL) the instance is not registered.
+	 */
 	const char *instance;
 	const char *zone;
 	const char *peer_address;
@@ -26,7 +29,7 @@
 	void (*replied)(void *data, const struct rr_store_reply *reply);
 	/* The configuration record was read; it may be unchanged. */
 	void (*record_received)(void *data, const char *record, size_t length);
-	/* The instance list contains an entry instance. */
+	/* The instance list contains another instance. */
 	void (*member_listed)(void *data, const char *name, const char *zone,
 			      const char *address);
 	/*
--- a/include/ragwort/net-upstream.h
+++ b/include/ragwort/net-upstream.h
@@ -35,7 +35,10 @@
 	 */
 	uint32_t cancel_grace_ms;
 	uint32_t health_timeout_ms; /* 0: default 1000 */
-	/* Cancel by closing the connection instead; used for comparison. */
+	/*
+	 * Cancel an attempt by closing its connection instead of sending a
+	 * cancellation; used to compare the two ways.
+	 */
 	bool cancel_by_close;
 };
 
--- a/source/gateway/gateway-callers.c
+++ b/source/gateway/gateway-callers.c
@@ -1,5 +1,6 @@
 /*
- * gateway-callers.c - requests of callers and the gate's attempts and answers.
+ * gateway-callers.c - passes requests of callers and other instances to the
+ * gate, and carries out the gate's actions, such as attempts and answers.
  */
 #include "gateway/gateway-private.h"
 
--- a/source/gateway/gateway-private.h
+++ b/source/gateway/gateway-private.h
@@ -20,7 +20,10 @@
  */
 #define FORWARD_DEADLINE_HEADER "Ragwort-Left-Us"
 #define NOT_RUN_HEADER "Ragwort-Not-Run"
-/* Between instances: the one that rejects is isolated from other zones. */
+/*
+ * Header between instances: the instance that rejected the request is isolated
+ * from the other zones.
+ */
 #define ISOLATED_HEADER "Ragwort-Cut-Off"
 
 /* Main loop source that runs all timers of the gateway. */
@@ -109,7 +112,10 @@
 void rr_handle_change_feed_request(
 	struct rr_gateway *gateway, struct rr_caller_conn *caller,
 	const struct rr_change_feed_request *request);
-/* Another instance asks to add its entry to the store or to remove it. */
+/*
+ * Handle another instance's request to write entries of instances to the store
+ * or to remove them.
+ */
 void rr_handle_registration_request(struct rr_gateway *gateway,
 				    struct rr_caller_conn *caller,
 				    const struct rr_http_message *message);
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -19,8 +19,9 @@
 #define STOP_CHECK_INTERVAL_US (100 * 1000)
 /*
  * A main loop iteration of this length, or a wake-up this late, is reported to
- * the gate as a stall, since it delays the reading of replies.  Much shorter
- * than the time without contact after which a replica is suspected.
+ * the gate as a stall, since it delays the reading of replies. The limit is
+ * much shorter than the time without contact after which a replica is
+ * suspected.
  */
 #define MIN_STALL_US (10 * 1000)
 /* For the readiness and metrics addresses, which get few requests. */
@@ -47,8 +48,9 @@
 }
 
 /*
- * Reject watching peers as soon as this instance is isolated: other instances
- * of the zone may send too few requests to detect the partition themselves.
+ * Reject watching peers (instances that wait here for store changes) as soon as
+ * this instance is isolated from the other zones. Other instances of the zone
+ * may send too few requests to detect the partition themselves.
  */
 static void update_isolation(struct rr_gateway *gateway)
 {
@@ -128,7 +130,11 @@
 	}
 }
 
-/* When the next timer is due, after the events of a main loop iteration. */
+/*
+ * Return when the next timer is due. Called after the events of a main loop
+ * iteration, so it also reports a change of readiness and schedules the flush
+ * of new log lines.
+ */
 static int64_t next_tick_us(struct rr_gateway *gateway)
 {
 	int64_t due_us = rr_gate_next_tick_us(gateway->gate);
@@ -268,8 +274,9 @@
 /* Construction. */
 
 /*
- * The limit on the age of changes.  All kinds of changes arrive with the same
- * calls, so the shortest limit applies to all of them.
+ * Return the limit on the age of changes read from the store. All kinds of
+ * changes arrive with the same calls, so the shortest of their limits applies
+ * to all of them.
  */
 static uint32_t
 find_max_staleness_ms(const struct rr_gateway_settings *settings)
--- a/source/gateway/log-writer.c
+++ b/source/gateway/log-writer.c
@@ -51,7 +51,10 @@
 
 void rr_flush_log(void)
 {
-	/* A pipe that is writable takes this much without blocking. */
+	/*
+	 * A pipe that poll() reports as writable accepts PIPE_BUF bytes without
+	 * blocking.
+	 */
 	while (rr_has_buffered_log_lines() && is_stdout_writable()) {
 		ssize_t n = write(STDOUT_FILENO, buffer->str,
 				  MIN(buffer->len, (gsize)PIPE_BUF));
--- a/source/gateway/main.c
+++ b/source/gateway/main.c
@@ -35,8 +35,8 @@
 }
 
 /*
- * Log the settings that were ignored: the platform may fill in anything for a
- * number, and an invalid one is not used.
+ * Log the settings that were ignored: the platform may write anything in place
+ * of a number, and an invalid number is not used.
  */
 static void log_ignored_settings(struct rr_context *ctx,
 				 const GPtrArray *diagnostics)
--- a/source/gateway/request-head.h
+++ b/source/gateway/request-head.h
@@ -18,10 +18,10 @@
 void rr_append_request_head(GString *out, const struct rr_http_message *message,
 			    const struct rr_gate_names *names);
 /*
- * Make the headers of an answer from those of a replica's: without hop-by-hop
- * headers, and without Content-Length unless keep_length is set, since the
- * listener adds it.  Returns an array of struct rr_http_header that points
- * into the message; free with g_array_unref().
+ * Make the headers of an answer to a caller from those of a replica's answer:
+ * without hop-by-hop headers, and without Content-Length unless keep_length is
+ * set, since the listener adds it. Returns an array of struct rr_http_header
+ * that points into the message; free with g_array_unref().
  */
 GArray *rr_make_answer_headers(const struct rr_http_message *message,
 			       gboolean keep_length);
--- a/source/net/caller-connections.c
+++ b/source/net/caller-connections.c
@@ -10,9 +10,9 @@
 #define CONNECTION_KEY "ragwort-connection"
 #define TIMEOUT_CHECK_PERIOD_S 1
 /*
- * Connections above the limit that are kept open until their request has
- * arrived, to be answered with a rejection that says that nothing ran; further
- * ones are closed immediately.
+ * Maximum number of connections above the limit that are kept open until their
+ * request has arrived. The request is then rejected with an answer that reports
+ * that it was not run. Further connections are closed immediately.
  */
 #define MAX_REJECTED_CONNECTIONS 64
 
@@ -88,7 +88,11 @@
 	g_socket_shutdown(connection->socket, TRUE, TRUE, NULL);
 }
 
-/* libsoup may keep the object of a socket for a while after closing it. */
+/*
+ * Removes connections whose socket is closed from the set. libsoup may keep the
+ * object of a socket for a while after closing it, so they would still count as
+ * open.
+ */
 static void remove_closed(struct rr_caller_connections *callers)
 {
 	GHashTableIter iter;
--- a/source/net/caller.c
+++ b/source/net/caller.c
@@ -43,7 +43,10 @@
 	bool draining;
 };
 
-/* A call that the core is processing; freed when its reply is written. */
+/*
+ * A call that the core is processing; freed when its reply is written or its
+ * connection is closed.
+ */
 struct open_call {
 	uint64_t query_id; /* first, as it is the key of the hash table */
 	struct rr_caller_server *server;
--- a/source/net/exchange.c
+++ b/source/net/exchange.c
@@ -146,9 +146,9 @@
 
 /*
  * Reads to the end of the body even when its length is known, because libsoup
- * keeps the connection for reuse only then. Usually the complete reply is
- * available, so it is read without blocking as far as it has arrived; one pass
- * through the main loop costs as much as the rest of the reading.
+ * keeps the connection for reuse only then. What has arrived, usually the
+ * complete reply, is read without blocking: one more pass through the main loop
+ * would cost as much as the rest of the reading.
  */
 static void read_more(struct rr_exchange *exchange)
 {
@@ -232,8 +232,8 @@
 		return NULL;
 	/*
 	 * IDEMPOTENT allows a POST on a reused connection (a new one costs 6 ms
-	 * according to the brief); unlike GET and PUT, a POST is not resent
-	 * when that connection closes. tests/test-upstream.c counts the
+	 * according to the requirements); unlike GET and PUT, a POST is not
+	 * resent when that connection closes. tests/test-upstream.c counts the
 	 * requests sent.
 	 */
 	soup_message_set_flags(message, SOUP_MESSAGE_IDEMPOTENT |
--- a/source/net/http-listener.c
+++ b/source/net/http-listener.c
@@ -1,5 +1,6 @@
 /*
- * http-listener.c - HTTP server connections of the data path.
+ * http-listener.c - HTTP server connections of the gateway: reads requests,
+ * passes them to the owner of the listener and sends the responses.
  */
 #define _GNU_SOURCE /* accept4() */
 #include "net/http-listener.h"
@@ -51,7 +52,10 @@
 	bool close; /* close after the current response */
 	bool http_1_0;
 	bool is_head_request; /* HEAD request: the response has no body */
-	/* Start of this state; while reading, time of the first byte. */
+	/*
+	 * When this state was entered or, once a request has started to arrive,
+	 * when its first byte was read.
+	 */
 	int64_t since_us;
 	uint64_t user_data;
 	GList link;
--- a/source/net/http-reader.h
+++ b/source/net/http-reader.h
@@ -38,7 +38,7 @@
 
 enum rr_http_result {
 	RR_HTTP_INCOMPLETE, /* more bytes are needed */
-	RR_HTTP_COMPLETE,   /* rr_http_message() returns it */
+	RR_HTTP_COMPLETE,   /* rr_http_message() returns the message */
 	/* Not an HTTP/1 message; the stream cannot be used further. */
 	RR_HTTP_MALFORMED,
 	/* Above max_header_bytes or the maximum number of headers. */
--- a/source/net/net-peer-link.c
+++ b/source/net/net-peer-link.c
@@ -16,13 +16,16 @@
  * long for a slow peer is of no use to it any more.
  */
 #define SEND_HIGH_WATER_MARK 256
-/* Messages that wait here for a connection, and how long. */
+/*
+ * Maximum number of messages that wait in a link's own queue for a connection,
+ * and for how long.
+ */
 #define MAX_QUEUED 256
 #define MAX_QUEUED_AGE_US 1000000
 #define LINK_CHECK_PERIOD_MS 250
 /*
- * Maximum of open links. Pings go to all members in turn; without a limit 1,200
- * members would mean 1,200 connections in each.
+ * Maximum number of open links. Each instance pings all members in turn, so
+ * without a limit 1,200 members would mean 1,200 connections in each.
  */
 #define MAX_LINKS 256
 #define MAX_IDLE_US 60000000
@@ -35,8 +38,8 @@
 #define MAX_RECONNECT_MS 1000
 /*
  * How long to try one of the allowed keys before the next: many times the
- * duration of a handshake. Doubled after each round in case handshakes are
- * slower.
+ * duration of a handshake. The time is doubled after each round through all
+ * keys, MAX_KEY_TIMEOUT_SHIFT times at most, in case handshakes are slower.
  */
 #define KEY_TIMEOUT_US 500000
 #define MAX_KEY_TIMEOUT_SHIFT 3
@@ -166,8 +169,9 @@
 }
 
 /*
- * Tries the next key: the peer is unreachable, or it holds another of the
- * allowed keys, as while a key pair is being replaced.
+ * Tries the next allowed key after messages were not sent in time: the peer is
+ * unreachable, or it holds another of the allowed keys, as it may while a key
+ * pair is being replaced.
  */
 static void try_next_key(struct peer_link *link)
 {
--- a/source/net/platform.c
+++ b/source/net/platform.c
@@ -1,5 +1,6 @@
 /*
- * platform.c - key-value store of the core over HTTP.
+ * platform.c - client of the platform service, which provides the core's
+ * key-value store over HTTP.
  */
 #include "net/platform-private.h"
 
--- a/source/net/replica-client.h
+++ b/source/net/replica-client.h
@@ -67,9 +67,9 @@
 void rr_cancel_replica_attempt(struct rr_replica_client *client,
 			       uint64_t attempt);
 /*
- * As above, but only if no byte of the attempt has been sent because its
- * connection is not yet established. Returns false otherwise, or if the attempt
- * is unknown.
+ * Cancel an attempt like rr_cancel_replica_attempt(), but only if no byte of it
+ * has been sent because its connection is not yet established. Returns false
+ * otherwise, or if the attempt is unknown.
  */
 bool rr_cancel_unsent_attempt(struct rr_replica_client *client,
 			      uint64_t attempt);
--- a/source/net/replica-conn.c
+++ b/source/net/replica-conn.c
@@ -10,7 +10,8 @@
 
 /*
  * A connection is reused until this long before the replica would close it.
- * Otherwise a request could cross the close and be lost.
+ * Otherwise a request could arrive after the replica closed the connection and
+ * be lost.
  */
 #define KEEP_ALIVE_MARGIN_US (700 * 1000)
 /* Used if the replica sends no keep-alive timeout. */
--- a/source/net/stream.h
+++ b/source/net/stream.h
@@ -61,8 +61,8 @@
 /* Close the sending side after all buffered bytes are sent. */
 void rr_shutdown_stream_write(struct rr_stream *stream);
 /*
- * Pause or resume reading. Meanwhile, data from the peer stays in the kernel
- * buffers, and then TCP flow control holds back the peer.
+ * Pause or resume reading. While reading is paused, data from the peer stays in
+ * the kernel buffers; when they are full, TCP flow control stops the peer.
  */
 void rr_set_stream_paused(struct rr_stream *stream, bool paused);
 /*
--- a/source/net/upstream.c
+++ b/source/net/upstream.c
@@ -114,7 +114,10 @@
 	char deadline_ms[NUMBER_TEXT_SIZE];
 	char version[NUMBER_TEXT_SIZE];
 	char epoch[NUMBER_TEXT_SIZE];
-	/* The last pair is only for reservations and expensive work. */
+	/*
+	 * The last pair, which only reservations and expensive work have, is
+	 * removed below if the attempt has no idempotency key.
+	 */
 	const char *headers[] = {
 		"X-Request-Id",
 		attempt->request_id ? attempt->request_id : "-",
