--- a/source/gateway/gateway-callers.c
+++ b/source/gateway/gateway-callers.c
@@ -236,7 +236,10 @@
 	return key;
 }
 
-/* Covers only what is sent to the replica unchanged in every attempt. */
+/*
+ * Return the fingerprint of a request. It covers only what is sent to the
+ * replica unchanged in every attempt.
+ */
 static struct rr_fingerprint
 fingerprint_request(const struct rr_http_message *message)
 {
--- a/source/gateway/gateway-change-feed.c
+++ b/source/gateway/gateway-change-feed.c
@@ -47,10 +47,11 @@
 }
 
 /*
- * Answer a request if possible; false if it has to wait.  While this instance
- * does not follow the store, it rejects requests at once, so that the peer asks
- * another instance; except during the grace period, in which it is about to
- * follow the store again.
+ * Answer a request if possible; return false if it has to wait. A request for a
+ * snapshot never waits. While this instance does not follow the store, it
+ * rejects requests for changes at once, so that the peer asks another instance;
+ * but during the grace period, when this instance is about to follow the store
+ * again, they wait.
  */
 static bool try_answer(struct rr_gateway *gateway,
 		       struct rr_caller_conn *caller,
--- a/source/gateway/gateway-private.h
+++ b/source/gateway/gateway-private.h
@@ -38,7 +38,7 @@
 struct watching_peer {
 	struct rr_caller_conn *caller;
 	struct rr_change_feed_request request;
-	int64_t deadline_us;
+	int64_t deadline_us; /* end of the wait */
 };
 
 /* A request that has not been answered yet. */
@@ -46,6 +46,7 @@
 	struct rr_caller_conn *caller;
 	bool from_peer; /* sent by another instance */
 	const struct rr_http_message *message;
+	/* Request line and headers that all attempts have in common. */
 	GString *head;
 	const char *request_id;
 };
@@ -75,8 +76,8 @@
 		*submitting;	 /* in rr_gate_submit(): has no id yet */
 	GHashTable *store_calls; /* id -> struct open_call */
 	GArray *watching_peers;	 /* struct watching_peer */
-	int64_t log_flush_us;	 /* 0: no line is buffered */
-	int64_t stop_check_us;
+	int64_t log_flush_us;	 /* 0: no flush scheduled */
+	int64_t stop_check_us;	 /* next check_stop(), while stopping */
 	bool was_ready;
 	bool was_isolated;
 	guint signal_sources[3];
--- a/source/gateway/gateway.c
+++ b/source/gateway/gateway.c
@@ -108,7 +108,7 @@
 		g_main_loop_quit(gateway->loop);
 }
 
-static void tick(struct rr_gateway *gateway)
+static void run_timers(struct rr_gateway *gateway)
 {
 	int64_t now = rr_gateway_now_us();
 
@@ -213,7 +213,7 @@
 static gboolean dispatch_tick(GSource *source, GSourceFunc callback,
 			      gpointer data)
 {
-	tick(((struct tick_source *)source)->gateway);
+	run_timers(((struct tick_source *)source)->gateway);
 	return G_SOURCE_CONTINUE;
 }
 
--- a/source/gateway/main.c
+++ b/source/gateway/main.c
@@ -1,5 +1,6 @@
 /*
- * main.c - the program ragwort-gateway.
+ * main.c - the program ragwort-gateway: reads the start file and runs a
+ * gateway.
  */
 #include <stdio.h>
 
--- a/source/net/caller-rate-limit.c
+++ b/source/net/caller-rate-limit.c
@@ -48,8 +48,8 @@
 }
 
 /* A bucket holds the tokens of one second at most. */
-static void refill(const struct rr_caller_rate_limiter *limiter,
-		   struct bucket *bucket, int64_t now_us)
+static void refill_bucket(const struct rr_caller_rate_limiter *limiter,
+			  struct bucket *bucket, int64_t now_us)
 {
 	double earned = (double)(now_us - bucket->refilled_us) *
 			limiter->per_s / US_PER_S;
@@ -62,7 +62,8 @@
  * Removes full buckets, which need not be stored; at most once per second, as
  * it visits all of them.
  */
-static void sweep(struct rr_caller_rate_limiter *limiter, int64_t now_us)
+static void remove_full_buckets(struct rr_caller_rate_limiter *limiter,
+				int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -74,7 +75,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct bucket *bucket = value;
 
-		refill(limiter, bucket, now_us);
+		refill_bucket(limiter, bucket, now_us);
 		if (bucket->tokens >= limiter->per_s)
 			g_hash_table_iter_remove(&iter);
 	}
@@ -92,7 +93,7 @@
 	struct bucket *bucket = g_hash_table_lookup(limiter->buckets, key);
 
 	if (!bucket && g_hash_table_size(limiter->buckets) >= MAX_ADDRESSES)
-		sweep(limiter, now_us);
+		remove_full_buckets(limiter, now_us);
 	if (bucket || g_hash_table_size(limiter->buckets) >= MAX_ADDRESSES) {
 		g_bytes_unref(key);
 		return bucket ? bucket : &limiter->shared;
@@ -109,7 +110,7 @@
 {
 	struct bucket *bucket = find_bucket(limiter, address, now_us);
 
-	refill(limiter, bucket, now_us);
+	refill_bucket(limiter, bucket, now_us);
 	if (bucket->tokens < 1)
 		return false;
 	bucket->tokens -= 1;
--- a/source/net/caller-request.c
+++ b/source/net/caller-request.c
@@ -14,11 +14,12 @@
 #define MAX_ROWS_LIMIT 1000000
 #define MAX_NESTING 64
 /*
- * A query is forwarded to other instances in one peer message, which is dropped
- * when it is too long, so the shards of those instances would be missing each
- * time. The rest of a message, names and ranges of the shards, is far smaller
- * than the remaining space. A query can grow when it is serialised, because
- * control characters are escaped.
+ * A query is forwarded to other instances in one peer message. A message that
+ * is too long is dropped, so the shards of those instances would be missing
+ * each time. The limit leaves 1 MiB for the rest of a message, the names and
+ * ranges of the shards, which are far smaller. It applies to the serialised
+ * query, which can be longer than the query received, because control
+ * characters are escaped.
  */
 #define MAX_QUERY_BYTES (RR_MAX_PEER_BYTES - (1u << 20))
 
--- a/source/net/caller.c
+++ b/source/net/caller.c
@@ -223,7 +223,7 @@
 		  JSON_TYPE, text);
 }
 
-/* Serves a page of the adapter itself; returns false for other paths. */
+/* Serves /metrics and /status; returns false for other paths. */
 static bool serve_page(struct rr_caller_server *server,
 		       SoupServerMessage *message, const char *path)
 {
@@ -366,8 +366,8 @@
 }
 
 /*
- * Runs when the headers have been read: the body of a rejected call is not
- * stored.
+ * Runs as soon as the headers have been read, so that the body of a rejected
+ * call is not stored.
  */
 static void handle_headers(SoupServer *soup_server, SoupServerMessage *message,
 			   const char *path, GHashTable *query, gpointer data)
--- a/source/net/exchange.c
+++ b/source/net/exchange.c
@@ -109,8 +109,9 @@
 static void read_more(struct rr_exchange *exchange);
 
 /*
- * Processes the result of a read at the end of the body: `length` bytes, 0 at
- * the end of the reply, -1 on an error. Returns whether to read on.
+ * Processes the result of a read into the last READ_BYTES of the body buffer:
+ * `length` bytes were read, 0 at the end of the reply, -1 on an error. Returns
+ * whether to read on.
  */
 static bool process_read(struct rr_exchange *exchange, gssize length,
 			 const GError *error)
--- a/source/net/net-peer-keys.c
+++ b/source/net/net-peer-keys.c
@@ -127,10 +127,10 @@
 }
 
 /*
- * Checks the key of a message's sender again. ZAP checks a key only when a peer
- * connects, so a peer whose key was removed could continue on a connection made
- * before. libzmq attaches the user id of the ZAP reply, which is the key, to
- * every message of the connection.
+ * Checks the key of a message's sender again, once any allowed key has been
+ * removed. ZAP checks a key only when a peer connects, so a peer whose key was
+ * removed could continue on a connection made before. libzmq attaches the user
+ * id of the ZAP reply, which is the key, to every message of the connection.
  */
 bool rr_is_sender_allowed(struct rr_peer_transport *transport,
 			  zmq_msg_t *message)
--- a/source/net/net-peer-router.c
+++ b/source/net/net-peer-router.c
@@ -2,7 +2,8 @@
  * net-peer-router.c - receiving side of the peer transport: a ROUTER per key
  * pair.
  *
- * There is a second ROUTER for a while when the key pair is replaced.
+ * While a key pair is being replaced, a second ROUTER listens under the old
+ * pair.
  */
 #include <errno.h>
 #include <gio/gio.h>
--- a/source/net/platform-private.h
+++ b/source/net/platform-private.h
@@ -9,8 +9,8 @@
 #include "ragwort/net-platform.h"
 
 /*
- * A page of the store: one megabyte of values, base64-encoded, and the JSON
- * around them.
+ * Limit on a reply. The largest reply is a page of the store: one megabyte of
+ * values, base64-encoded, and the JSON around them.
  */
 #define MAX_REPLY_BYTES (4u << 20)
 
@@ -21,7 +21,7 @@
 	struct rr_http_session *session;
 	guint watch_timer;
 	guint list_timer;
-	/* When to read the list even if not a watcher. */
+	/* When to read the list next even if this instance does not watch. */
 	int64_t slow_list_due_us;
 	/* Store revision up to which the record was read. */
 	uint64_t record_revision;
--- a/source/net/platform.c
+++ b/source/net/platform.c
@@ -137,10 +137,10 @@
 	};
 }
 
-static void set_default(uint32_t *value, uint32_t otherwise)
+static void set_default(uint32_t *value, uint32_t default_value)
 {
 	if (!*value)
-		*value = otherwise;
+		*value = default_value;
 }
 
 struct rr_platform_client *
--- a/source/net/poller.c
+++ b/source/net/poller.c
@@ -90,8 +90,9 @@
 }
 
 /*
- * The handler of one event may close the descriptor of another event of the
- * same dispatch, which must not be passed on to freed memory.
+ * The handler of one event may remove and free the watcher of another event of
+ * the same dispatch. The events of the removed watcher are therefore cleared,
+ * so that its handler does not run on freed memory.
  */
 void rr_remove_io_watcher(struct rr_poller *poller,
 			  struct rr_io_watcher *watcher)
--- a/source/net/replica-client.c
+++ b/source/net/replica-client.c
@@ -1,5 +1,6 @@
 /*
- * replica-client.c - HTTP client connections of the data path.
+ * replica-client.c - HTTP client for replicas: keeps a pool of connections per
+ * incarnation, sends attempts on them and closes those that time out.
  */
 #include "net/replica-client.h"
 
@@ -8,21 +9,22 @@
 #include "net/replica-conn.h"
 
 /*
- * A replica that does not accept a connection within this time is down or
- * unreachable: ten times what a slow one needs, and less than the first
- * retransmission timeout of a lost packet.
+ * A replica that does not accept a connection within this time counts as down
+ * or unreachable. The limit is ten times what a slow replica needs, and less
+ * than the time after which TCP first retransmits a lost packet.
  */
 #define CONNECT_TIMEOUT_US (400 * 1000)
 /*
- * Time after the deadline during which a non-idempotent request is still waited
- * for.
+ * How long after its deadline a non-idempotent request may still be answered.
  */
 #define DEADLINE_GRACE_US (500 * 1000)
+/* Used instead of a deadline for an attempt that has none. */
 #define NO_DEADLINE_US (60 * G_USEC_PER_SEC)
 
 /*
- * A result that arises while a request is being sent; reported at the next
- * tick.
+ * A failure to open a connection for an attempt or a probe. It is reported at
+ * the next tick, because results are never reported from inside the call that
+ * starts the attempt or probe.
  */
 struct deferred_reply {
 	uint64_t attempt; /* 0: failed probe */
@@ -316,7 +318,10 @@
 	}
 }
 
-/* Returns when a connection in use times out. */
+/*
+ * Returns when a connection in use times out: INT64_MAX if its request is
+ * idempotent and has been sent.
+ */
 static int64_t get_deadline(const struct rr_replica_conn *conn)
 {
 	if (conn->state == CONN_CONNECTING)
@@ -348,7 +353,9 @@
 
 	client->now_us = now_us;
 	report_deferred(client);
-	/* One per tick, because its end may change what the others wait for. */
+	/*
+	 * Only one per tick: reporting its failure may close other connections.
+	 */
 	conn = take_overdue_conn(client);
 	if (conn)
 		rr_fail_replica_conn(
--- a/source/net/replica-conn.c
+++ b/source/net/replica-conn.c
@@ -20,7 +20,10 @@
 /* Size limits for answers, which are buffered completely. */
 #define MAX_ANSWER_BYTES (8 * 1024 * 1024)
 #define MAX_ANSWER_HEADER_BYTES (64 * 1024)
-/* Mismatched answers that are skipped before the attempt fails. */
+/*
+ * Maximum number of answers to other requests that are skipped; one more fails
+ * the attempt.
+ */
 #define MAX_MISMATCHED_ANSWERS 2
 
 void rr_add_active_conn(struct rr_replica_conn *conn)
@@ -131,10 +134,10 @@
 }
 
 /*
- * Limits idle connections. A replica counts the connections of instances that
- * lost power until it detects their loss. So each instance keeps only so few
- * idle connections that as many new ones fit below the replica's connection
- * limit when the instances restart.
+ * Limits idle connections. If instances lose power, a replica counts their
+ * connections until it detects the loss. The limit is low enough that the
+ * restarted instances can open as many new connections without exceeding the
+ * replica's connection limit.
  */
 static bool is_below_idle_limit(const struct rr_replica_conn *conn)
 {
--- a/source/net/stream.c
+++ b/source/net/stream.c
@@ -40,7 +40,10 @@
 
 static void set_option(int fd, int level, int name, int value)
 {
-	/* If it fails, the connection works but detects its end later. */
+	/*
+	 * If this fails, the connection works, but may be slower or detect the
+	 * loss of the peer later.
+	 */
 	(void)setsockopt(fd, level, name, &value, sizeof(value));
 }
 
@@ -54,7 +57,7 @@
 	set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT_MS);
 }
 
-static void unref(struct rr_stream *stream)
+static void unref_stream(struct rr_stream *stream)
 {
 	if (--stream->refs)
 		return;
@@ -91,8 +94,9 @@
 			stream->callbacks.received(stream->callbacks.data,
 						   bytes, (size_t)n);
 			/*
-			 * A short read emptied the buffer; only an end of
-			 * stream can follow.
+			 * A short read emptied the kernel's buffer. Read on
+			 * only after a hangup, because the end of the stream
+			 * may follow.
 			 */
 			if (n < (ssize_t)sizeof(bytes) && !stream->hangup_seen)
 				return;
@@ -187,7 +191,7 @@
 					   RR_STREAM_ERROR :
 					   RR_STREAM_EOF);
 done:
-	unref(stream);
+	unref_stream(stream);
 }
 
 static struct rr_stream *new_stream(struct rr_poller *poller, int fd,
@@ -205,7 +209,7 @@
 	if (rr_add_io_watcher(poller, &stream->watcher))
 		return stream;
 	stream->watcher.fd = -1;
-	unref(stream);
+	unref_stream(stream);
 	return NULL;
 }
 
@@ -267,7 +271,7 @@
 	rr_remove_io_watcher(stream->poller, &stream->watcher);
 	close(stream->watcher.fd);
 	stream->watcher.fd = -1;
-	unref(stream);
+	unref_stream(stream);
 }
 
 bool rr_write_stream(struct rr_stream *stream, const uint8_t *bytes,
@@ -307,7 +311,7 @@
 	stream->has_unread = false;
 	stream->refs++;
 	read_available(stream);
-	unref(stream);
+	unref_stream(stream);
 }
 
 bool rr_stream_has_input(const struct rr_stream *stream)
--- a/source/net/upstream-reply.c
+++ b/source/net/upstream-reply.c
@@ -93,9 +93,9 @@
 		return;
 	}
 	/*
-	 * The upstream ran the attempt but its body is unusable: truncated by a
-	 * lost connection or a full disk. Without the end mark the core uses
-	 * none of its rows and reports the shard as "truncated".
+	 * The upstream ran the attempt, even if the body is unusable, because a
+	 * lost connection or a full disk truncated it. Without the end mark the
+	 * core uses none of its rows and reports the shard as "truncated".
 	 */
 	reply->status = RR_REPLY_OK;
 	if (result->complete)
