--- a/source/net/replica-client.c
+++ b/source/net/replica-client.c
@@ -18,7 +18,7 @@
  * How long after its deadline a non-idempotent request may still be answered.
  */
 #define DEADLINE_GRACE_US (500 * 1000)
-/* Used instead of a deadline for an attempt that has none. */
+/* Time limit for a non-idempotent request that has no deadline. */
 #define NO_DEADLINE_US (60 * G_USEC_PER_SEC)
 
 /*
