--- a/source/gateway/gateway-callers.c
+++ b/source/gateway/gateway-callers.c
@@ -1,5 +1,6 @@
 /*
- * gateway-callers.c - requests of callers and the gate's attempts and answers.
+ * gateway-callers.c - passes requests of callers and other instances to the
+ * gate, and carries out the gate's actions, such as attempts and answers.
  */
 #include "gateway/gateway-private.h"
 
@@ -235,7 +236,10 @@
 	return key;
 }
 
-/* Covers only what is sent to the replica unchanged in every attempt. */
+/*
+ * Return the fingerprint of a request. It covers only what is sent to the
+ * replica unchanged in every attempt.
+ */
 static struct rr_fingerprint
 fingerprint_request(const struct rr_http_message *message)
 {
--- a/source/gateway/gateway-private.h
+++ b/source/gateway/gateway-private.h
@@ -20,7 +20,10 @@
  */
 #define FORWARD_DEADLINE_HEADER "Ragwort-Left-Us"
 #define NOT_RUN_HEADER "Ragwort-Not-Run"
-/* Between instances: the one that rejects is isolated from other zones. */
+/*
+ * Header between instances: the instance that rejected the request is isolated
+ * from the other zones.
+ */
 #define ISOLATED_HEADER "Ragwort-Cut-Off"
 
 /* Main loop source that runs all timers of the gateway. */
@@ -35,7 +38,7 @@
 struct watching_peer {
 	struct rr_caller_conn *caller;
 	struct rr_change_feed_request request;
-	int64_t deadline_us;
+	int64_t deadline_us; /* end of the wait */
 };
 
 /* A request that has not been answered yet. */
@@ -43,6 +46,7 @@
 	struct rr_caller_conn *caller;
 	bool from_peer; /* sent by another instance */
 	const struct rr_http_message *message;
+	/* Request line and headers that all attempts have in common. */
 	GString *head;
 	const char *request_id;
 };
@@ -72,8 +76,8 @@
 		*submitting;	 /* in rr_gate_submit(): has no id yet */
 	GHashTable *store_calls; /* id -> struct open_call */
 	GArray *watching_peers;	 /* struct watching_peer */
-	int64_t log_flush_us;	 /* 0: no line is buffered */
-	int64_t stop_check_us;
+	int64_t log_flush_us;	 /* 0: no flush scheduled */
+	int64_t stop_check_us;	 /* next check_stop(), while stopping */
 	bool was_ready;
 	bool was_isolated;
 	guint signal_sources[3];
@@ -109,7 +113,10 @@
 void rr_handle_change_feed_request(
 	struct rr_gateway *gateway, struct rr_caller_conn *caller,
 	const struct rr_change_feed_request *request);
-/* Another instance asks to add its entry to the store or to remove it. */
+/*
+ * Handle another instance's request to write entries of instances to the store
+ * or to remove them.
+ */
 void rr_handle_registration_request(struct rr_gateway *gateway,
 				    struct rr_caller_conn *caller,
 				    const struct rr_http_message *message);
