--- a/source/core/evacuation.c
+++ b/source/core/evacuation.c
@@ -35,7 +35,8 @@
 }
 
 bool rr_is_cold_after_evacuation(const struct rr_evacuation *evacuation,
-				 int64_t now_us, int64_t cold_us)
+				 int64_t now_us, int64_t cold_period_us)
 {
-	return evacuation->ended && now_us - evacuation->changed_us < cold_us;
+	return evacuation->ended &&
+	       now_us - evacuation->changed_us < cold_period_us;
 }
--- a/source/core/evacuation.h
+++ b/source/core/evacuation.h
@@ -35,8 +35,8 @@
 double rr_zone_traffic_share(const struct rr_evacuation *evacuation,
 			     int64_t now_us, int64_t slow_start_us);
 
-/* Whether the zone's evacuation ended less than `cold_us` ago. */
+/* Whether the zone's evacuation ended less than `cold_period_us` ago. */
 bool rr_is_cold_after_evacuation(const struct rr_evacuation *evacuation,
-				 int64_t now_us, int64_t cold_us);
+				 int64_t now_us, int64_t cold_period_us);
 
 #endif
--- a/source/core/passive-health.h
+++ b/source/core/passive-health.h
@@ -51,9 +51,16 @@
 /* Record a lost attempt. */
 void rr_observe_loss(struct rr_passive_health *health, int64_t now_us,
 		     enum rr_loss loss);
-/* Record a probe that did not reach the replica either. */
+/*
+ * Record that the replica could not be reached, by an attempt or a probe.
+ * Unless it is already suspected, suspect it, for longer each time until the
+ * next contact.
+ */
 void rr_observe_unreachable(struct rr_passive_health *health, int64_t now_us);
-/* Resume with the first attempt in flight; pause when the last one ends. */
+/*
+ * Count the time without contact only while an attempt is in flight: resume
+ * with the first one, pause when the last one ends.
+ */
 void rr_resume_silence_clock(struct rr_passive_health *health, int64_t now_us);
 void rr_pause_silence_clock(struct rr_passive_health *health, int64_t now_us);
 /* Return the time without contact while an attempt was in flight. */
@@ -70,7 +77,7 @@
  */
 double rr_decayed_slowness(const struct rr_passive_health *health,
 			   int64_t now_us);
-/* Return its loss rate, 0 to 1, which decays in the same way. */
+/* Return its loss rate, 0 to 1, which decays like its slowness. */
 double rr_decayed_loss_rate(const struct rr_passive_health *health,
 			    int64_t now_us);
 /* Whether it is suspected to be down, and is to get no attempts for now. */
--- a/source/core/request-trace.h
+++ b/source/core/request-trace.h
@@ -1,9 +1,9 @@
 /*
  * request-trace.h - event trace of one request, logged when the request ends.
  *
- * A trace is logged as a whole or not at all.  Most requests succeed and are
- * not worth logging.  Which ones are is known only at the end, so the decisions
- * are kept as small records until then.
+ * Most requests succeed and are not worth logging.  Whether a request is to be
+ * logged is known only when it ends, so its events are kept as small records
+ * until then.  A trace is logged as a whole, in part or not at all.
  */
 #ifndef RAGWORT_CORE_REQUEST_TRACE_H
 #define RAGWORT_CORE_REQUEST_TRACE_H
--- a/source/core/wait-queue.h
+++ b/source/core/wait-queue.h
@@ -42,7 +42,10 @@
  */
 bool rr_pop_queue_entry(struct rr_wait_queue *queue, int64_t now_us,
 			int64_t typical_us, struct rr_queue_entry *entry);
-/* Whether more requests arrive than can be served; see above. */
+/*
+ * Whether more requests arrive than can be served: some entry has spent too
+ * much of its time waiting.
+ */
 bool rr_is_overloaded(const struct rr_wait_queue *queue, int64_t now_us);
 
 /* Inputs for the estimated wait of a new entry. */
