--- a/include/ragwort/gate.h
+++ b/include/ragwort/gate.h
@@ -55,7 +55,7 @@
 	struct rr_fingerprint fingerprint;
 	int64_t deadline_ms;   /* time the caller will wait; negative if none */
 	int64_t caller_rtt_us; /* measured on its connection; 0 if unknown */
-	/* Its caller opened the connection for it, and waited for that. */
+	/* The caller waited for its connection to open for this request. */
 	bool new_connection;
 	/*
 	 * Time left in which the forwarding instance has to send the response;
@@ -90,7 +90,7 @@
 	RR_GATE_ANSWERED,
 	/* Proof that the request has not run and never will. */
 	RR_GATE_REJECTED,
-	/* As above, and no replica was reached. */
+	/* No replica was reached: the request has not run and never will. */
 	RR_GATE_UNSENT,
 	/* Cut short, malformed or of another request: it may have run. */
 	RR_GATE_BROKEN,
@@ -221,14 +221,16 @@
 /*
  * A replica is listed, or its entry has changed.  A later incarnation replaces
  * the known one; an earlier one is ignored.  An entry without a start time,
- * of an id that had one before, is not from the replica: the id is unlisted.
+ * for an id that had one before, was not written by the replica: the id is
+ * unlisted.
  */
 void rr_gate_update_endpoint(struct rr_context *ctx, struct rr_gate *gate,
 			     int64_t now_us,
 			     const struct rr_endpoint_info *listing);
 /*
- * A replica is no longer listed.  It is still used as a last resort for a short
- * time: its entry may have expired during an outage of the list and come back.
+ * A replica is no longer listed.  It is still used as a last resort for the
+ * policy's list_unlisted_grace_us: its entry may have expired during an outage
+ * of the list and come back.
  */
 void rr_gate_unlist_endpoint(struct rr_context *ctx, struct rr_gate *gate,
 			     int64_t now_us, const char *id);
--- a/source/core/gate-attempt.c
+++ b/source/core/gate-attempt.c
@@ -261,7 +261,7 @@
 	part->queued = false;
 	if (rr_try_send_part(ctx, gate, req, index, "room") || part->queued)
 		return;
-	/* A canary has one attempt in flight. */
+	/* A canary has at most one attempt in flight, of any part. */
 	if (req->canary) {
 		if (!req->in_flight.length && !req->n_unresolved)
 			rr_send_canary(ctx, gate, req);
@@ -272,7 +272,7 @@
 	rr_advance_request(ctx, gate, req);
 }
 
-/* Returns false if no part is queued. */
+/* Try to send the next queued part.  Return false if no part is queued. */
 static bool retry_first_queued(struct rr_context *ctx, struct rr_gate *gate,
 			       struct rr_gate_service *service)
 {
@@ -340,7 +340,7 @@
 }
 
 /*
- * Cancels the attempts of a part that was answered by another one.  Guards
+ * Cancel the attempts of a part that was answered by another one.  Guards
  * against replicas that, after a pause or while slow, process attempts whose
  * result is no longer needed while needed ones queue behind them.
  */
--- a/source/core/gate-choose.c
+++ b/source/core/gate-choose.c
@@ -2,7 +2,7 @@
  * gate-choose.c - choice of the replica of a service for an attempt.
  *
  * All replicas of a service give equivalent answers.  They are grouped into
- * tiers; a few of the best tier are n_drawn at random, and the one with the
+ * tiers; a few of the best tier are drawn at random, and the one with the
  * lowest expected wait is nearly always chosen.  The expected wait is the
  * typical attempt time, multiplied by the replica's slowness as measured by
  * this instance and by a factor for this instance's attempts in flight there.
@@ -43,8 +43,8 @@
 }
 
 /*
- * Whether no other replica of its service may be usable, and no probe has
- * failed at this one.
+ * Whether all other replicas of its service are draining or in evacuated zones,
+ * and no probe has failed at this one.  Always false for a coordinator.
  */
 static bool is_last_candidate(const struct rr_gate *gate,
 			      const struct rr_endpoint *endpoint)
--- a/source/core/gate-cold.c
+++ b/source/core/gate-cold.c
@@ -67,7 +67,7 @@
 	uint32_t rank = 0;
 	uint64_t own_weight;
 
-	/* Peers do not count an instance that is missing from the list. */
+	/* An unlisted instance gets no share: its peers do not count it. */
 	if (!self || !sends_to(self, endpoint->service))
 		return 0;
 	own_weight = rr_rendezvous_weight(endpoint->incarnation, self->id);
--- a/source/core/gate-endpoint.c
+++ b/source/core/gate-endpoint.c
@@ -65,7 +65,10 @@
 	uint32_t n_coordinators = rr_count_coordinators(gate);
 	double fraction = gate->n_instances ? 1.0 / gate->n_instances : 0;
 
-	/* Where some forward searches, coordinators get most extra attempts. */
+	/*
+	 * If some instances forward their searches, the coordinators get most
+	 * of the retry budget.
+	 */
 	if (service->is_shard && n_coordinators < gate->n_instances)
 		fraction =
 			gate->forwards_searches ?
@@ -254,7 +257,7 @@
 }
 
 /*
- * Replaces the known incarnation by a new one, which inherits no state.
+ * Replace the known incarnation by a new one, which inherits no state.
  * Attempts in flight reference the earlier one until they end: their outcome
  * says nothing about the new one.
  */
--- a/source/core/gate-forward.c
+++ b/source/core/gate-forward.c
@@ -102,7 +102,10 @@
 		.id = peer->id,
 		.service = RR_COORDINATOR_SERVICE,
 		.address = peer->address,
-		/* Not a zone of replicas: it says nothing about those. */
+		/*
+		 * Not a zone of replicas: contact with coordinators says
+		 * nothing about the replicas of their zone.
+		 */
 		.zone = RR_COORDINATOR_SERVICE,
 		.slots = gate->policy.peer_slots,
 	};
--- a/source/core/gate-log.c
+++ b/source/core/gate-log.c
@@ -1,9 +1,12 @@
 /*
  * gate-log.c - log lines of requests.
  *
- * A search over hundreds of shards has more trace events than may be logged.
- * The number of its missing parts by cause is always logged; within the limit
- * on log lines follow all of its events, or those of the missing parts.
+ * A search over hundreds of shards has more trace events than the budget of log
+ * lines allows.  A request that failed, was late or incomplete, or whose caller
+ * closed its connection always gets an outcome line, which counts the missing
+ * parts by cause.  It is preceded by all trace events if the budget allows,
+ * else by those of the missing parts, else by none.  Of the other requests only
+ * a sample is logged, if the budget allows.
  */
 #include "core/gate-private.h"
 
@@ -12,10 +15,12 @@
 	size_t queued;	   /* no replica had capacity */
 	size_t evacuated;  /* all replicas are in evacuated zones */
 	size_t no_replica; /* no replica could be tried */
-	size_t no_budget;  /* one tried was slow; the retry budget was spent */
-	/* One tried was slow; too early for a hedge, or no other replica. */
+	/* Sent to one replica, not answered in time; no retry budget left. */
+	size_t no_budget;
+	/* Sent to one replica, not answered in time, for any other reason. */
 	size_t one_tried;
-	size_t several_tried; /* all of several tried were slow */
+	/* Sent to several replicas, none answered in time. */
+	size_t several_tried;
 };
 
 static void count_missing_part(struct missing_parts *missing_parts,
--- a/source/core/gate-private.h
+++ b/source/core/gate-private.h
@@ -42,7 +42,7 @@
 	/* This zone or another one seems unreachable; probes verify it. */
 	bool suspected;
 	int64_t suspected_us; /* start of the suspicion */
-	bool probed;	      /* whether it was probed since */
+	bool probed;	      /* a probe was sent since then */
 	uint32_t timer_seq; /* of the latest timer; earlier ones are ignored */
 	uint32_t failed_probes; /* since last contact */
 	int64_t last_contact_us;
@@ -50,8 +50,9 @@
 
 /* Limit on what this instance sends to a cold replica. */
 struct rr_cold_quota {
-	uint64_t peers_version; /* peers from which share was computed */
-	double bound;
+	/* `share` was computed from this version of the peers and this limit. */
+	uint64_t peers_version;
+	double bound; /* requests per second of all instances together */
 	uint32_t share;
 	struct rr_cold_window window;
 };
@@ -84,7 +85,7 @@
 	uint32_t slots;
 	uint32_t pace_percent; /* last reported by its machine; 0 if never */
 	struct rr_passive_health health;
-	/* On attempts in flight; times are multiples of the typical time. */
+	/* Latencies in it are multiples of the typical attempt time. */
 	struct rr_concurrency_limit limit;
 	GQueue in_flight; /* struct rr_gate_attempt, oldest first */
 	struct rr_cold_quota
@@ -98,8 +99,9 @@
 	char *name;
 	GPtrArray *endpoints; /* struct rr_endpoint, without references */
 	struct rr_retry_budget retry_budget;
-	bool is_shard;	    /* a shard of a search in the current routes */
-	int64_t typical_us; /* typical time on the last attempt's route */
+	bool is_shard; /* a shard of a search in the current routes */
+	/* Typical attempt time on the route of the latest answer. */
+	int64_t typical_us;
 	struct rr_wait_queue wait_queue; /* parts waiting for capacity */
 };
 
@@ -123,11 +125,12 @@
 struct rr_gate_part {
 	struct rr_gate_service *service;
 	enum rr_part_status status;
-	bool queued;	   /* in the service's wait queue */
-	uint8_t n_tried;   /* replicas it was sent to */
-	uint8_t n_reached; /* of these, reached; the first is not an extra */
-	uint8_t n_may_have_run; /* of these, replicas that may have run it */
-	uint8_t n_crashed;	/* of these, replicas that crashed */
+	bool queued;	 /* in the service's wait queue */
+	uint8_t n_tried; /* replicas it was sent to */
+	/* Attempts that reached a replica; all but the first are extra. */
+	uint8_t n_reached;
+	uint8_t n_may_have_run; /* of these, attempts that may have run */
+	uint8_t n_crashed;	/* of these, attempts whose replica crashed */
 	uint8_t n_in_flight;	/* attempts in flight */
 	uint64_t tried[RR_MAX_TRIED]; /* rr_endpoint.number of each */
 	int64_t last_sent_us;
@@ -153,15 +156,15 @@
 	size_t n_required;
 	size_t n_may_have_run; /* attempts that may have run */
 	GQueue in_flight;      /* struct rr_gate_attempt */
-	bool forwarded;	       /* its only part is sent to another instance */
-	bool from_peer;	       /* forwarded by another instance */
+	bool forwarded; /* sent whole to a coordinator, as a single part */
+	bool from_peer; /* forwarded by another instance */
 	/* See gate-quarantine.c. */
-	bool canary;		 /* one attempt in flight at a time */
-	bool completed;		 /* a replica has completed an attempt */
-	bool claim_pending;	 /* waiting for the outcome of a claim */
-	bool trial;		 /* canary of a quarantined request */
-	bool final_rejection;	 /* no other instance could serve it */
-	uint32_t n_closed;	 /* attempts closed by replicas */
+	bool canary;	      /* one attempt in flight at a time */
+	bool completed;	      /* a replica has completed an attempt */
+	bool claim_pending;   /* waiting for the outcome of a claim */
+	bool trial;	      /* canary of a quarantined request */
+	bool final_rejection; /* no other instance could serve it */
+	uint32_t n_closed;    /* attempts whose replica closed the connection */
 	uint32_t n_unresolved;	 /* of these, replicas being probed */
 	uint32_t n_crashed;	 /* of these, crashed replicas */
 	int64_t first_close_us;	 /* time of the first close */
@@ -169,8 +172,9 @@
 	struct rr_top_records top_records;
 	GString *signatures;
 	struct rr_request_trace trace;
-	int64_t last_part_us;  /* arrival of the last part; 0 if none */
-	int64_t routes_age_us; /* time since its routes were applied */
+	int64_t last_part_us; /* arrival of the last part; 0 if none */
+	/* On arrival: time since its version of the routes was applied. */
+	int64_t routes_age_us;
 };
 
 struct rr_gate_attempt {
@@ -207,6 +211,7 @@
 	GHashTable *regions; /* zone name -> region name */
 	struct rr_gate_actions actions;
 	struct rr_gate_policy policy;
+	/* See struct rr_gate_options, up to cold_slack. */
 	double extra_ratio;
 	double extra_slack;
 	int64_t extra_window_us;
@@ -306,19 +311,19 @@
 /* gate-zone.c */
 struct rr_gate_zone *rr_get_gate_zone(struct rr_gate *gate, const char *name);
 void rr_free_gate_zone(gpointer data);
-/* An attempt at a replica starts, ends, or is cancelled without a reply. */
+/* Record that an attempt starts, ends, or is cancelled without a reply. */
 void rr_note_attempt_started(struct rr_gate *gate,
 			     struct rr_endpoint *endpoint);
 void rr_note_attempt_ended(struct rr_gate *gate, struct rr_endpoint *endpoint);
 void rr_note_attempt_cancelled(struct rr_context *ctx, struct rr_gate *gate,
 			       struct rr_endpoint *endpoint);
-/* An attempt has exceeded its hedge threshold. */
+/* Record that an attempt has exceeded its hedge threshold. */
 void rr_note_attempt_overdue(struct rr_context *ctx, struct rr_gate *gate,
 			     struct rr_endpoint *endpoint);
-/* Any reply or other contact was received from the replica. */
+/* Record a reply of any kind or another contact with the replica. */
 void rr_note_contact(struct rr_context *ctx, struct rr_gate *gate,
 		     struct rr_endpoint *endpoint);
-/* An attempt was lost; an unresponsive replica is probed from now on. */
+/* Record a lost attempt.  If the replica was unreachable, start to probe it. */
 void rr_note_attempt_lost(struct rr_context *ctx, struct rr_gate *gate,
 			  struct rr_endpoint *endpoint, enum rr_loss loss);
 void rr_handle_probe_timer(struct rr_context *ctx, struct rr_gate *gate,
@@ -345,9 +350,15 @@
 /* Return how long a replica of a service is cold after its start. */
 int64_t rr_cold_period_us(const struct rr_gate *gate,
 			  const struct rr_gate_service *service);
-/* Whether a replica may be cold by its entry or after an evacuation. */
+/*
+ * Whether a replica may be cold: by the warm-up time in its list entry, or
+ * because the evacuation of its zone ended recently.
+ */
 bool rr_is_cold(const struct rr_gate *gate, const struct rr_endpoint *endpoint);
-/* Whether this instance may send a replica one more attempt if it is cold. */
+/*
+ * Whether this instance's quota for a cold replica allows one more attempt.
+ * Always true if the replica is not cold or its service has no limit.
+ */
 bool rr_has_cold_quota_left(const struct rr_gate *gate,
 			    struct rr_endpoint *endpoint);
 /* Count an attempt sent to a replica against its cold quota. */
@@ -405,8 +416,10 @@
 
 /* gate-attempt.c */
 /*
- * Send a part to another replica.  Returns false if it cannot be sent now.  A
- * part without attempts in flight is queued if a replica only lacks capacity.
+ * Send a part to another replica.  Return false if it cannot be sent now.  If
+ * the only obstacle is a lack of capacity and the part has no attempt in
+ * flight, queue it and return false as well: callers test `part->queued` to see
+ * whether the part will still be sent.
  */
 bool rr_try_send_part(struct rr_context *ctx, struct rr_gate *gate,
 		      struct rr_gate_request *req, size_t index,
@@ -467,8 +480,8 @@
 				   const struct rr_gate_request *req);
 /*
  * Credit an admitted request to the retry budgets of its services.  A rejected
- * request earns nothing: a forwarded one may be rejected by several instances,
- * which together would earn more than one request may.
+ * request earns nothing: a forwarded one may be rejected by several instances
+ * in turn and would be credited several times.
  */
 void rr_earn_retry_budget(struct rr_gate *gate, struct rr_gate_request *req);
 
@@ -478,9 +491,9 @@
 			      struct rr_gate_request *req,
 			      const struct rr_gate_request_info *info);
 /*
- * Return when to stop waiting for the response of another instance: twice the
- * time that its caller wants to wait.  Guards against requests that a frozen
- * instance holds until their deadline.
+ * Return when to stop waiting for the response to a forwarded request: after
+ * about twice the time within which this instance has to answer it.  Guards
+ * against a frozen instance that holds forwarded requests until their deadline.
  */
 int64_t rr_forward_expires_us(const struct rr_gate *gate,
 			      const struct rr_gate_request *req);
@@ -491,7 +504,7 @@
 /* gate-log.c */
 /* Reason for not sending a part again: the retry budget is spent. */
 #define RR_REASON_NO_RETRY_BUDGET "no-extra-left"
-/* Log an attempt that its replica broke off. */
+/* Log an attempt whose reply was cut short, malformed or of another request. */
 void rr_log_broken_attempt(struct rr_context *ctx, const struct rr_gate *gate,
 			   const struct rr_gate_attempt *attempt);
 /*
@@ -505,46 +518,54 @@
 /* gate-quarantine.c */
 enum rr_quarantine_step {
 	RR_QUARANTINE_PASS,
-	RR_QUARANTINE_CLAIMING, /* for a claim; rr_start_request() follows */
+	RR_QUARANTINE_CLAIMING, /* waits for a claim; started if it is granted */
 	RR_QUARANTINE_REJECTED, /* answered and freed */
 };
 
 struct rr_quarantine *
 rr_new_gate_quarantine(const struct rr_gate_policy *policy);
-/* A replica closed an attempt's connection: probe the replica. */
+/* Handle an attempt's connection closed by the replica: probe the replica. */
 void rr_note_attempt_closed(struct rr_context *ctx, struct rr_gate *gate,
 			    const struct rr_gate_attempt *attempt);
-/* The outcome of that probe.  May end requests. */
+/* Handle the outcome of that probe.  May end requests. */
 void rr_resolve_closed_attempts(struct rr_context *ctx, struct rr_gate *gate,
 				struct rr_endpoint *endpoint, bool reached);
-/* A replica completed an attempt. */
+/* Record that a replica completed an attempt: its request is harmless. */
 void rr_note_attempt_completed(struct rr_context *ctx, struct rr_gate *gate,
 			       const struct rr_gate_attempt *attempt);
 /* Check a new request against the quarantine. */
 enum rr_quarantine_step rr_check_quarantine(struct rr_context *ctx,
 					    struct rr_gate *gate,
 					    struct rr_gate_request *req);
-/* The timeout of a claim, and the end of a request with a claim pending. */
+/* Reject a request whose claim was not answered in time. */
 void rr_handle_claim_timeout(struct rr_context *ctx, struct rr_gate *gate,
 			     uint64_t id);
+/* Drop the claim of a request that ends before the claim's outcome. */
 void rr_drop_pending_claim(struct rr_gate *gate,
 			   const struct rr_gate_request *req);
-/* A request has ended: publish its record if that is due. */
+/* Publish what is known of a request that has ended, if not published yet. */
 void rr_publish_suspicion(struct rr_context *ctx, struct rr_gate *gate,
 			  const struct rr_fingerprint *fingerprint);
-/* Start a suspected request with one attempt.  False if it is not suspected. */
+/*
+ * Start a suspected request, or the trial of a quarantined one, as a canary:
+ * with one attempt.  Return false if the request is neither.
+ */
 bool rr_start_canary(struct rr_context *ctx, struct rr_gate *gate,
 		     struct rr_gate_request *req);
-/* Send the next attempt, of any part.  Ends the request if none can be sent. */
+/*
+ * Send the next attempt of a canary, of the first part that can be sent or
+ * queued.  End the request if there is none.
+ */
 void rr_send_canary(struct rr_context *ctx, struct rr_gate *gate,
 		    struct rr_gate_request *req);
 /*
- * Handle an attempt that was not answered.  True if its request continues as a
- * canary, or has ended.
+ * Handle an unanswered attempt of a request that is a canary or now becomes
+ * one.  The request may end.  Return false, without any effect, if the request
+ * is not suspected.
  */
-bool rr_continue_canary(struct rr_context *ctx, struct rr_gate *gate,
-			struct rr_gate_request *req);
-/* An attempt of part `index` completed: send the other parts. */
+bool rr_handle_canary_failure(struct rr_context *ctx, struct rr_gate *gate,
+			      struct rr_gate_request *req);
+/* Handle a completed attempt of part `index`: send the other parts. */
 void rr_end_canary(struct rr_context *ctx, struct rr_gate *gate,
 		   struct rr_gate_request *req, size_t index);
 
--- a/source/core/gate-quarantine.c
+++ b/source/core/gate-quarantine.c
@@ -79,11 +79,11 @@
 	return NULL;
 }
 
-static void report_record(struct rr_gate *gate,
-			  struct rr_quarantine_record *record, bool released)
+static void publish_record(struct rr_gate *gate,
+			   struct rr_quarantine_record *record, bool released)
 {
 	struct rr_quarantine_entry entry = rr_make_quarantine_entry(record);
-	struct rr_quarantine_report update = {
+	struct rr_quarantine_report report = {
 		.entry = &entry,
 		.released = released,
 	};
@@ -91,7 +91,7 @@
 	record->n_published = record->n_crashed;
 	record->quarantine_published = record->quarantined;
 	record->maybe_stored = true;
-	gate->actions.report(gate->actions.data, &update);
+	gate->actions.report(gate->actions.data, &report);
 }
 
 /*
@@ -100,7 +100,7 @@
  * that was merely in flight at a crashed replica: it usually completes at
  * another one.
  */
-static void publish_record(struct rr_gate *gate,
+static void publish_if_due(struct rr_gate *gate,
 			   struct rr_quarantine_record *record)
 {
 	bool is_unpublished = record->quarantined ?
@@ -113,7 +113,7 @@
 	if (is_unpublished &&
 	    (record->quarantined ||
 	     !find_request_by_fingerprint(gate, &record->fingerprint)))
-		report_record(gate, record, false);
+		publish_record(gate, record, false);
 }
 
 /* Fails all requests with a fingerprint, which cancels their attempts. */
@@ -142,9 +142,10 @@
 		set_quarantine_gauge(ctx, gate);
 		fail_requests_by_fingerprint(ctx, gate, &fingerprint);
 	}
+	/* Looked up again in case ending the requests removed the record. */
 	record = rr_find_quarantine_record(gate->quarantine, &fingerprint);
 	if (record)
-		publish_record(gate, record);
+		publish_if_due(gate, record);
 }
 
 /* Canary requests. */
@@ -177,7 +178,11 @@
 			       &req->fingerprint);
 }
 
-/* Returns the latest attempt if it was sent after the first close, or NULL. */
+/*
+ * Returns the latest attempt if it was sent after the first close, or NULL.  A
+ * crash confirms the suspicion only if its attempt was sent after an earlier
+ * crash, see rr_add_crash().
+ */
 static struct rr_gate_attempt *find_canary(const struct rr_gate_request *req)
 {
 	struct rr_gate_attempt *latest =
@@ -220,8 +225,8 @@
 		rr_send_canary(ctx, gate, req);
 }
 
-bool rr_continue_canary(struct rr_context *ctx, struct rr_gate *gate,
-			struct rr_gate_request *req)
+bool rr_handle_canary_failure(struct rr_context *ctx, struct rr_gate *gate,
+			      struct rr_gate_request *req)
 {
 	if (!req->canary && !is_suspicious(gate, req))
 		return false;
@@ -356,7 +361,7 @@
 	if (!record)
 		return;
 	if (record->maybe_stored)
-		report_record(gate, record, true);
+		publish_record(gate, record, true);
 	release_record(ctx, gate, record,
 		       record->quarantined ? RR_LOG_WARNING : RR_LOG_INFO,
 		       "ran-to-its-end");
@@ -383,7 +388,7 @@
 			struct rr_quarantine_record *record)
 {
 	struct rr_quarantine_entry entry = rr_make_quarantine_entry(record);
-	struct rr_quarantine_report update = { .entry = &entry, .claim = true };
+	struct rr_quarantine_report report = { .entry = &entry, .claim = true };
 
 	entry.trials++;
 	record->claimant_id = req->id;
@@ -391,7 +396,7 @@
 	rr_set_timer(gate->timers,
 		     gate->now_us + gate->policy.quarantine_claim_us,
 		     RR_TIMER_GATE_CLAIM_TIMEOUT, req->id, 0);
-	gate->actions.report(gate->actions.data, &update);
+	gate->actions.report(gate->actions.data, &report);
 }
 
 enum rr_quarantine_step rr_check_quarantine(struct rr_context *ctx,
@@ -509,5 +514,5 @@
 		return;
 	record = rr_find_quarantine_record(gate->quarantine, fingerprint);
 	if (record)
-		publish_record(gate, record);
+		publish_if_due(gate, record);
 }
--- a/source/core/gate-reply.c
+++ b/source/core/gate-reply.c
@@ -102,7 +102,7 @@
 }
 
 /*
- * Handles the reply of another instance to a forwarded request.  An answer is
+ * Handle the reply of another instance to a forwarded request.  An answer is
  * passed on, also if it reports a failure.  A request that was rejected or not
  * sent is sent to another coordinator or served here, unless the rejection is
  * final.
@@ -133,7 +133,10 @@
 		rr_serve_locally(ctx, gate, req);
 		return;
 #endif
-		/* It may have spent the attempts allowed at each shard. */
+		/*
+		 * The other instance may have spent the attempts allowed at
+		 * each shard, so the search is not sent again.
+		 */
 		rr_fail_part(req, &req->parts[0]);
 		rr_advance_request(ctx, gate, req);
 		return;
@@ -156,7 +159,7 @@
 	}
 	if (reply->outcome == RR_GATE_ANSWERED)
 		rr_end_canary(ctx, gate, req, index);
-	else if (rr_continue_canary(ctx, gate, req))
+	else if (rr_handle_canary_failure(ctx, gate, req))
 		return;
 	if (good && gate->policy.hedge_ends_losers)
 		rr_cancel_losers(ctx, gate, req, index);
--- a/source/core/gate-request.c
+++ b/source/core/gate-request.c
@@ -171,7 +171,7 @@
 }
 
 /*
- * Rejects a request that has not run.  The final status guards against a search
+ * Reject a request that has not run.  The final status guards against a search
  * that is forwarded from one coordinator to the next while no shard has
  * capacity: each would count its attempts from zero, and together they would
  * send the shards more attempts than allowed.
@@ -257,7 +257,7 @@
 }
 
 /*
- * Chooses a part of a split in proportion to the weights (smooth weighted
+ * Choose a part of a split in proportion to the weights (smooth weighted
  * round-robin): each request adds to each part's credit its weight, and the sum
  * of the weights is subtracted from the chosen part, which has the highest
  * credit.  The credits start at random values so that instances do not all
--- a/source/core/gate-zone.c
+++ b/source/core/gate-zone.c
@@ -122,10 +122,10 @@
 }
 
 /*
- * Guards against an instance with too little traffic to notice that its zone is
- * isolated: callers are directed to other zones once all instances of a zone
- * report that they are not ready, and one that has not noticed keeps them
- * there.
+ * Called when another instance of this zone is isolated.  Probes the other
+ * zones, since this instance may have too little traffic to notice the
+ * partition itself.  Callers are directed to other zones only once all
+ * instances of this zone report that they are not ready.
  */
 void rr_gate_suspect_zones(struct rr_context *ctx, struct rr_gate *gate,
 			   int64_t now_us)
@@ -213,7 +213,7 @@
 	rr_update_isolation(ctx, gate);
 }
 
-/* Whether every replica of a zone is suspected on its own account. */
+/* Whether each replica of a zone is suspected individually. */
 static bool are_all_suspected(const struct rr_gate *gate,
 			      const struct rr_gate_zone *zone)
 {
@@ -231,7 +231,10 @@
 	return true;
 }
 
-/* Attempts in flight count too, since they may stay open for a second. */
+/*
+ * Counts attempts in flight as unanswered: they may stay open for a second, and
+ * waiting for that would delay the detection.
+ */
 static void suspect_if_unresponsive(struct rr_context *ctx,
 				    struct rr_gate *gate,
 				    struct rr_gate_zone *zone)
@@ -250,7 +253,7 @@
 	if (seems_unreachable(gate, zone) || are_all_suspected(gate, zone))
 		mark_unreachable(ctx, gate, zone);
 	else if (zone->unanswered >= gate->policy.silence_unanswered)
-		/* Refused connections: no time without contact adds up. */
+		/* Refused connections fail at once: no silent time adds up. */
 		suspect_zone(ctx, gate, zone);
 	else
 		suspect_if_unresponsive(ctx, gate, zone);
