--- a/include/ragwort/gate.h
+++ b/include/ragwort/gate.h
@@ -244,7 +244,7 @@
  */
 void rr_gate_set_evacuation(struct rr_context *ctx, struct rr_gate *gate,
 			    int64_t now_us, const char *zone, uint64_t revision,
-			    bool in_force);
+			    bool active);
 
 /* An entry of the list of instances; strings are copied. */
 struct rr_gate_instance {
--- a/source/core/cold-share.h
+++ b/source/core/cold-share.h
@@ -2,9 +2,10 @@
  * cold-share.h - rate limit on the requests of one instance to a cold replica.
  *
  * The shares of all instances add up to no more than the replica can serve
- * while cold.  They need neither agreement nor a call to the store: rendezvous
- * hashing over the known instances selects a few for each replica, or all where
- * the rate is high enough, and the shares of these differ by one at most.
+ * while cold.  Each instance computes its own share, without agreement and
+ * without a call to the store: rendezvous hashing over the known instances
+ * selects a few of them for each replica, or all if the rate is high enough,
+ * and the shares of the selected ones differ by one at most.
  */
 #ifndef RAGWORT_CORE_COLD_SHARE_H
 #define RAGWORT_CORE_COLD_SHARE_H
--- a/source/core/concurrency-limit.c
+++ b/source/core/concurrency-limit.c
@@ -13,8 +13,11 @@
 
 /* A higher ratio of the latency to that without a queue indicates a queue. */
 #define QUEUE_LATENCY_RATIO 1.5
+/* Applied to the limit for each response that indicates a queue. */
 #define SHRINK_FACTOR 0.98
+/* The limit grows while the ratio is lower than this. */
 #define GROW_LATENCY_RATIO 1.25
+/* Weight of a new sample: about the last 16 samples dominate a mean. */
 #define LATENCY_WEIGHT 0.0625
 
 void rr_reset_limit(struct rr_concurrency_limit *limit, uint32_t share)
--- a/source/core/gate-attempt.c
+++ b/source/core/gate-attempt.c
@@ -83,7 +83,10 @@
 	rr_set_timer(gate->timers, due_us, kind, id, 0);
 }
 
-/* Return the time after which to hedge an attempt, by the retry budget left. */
+/*
+ * Return how long after sending an attempt to hedge it: the less of the retry
+ * budget is left, the later.
+ */
 static int64_t hedge_delay_us(const struct rr_gate *gate,
 			      const struct rr_gate_request *req,
 			      const struct rr_gate_part *part)
@@ -200,7 +203,10 @@
 	       req->route->max_attempts + part->n_crashed;
 }
 
-/* Trace a reason once per part: a hedge waiting for budget is retried often. */
+/*
+ * Trace a reason unless it is the last one traced for the part: a hedge that
+ * waits for retry budget is retried often.
+ */
 static void trace_not_sent(const struct rr_gate *gate,
 			   struct rr_gate_request *req,
 			   struct rr_gate_part *part, const char *reason)
@@ -428,7 +434,7 @@
 		req->parts[attempt->part].n_in_flight--;
 		attempt->request = NULL;
 		/*
-		 * An attempt that may run at most once is never cancelled: its
+		 * An attempt that is not idempotent is never cancelled: its
 		 * outcome is worth knowing, and the replica stops it at its
 		 * deadline.
 		 */
--- a/source/core/gate-choose.c
+++ b/source/core/gate-choose.c
@@ -5,7 +5,9 @@
  * tiers; a few of the best tier are drawn at random, and the one with the
  * lowest expected wait is nearly always chosen.  The expected wait is the
  * typical attempt time, multiplied by the replica's slowness as measured by
- * this instance and by a factor for this instance's attempts in flight there.
+ * this instance, by a factor for this instance's attempts in flight there and
+ * by another one if the replica is cold.  The loss rate of the replica and the
+ * distance to another zone add to it.
  */
 #include "core/gate-private.h"
 #include "core/weighted-choice.h"
--- a/source/core/gate-cold.c
+++ b/source/core/gate-cold.c
@@ -89,17 +89,17 @@
 static uint32_t cached_share(const struct rr_gate *gate,
 			     struct rr_endpoint *endpoint, double max_per_s)
 {
-	struct rr_cold_quota *cold = endpoint->cold_quota;
-
-	if (!cold)
-		cold = endpoint->cold_quota = g_new0(struct rr_cold_quota, 1);
-	if (cold->peers_version != gate->peers_version ||
-	    cold->bound != max_per_s) {
-		cold->peers_version = gate->peers_version;
-		cold->bound = max_per_s;
-		cold->share = compute_share(gate, endpoint, max_per_s);
+	struct rr_cold_quota *quota = endpoint->cold_quota;
+
+	if (!quota)
+		quota = endpoint->cold_quota = g_new0(struct rr_cold_quota, 1);
+	if (quota->peers_version != gate->peers_version ||
+	    quota->bound != max_per_s) {
+		quota->peers_version = gate->peers_version;
+		quota->bound = max_per_s;
+		quota->share = compute_share(gate, endpoint, max_per_s);
 	}
-	return cold->share;
+	return quota->share;
 }
 
 /*
--- a/source/core/gate-endpoint.c
+++ b/source/core/gate-endpoint.c
@@ -237,9 +237,10 @@
 }
 
 /*
- * Whether to open a connection before it is needed: not if this instance
- * forwards its searches, if the replica does not accept one connection from
- * each instance, or while the number of instances is unknown.
+ * Whether to open a connection before it is needed.  Always done for a
+ * coordinator; otherwise not if this instance forwards its searches, if the
+ * replica does not accept one connection from each instance, or while the
+ * number of instances is unknown.
  */
 static bool may_preconnect(const struct rr_gate *gate,
 			   const struct rr_endpoint *endpoint)
@@ -320,7 +321,7 @@
 		rr_retire_endpoint(ctx, gate, endpoint, "draining");
 		return;
 	}
-	/* Its entry shows that it is running: allow attempts. */
+	/* The entry shows that the replica runs: end any suspicion. */
 	rr_note_contact(ctx, gate, endpoint);
 	if (is_new)
 		g_queue_push_tail(&gate->to_preconnect,
--- a/source/core/gate-evacuate.c
+++ b/source/core/gate-evacuate.c
@@ -132,24 +132,24 @@
 
 void rr_gate_set_evacuation(struct rr_context *ctx, struct rr_gate *gate,
 			    int64_t now_us, const char *zone, uint64_t revision,
-			    bool in_force)
+			    bool active)
 {
 	guint remaining = 0;
 
 	gate->now_us = now_us;
 	if (!rr_update_evacuation(rr_get_evacuation(gate, zone), now_us,
-				  revision, in_force))
+				  revision, active))
 		return;
 #ifdef RR_MUTANT_GATE_SENDS_AFTER_EVACUATION
 	return;
 #endif
-	if (in_force)
+	if (active)
 		remaining = redirect_unsent(ctx, gate, zone);
 	flush_queues(ctx, gate);
 	rr_update_isolation(ctx, gate);
 	rr_set_gauge(ctx, RR_G_ZONES_EVACUATED, count_evacuated(gate));
 	rr_log(ctx, RR_LOG_WARNING,
-	       in_force ? "zone-evacuated" : "zone-taken-back",
+	       active ? "zone-evacuated" : "zone-taken-back",
 	       RR_FIELD_STRING("zone", zone),
 	       RR_FIELD_U64("revision", revision),
 	       RR_FIELD_U64("endpoints", count_endpoints(gate, zone)),
--- a/source/core/gate-forward.c
+++ b/source/core/gate-forward.c
@@ -55,6 +55,10 @@
 	return max_strength ? *max_strength : 0;
 }
 
+/*
+ * Whether an instance is weak, so that it forwards its searches: the strongest
+ * one of its zone has at least peer_much_stronger times its strength.
+ */
 static bool is_weak(const struct rr_gate *gate, GHashTable *strongest,
 		    const char *zone, double strength)
 {
@@ -140,7 +144,7 @@
 /*
  * Guards against hundreds of instances that are reported one by one, as after
  * all of them start: if each report re-evaluated all peers, reading the list
- * would take an instance a number of steps in the cube of their number, and
+ * would take each instance time in proportion to the cube of their number, and
  * callers would wait for seconds.
  */
 void rr_update_peers(struct rr_context *ctx, struct rr_gate *gate)
--- a/source/core/gate-quarantine.c
+++ b/source/core/gate-quarantine.c
@@ -164,8 +164,9 @@
 }
 
 /*
- * Requires a confirmed crash.  Guards against serialising requests to replicas
- * that only lose responses.
+ * Whether a request is to continue as a canary.  Requires a confirmed crash,
+ * see rr_resolve_closed_attempts().  Guards against serialising requests to
+ * replicas that only lose responses.
  */
 static bool is_suspicious(const struct rr_gate *gate,
 			  const struct rr_gate_request *req)
@@ -376,7 +377,7 @@
 		rr_find_quarantine_record(gate->quarantine, &req->fingerprint);
 	int64_t wait_us = record ? record->next_trial_us - gate->now_us : 0;
 
-	/* If no hold remains, Retry-After is chosen as usual. */
+	/* If no time until a trial remains, Retry-After is drawn as usual. */
 	if (wait_us > 0)
 		req->retry_after_ms = (uint32_t)MIN(wait_us / 1000, G_MAXINT32);
 	req->final_rejection = true;
--- a/source/core/gate-zone.c
+++ b/source/core/gate-zone.c
@@ -177,9 +177,9 @@
 			     struct rr_gate_zone *zone);
 
 /*
- * A network partition often affects several zones at once, but as soon as one
- * is known to be unreachable there may be no more attempts to the others that
- * would reveal it.
+ * Checks the other zones after one was found unreachable.  A network partition
+ * often affects several zones at once, but from then on there may be no more
+ * attempts to the others that would reveal it.
  */
 static void suspect_other_zones(struct rr_context *ctx, struct rr_gate *gate)
 {
@@ -246,6 +246,7 @@
 		suspect_zone(ctx, gate, zone);
 }
 
+/* Counts an attempt without a reply and checks whether its zone responds. */
 static void check_zone(struct rr_context *ctx, struct rr_gate *gate,
 		       struct rr_gate_zone *zone)
 {
--- a/source/core/quarantine.c
+++ b/source/core/quarantine.c
@@ -8,7 +8,10 @@
 
 /* Bounds memory.  The oldest record is evicted, suspected ones first. */
 #define MAX_RECORDS 1024
-/* Growth of the hold with each trial, for the first MAX_HOLDS trials. */
+/*
+ * The hold, the time until the next trial, grows by this factor with each of
+ * the first MAX_HOLDS trials.
+ */
 #define HOLD_FACTOR 4
 #define MAX_HOLDS 8
 /* Size of the cache of completed requests.  A power of two. */
