--- a/include/ragwort/config.h
+++ b/include/ragwort/config.h
@@ -43,7 +43,10 @@
 	uint32_t deadline_ms;
 	/* RR_ANSWER_LATENCY: sufficient share of shards, 0 to 1. */
 	double min_coverage;
-	/* RR_ANSWER_LATENCY: wait for the remaining shards after that. */
+	/*
+	 * RR_ANSWER_LATENCY: time to wait for the remaining shards once
+	 * min_coverage is reached.
+	 */
 	uint32_t straggler_wait_ms;
 	/* Attempts may be repeated; false: every request uses the ledger. */
 	bool idempotent;
--- a/include/ragwort/feed.h
+++ b/include/ragwort/feed.h
@@ -3,9 +3,10 @@
  *
  * This module decides when to read, watch, renew and retry.  The caller sends
  * the calls in the platform's format and passes the replies in.  Calls are kept
- * few, since each is paid for: a few instances of each zone watch the store and
- * maintain the entries of all under their leases; the others read changes from
- * these, and are registered by them.  See docs/design/store-calls.md.
+ * few, since each is paid for: a few instances of each zone watch the store,
+ * and the others read changes from these.  Each instance has an entry in the
+ * store; a few instances of each zone (the registrars) write the entries of all
+ * under their own leases.  See docs/design/store-calls.md.
  */
 #ifndef RAGWORT_FEED_H
 #define RAGWORT_FEED_H
@@ -44,7 +45,7 @@
 	const char *peer; /* IP:PORT of the peer to call; NULL: the store */
 	enum rr_feed_call_kind kind;
 	const char *after_key; /* range: last key received; NULL: start */
-	/* range: a copy some seconds old is accepted */
+	/* range: a copy of the store that is some seconds old is accepted */
 	bool allow_stale;
 	/* watch: revision after which changes are wanted */
 	uint64_t after_revision;
@@ -109,7 +110,7 @@
 	uint16_t http_status; /* 0: no reply */
 	GPtrArray *items;     /* struct rr_feed_item; NULL: none */
 	bool more;	      /* range: more pages follow */
-	uint64_t revision;    /* range, watch, write, report: of the store */
+	uint64_t revision;    /* of the store; range, watch, write, report */
 	uint64_t lease;	      /* grant */
 };
 
@@ -172,7 +173,7 @@
 void rr_feed_tick(struct rr_context *ctx, struct rr_feed *feed, int64_t now_us);
 int64_t rr_feed_wake_us(const struct rr_feed *feed);
 /*
- * This instance leaves: its entry is removed and nothing is renewed any more.
+ * Remove this instance's entry, since it leaves, and stop renewing its lease.
  */
 void rr_feed_leave(struct rr_context *ctx, struct rr_feed *feed,
 		   int64_t now_us);
@@ -193,23 +194,26 @@
  */
 bool rr_feed_can_serve_changes(const struct rr_feed *feed);
 /*
- * Whether it could serve changes until recently and is reconnecting: a peer
- * that waits here for changes should keep waiting rather than call another
- * source.
+ * Whether this instance could serve changes until recently and is reconnecting
+ * (the grace period): a peer that waits here for changes should keep waiting
+ * rather than call another source.
  */
 bool rr_feed_is_in_serve_grace(const struct rr_feed *feed, int64_t now_us);
-/* End of that period; INT64_MAX if there is none, or changes are served. */
+/*
+ * Return the end of the grace period; INT64_MAX if there is none, or changes
+ * are served.
+ */
 int64_t rr_feed_serve_grace_end_us(const struct rr_feed *feed);
-/* The revision up to which changes are known. */
+/* Return the revision up to which changes are known. */
 uint64_t rr_feed_revision(const struct rr_feed *feed);
 /*
- * List the changes after revision `after` as struct rr_feed_change, as many as
- * an instance applies without delaying its callers; for 0, all items.
+ * List the changes after revision `after_revision` as struct rr_feed_change, as
+ * many as an instance applies without delaying its callers; for 0, all items.
  * *revision is set to the revision up to which they are complete.  They point
  * into the feed and are valid until its next event; release the array with
  * g_array_unref().  Return NULL if some changes since then are no longer kept.
  */
-GArray *rr_feed_changes(const struct rr_feed *feed, uint64_t after,
+GArray *rr_feed_changes(const struct rr_feed *feed, uint64_t after_revision,
 			uint64_t *revision);
 /*
  * Register another instance in the store on its request, which it repeats every
@@ -218,7 +222,7 @@
 bool rr_feed_register_instance(struct rr_context *ctx, struct rr_feed *feed,
 			       int64_t now_us,
 			       const struct rr_instance *instance);
-/* An instance that was registered by this one leaves. */
+/* Remove the entry of an instance that this one registered and that leaves. */
 void rr_feed_deregister_instance(struct rr_feed *feed, int64_t now_us,
 				 const char *id);
 
--- a/include/ragwort/ledger.h
+++ b/include/ragwort/ledger.h
@@ -109,7 +109,7 @@
  * whose first part gives its creation time (see rr_parse_request_id()).
  * `now_us` is monotonic time in microseconds, `wall_us` microseconds since
  * 1970. `fingerprint` is a hash of the request; the same id with a different
- * fingerprint is rejected. Returns the claim's id; the outcome is reported
+ * fingerprint is rejected. Return the claim's id; the outcome is reported
  * through the claimed callback.
  */
 uint64_t rr_claim_request_id(struct rr_context *ctx, struct rr_ledger *ledger,
@@ -134,12 +134,12 @@
 		      uint64_t claim_id);
 
 /*
- * Handle a reply of the store. Returns whether the call belongs to the ledger.
+ * Handle a reply of the store. Return whether the call belongs to the ledger.
  */
 bool rr_handle_ledger_reply(struct rr_context *ctx, struct rr_ledger *ledger,
 			    int64_t now_us, const struct rr_store_reply *reply);
 
-/* Process time-outs and retries of store calls. */
+/* Process timeouts and retries of store calls. */
 void rr_tick_ledger(struct rr_context *ctx, struct rr_ledger *ledger,
 		    int64_t now_us);
 /*
@@ -163,7 +163,7 @@
 /*
  * Parse an Idempotency-Key "<unix-seconds>-<8 to 64 of [A-Za-z0-9_.-]>" and
  * store its creation time, in seconds since 1970, in `*created_s`. Returns
- * false and sets `error` for anything else.
+ * false and set `error` for anything else.
  */
 bool rr_parse_request_id(const char *id, int64_t *created_s, GError **error);
 
--- a/include/ragwort/member.h
+++ b/include/ragwort/member.h
@@ -87,8 +87,7 @@
 const struct rr_member_ref *rr_usable_members(struct rr_members *members,
 					      size_t *n_members);
 /*
- * Look up a member's address and incarnation; returns false if it is not
- * usable.
+ * Look up a member's address and incarnation; return false if it is not usable.
  */
 bool rr_find_member(const struct rr_members *members, const char *instance,
 		    const char **address, uint64_t *incarnation);
--- a/include/ragwort/peer.h
+++ b/include/ragwort/peer.h
@@ -50,8 +50,7 @@
 	char *shard;
 	char *preferred_replica; /* the replica that the sender would choose */
 	/*
-	 * Range of index versions that the sender knows of, 0 for none; in an
-	 * outcome, the range that the owner knows of.
+	 * Range of index versions that the sender knows of; 0 for none.
 	 */
 	uint64_t oldest_version;
 	uint64_t newest_version;
@@ -63,9 +62,11 @@
 	bool covered;
 	enum rr_missing_reason reason; /* if not covered */
 	/*
-	 * Set with proof that no attempt was made, or that all were rejected.
+	 * Whether it is proved that nothing ran: no attempt was made, or all
+	 * were rejected.
 	 */
 	bool not_run;
+	/* Range of index versions known to the owner that served the relay. */
 	uint64_t oldest_version;
 	uint64_t newest_version;
 	uint32_t attempts;
--- a/source/core/change-log.c
+++ b/source/core/change-log.c
@@ -4,9 +4,9 @@
 #include "core/change-log.h"
 
 /*
- * Maximum number of removed keys that are kept: several times as many as a
- * day's replica replacements produce in the longest time between two reads of a
- * peer.
+ * Maximum number of removed keys that are kept.  Replicas are replaced daily;
+ * this is several times the number of keys that this removes in the longest
+ * time between two reads of a peer.
  */
 #define MAX_REMOVED_KEYS 2048
 
--- a/source/core/change-log.h
+++ b/source/core/change-log.h
@@ -24,7 +24,8 @@
 void rr_put_change(struct rr_change_log *change_log,
 		   const struct rr_feed_change *item);
 /*
- * Declare the log complete at `revision`.  Removals up to there are not known.
+ * Declare the log complete for changes after `revision`.  Earlier removals, and
+ * those at `revision`, are not known.
  */
 void rr_start_change_log(struct rr_change_log *change_log, uint64_t revision);
 /*
--- a/source/core/config-apply.c
+++ b/source/core/config-apply.c
@@ -25,8 +25,8 @@
 }
 
 /*
- * A replica at another address is another process: it is added as a new
- * replica.
+ * A replica whose address has changed is another process, so it is added as a
+ * new replica.
  */
 static struct rr_replica *
 find_or_add_replica(struct rr_context *ctx, struct rr_core *core,
@@ -263,7 +263,10 @@
 	if (message->config_revision <= rr_core_config_revision(core) ||
 	    message->kind == RR_PEER_CONFIG)
 		return;
-	/* One request at a time: all members announce a change at once. */
+	/*
+	 * One request at a time: after a change, all members announce the new
+	 * revision at about the same time.
+	 */
 	if (core->awaiting_config)
 		return;
 	request_record(ctx, core, message->from);
--- a/source/core/config-watch.c
+++ b/source/core/config-watch.c
@@ -1,6 +1,6 @@
 /*
  * config-watch.c - selection of the instances that watch the configuration
- * record.
+ * record: those of each zone with the highest rendezvous weights.
  */
 #include "core/core-private.h"
 #include "ragwort/owner.h"
--- a/source/core/feed-count.c
+++ b/source/core/feed-count.c
@@ -1,6 +1,6 @@
 /*
- * feed-count.c - the instance count, by which budgets and connections are
- * divided.
+ * feed-count.c - the number of instances in the fleet, by which budgets and
+ * connections are divided.
  */
 #include "core/feed-private.h"
 
@@ -12,10 +12,10 @@
  */
 #define SHRINK_DELAY_US (20 * G_USEC_PER_SEC)
 /*
- * By then all instances that start together have registered, counted from when
- * the last of them look for peers again.  If this many entries already exist,
- * the instance is restarting into a running fleet and reports the count at
- * once.
+ * Delay of the first count after the start, or after the second read of an
+ * instance that found no peers: by then all instances that start together have
+ * registered.  If MIN_EXISTING_ENTRIES entries already exist, the instance
+ * is restarting into a running fleet and reports the count at once.
  */
 #define INITIAL_COUNT_DELAY_US (2 * G_USEC_PER_SEC)
 #define MIN_EXISTING_ENTRIES 3
--- a/source/core/feed-entry.c
+++ b/source/core/feed-entry.c
@@ -19,22 +19,23 @@
 #define LEASE_MS 12000
 /*
  * Renewal period.  Renewals also show whether the store is reachable: a change
- * must be in force within three seconds, and a watch that stopped delivering is
- * noticed only here.
+ * must be in force within three seconds, and only a failed renewal reveals a
+ * watch that has stopped delivering.
  */
 #define LEASE_RENEWAL_PERIOD_US (1500 * 1000)
 /* Period of requests to a registrar: a third of the lease. */
 #define REGISTRATION_PERIOD_US (4 * G_USEC_PER_SEC)
 /*
- * Entries of other instances are delayed this long, so that instances that
- * start together share one write.
+ * Writes of other instances' entries are delayed this long, so that instances
+ * that start together share one write.
  */
 #define REGISTRATION_BATCH_DELAY_US (400 * 1000)
 /* Maximum number of keys in one write, a limit of the platform. */
 #define MAX_KEYS_PER_WRITE 32
 /*
- * An instance that has asked without being registered for this long registers
- * itself.  Longer than a lease: by then failed registrars have been replaced.
+ * An instance whose requests to registrars have failed for this long registers
+ * itself.  Longer than a lease, since failed registrars are replaced when their
+ * leases expire.
  */
 #define SELF_REGISTRATION_DELAY_US (15 * G_USEC_PER_SEC)
 
@@ -100,8 +101,9 @@
 }
 
 /*
- * This instance's lease is left to expire rather than revoked: by then the
- * entry is under the registrar's lease.
+ * Ask another instance to register this one.  This instance's own lease is left
+ * to expire: by then the entry is under the registrar's lease, whereas revoking
+ * the lease would remove the entry now.
  */
 static void register_at_peer(struct rr_context *ctx, struct rr_feed *feed,
 			     const char *registrar)
--- a/source/core/feed-items.c
+++ b/source/core/feed-items.c
@@ -63,7 +63,7 @@
 					 NULL);
 }
 
-/* Report that the object named by a key is no longer present. */
+/* Report that the object described by a key's last value was removed. */
 static void remove_object(struct rr_feed *feed,
 			  const struct rr_feed_key_state *state,
 			  uint64_t revision)
@@ -115,9 +115,9 @@
 }
 
 /*
- * Handle a value that cannot be decoded.  Guards against entries written by
- * third parties: the object that the key named before counts as removed.  The
- * routes in force stay, since no query can be served without routes.
+ * Handle a value that cannot be decoded, such as one written by a third party:
+ * the object that the key described before counts as removed.  The routes in
+ * force stay, since no query can be served without routes.
  */
 static void apply_invalid_item(struct rr_context *ctx, struct rr_feed *feed,
 			       struct rr_feed_key_state *state,
--- a/source/core/feed-private.h
+++ b/source/core/feed-private.h
@@ -26,7 +26,7 @@
 	uint64_t revision;
 	bool seen;		  /* found by the current range read */
 	const char *decode_error; /* of its last value; NULL: none */
-	/* its last value names a replica or an instance */
+	/* the last value was decoded; not set for evacuations */
 	bool is_valid;
 };
 
@@ -42,8 +42,11 @@
 	bool leaving;
 	/* Reading. */
 	bool range_from_peer; /* the current range continues at the same peer */
-	bool last_read_ok;    /* the last read was answered */
-	/* A read has failed, and the store has answered none since. */
+	bool last_read_ok;    /* the last read succeeded */
+	/*
+	 * Set when a read or registration call has failed, until the store
+	 * answers a read; see next_watch_ms().
+	 */
 	bool needs_short_watch;
 	bool has_synced;
 	bool range_active;
@@ -55,8 +58,8 @@
 	/* when changes could last be served to peers */
 	int64_t last_serving_us;
 	char *after_key;
-	uint64_t range_revision; /* lowest revision of its pages */
-	/* time of the second read; 0: none is scheduled */
+	uint64_t range_revision; /* lowest revision of the pages read */
+	/* when to read again after finding no peers; 0: not scheduled */
 	int64_t peer_recheck_us;
 	uint64_t revision; /* revision up to which changes are known */
 	GHashTable *keys;  /* key -> struct rr_feed_key_state */
@@ -71,8 +74,11 @@
 	int64_t lease_renewed_us;   /* time of the last lease renewal */
 	guint registrar_turn;	    /* index of the registrar to ask */
 	bool is_registered;
-	bool registers_itself; /* no registrar did so in time */
-	/* A renewal failed: the watch may have stopped delivering as well. */
+	bool registers_itself; /* since no registrar did so in time */
+	/*
+	 * A registration call to the store failed: the watch may have stopped
+	 * delivering as well.
+	 */
 	bool watch_suspected;
 	/* Instance count. */
 	uint32_t n_instances;	 /* number of valid entries */
@@ -137,7 +143,10 @@
 void rr_remove_unseen_keys(struct rr_feed *feed);
 
 /* feed-count.c: the instance count */
-/* When the first count is reported, unless there are already enough entries. */
+/*
+ * Return when the first count is reported; it is reported earlier if enough
+ * entries exist.
+ */
 int64_t rr_initial_count_due_us(int64_t now_us);
 void rr_update_instance_count(struct rr_feed *feed);
 
--- a/source/core/feed-range.c
+++ b/source/core/feed-range.c
@@ -8,12 +8,12 @@
 #include "ragwort/log.h"
 
 /*
- * An instance that found no peers reads again after a fraction of this time.
- * The weaker it is, the longer it waits, so that by then a few strong instances
- * have registered and the others need no store calls of their own.
+ * Longest delay before an instance that found no peers reads again.  The delay
+ * is shorter for instances with a larger share of a core: these register first,
+ * and the weaker ones then need no store calls of their own.
  */
 #define PEER_RECHECK_DELAY_US (4 * G_USEC_PER_SEC)
-/* The smallest fraction of the delay; the rest is drawn at random. */
+/* The delay is multiplied by a random factor between this and 1. */
 #define MIN_PEER_RECHECK_FRACTION 0.6
 
 void rr_start_feed_range(struct rr_feed *feed)
@@ -47,20 +47,21 @@
 
 /*
  * Postpone peer reads and registration, and schedule another read of all items.
- * Guards against a simultaneous first start of all instances, in which each
- * would take itself for the first of its zone, watch the store and register
+ * Guards against a simultaneous first start of all instances: each would see no
+ * other entry, rank itself first in its zone, watch the store and register
  * itself by its own calls.
  */
 static void schedule_peer_recheck(struct rr_context *ctx, struct rr_feed *feed)
 {
 	double fraction = MIN_PEER_RECHECK_FRACTION +
 			  (1 - MIN_PEER_RECHECK_FRACTION) * rr_random_unit(ctx);
-	double weakness = 1 - MIN(feed->self->strength, 1);
+	double missing_core_share = 1 - MIN(feed->self->strength, 1);
 
 	feed->found_no_peers = true;
 	feed->peer_recheck_us =
-		feed->now_us + (int64_t)(weakness * weakness * fraction *
-					 PEER_RECHECK_DELAY_US);
+		feed->now_us +
+		(int64_t)(missing_core_share * missing_core_share * fraction *
+			  PEER_RECHECK_DELAY_US);
 	/* The other instances register after this one has read again. */
 	feed->count_due_us = rr_initial_count_due_us(feed->peer_recheck_us);
 	rr_start_feed_range(feed);
--- a/source/core/feed-rank.c
+++ b/source/core/feed-rank.c
@@ -6,10 +6,10 @@
 #include <string.h>
 
 /*
- * Approximate number of instances that ask one parent.  At the target fleet
- * size each child costs its parent 0.8 KB/s of the 7 KB/s that the control
- * traffic may use, and in a zone of 240 instances each one of the second level
- * then has 9 children (docs/CAPACITY.md).
+ * Approximate number of instances that read changes from one parent.  At the
+ * target fleet size each child costs its parent 0.8 KB/s of the 7 KB/s that the
+ * control traffic may use, and in a zone of 240 instances each child of a
+ * watcher then has 9 children of its own (docs/CAPACITY.md).
  */
 #define CHILDREN_PER_PARENT 12
 /*
@@ -26,9 +26,9 @@
 }
 
 /*
- * Strength as entries store it.  An instance knows its own strength exactly,
- * but that of others only as rounded in their entries.  Guards against two
- * instances that each rank the other first.
+ * Return the strength as rounded in entries.  An instance knows its own
+ * strength exactly, but that of others only from their entries.  Guards against
+ * two instances that each rank the other first.
  */
 static int64_t rounded_strength(const struct rr_instance *instance)
 {
@@ -45,10 +45,10 @@
 }
 
 /*
- * As few watchers as can reach a whole zone in three levels, since each change
- * wakes every watcher and each of these calls is paid for.  If the only watcher
- * freezes, its children turn to the next instance of the zone, which then
- * watches, within half the staleness bound.
+ * Return the lowest number of watchers that reach a whole zone in three levels,
+ * since each change wakes every watcher and each of these calls is paid for.
+ * If the only watcher freezes, its children turn to the next instance of the
+ * zone, which then watches, within half the staleness bound.
  */
 guint rr_zone_watchers(guint n_instances)
 {
--- a/source/core/feed-registration.c
+++ b/source/core/feed-registration.c
@@ -1,6 +1,6 @@
 /*
- * feed-registration.c - instances that this one registers, and which of their
- * changes are not yet in the store.
+ * feed-registration.c - table of the instances that this one registers, with
+ * the changes that are not yet in the store.
  */
 #include "core/feed-registration.h"
 
@@ -14,7 +14,7 @@
 	/* false: it has left, or its registration has expired */
 	bool present;
 	bool unwritten; /* its state is not yet in the store */
-	/* part of the write in flight, with the state at that time */
+	/* included in the write in flight, with its state at the start */
 	bool in_flight;
 	uint64_t revision; /* revision of its last write; 0: not known */
 	int64_t last_contact_us;
--- a/source/core/feed-registration.h
+++ b/source/core/feed-registration.h
@@ -40,7 +40,7 @@
 void rr_expire_registrations(struct rr_registrations *registrations,
 			     int64_t since_us);
 /*
- * Last contact of the registration without contact for longest; INT64_MAX if
+ * Return the earliest last contact of all present registrations; INT64_MAX if
  * there are none.
  */
 int64_t rr_oldest_registration_us(const struct rr_registrations *registrations);
@@ -62,9 +62,10 @@
 /* The lease has ended and all entries with it; write all again. */
 void rr_rewrite_all_registrations(struct rr_registrations *registrations);
 /*
- * Handle an entry as read from the store.  One with a higher revision than the
- * own write belongs to another registrar and is released; one that was removed
- * is to be written again.
+ * Handle a change of an entry as read from the store.  If its revision is
+ * higher than that of this instance's write, another registrar has written the
+ * entry, and the registration is dropped here; if the entry was removed
+ * although the instance is present, it is to be written again.
  */
 void rr_observe_registration(struct rr_registrations *registrations,
 			     const char *id, uint64_t revision, bool removed);
--- a/source/core/feed-report.c
+++ b/source/core/feed-report.c
@@ -1,9 +1,10 @@
 /*
- * feed-report.c - publishing queries of death to the store.
+ * feed-report.c - publishing queries of death, which crash replicas, to the
+ * store.
  *
- * Each has one key, which is updated by compare-and-swap, one call at a time.
- * Suspicions are written under a lease and expire with it.  Quarantines are
- * written without a lease and stay until they are removed.
+ * Each query of death has one key, which is updated by compare-and-swap, one
+ * call at a time.  Suspicions are written under a lease and expire with it.
+ * Quarantines are written without a lease and stay until they are removed.
  */
 #include "core/feed-private.h"
 
@@ -11,8 +12,8 @@
 #include "ragwort/log.h"
 
 /*
- * Time to live of the lease.  It is used for half of that time, then a new one
- * is granted.
+ * Time to live of the lease.  A new lease is granted after half of that time,
+ * so that every entry is kept for at least the other half.
  */
 #define LEASE_MS 600000
 /*
@@ -22,7 +23,10 @@
 #define CALL_PAUSE_US 5000
 /* Maximum queue length; the oldest report is dropped. */
 #define MAX_QUEUED_REPORTS 64
-/* Maximum number of entries without a lease. */
+/*
+ * Maximum number of entries without a lease: while this many entries are known,
+ * quarantines are written under the lease as well.
+ */
 #define MAX_PERSISTENT_ENTRIES 256
 
 struct queued_report {
@@ -65,7 +69,10 @@
 	g_free(queue);
 }
 
-/* A queued report of the same content, which a later one replaces. */
+/*
+ * Find a queued report with the same fingerprint that a new one replaces: no
+ * claim, and not in flight.
+ */
 static GList *find_pending(struct rr_report_queue *queue,
 			   const struct rr_fingerprint *fingerprint)
 {
@@ -126,7 +133,10 @@
 	return rr_format_fingerprint(&report->entry->fingerprint, text);
 }
 
-/* The latest known revision of its key, or 0. */
+/*
+ * Return the latest known revision of the key of a fingerprint, as read or as
+ * written by this instance; 0: none.
+ */
 static uint64_t find_known_revision(const struct rr_feed *feed,
 				    const char *text)
 {
@@ -232,8 +242,10 @@
 }
 
 /*
- * Another instance has written the key.  Its entry is merged, and the gate
- * publishes the result if it has more crashes.
+ * Another instance has written the key.  Its entry is passed to the gate, which
+ * merges it and publishes the result if that has more crashes.  If the key was
+ * removed instead, a report that is neither a claim nor a release is sent
+ * again.
  */
 static void handle_conflict(struct rr_context *ctx, struct rr_feed *feed,
 			    const struct rr_feed_reply *reply)
--- a/source/core/feed-source-order.c
+++ b/source/core/feed-source-order.c
@@ -4,8 +4,9 @@
  *
  * The rank decides which instances watch the store, which stand by as watch
  * candidates, which instance of the level above each one asks, and which
- * instances register the others.  Instances do not agree on ranks: differing
- * views of the entries lead to a watch more or less, never to a missed change.
+ * instances register the others.  Instances whose views of the entries differ
+ * may compute different ranks; this costs one watch more or less, but never
+ * misses a change.
  */
 #include "core/feed-source-private.h"
 
@@ -15,8 +16,9 @@
 
 /*
  * Number of watchers of other zones that are asked before the store.  Guards
- * against a store that rejects the first instances of a zone: all others of the
- * zone would watch the store themselves, and each would pay for every change.
+ * against a store that rejects the highest-ranked instances of a zone: all
+ * others of the zone would watch the store themselves, and each would pay for
+ * every change.
  */
 #define REMOTE_WATCHERS_BEFORE_STORE 2
 
@@ -41,7 +43,7 @@
 	guint n_all; /* instances of the zone */
 };
 
-/* How many of them watch the store. */
+/* Return how many instances of the zone watch the store. */
 static guint count_watching(const struct top_ranked *top)
 {
 	return MIN(top->n, rr_zone_watchers(top->n_all));
@@ -76,7 +78,8 @@
 }
 
 /*
- * Zone -> struct top_ranked; this instance is included before its entry exists.
+ * Return a map from zone name to struct top_ranked.  This instance is not in
+ * `sources->instances` and is added here.
  */
 static GHashTable *find_top_ranked(const struct rr_sources *sources)
 {
@@ -106,7 +109,10 @@
 		       1;
 }
 
-/* The instances of its own zone that rank before this one, in order. */
+/*
+ * Return the instances of this instance's zone that rank before it, in order;
+ * *n_following is set to the number of those that rank after it.
+ */
 static GPtrArray *find_preceding(const struct rr_sources *sources,
 				 guint *n_following)
 {
@@ -134,9 +140,9 @@
 struct own_position {
 	guint rank;
 	struct rr_tree_position position;
-	/* NULL: its level asks the watchers */
+	/* NULL: this instance is a watcher, or its parents are the watchers */
 	const struct rr_instance *parent;
-	bool has_children; /* there is a level below it */
+	bool has_children; /* the tree has a level below this instance */
 	bool is_registrar; /* registers itself and others */
 };
 
@@ -178,7 +184,10 @@
 	return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
-/* The other zones in order, starting with one that differs by instance. */
+/*
+ * Return the other zones in cyclic order, starting with one chosen by the hash
+ * of this instance's id, so that instances start with different ones.
+ */
 static GPtrArray *list_remote_zones(const struct rr_sources *sources,
 				    GHashTable *zones)
 {
@@ -240,7 +249,9 @@
 	}
 }
 
-/* Find the registrars of its zone; none if this instance is one itself. */
+/*
+ * Set the registrars of this instance's zone; none if it is a registrar itself.
+ */
 static void find_registrars(struct rr_sources *sources,
 			    const struct top_ranked *local, bool is_registrar)
 {
@@ -259,9 +270,9 @@
 }
 
 /*
- * Append the watch candidates of its own zone: the watchers, starting with one
- * that differs by instance, then the standbys.  With `before`, those that rank
- * before this instance; otherwise those that rank after it.
+ * Append the watch candidates of this instance's zone: the watchers, starting
+ * with one chosen by the hash of its id, then the standbys.  With `before`,
+ * those that rank before this instance; otherwise those that rank after it.
  */
 static void append_local(GPtrArray *order, const struct rr_sources *sources,
 			 const struct top_ranked *local,
--- a/source/core/feed-source-private.h
+++ b/source/core/feed-source-private.h
@@ -7,12 +7,16 @@
 
 #include "core/feed-source.h"
 
+/* Address of the store in the order; those of instances are never empty. */
 #define STORE ""
 
 enum source_kind {
 	SOURCE_STORE,
 	SOURCE_PRECEDING, /* ranks before this instance in its own zone */
-	/* a watch candidate that ranks after it, or of another zone */
+	/*
+	 * A watch candidate of the own zone that ranks after this instance, or
+	 * a watcher of another zone.
+	 */
 	SOURCE_FALLBACK,
 	/* configured at the start; used for range reads only */
 	SOURCE_SEED,
@@ -34,7 +38,7 @@
 	/* entries have changed since the order was built */
 	bool order_is_stale;
 	GPtrArray *registrars;	 /* addresses, char; empty: registers itself */
-	bool has_children;	 /* there is a level below it in its zone */
+	bool has_children;	 /* its zone's tree has a level below it */
 	bool is_watch_candidate; /* it watches, or does so when others fail */
 	uint32_t n_watchers;	 /* number in all zones */
 };
--- a/source/core/feed-source.c
+++ b/source/core/feed-source.c
@@ -15,8 +15,8 @@
 #define MIN_PEER_BACKOFF_US (1 * G_USEC_PER_SEC)
 #define MAX_PEER_BACKOFF_US (8 * G_USEC_PER_SEC)
 /*
- * For a source that ranks before this instance: it soon reconnects to the
- * store.
+ * Longest backoff of a source that ranks before this instance.  Shorter, since
+ * such a source soon reconnects to the store.
  */
 #define MAX_PRECEDING_BACKOFF_US (2 * G_USEC_PER_SEC)
 /*
@@ -186,10 +186,10 @@
 }
 
 /*
- * The first backoff after a failure.  Guards against a store that is
+ * Return the first backoff after a failure.  Guards against a store that is
  * unreachable for all: hundreds of instances without any other source would
- * call it each second.  Only the watch candidates do, and pass changes on to
- * the others.
+ * call it each second.  Only the watch candidates retry it that soon, and they
+ * pass changes on to the others.
  */
 static int64_t min_backoff_us(const struct rr_sources *sources,
 			      const struct source *source)
--- a/source/core/feed-source.h
+++ b/source/core/feed-source.h
@@ -1,6 +1,6 @@
 /*
- * feed-source.h - the source that an instance reads from: the store, or another
- * instance that follows it.
+ * feed-source.h - the source that an instance reads changes from: the store, or
+ * another instance that follows the store.
  */
 #ifndef RAGWORT_CORE_FEED_SOURCE_H
 #define RAGWORT_CORE_FEED_SOURCE_H
@@ -22,7 +22,7 @@
 				  const char *const *seeds);
 void rr_drop_sources(struct rr_sources *sources);
 
-/* Update from an instance's entry; NULL: the entry was removed. */
+/* Update the sources from an instance's entry; NULL: it was removed. */
 void rr_update_source(struct rr_sources *sources, int64_t now_us,
 		      const char *id, const struct rr_instance *instance);
 /*
@@ -55,9 +55,9 @@
  */
 bool rr_may_serve_changes_from(struct rr_sources *sources, const char *address);
 /*
- * The registrar of its zone to ask: the first choice for `turn` 0, and the
- * following ones in turn; valid until the sources change.  NULL: this instance
- * registers itself.
+ * Return the address of the registrar to ask in this instance's zone: the
+ * preferred one for `turn` 0, then the others in turn; valid until the sources
+ * change.  NULL: this instance registers itself.
  */
 const char *rr_find_registrar(struct rr_sources *sources, guint turn);
 /* Whether peers may be read from, see rr_enable_peer_sources(). */
--- a/source/core/feed.c
+++ b/source/core/feed.c
@@ -22,34 +22,38 @@
  * store that compacts its history may leave watches without any reply.
  */
 #define SHORT_WATCH_MS 1000
-/* More than a slow store needs (60 times its usual 4 ms). */
+/* Longer than a slow store takes, which is 60 times its usual 4 ms. */
 #define CALL_TIMEOUT_MS 1500
 /*
- * Divisors of the staleness bound: a peer answers within the first part, and
- * its call times out after the additional second part, which leaves the rest
- * for the store.
+ * Divisors of the staleness bound: a peer answers a watch within
+ * 1/PEER_WAIT_DIVISOR of it, and the call times out 1/PEER_TIMEOUT_DIVISOR
+ * later, which leaves the rest for asking the store.
  */
 #define PEER_WAIT_DIVISOR 4
 #define PEER_TIMEOUT_DIVISOR 8
-/* After this fraction without a reply from any source, the store is asked. */
+/*
+ * The store is asked after this fraction of the staleness bound without a reply
+ * from any source.
+ */
 #define STORE_FALLBACK_DIVISOR 2
 /*
- * Peers that read from this instance are kept waiting for this fraction while
- * it reconnects.
+ * Peers that read from this instance are kept waiting for up to this fraction
+ * of the staleness bound while it reconnects.
  */
 #define SERVE_GRACE_DIVISOR 16
 /*
  * Delay of the next watch after changes, as a fraction of the staleness bound,
  * so that a burst of changes costs one watch instead of one each.  Each change
- * wakes every watch, so the delay grows with the number of watchers, up to a
- * larger fraction.
+ * wakes every watch, so the delay grows with the number of watchers, up to
+ * 1/MAX_MERGE_DIVISOR.
  */
 #define MERGE_DIVISOR 8
 #define WATCHERS_PER_MERGE_STEP 9
 #define MAX_MERGE_DIVISOR 3
 /*
- * Far more than one delay collects in normal operation, far fewer than a
- * truncated reply has.
+ * A reply with this many changes may be truncated, so the next watch is not
+ * delayed.  Far more than are collected during one delay in normal operation,
+ * far fewer than a truncated reply has.
  */
 #define BACKLOG_CHANGES 64
 /*
@@ -139,8 +143,9 @@
 };
 
 /*
- * Log each call that is paid for in full or failed.  Successful renewals and
- * replies of peers are covered by counters.
+ * Log failed calls, and all calls to the store except successful renewals,
+ * which are not charged in full.  Successful renewals and replies of peers are
+ * covered by counters.
  */
 void rr_log_feed_call(struct rr_context *ctx, const struct rr_feed *feed,
 		      const struct rr_feed_call_state *state, const char *peer,
@@ -182,10 +187,10 @@
 }
 
 /*
- * The wait time of the next watch.  A watch that is opened while the store
- * compacts its history may receive nothing until it ends, although renewals are
- * answered.  Hence the first watch after a failure is short, and a long one
- * follows once it has been answered.
+ * Return the wait time of the next watch.  A watch that is opened while the
+ * store compacts its history may receive nothing until it ends, although
+ * renewals are answered.  Hence the first watch after a failure is short, and a
+ * long one follows once it has been answered.
  */
 static uint32_t next_watch_ms(struct rr_feed *feed, bool peer)
 {
@@ -284,9 +289,9 @@
 }
 
 /*
- * Delay before the next watch, after a reply of `n` changes.  The store
- * truncates long replies: many changes may be only a part, and those that
- * follow are already late.
+ * Return the delay of the next watch after a reply of `n` changes.  None after
+ * a long reply, which the store may have truncated: the changes that follow are
+ * already late.
  */
 static int64_t merge_delay_us(const struct rr_feed *feed, guint n)
 {
@@ -534,12 +539,12 @@
 	return feed->revision;
 }
 
-GArray *rr_feed_changes(const struct rr_feed *feed, uint64_t after,
+GArray *rr_feed_changes(const struct rr_feed *feed, uint64_t after_revision,
 			uint64_t *revision)
 {
-	GArray *items = rr_list_changes_after(feed->change_log, after);
+	GArray *items = rr_list_changes_after(feed->change_log, after_revision);
 	uint64_t last_revision =
-		items && after ?
+		items && after_revision ?
 			rr_truncate_changes(items, MAX_SERVED_CHANGES) :
 			0;
 
--- a/source/core/ledger-bucket.c
+++ b/source/core/ledger-bucket.c
@@ -8,13 +8,14 @@
 #include "ragwort/invariant.h"
 
 /*
- * Time that an entry is kept beyond the retention: avoids races at the age
- * limit.
+ * Entries are kept this much longer than the retention, so that an id at the
+ * age limit that was accepted is not below the minimum creation time when its
+ * claim is written.
  */
 #define PRUNE_MARGIN_S 600
 /*
- * The minimum creation time is rounded down to this, so that most writes need
- * not search for expired ids.
+ * The minimum creation time is rounded down to a multiple of this, so that most
+ * writes need not search for expired ids.
  */
 #define PRUNE_GRANULARITY_S 60
 #define FIRST_BACKOFF_MS 50
@@ -77,8 +78,8 @@
 }
 
 /*
- * Keep the entry of a claim that is still tracked, since it has to find its own
- * entry.
+ * Whether pruning must keep an entry: it belongs to a claim that this ledger
+ * still tracks, and the claim has to find it.
  */
 static bool keep_entry(const void *data, const struct rr_ledger_entry *entry)
 {
@@ -90,8 +91,8 @@
 }
 
 /*
- * The newest creation time of an id that passed the age check, by the clock of
- * any instance.
+ * Return the newest creation time of all ids in the bucket and of its pending
+ * claims; each has passed the age check by the clock of some instance.
  */
 static int64_t find_max_created_s(const struct rr_ledger_bucket *bucket)
 {
@@ -108,9 +109,9 @@
 
 /*
  * Raise the minimum creation time to the retention limit by the clock of this
- * instance, but never beyond the retention before the newest id. Otherwise, a
- * clock far ahead of all others would prune entries of ids that the others
- * still accept.
+ * instance, but never beyond the creation time of the newest id minus the
+ * retention. Otherwise, a clock far ahead of all others would prune entries of
+ * ids that the others still accept.
  */
 static void prune_bucket(const struct rr_ledger *ledger,
 			 struct rr_ledger_bucket *bucket, int64_t now_us)
@@ -154,7 +155,7 @@
 }
 
 /*
- * Apply the pending claims to the value. Returns whether it has to be written.
+ * Apply the pending claims to the value. Return whether it has to be written.
  */
 static bool apply_pending_claims(struct rr_context *ctx,
 				 struct rr_ledger *ledger,
--- a/source/core/ledger-private.h
+++ b/source/core/ledger-private.h
@@ -138,15 +138,15 @@
 bool rr_claim_needs_read(const struct rr_claim *claim);
 /*
  * Check a claim against a value that was just read or written, before anything
- * in the value is changed. Returns whether the claim is settled and needs no
+ * in the value is changed. Return whether the claim is settled and needs no
  * further store call.
  */
 bool rr_resolve_claim(struct rr_context *ctx, struct rr_ledger *ledger,
 		      struct rr_claim *claim);
 /*
  * Apply the claim's change to the cached bucket value, or settle the claim.
- * Returns whether the value must be written for it. Sets `*finished` if the
- * claim needs no further store call.
+ * Return whether the value must be written for it. Set `*finished` if the claim
+ * needs no further store call.
  */
 bool rr_apply_claim(struct rr_context *ctx, struct rr_ledger *ledger,
 		    struct rr_claim *claim, bool *finished);
--- a/source/core/member-gossip.c
+++ b/source/core/member-gossip.c
@@ -83,9 +83,11 @@
 }
 
 /*
- * Guards against a member that never learns the last of many changes: after a
- * partition, or when all instances start at once, most of the entries that
- * happen to be sent are already known, and the rest would take minutes.
+ * Count the consecutive acks with a different digest; after several, a full
+ * sync is requested. Guards against a member that never learns the last of many
+ * changes: after a partition, or when all instances start at once, most of the
+ * entries that happen to be sent are already known, and the rest would take
+ * minutes.
  */
 void rr_compare_digest(struct rr_members *members,
 		       const struct rr_peer_message *ack)
--- a/source/core/member-private.h
+++ b/source/core/member-private.h
@@ -107,7 +107,10 @@
 	int64_t next_period_us;
 	/* last wake-up time computed for the caller */
 	int64_t reported_wake_us;
-	/* how slow this instance itself seems; 0: not slow */
+	/*
+	 * Raised while this instance itself seems slow; the period and ack
+	 * timeout of probes are multiplied by 1 + this.
+	 */
 	uint32_t local_slowness;
 	uint32_t periods;
 	GArray *requested_pings; /* struct requested_ping */
--- a/source/core/members-view.c
+++ b/source/core/members-view.c
@@ -5,8 +5,8 @@
 #include "core/core-private.h"
 
 /*
- * Instances are replaced every day under new names; this many peers beyond
- * twice the member count are kept before old ones are removed.
+ * Instances are replaced every day under new names, so old peers are removed
+ * once there are this many more peers than twice the member count.
  */
 #define MAX_EXTRA_PEERS 64
 #define PEER_RETENTION_US (600 * G_USEC_PER_SEC)
--- a/source/core/owner.c
+++ b/source/core/owner.c
@@ -66,7 +66,10 @@
 	return precomputed ? precomputed : rr_hash_name(name);
 }
 
-/* `zone_hash` 0: members of all zones. */
+/*
+ * Find the owners among the members of one zone; of all zones if `zone_hash` is
+ * 0.
+ */
 static size_t find_in_zone(const char *name, uint64_t zone_hash,
 			   const struct rr_member_ref *members,
 			   size_t n_members, size_t k, size_t *owners)
--- a/source/core/relay-reply.c
+++ b/source/core/relay-reply.c
@@ -1,5 +1,5 @@
 /*
- * relay-reply.c - merging of an owner's reply into the query.
+ * relay-reply.c - merging of the reply to a relay into the query that sent it.
  */
 #include "core/core-private.h"
 
@@ -7,7 +7,7 @@
 
 /*
  * Return the position of a shard's task in the relay. Outcomes usually have the
- * same order, so the search starts at `guess`. Returns the number of tasks if
+ * same order, so the search starts at `guess`. Return the number of tasks if
  * there is none.
  */
 static guint find_task_position(const struct rr_query *query,
@@ -63,7 +63,7 @@
 }
 
 /*
- * Merge the rows of the reply. Returns false if they do not match the version
+ * Merge the rows of the reply. Return false if they do not match the version
  * that the query is pinned to, or lie outside the reported ranges.
  */
 static bool merge_reply(struct rr_context *ctx, struct rr_core *core,
@@ -102,8 +102,8 @@
 }
 
 /*
- * Mark the replicas of a zone as tried: the owner has tried all it can use
- * there, but another zone may have more.
+ * Mark the replicas of a zone as tried: the owner has tried all that it can use
+ * there. Replicas of other zones may still be tried.
  */
 static void mark_zone_tried(struct rr_query *query, struct rr_task *task,
 			    const char *zone)
@@ -235,8 +235,8 @@
 	bool valid;
 
 	/*
-	 * Late, duplicate, or from an earlier incarnation of the owner: does
-	 * not belong to a query.
+	 * The reply is late, a duplicate, or from another incarnation of the
+	 * owner, and belongs to no query.
 	 */
 	if (!outgoing) {
 		rr_count(ctx, RR_N_LATE_REPLIES, 1);
--- a/source/core/relay-serve.c
+++ b/source/core/relay-serve.c
@@ -1,8 +1,9 @@
 /*
- * relay-serve.c - relays at the owner.
+ * relay-serve.c - serving of relays at an owner, an instance that holds
+ * connections to the replicas.
  *
- * The shards that a peer requests are run as a query of this instance which is
- * never relayed further, and their rows are sent back merged.
+ * The shards that a peer requests are run as a query of this instance, which is
+ * never relayed further. Their rows are merged and sent back.
  */
 #include "core/core-private.h"
 
@@ -14,8 +15,8 @@
 #define SERVED_RELAY_RETENTION_US (600 * G_USEC_PER_SEC)
 
 /*
- * Progress is reported after the time-out of an attempt divided by this, or
- * earlier.
+ * Progress is reported after at most this fraction of the attempt timeout, so
+ * that the peer does not time out first; MIN_PROGRESS_US may make it later.
  */
 #define PROGRESS_TIMEOUT_DIVISOR 4
 #define MIN_PROGRESS_US 5000
--- a/source/core/relay.c
+++ b/source/core/relay.c
@@ -1,5 +1,5 @@
 /*
- * relay.c - relays at the requesting instance.
+ * relay.c - sending of relays to owners, their timeouts and cancellation.
  *
  * Shards whose replicas this instance holds no connections to are sent to an
  * owner, in one message per owner and query.
@@ -18,11 +18,11 @@
 #define RETURN_MARGIN_MS 3
 #define RETURN_MARGIN_DIVISOR 20
 /*
- * Added to the time-out of an attempt: by then an owner has reported its
+ * Added to the attempt timeout for a relay: by then an owner has reported its
  * progress.
  */
 #define RELAY_TIMEOUT_MARGIN_MS 20
-/* Back-off of a peer after a relay to it timed out. */
+/* Backoff of a peer after a relay to it timed out. */
 #define MIN_BACKOFF_US (500 * 1000)
 #define MAX_BACKOFF_US (4 * G_USEC_PER_SEC)
 
@@ -349,7 +349,7 @@
 }
 
 /*
- * An owner reports its progress well before this time-out. If it sent any
+ * An owner reports its progress well before this timeout. If it sent any
  * message since, it is alive and processing the shards; sending them to another
  * owner as well would only add load.
  */
--- a/source/core/snapshot.c
+++ b/source/core/snapshot.c
@@ -1,18 +1,19 @@
 /*
- * snapshot.c - the index version to which a query is pinned.
+ * snapshot.c - selection of the index version that new queries of a service are
+ * pinned to.
  */
 #include "core/core-private.h"
 
 /* Maximum number of versions compared; more are never in use at once. */
 #define MAX_CANDIDATES 16
 /*
- * Minimum number of replicas that hold a version, relative to the most widely
- * held one.
+ * A version is pinned only if it is held by at least this share of the number
+ * of replicas that hold the most widely held version.
  */
 #define MIN_REPLICA_SHARE 0.95
 /*
- * Lifetime of a pin; a latency-first pin follows the fastest replicas and has
- * to be refreshed.
+ * Lifetime of a pin.  In latency mode the pin depends on which replicas are the
+ * fastest, so it has to be refreshed even if no version has changed.
  */
 #define PIN_LIFETIME_US (100 * 1000)
 
@@ -115,7 +116,11 @@
 		count_shard(core, &map->shards[i], latency_first, candidates);
 }
 
-/* Number of shards that must hold a version for it to be pinned. */
+/*
+ * Return the number of shards that must hold a version for it to be pinned: as
+ * many as the most widely held one has, in latency mode the minimum coverage of
+ * these.
+ */
 static size_t shards_needed(const struct rr_service_config *config,
 			    const struct candidates *candidates)
 {
