--- a/source/core/config-apply.c
+++ b/source/core/config-apply.c
@@ -96,7 +96,10 @@
 	return service;
 }
 
-/* Point the replicas of a map at their shard and add them to the list. */
+/*
+ * Point the replicas of a map at their shards, and add those that are attached
+ * to no shard yet to core->replica_list.
+ */
 static void adopt_replicas(struct rr_core *core, struct rr_service_map *map)
 {
 	for (size_t i = 0; i < map->n_shards; i++) {
@@ -146,8 +149,9 @@
 }
 
 /*
- * Detach all maps and replicas of the old configuration.  adopt_replicas()
- * attaches those that the new one contains again, with their state.
+ * Detach all maps and replicas of the old configuration.  Replicas that the new
+ * configuration contains are attached again by adopt_replicas(), with their
+ * state.
  */
 static GPtrArray *detach_all(struct rr_core *core, GPtrArray *old_maps)
 {
--- a/source/core/ledger-bucket.c
+++ b/source/core/ledger-bucket.c
@@ -232,7 +232,10 @@
 	return wait_ms;
 }
 
-/* The store does not answer, which concerns the claims of all buckets. */
+/*
+ * Handle a call that the store did not answer: reject the pending claims of all
+ * buckets, since their calls would fail as well.
+ */
 static void handle_store_failure(struct rr_context *ctx,
 				 struct rr_ledger *ledger,
 				 struct rr_ledger_bucket *bucket,
--- a/source/core/ledger-claim.c
+++ b/source/core/ledger-claim.c
@@ -149,7 +149,7 @@
 	/*
 	 * An earlier write of this claim may still take effect: any outcome but
 	 * RR_CLAIM_ACQUIRED has to wait until a later write changes the
-	 * revision and so invalidates it.
+	 * revision and so invalidates the earlier one.
 	 */
 	reason = entry ? NULL : find_reject_reason(claim, &retry_after_ms);
 	if ((entry || reason) && claim->in_doubt)
--- a/source/core/ledger-private.h
+++ b/source/core/ledger-private.h
@@ -20,7 +20,7 @@
 	int64_t created_s;
 	uint64_t fingerprint;
 	enum rr_claim_state state;
-	/* valid only while it holds this claim */
+	/* valid only while the claim is in its pending_claims */
 	struct rr_ledger_bucket *bucket;
 	/*
 	 * Logical time of the request: a bucket value with an older stamp is
--- a/source/core/ledger.c
+++ b/source/core/ledger.c
@@ -115,7 +115,7 @@
 }
 
 /*
- * Report queued outcomes. This is the only place that does, when no bucket is
+ * Report queued outcomes. Outcomes are reported only here, while no bucket is
  * being processed.
  */
 static void report_outcomes(struct rr_ledger *ledger)
--- a/source/core/member-private.h
+++ b/source/core/member-private.h
@@ -12,7 +12,10 @@
 
 /* Maximum number of updates in a ping or ack, the sender's own included. */
 #define RR_MEMBER_MAX_UPDATES 24
-/* Of these, entries sent because the digests of the two sides differ. */
+/*
+ * Maximum number of these that are sent because the digests of the two sides
+ * differ.
+ */
 #define RR_MEMBER_MAX_REPAIR 12
 /* Maximum number of updates in the full-sync ack for a new member. */
 #define RR_MEMBER_MAX_FULL_SYNC 4000
@@ -108,8 +111,9 @@
 	/* last wake-up time computed for the caller */
 	int64_t reported_wake_us;
 	/*
-	 * Raised while this instance itself seems slow; the period and ack
-	 * timeout of probes are multiplied by 1 + this.
+	 * Raised when this instance itself seems slow (it was paused, or others
+	 * suspected it), lowered by each answered probe. The period and the ack
+	 * timeout of probes are multiplied by 1 + local_slowness.
 	 */
 	uint32_t local_slowness;
 	uint32_t periods;
--- a/source/core/member-probe.c
+++ b/source/core/member-probe.c
@@ -1,8 +1,9 @@
 /*
  * member-probe.c - probing of members.
  *
- * Each period pings one of the members that this instance watches, in a
- * shuffled order, so that each is pinged once per round.
+ * This instance probes a fixed choice of members, see start_round(). In each
+ * period it pings one of them, in a shuffled order, so that each is pinged once
+ * per round.
  */
 #include <string.h>
 
@@ -44,7 +45,7 @@
 		order->pdata[lowest] = member;
 }
 
-/* A member that joins and is to be watched is probed in the current round. */
+/* Add a member to the current round if it is one of those to be probed. */
 void rr_insert_in_probe_order(struct rr_context *ctx,
 			      struct rr_members *members, struct member *member)
 {
--- a/source/core/member-table.c
+++ b/source/core/member-table.c
@@ -98,7 +98,10 @@
 		members->n_suspicions++;
 }
 
-/* Add a member to the totals or remove it; called around each change. */
+/*
+ * Add a member to the totals, or subtract it: before a change of the member it
+ * is subtracted, and added again afterwards.
+ */
 static void update_totals(struct rr_members *members,
 			  const struct member *member, bool add)
 {
--- a/source/core/member.c
+++ b/source/core/member.c
@@ -150,7 +150,10 @@
 	members->applying_full_sync = false;
 }
 
-/* A message of any other kind proves that its sender is alive. */
+/*
+ * Handle a message other than a ping, ack or ping request: it proves that its
+ * sender is alive.
+ */
 static void mark_sender_alive(struct rr_members *members, struct member *from,
 			      const struct rr_peer_message *message)
 {
