--- a/include/ragwort/invariant.h
+++ b/include/ragwort/invariant.h
@@ -1,7 +1,8 @@
 /*
  * invariant.h - checks that abort the process when an invariant is violated.
  *
- * They are part of every build.  All other failures are returned as values.
+ * Unlike assert(), they are compiled into every build.  All other failures are
+ * returned as values.
  */
 #ifndef RAGWORT_INVARIANT_H
 #define RAGWORT_INVARIANT_H
--- a/include/ragwort/program.h
+++ b/include/ragwort/program.h
@@ -22,7 +22,8 @@
 	 * --settings; NULL if there is none.
 	 */
 	const char *settings_env_var;
-	const char *signals_help; /* lines of --help, each with \n */
+	/* Lines of --help about signals, each ending in \n. */
+	const char *signals_help;
 	/* Reads the start file, then runs unless check_only. */
 	enum rr_program_exit (*run)(const char *file, bool check_only);
 };
--- a/include/ragwort/push.h
+++ b/include/ragwort/push.h
@@ -46,7 +46,10 @@
 	bool is_retry;
 	const char *author;
 	int64_t when_s;
-	/* Store calls that may fail or conflict before the push ends; 0: 20. */
+	/*
+	 * Number of failed or conflicting store calls after which the push
+	 * ends; 0 stands for 20.
+	 */
 	uint32_t max_tries;
 };
 
--- a/include/ragwort/settings.h
+++ b/include/ragwort/settings.h
@@ -20,7 +20,10 @@
 	char *file;
 	uint32_t line; /* from 1 */
 	char *message; /* what was found and what is allowed */
-	/* The file is accepted; the key's default replaces the value. */
+	/*
+	 * A warning does not reject the file: the key's default is used
+	 * instead of the invalid value.
+	 */
 	bool is_warning;
 };
 
@@ -74,7 +77,7 @@
 	char *peer_secret_key_file;
 	char **peer_allowed_keys; /* NULL-terminated, never NULL itself */
 	uint32_t max_body_bytes;
-	uint32_t caller_idle_ms;    /* to send a request or read an answer */
+	uint32_t caller_idle_ms; /* limit to send a request or read an answer */
 	uint32_t caller_rate_per_s; /* for each address; 0: no limit */
 	uint32_t caller_max_connections;
 };
@@ -98,10 +101,11 @@
 	char *store_address;   /* IP:PORT of the platform's store */
 	char *peer_address;    /* IP:PORT to listen on for peers; NULL: none */
 	/* IP:PORT of peers to contact while the store is unreachable. */
-	char **seed_peers;	/* NULL-terminated, never NULL itself */
-	char **zone_regions;	/* "ZONE/REGION"; as seed_peers */
-	double strength;	/* processor cores of this instance */
-	uint32_t news_bound_ms; /* until a change in the store is known */
+	char **seed_peers;   /* NULL-terminated, never NULL itself */
+	char **zone_regions; /* "ZONE/REGION"; NULL-terminated, never NULL */
+	double strength;     /* processor cores of this instance */
+	/* Longest time until this instance knows a change in the store. */
+	uint32_t news_bound_ms;
 	/*
 	 * Attempts beyond the first that a service may get in any
 	 * extra_window_ms: extra_share of its requests, plus extra_slack.
@@ -114,7 +118,7 @@
 	 */
 	double cold_overage;
 	double cold_slack;
-	/* Longest time until an evacuation is known; 0: news_bound_ms. */
+	/* As news_bound_ms, for evacuations; 0: the same as news_bound_ms. */
 	uint32_t evacuation_bound_ms;
 	uint32_t extra_window_ms;
 	uint32_t stop_timeout_ms;
--- a/source/base/counters.c
+++ b/source/base/counters.c
@@ -67,7 +67,7 @@
 	return MIN(bucket, BUCKET_COUNT - 1);
 }
 
-/* The upper bound of a bucket, rounded up to a microsecond. */
+/* Return the upper bound of a bucket, rounded up to a microsecond. */
 static int64_t bucket_bound_us(int bucket)
 {
 	return (int64_t)ceil(exp2((bucket + 1.0) / BUCKETS_PER_DOUBLING));
@@ -124,11 +124,11 @@
 	return g_string_free(out, FALSE);
 }
 
-static void format_histogram(const char *label,
+static void format_histogram(const char *service,
 			     const struct rr_histogram *histogram, GString *out)
 {
 	static const char name[] = "ragwort_answer_seconds";
-	char *service = escape_label(label);
+	char *escaped_service = escape_label(service);
 	uint64_t cumulative_count = 0;
 	int bucket = 0;
 
@@ -141,17 +141,18 @@
 		g_string_append_printf(
 			out,
 			"%s_bucket{service=\"%s\",le=\"%g\"} %" PRIu64 "\n",
-			name, service, (double)bound_us / 1e6,
+			name, escaped_service, (double)bound_us / 1e6,
 			cumulative_count);
 	}
 	g_string_append_printf(
 		out, "%s_bucket{service=\"%s\",le=\"+Inf\"} %" PRIu64 "\n",
-		name, service, histogram->count);
+		name, escaped_service, histogram->count);
 	g_string_append_printf(out, "%s_sum{service=\"%s\"} %.6f\n", name,
-			       service, (double)histogram->sum_us / 1e6);
+			       escaped_service,
+			       (double)histogram->sum_us / 1e6);
 	g_string_append_printf(out, "%s_count{service=\"%s\"} %" PRIu64 "\n",
-			       name, service, histogram->count);
-	g_free(service);
+			       name, escaped_service, histogram->count);
+	g_free(escaped_service);
 }
 
 void rr_format_metrics(struct rr_context *ctx, GString *out)
--- a/source/base/fingerprint.c
+++ b/source/base/fingerprint.c
@@ -10,8 +10,8 @@
 #define HALF_DIGITS 16
 
 /*
- * Prefixes each part with its length, so that moving bytes from one part to
- * the next changes the hash.
+ * Add a part to the hash, preceded by its length.  Without the length, moving
+ * bytes from one part to the next would not change the hash.
  */
 static void add_part(GChecksum *hash, const void *bytes, size_t length)
 {
--- a/source/base/json-private.h
+++ b/source/base/json-private.h
@@ -1,5 +1,5 @@
 /*
- * json-private.h - JSON text appended to a string.
+ * json-private.h - function that appends a JSON string to a text.
  */
 #ifndef RAGWORT_JSON_PRIVATE_H
 #define RAGWORT_JSON_PRIVATE_H
--- a/source/base/json.c
+++ b/source/base/json.c
@@ -12,7 +12,7 @@
 
 /*
  * Count the bytes before the first one that needs an escape.  Long values
- * usually have none, and are then copied at once.
+ * usually need none, so that the caller copies them in one call.
  */
 static size_t count_unescaped(const char *text)
 {
--- a/source/base/log.c
+++ b/source/base/log.c
@@ -15,7 +15,7 @@
 	[RR_LOG_DEBUG] = "debug",
 };
 
-/* Lines of one event in the current second. */
+/* Rate limit of one event: its lines in the current second. */
 struct log_window {
 	int64_t second;
 	uint32_t lines;
--- a/source/wire/compress.h
+++ b/source/wire/compress.h
@@ -1,7 +1,5 @@
 /*
- * compress.h - zlib compression to base64 text.
- *
- * For messages between instances.
+ * compress.h - zlib compression to base64 text, for messages between instances.
  */
 #ifndef RAGWORT_WIRE_COMPRESS_H
 #define RAGWORT_WIRE_COMPRESS_H
--- a/source/wire/ledger-value.h
+++ b/source/wire/ledger-value.h
@@ -1,7 +1,10 @@
 /*
  * ledger-value.h - value of one ledger bucket and its protobuf encoding.
  *
- * proto/ledger.proto defines the encoding.
+ * The ledger records the ids and results of requests that must run at most
+ * once, such as reservations, so that a repeated request does not run again.
+ * Ids are distributed over buckets, each of which is one key of the platform's
+ * key-value service.  proto/ledger.proto defines the encoding.
  */
 #ifndef WIRE_LEDGER_VALUE_H
 #define WIRE_LEDGER_VALUE_H
@@ -12,10 +15,10 @@
 #include <stdint.h>
 
 struct rr_ledger_entry {
-	char *name;	      /* SERVICE/ID */
-	int64_t created_s;    /* of the id, in seconds since 1970 */
+	char *name;	   /* SERVICE/ID */
+	int64_t created_s; /* creation time of the id, in seconds since 1970 */
 	uint64_t fingerprint; /* of the request */
-	/* The claim's nonce: instance, incarnation and sequence. */
+	/* Nonce that identifies the claim: instance, incarnation, sequence. */
 	char *instance;
 	uint64_t incarnation;
 	uint64_t sequence;
--- a/source/wire/wire-upstream.c
+++ b/source/wire/wire-upstream.c
@@ -14,7 +14,7 @@
 
 #define MAX_DEPTH 64
 
-/* Members of the body's object and of a row; NONE for unknown ones. */
+/* Members of the body's object and of a row; FIELD_NONE is an unknown one. */
 enum field {
 	FIELD_NONE,
 	FIELD_VERSION,
@@ -67,7 +67,7 @@
 	uint32_t seen_fields;	  /* bits of the body's members */
 	uint32_t seen_row_fields; /* bits of the current row's members */
 	uint64_t row_key;
-	size_t value_start; /* of a value copied verbatim */
+	size_t value_start; /* offset in `text` of a value copied verbatim */
 	size_t row_start;
 	size_t row_length;
 	uint64_t bounds[2]; /* of the current range */
@@ -92,6 +92,7 @@
 	return 0;
 }
 
+/* Return whether the parser is at this depth in the body's member `list`. */
 static bool in_list(const struct decoder *d, enum field list, int depth)
 {
 	return d->field == list && d->depth == depth;
--- a/source/wire/wire-validate.c
+++ b/source/wire/wire-validate.c
@@ -25,9 +25,9 @@
 }
 
 /*
- * Parse a decimal number of at most `max` and return the position after it;
- * NULL if there is none.  Leading zeros are rejected, since some resolvers read
- * them as octal.
+ * Parse a decimal number of at most `max` and return the position after it,
+ * or NULL if there is no such number.  Leading zeros are rejected, since some
+ * resolvers read them as octal.
  */
 static const char *parse_number(const char *at, uint32_t max, uint32_t *number)
 {
