--- a/source/daemon/daemon.c
+++ b/source/daemon/daemon.c
@@ -1,5 +1,5 @@
 /*
- * daemon.c - Connects the core with the network adapters.
+ * daemon.c - connects the core with the network adapters.
  *
  * Adapters pass their events to the core; the core's actions call the
  * adapters.
@@ -18,13 +18,16 @@
 #include "ragwort/net-upstream.h"
 #include "ragwort/record.h"
 
-/* Number of instances per zone that watch the configuration record. */
+/*
+ * Number of instances per zone that watch the configuration record.  The others
+ * receive it from their peers.
+ */
 #define WATCHERS_PER_ZONE 2
 /* A draining instance exits once it has been idle for this long. */
 #define DRAIN_IDLE_US (300 * 1000)
 #define DRAIN_CHECK_MS 20
 
-/* Event source that ticks the core at the wake-up time it requested. */
+/* Event source that calls rr_core_tick() at the time the core requested. */
 struct tick_source {
 	GSource source; /* must be first: GLib allocates the whole struct */
 	struct rr_daemon *daemon;
@@ -54,8 +57,8 @@
 };
 
 /*
- * Called after each event: the core may request an earlier tick, and its
- * readiness may change.
+ * Update the time of the next tick, and log a change of readiness.  Called
+ * after each event, since an event can change both.
  */
 static void update_after_event(struct rr_daemon *daemon)
 {
@@ -183,8 +186,8 @@
 }
 
 /*
- * The core must not be called from inside its own actions, so the record is
- * applied from an idle source.
+ * Queue a record that the core received from a peer.  The core must not be
+ * called from inside its own actions, so an idle source applies the record.
  */
 static void queue_record(void *data, const char *record, size_t length)
 {
@@ -306,10 +309,10 @@
 /* Signals. */
 
 /*
- * A draining instance exits when the core has no work left, every reply is
- * written and nothing new has arrived for DRAIN_IDLE_US.  Without the idle
- * time, a caller's request or a forwarded one that was in transit when the
- * drain started would be aborted.
+ * Exit the main loop of a draining instance when the core has no work left,
+ * every reply is written and nothing new has arrived for DRAIN_IDLE_US.
+ * Without the idle time, a caller's request or a forwarded one that was in
+ * transit when the drain started would be aborted.
  */
 static gboolean check_drained(gpointer data)
 {
@@ -534,7 +537,7 @@
 	rr_drop_peer_transport(daemon->peers);
 	rr_drop_platform_client(daemon->platform);
 	rr_drop_upstream_client(daemon->upstreams);
-	/* Operations that the adapters cancelled are freed by the main loop. */
+	/* Let the main loop free the operations that the adapters cancelled. */
 	while (g_main_context_iteration(NULL, FALSE))
 		;
 	rr_drop_core(daemon->core);
--- a/source/daemon/daemon.h
+++ b/source/daemon/daemon.h
@@ -1,5 +1,5 @@
 /*
- * daemon.h - An instance: the core and its network adapters on one main loop.
+ * daemon.h - an instance: the core and its network adapters on one main loop.
  */
 #ifndef RAGWORT_DAEMON_H
 #define RAGWORT_DAEMON_H
--- a/source/daemon/logger.c
+++ b/source/daemon/logger.c
@@ -1,5 +1,5 @@
 /*
- * logger.c - Log output to stderr, and the log settings in effect.
+ * logger.c - log output to stderr, and the log settings in effect.
  */
 #include <stdio.h>
 
--- a/source/daemon/main.c
+++ b/source/daemon/main.c
@@ -1,5 +1,5 @@
 /*
- * main.c - Entry point of ragwortd.
+ * main.c - entry point of ragwortd.
  */
 #include <stdio.h>
 
@@ -8,7 +8,7 @@
 
 #define PROGRAM "ragwortd"
 
-/* Returns NULL if the file is unreadable or invalid; prints all errors. */
+/* Read the start file.  On failure, print all errors and return NULL. */
 static struct rr_start_settings *read_settings(const char *file)
 {
 	GPtrArray *diagnostics = rr_new_diagnostics();
--- a/source/daemon/reload.c
+++ b/source/daemon/reload.c
@@ -1,5 +1,5 @@
 /*
- * reload.c - Reload of certificate, tokens and peer keys on SIGHUP.
+ * reload.c - reload of certificate, tokens and peer keys on SIGHUP.
  */
 #include "daemon/reload.h"
 
@@ -57,7 +57,7 @@
 	return ok;
 }
 
-/* Log the result of one part and clear the error; true on success. */
+/* Log whether `what` was reloaded, clear the error; return true on success. */
 static bool log_result(struct rr_context *ctx, const char *what, GError **error)
 {
 	bool ok = !*error;
@@ -74,8 +74,9 @@
 }
 
 /*
- * The parts are reloaded independently of each other: a certificate that is
- * expired or unreadable must not keep a removed peer key accepted.
+ * Caller and peer credentials are reloaded independently of each other: a
+ * certificate that is expired or unreadable must not keep a removed peer key
+ * accepted.
  */
 void rr_reload_credentials(struct rr_context *ctx,
 			   const struct rr_reload_targets *targets)
--- a/source/daemon/reload.h
+++ b/source/daemon/reload.h
@@ -1,5 +1,5 @@
 /*
- * reload.h - Reload of an instance's credentials without a restart.
+ * reload.h - reload of an instance's credentials without a restart.
  */
 #ifndef RAGWORT_DAEMON_RELOAD_H
 #define RAGWORT_DAEMON_RELOAD_H
--- a/source/daemon/start-file.c
+++ b/source/daemon/start-file.c
@@ -1,5 +1,5 @@
 /*
- * start-file.c - Reading of an instance's start file.
+ * start-file.c - reading of an instance's start file.
  */
 #include "daemon/daemon.h"
 
--- a/source/settings/gateway-settings.c
+++ b/source/settings/gateway-settings.c
@@ -3,7 +3,10 @@
  */
 #include "settings/settings-table.h"
 
-/* Limits of attempts beyond the first and of requests to cold replicas. */
+/*
+ * DEFAULT_EXTRA_* limit the attempts beyond the first, DEFAULT_COLD_OVERAGE the
+ * requests to cold replicas.
+ */
 #define DEFAULT_EXTRA_SHARE 0.1
 #define DEFAULT_EXTRA_SLACK 10
 #define DEFAULT_EXTRA_WINDOW_MS 10000
@@ -11,10 +14,10 @@
 #define DEFAULT_STOP_TIMEOUT_MS 10000
 #define DEFAULT_STRENGTH 1
 #define DEFAULT_NEWS_BOUND_MS 3000
-/* Half of the file descriptors of a small instance. */
+/* Half of the file descriptors that a small instance may open. */
 #define DEFAULT_MAX_CONNECTIONS 2000
 #define DEFAULT_MAX_LINES_PER_S 400
-/* Takes about 1 % of a small instance's processor. */
+/* Logging this many lines takes about 1 % of a small instance's CPU time. */
 #define DEFAULT_REQUEST_LINES_PER_S 100
 
 void rr_init_gateway_settings(struct rr_gateway_settings *settings)
--- a/source/settings/overlay.c
+++ b/source/settings/overlay.c
@@ -17,7 +17,7 @@
 	return NULL;
 }
 
-/* Map the identity of each list element to its node. */
+/* Map the identity of each list element, such as its name, to its node. */
 static GHashTable *index_list(const struct rr_yaml_node *list,
 			      const char *identity)
 {
@@ -53,7 +53,10 @@
 		g_ptr_array_remove(list->items, match);
 		return;
 	}
-	/* The base was changed after the overlay, or a name is misspelt. */
+	/*
+	 * The base may have changed since the overlay was written, or the name
+	 * is misspelt.
+	 */
 	quoted = rr_quote_text(name);
 	rr_add_diagnostic(diagnostics, element->file, element->line,
 			  "remove: the base has no %s %s here", identity,
--- a/source/settings/push.c
+++ b/source/settings/push.c
@@ -22,9 +22,9 @@
 	struct rr_push_result result;
 	char *message;
 	struct rr_push_step step;
-	char *value;		   /* of the swap in flight */
-	uint64_t next_revision;	   /* of the record after the swap in flight */
-	uint64_t highest_revision; /* of the key in any reply */
+	char *value;		/* new record, written by the swap in flight */
+	uint64_t next_revision; /* of that record */
+	uint64_t highest_revision; /* of the key, in the replies to reads */
 	/*
 	 * A swap that expects unresolved_revision got no reply.  While the key
 	 * still has that revision, the swap may yet take effect.
@@ -32,7 +32,7 @@
 	bool unresolved_write;
 	uint64_t unresolved_revision;
 	uint32_t tries;	    /* store calls that failed or conflicted */
-	bool wait_returned; /* by rr_push_step(), or no wait is due */
+	bool wait_returned; /* rr_push_step() has returned the wait, if any */
 };
 
 static void end_push(struct rr_push *push, enum rr_push_status status,
@@ -134,7 +134,9 @@
 	return &push->result;
 }
 
-/* Whether a write of this change may have taken effect or may yet do so. */
+/*
+ * Return whether a write of this change may have taken effect or may yet do so.
+ */
 static bool may_be_written(const struct rr_push *push)
 {
 	return push->unresolved_write || push->options.is_retry;
@@ -166,7 +168,10 @@
 
 static void handle_failure(struct rr_context *ctx, struct rr_push *push)
 {
-	/* A push that has no write in flight can report "not written". */
+	/*
+	 * If no write of this change can have taken effect, the push ends as
+	 * not written.  Otherwise it must read the record to find out.
+	 */
 	if (may_be_written(push))
 		retry_or_end(ctx, push);
 	else
@@ -220,7 +225,7 @@
 }
 
 /*
- * Whether a change alters the number of ledger buckets.  The number determines
+ * Return whether a change alters the number of ledger buckets, which determines
  * which ledger key a request id maps to.  With another number, an id that was
  * claimed before would be looked up under another key, not be found there, and
  * its request would run a second time.  So the number must not change once set.
--- a/source/settings/record-json.c
+++ b/source/settings/record-json.c
@@ -263,11 +263,11 @@
 }
 
 /*
- * Whether a text has only characters that JSON allows outside of strings and is
- * nested at most MAX_DEPTH levels; a record has four levels.  The parser is
- * recursive: a megabyte of brackets would overflow the stack and crash the
- * process.  The parser also accepts comments, in which a quote would hide the
- * brackets after it from this check, so other characters are rejected.
+ * Return whether a text has only characters that JSON allows outside of
+ * strings and is nested at most MAX_DEPTH levels; a record has four levels.
+ * The parser is recursive: a megabyte of brackets would overflow the stack and
+ * crash the process.  The parser also accepts comments, in which a quote would
+ * hide the brackets after it from this check, so other characters are rejected.
  */
 static bool is_shallow_json(const char *text, size_t length)
 {
--- a/source/settings/record-private.h
+++ b/source/settings/record-private.h
@@ -18,7 +18,7 @@
 	uint64_t revision;
 	GHashTable *files; /* file name to struct rr_config_file */
 	size_t n_changes;
-	/* Newest first. */
+	/* The latest changes, newest first. */
 	struct rr_config_change changes[RR_MAX_CONFIG_CHANGES];
 };
 
--- a/source/settings/reference.c
+++ b/source/settings/reference.c
@@ -31,7 +31,10 @@
 	{ RR_SCOPE_GATEWAY_LOG, "`log`", NULL },
 };
 
-/* Structs with the default values of all settings. */
+/*
+ * One struct per scope, initialised to the defaults.  A setting's default is
+ * read from the struct of its scope at the setting's offset.
+ */
 struct default_values {
 	struct rr_config *config;
 	struct rr_service_config service;
--- a/source/settings/settings-table.c
+++ b/source/settings/settings-table.c
@@ -17,7 +17,7 @@
 #define MAX_TIME_MS 600000
 #define MAX_TIME_S 3600
 #define MAX_COUNT 1000000
-/* Above any useful multiple of a service's requests. */
+/* Limit of shares and multiples of requests; above any useful value. */
 #define MAX_SHARE 1000
 
 /* In the order of enum rr_answer_mode. */
--- a/source/settings/settings-table.h
+++ b/source/settings/settings-table.h
@@ -58,7 +58,7 @@
 	const char *const *choices; /* NULL-terminated; RR_TYPE_ENUM */
 	enum rr_setting_scope inner_scope;
 	bool required;
-	bool is_identity;     /* identifies its list element */
+	bool is_identity;     /* its value identifies an element of a list */
 	bool base_only;	      /* not in overlays; same for all sites */
 	bool overlay_only;    /* not in a base file */
 	bool not_in_defaults; /* not allowed in `defaults` */
@@ -80,7 +80,10 @@
 					 const char *name);
 /* Return the key that identifies an element of a list; NULL if none. */
 const char *rr_find_identity_key(enum rr_setting_scope scope);
-/* Whether a setting is allowed in a scope; `defaults` has service keys. */
+/*
+ * Return whether a setting is allowed in a scope.  RR_SCOPE_DEFAULTS allows the
+ * settings of RR_SCOPE_SERVICE without not_in_defaults.
+ */
 bool rr_is_setting_in_scope(const struct rr_setting *setting,
 			    enum rr_setting_scope scope);
 /* Describe the allowed values for messages; freed with g_free(). */
--- a/source/settings/settings-value.c
+++ b/source/settings/settings-value.c
@@ -88,8 +88,8 @@
 }
 
 /*
- * Parse decimal digits.  No sign, and no leading zero, which in YAML 1.1 means
- * octal.
+ * Parse a decimal number of at most `max`.  A sign is rejected, and so is a
+ * leading zero, since it means octal in YAML 1.1.
  */
 static bool parse_unsigned(const char *text, uint64_t max, uint64_t *value)
 {
@@ -125,7 +125,7 @@
 	       strspn(text, z85) == CURVE_KEY_CHARACTERS;
 }
 
-/* Parse digits with an optional fraction: no exponent, sign or "nan". */
+/* Parse digits with an optional fraction; reject exponent, sign and "nan". */
 static bool parse_decimal(const char *text, double *value)
 {
 	size_t integer_digits = strspn(text, "0123456789");
--- a/source/settings/site-config.c
+++ b/source/settings/site-config.c
@@ -311,8 +311,8 @@
 		rr_check_settings_tree(overlay_root, RR_SCOPE_SITE, true,
 				       diagnostics);
 	/*
-	 * Merge only if both files were parsed: one alone may have errors that
-	 * the other one corrects.
+	 * Merge only if both files were parsed: one alone may lack keys or
+	 * have errors that the other one corrects.
 	 */
 	if (root && (overlay_root || !overlay)) {
 		if (overlay_root)
--- a/source/settings/start-settings.c
+++ b/source/settings/start-settings.c
@@ -7,7 +7,7 @@
 #define DEFAULT_DRAIN_TIMEOUT_MS 30000
 #define DEFAULT_MAX_BODY_BYTES 65536
 #define DEFAULT_CALLER_IDLE_MS 60000
-/* As the gateway's; a caller needs one or two. */
+/* The same as the gateway's limit.  A caller needs one or two connections. */
 #define DEFAULT_MAX_CALLER_CONNECTIONS 2000
 
 void rr_init_start_settings(struct rr_start_settings *settings)
--- a/source/settings/yaml-tree.c
+++ b/source/settings/yaml-tree.c
@@ -76,7 +76,7 @@
 	return line;
 }
 
-/* Whether a line is indented with a tab, which YAML does not allow. */
+/* Return whether a line is indented with a tab, which YAML does not allow. */
 static bool has_tab_indent(const struct rr_settings_source *source,
 			   uint32_t line)
 {
@@ -350,7 +350,7 @@
 	return root;
 }
 
-/* Report a second document; true if the end of the stream follows. */
+/* Return true if the document is the last one; report a second one. */
 static bool check_stream_end(struct tree_reader *reader)
 {
 	yaml_event_t event;
--- a/source/settings/yaml-tree.h
+++ b/source/settings/yaml-tree.h
@@ -15,7 +15,7 @@
 
 #include "ragwort/settings.h"
 
-/* Maximum size of a value in the platform's service. */
+/* Maximum size of a file, as of a value in the platform's key-value service. */
 #define RR_MAX_SETTINGS_BYTES (1u << 20)
 #define RR_MAX_SETTINGS_DEPTH 12
 #define RR_MAX_SETTINGS_NODES 300000
@@ -70,7 +70,7 @@
 		       const char *format, ...) G_GNUC_PRINTF(4, 5);
 /* Turn the last diagnostic into a warning, which does not reject the file. */
 void rr_mark_as_warning(GPtrArray *diagnostics);
-/* Whether any diagnostic from index `from` on is an error. */
+/* Return whether any diagnostic from index `from` on is an error. */
 bool rr_has_errors(const GPtrArray *diagnostics, guint from);
 /* Sort the diagnostics from index `first` on by file and line. */
 void rr_sort_diagnostics(GPtrArray *diagnostics, guint first);
