--- a/source/tool/bench-histogram.c
+++ b/source/tool/bench-histogram.c
@@ -7,7 +7,7 @@
 
 #define SUB_BUCKET_BITS 6 /* log2 of RR_BENCH_SUB_BUCKETS */
 
-/* Values below RR_BENCH_SUB_BUCKETS have one bucket per microsecond. */
+/* Find a bucket; below RR_BENCH_SUB_BUCKETS, each microsecond has its own. */
 static size_t bucket_index(uint64_t latency_us)
 {
 	unsigned int shift;
@@ -22,7 +22,7 @@
 	return MIN(bucket, RR_BENCH_BUCKET_COUNT - 1);
 }
 
-/* Inclusive upper bound of a bucket, in microseconds. */
+/* Return the inclusive upper bound of a bucket, in microseconds. */
 static int64_t bucket_upper_us(size_t bucket)
 {
 	size_t shift;
--- a/source/tool/bench-load.c
+++ b/source/tool/bench-load.c
@@ -191,8 +191,8 @@
 	if (entry->kind != RR_RESERVE)
 		return;
 	/*
-	 * Not derived from the seed: an id used by an earlier run would be
-	 * answered from that run's result.
+	 * The id is not derived from the seed: a second run with the same seed
+	 * would reuse the ids and get the results of the first one.
 	 */
 	text = g_strdup_printf("%" G_GINT64_FORMAT "-bench-%08x%08x",
 			       g_get_real_time() / G_USEC_PER_SEC,
@@ -259,7 +259,7 @@
 		request->cancellable, request_done, request);
 }
 
-/* Poisson arrivals: callers are independent of each other. */
+/* Use Poisson arrivals, since callers are independent of each other. */
 static void schedule_next(struct run *run, struct stream *stream)
 {
 	double uniform = 1.0 - g_rand_double(run->random);
@@ -332,7 +332,7 @@
 	g_source_attach(run->timer, NULL);
 }
 
-/* Lets run_until() check the clock when no other source is ready. */
+/* Wake the main loop, so that run_until() checks the clock while it is idle. */
 static gboolean wake_main_loop(gpointer data)
 {
 	(void)data;
--- a/source/tool/bench-report.c
+++ b/source/tool/bench-report.c
@@ -30,7 +30,7 @@
 		     (double)(stats->shards_covered + stats->shards_missing));
 }
 
-/* Increase of a counter of the i-th instance during the run. */
+/* Return the increase of a counter of the i-th instance during the run. */
 static uint64_t counter_increase(const struct rr_bench_result *result, guint i,
 				 enum rr_bench_metric metric)
 {
@@ -154,7 +154,7 @@
 	       ratio(attempts, cpu_s));
 }
 
-/* Counters of a replica before the run; zero if it was not scraped then. */
+/* Return a replica's counters before the run; zero if not scraped then. */
 static struct rr_bench_replica
 replica_before(const struct rr_bench_result *result, guint i)
 {
--- a/source/tool/bench-scenario.c
+++ b/source/tool/bench-scenario.c
@@ -52,7 +52,7 @@
 }
 
 /*
- * Reads a number from min to max.  Returns the fallback if the key is missing
+ * Read a number from min to max.  Return the fallback if the key is missing
  * or, after adding a diagnostic, if the value is invalid.
  */
 static double read_number(const struct rr_yaml_node *mapping, const char *key,
--- a/source/tool/bench-scrape.c
+++ b/source/tool/bench-scrape.c
@@ -23,7 +23,7 @@
 	[RR_BENCH_PEER_MESSAGES] = "peer_messages_sent_total",
 };
 
-/* Parses lines "ragwort_NAME VALUE"; no counter read here has labels. */
+/* Parse lines "ragwort_NAME VALUE"; no counter read here has labels. */
 static void parse_metrics(const char *text, struct rr_bench_instance *instance)
 {
 	char **lines = g_strsplit(text, "\n", -1);
--- a/source/tool/config-push.c
+++ b/source/tool/config-push.c
@@ -151,7 +151,7 @@
 	return ok;
 }
 
-/* Prints the changes of each site; false if the result is invalid at one. */
+/* Print the changes of each site; false if the result is invalid at one. */
 static bool review(const struct push_request *request,
 		   const struct rr_config_record *old)
 {
--- a/source/tool/credentials.c
+++ b/source/tool/credentials.c
@@ -20,7 +20,7 @@
 	return arguments;
 }
 
-/* Reads the first line of the file.  It is a secret: never print it. */
+/* Read the first line of the file.  It is a secret: never print it. */
 static bool load_token(const struct rr_command *command, const char *name,
 		       struct rr_credentials *credentials)
 {
--- a/source/tool/explain-print.c
+++ b/source/tool/explain-print.c
@@ -13,7 +13,7 @@
 	return g_ptr_array_index(lines, i);
 }
 
-/* Returns the line of the final outcome, or NULL if it is missing. */
+/* Return the line of the final outcome, or NULL if it is missing. */
 static const struct rr_log_line *
 find_final_line(const struct rr_logged_trace *trace)
 {
@@ -32,7 +32,7 @@
 	return rr_get_log_field_number(line, key) / 1000;
 }
 
-/* Lists the services in the order in which the request reached them. */
+/* List the services in the order in which the request reached them. */
 static GPtrArray *list_services(const struct rr_logged_trace *trace)
 {
 	GPtrArray *services = g_ptr_array_new();
@@ -53,7 +53,7 @@
 	return !strcmp(rr_get_log_field(line, "service"), service);
 }
 
-/* Whether the lines show a successful reply of a service. */
+/* Return whether the lines show a successful reply of a service. */
 static bool has_success(const struct rr_logged_trace *trace,
 			const char *service)
 {
@@ -70,7 +70,7 @@
 	return false;
 }
 
-/* Returns the last line of a service, which has its final state. */
+/* Return the last line of a service, which has its final state. */
 static const struct rr_log_line *
 last_service_line(const struct rr_logged_trace *trace, const char *service)
 {
@@ -83,9 +83,9 @@
 	return last;
 }
 
-/* Describes why the part of a service is missing. */
-static const char *describe_missing_service(const struct rr_logged_trace *trace,
-					    const char *service)
+/* Return why the answer lacks the part that a service provides. */
+static const char *explain_missing_part(const struct rr_logged_trace *trace,
+					const char *service)
 {
 	const struct rr_log_line *last = last_service_line(trace, service);
 	const char *reason = rr_get_log_field(last, "reason");
@@ -110,7 +110,7 @@
 	return "its replica had not replied by the end";
 }
 
-/* Appends the counts of missing parts by reason, if the final line has any. */
+/* Append the counts of missing parts by reason, if the final line has any. */
 static void format_missing_reasons(const struct rr_log_line *end, GString *out)
 {
 	static const struct {
@@ -154,7 +154,7 @@
 		if (!has_success(trace, service))
 			g_string_append_printf(
 				out, "; %s: %s", service,
-				describe_missing_service(trace, service));
+				explain_missing_part(trace, service));
 	}
 	if (rr_get_log_field_number(end, "steps_left_out") > 0) {
 		g_string_append_printf(out, "; %s of %s parts missing",
@@ -307,7 +307,7 @@
 	}
 }
 
-/* Returns the character of a step in the timeline. */
+/* Return the character of a step in the timeline. */
 static char step_symbol(const struct rr_log_line *line)
 {
 	const char *reason = rr_get_log_field(line, "reason");
--- a/source/tool/explain.c
+++ b/source/tool/explain.c
@@ -10,8 +10,9 @@
 #include "tool/tool.h"
 
 /*
- * State changes this long before the end of the request are reported: the ones
- * that decided it are recent.
+ * State changes within this time before the end of the request are reported,
+ * since those that affect its outcome are recent.  Changes with the fingerprint
+ * of the request are reported regardless of their age.
  */
 #define STATE_CHANGE_WINDOW_US (10 * G_USEC_PER_SEC)
 #define MAX_LINE_SIZE 16384 /* bytes */
@@ -65,7 +66,10 @@
 	return false;
 }
 
-/* Latest wall-clock time of the request's lines; 0 if none has a time. */
+/*
+ * Return the latest wall-clock time of the request's lines; 0 if none has a
+ * time.
+ */
 static int64_t last_time_us(const struct rr_logged_trace *trace)
 {
 	int64_t end_us = 0;
@@ -79,7 +83,7 @@
 	return end_us;
 }
 
-/* Whether a state change has the fingerprint of the request. */
+/* Return whether a state change has the fingerprint of the request. */
 static bool shares_fingerprint(const struct rr_logged_trace *trace,
 			       const struct rr_log_line *change)
 {
@@ -95,9 +99,9 @@
 }
 
 /*
- * Whether a state change concerns the request: it names no endpoint, or an
- * endpoint or service of the request.  Changes with a fingerprint are matched
- * by shares_fingerprint() only.
+ * Return whether a state change concerns the request: it names no endpoint,
+ * or an endpoint or service of the request.  Changes with a fingerprint are
+ * matched by shares_fingerprint() only.
  */
 static bool is_relevant(const struct rr_logged_trace *trace,
 			const struct rr_log_line *change)
@@ -162,7 +166,7 @@
 	g_free(trace);
 }
 
-/* Skips and counts lines that are truncated or not log lines. */
+/* Read log lines; skip and count truncated ones and other text. */
 static GPtrArray *read_lines(FILE *in, guint *n_skipped)
 {
 	GPtrArray *lines = g_ptr_array_new_with_free_func(rr_free_log_line);
--- a/source/tool/http.h
+++ b/source/tool/http.h
@@ -1,5 +1,5 @@
 /*
- * http.h - HTTP client of the tool, with a time-out per request.
+ * http.h - HTTP client of the tool, with a timeout per request.
  */
 #ifndef TOOL_HTTP_H
 #define TOOL_HTTP_H
@@ -42,8 +42,9 @@
  * taken effect.
  *
  * The request is sent once.  libsoup resends a GET or PUT when a persistent
- * connection closes, so requests that write are POSTs marked idempotent on a
- * new connection.
+ * connection closes, but each request uses a new connection.  Requests that
+ * write are POSTs, which libsoup does not resend, even though they are marked
+ * idempotent.
  */
 bool rr_send_http_request(const struct rr_http_request *request,
 			  struct rr_http_reply *reply, GError **error);
--- a/source/tool/instances.c
+++ b/source/tool/instances.c
@@ -11,7 +11,7 @@
 #define STATUS_TIMEOUT_MS 3000
 #define POLL_INTERVAL_MS 200
 #define HTTP_OK 200
-/* Bound on concurrent status requests. */
+/* Maximum number of concurrent status requests. */
 #define MAX_CONCURRENT 64
 
 static void free_status(gpointer data)
@@ -36,7 +36,7 @@
 			"status %u without a JSON object", reply->status);
 }
 
-/* Fetches up to MAX_CONCURRENT statuses concurrently and appends them. */
+/* Fetch up to MAX_CONCURRENT statuses concurrently and append them. */
 static void fetch_group(char *const *addresses, size_t n,
 			const struct rr_credentials *credentials,
 			GPtrArray *statuses)
@@ -81,7 +81,7 @@
 	return statuses;
 }
 
-/* Whether an instance has applied the revision; if so, prints it. */
+/* Return whether an instance has applied the revision; if so, print it. */
 static bool report_revision(const struct rr_instance_status *status,
 			    uint64_t revision, int64_t start_us)
 {
@@ -129,8 +129,8 @@
 }
 
 /*
- * Polls the instances in the list, removes those that have applied the revision
- * and returns the statuses of the others.
+ * Poll the instances in the list, remove those that have applied the revision
+ * and return the statuses of the others.
  */
 static GPtrArray *poll_missing(GPtrArray *missing,
 			       const struct rr_credentials *credentials,
--- a/source/tool/keys.c
+++ b/source/tool/keys.c
@@ -14,8 +14,9 @@
 #define SECRET_MODE 0600
 
 /*
- * O_EXCL and the mode given at creation ensure that an existing key is never
- * overwritten and that other users can at no time read the new one.
+ * Write a secret key to a new file.  O_EXCL and the mode given at creation
+ * ensure that an existing key is never overwritten and that other users can at
+ * no time read the new one.
  */
 static bool write_secret(const struct rr_command *command, const char *name,
 			 const char *secret)
--- a/source/tool/line-diff.c
+++ b/source/tool/line-diff.c
@@ -62,7 +62,7 @@
 }
 
 /*
- * Returns the table of the longest common subsequence: lengths[i][j] is its
+ * Return the table of the longest common subsequence: lengths[i][j] is its
  * length for the lines of a from i on and those of b from j on.  A row has one
  * element more than b has lines.
  */
--- a/source/tool/log-line.c
+++ b/source/tool/log-line.c
@@ -40,7 +40,7 @@
 	return !strcmp(rr_get_log_field(line, "event"), event);
 }
 
-/* Parses a quoted value with escapes and advances *position past it. */
+/* Parse a quoted value with escapes and advance *position past it. */
 static char *parse_quoted(const char **position)
 {
 	GString *value = g_string_new(NULL);
--- a/source/tool/main.c
+++ b/source/tool/main.c
@@ -58,7 +58,7 @@
 	{ "version", run_version, "print the version", "ragwort version" },
 };
 
-/* Parses the command line of a subcommand without arguments of its own. */
+/* Parse the command line of a subcommand without arguments of its own. */
 static bool parse_no_arguments(const struct rr_command *command, int argc,
 			       char **argv, int *code)
 {
@@ -80,7 +80,7 @@
 	return code;
 }
 
-/* Prints a reference page that is generated from a table in the source. */
+/* Print a reference page that is generated from a table in the source. */
 static int print_reference(const struct rr_command *command, int argc,
 			   char **argv, void (*format)(GString *out))
 {
@@ -131,7 +131,7 @@
 		"input or usage,\n3 no reply received.\n");
 }
 
-/* Returns how many words name this command, or 0 if it is another one. */
+/* Return how many words name this command, or 0 if it is another one. */
 static int match_command(const struct rr_command *command, int argc,
 			 char **argv)
 {
--- a/source/tool/platform.c
+++ b/source/tool/platform.c
@@ -21,9 +21,9 @@
 }
 
 /*
- * Sends a request and clears it.  Without a complete reply, returns false and
- * sets *status: RR_STORE_UNAVAILABLE if it was not sent, RR_STORE_UNKNOWN if it
- * may have taken effect.
+ * Send a request and release its members.  Without a complete reply, return
+ * false and set *status: RR_STORE_UNAVAILABLE if it was not sent,
+ * RR_STORE_UNKNOWN if it may have taken effect.
  */
 static bool call_platform(const char *address,
 			  struct rr_store_request *store_request,
@@ -51,7 +51,7 @@
 	return replied;
 }
 
-/* Fills in the reply for a key; *body takes over the value. */
+/* Fill in the reply for a key; *body takes over the value. */
 static void fill_store_reply(struct rr_key_reply *decoded,
 			     struct rr_store_reply *reply, char **body)
 {
@@ -104,7 +104,7 @@
 	rr_clear_http_reply(&http_reply);
 }
 
-/* Reads one page of items; false on failure. */
+/* Read one page of items; false on failure. */
 static bool read_page(const char *address, const char *prefix,
 		      const char *after_key, struct rr_feed_reply *page,
 		      char **reason)
--- a/source/tool/quarantine.c
+++ b/source/tool/quarantine.c
@@ -1,7 +1,8 @@
 /*
- * quarantine.c - `ragwort quarantine list` and `release`: queries of death.
+ * quarantine.c - `ragwort quarantine list` and `release`: requests that
+ * crash replicas ("queries of death").
  *
- * The gateways share them through the platform's key-value service.
+ * The gateways share the list through the platform's key-value service.
  */
 #include <stdio.h>
 
@@ -31,7 +32,7 @@
 	g_free(crashed);
 }
 
-/* Reads items of all kinds.  On failure, prints it and returns NULL. */
+/* Read the quarantine items.  On failure, print the reason and return NULL. */
 static GPtrArray *read_items(const struct rr_command *command,
 			     const char *address, int *code)
 {
--- a/source/tool/query.c
+++ b/source/tool/query.c
@@ -32,7 +32,7 @@
 	struct rr_common_arguments common;
 };
 
-/* Parses --query as JSON; text that is not JSON becomes a JSON string. */
+/* Parse --query as JSON; text that is not JSON becomes a JSON string. */
 static JsonNode *parse_query(const char *text)
 {
 	JsonNode *node = json_from_string(text, NULL);
--- a/source/tool/status.c
+++ b/source/tool/status.c
@@ -70,7 +70,7 @@
 }
 
 /*
- * Prints each element whose state differs from `expected_state`; returns their
+ * Print each element whose state differs from `expected_state`; return their
  * number.
  */
 static guint print_other_states(JsonArray *array, const char *key,
@@ -199,7 +199,7 @@
 	json_node_unref(root);
 }
 
-/* Prints the instances whose revision is older than the newest one. */
+/* Print the instances whose revision is older than the newest one. */
 static void print_behind(const GPtrArray *statuses)
 {
 	int64_t newest = 0;
--- a/source/tool/tool.h
+++ b/source/tool/tool.h
@@ -51,7 +51,7 @@
 };
 
 struct rr_common_arguments rr_new_common_arguments(void);
-/* Make rr_parse_arguments() return false even for a valid command line. */
+/* Make rr_parse_arguments() only check the command line, and return false. */
 void rr_set_parse_only(void);
 /*
  * Parse a subcommand's arguments.  Return false, with *code set, if the command
