--- a/include/ragwort/context.h
+++ b/include/ragwort/context.h
@@ -25,7 +25,7 @@
  * NULL options give seed 0 and discard all log lines.  Never fails.
  */
 struct rr_context *rr_new_context(const struct rr_context_options *options);
-/* Add a reference; returns `ctx`. */
+/* Add a reference and return `ctx`. */
 struct rr_context *rr_keep_context(struct rr_context *ctx);
 /* Drop a reference; the last one frees the context.  NULL is ignored. */
 void rr_drop_context(struct rr_context *ctx);
--- a/include/ragwort/program.h
+++ b/include/ragwort/program.h
@@ -30,7 +30,7 @@
 
 /*
  * Parse a daemon's command line and run it, check the start file, or print
- * help or version.  Errors go to stderr.  Returns the exit code, one of enum
+ * help or version.  Errors go to stderr.  Return the exit code, one of enum
  * rr_program_exit.
  */
 int rr_run_program(const struct rr_program *program, int argc, char **argv);
--- a/include/ragwort/push.h
+++ b/include/ragwort/push.h
@@ -118,7 +118,7 @@
 void rr_drop_push(struct rr_push *push);
 
 /*
- * Write the next action into `step`.  Returns true, leaving `step` unchanged,
+ * Write the next action into `step`.  Return true, leaving `step` unchanged,
  * once the push has ended.  After RR_PUSH_READ and RR_PUSH_SWAP, call
  * rr_handle_push_reply() exactly once before the next rr_push_step().
  */
--- a/include/ragwort/settings.h
+++ b/include/ragwort/settings.h
@@ -1,6 +1,9 @@
 /*
  * settings.h - parser of YAML settings: base file, overlays and start files.
  *
+ * The base file has the settings of all sites, an overlay the changes for one
+ * site, and a start file the settings of one process.
+ *
  * Every key is in one table (settings-table.h), used both to check the files
  * and to generate docs/SETTINGS.md.  A check reports all errors, not only the
  * first.
@@ -41,7 +44,7 @@
 /*
  * Build the configuration of `site` from the base file and the site's overlay
  * (NULL for none).  Errors are appended to `diagnostics`, an array of struct
- * rr_diagnostic * that frees its elements.  Returns NULL if there is any
+ * rr_diagnostic * that frees its elements.  Return NULL if there is any
  * error; otherwise a configuration whose revision is 0, which the caller
  * releases with rr_drop_config().
  */
@@ -50,8 +53,8 @@
 				  const char *site, GPtrArray *diagnostics);
 
 /*
- * Append the differences between two configurations of a site, one indented
- * line each.  The revision is not compared.
+ * Append the differences between two configurations of a site as text, one
+ * indented line each.  The revision is not compared.
  */
 void rr_format_config_diff(const struct rr_config *old,
 			   const struct rr_config *new, GString *out);
--- a/source/base/log.c
+++ b/source/base/log.c
@@ -19,7 +19,7 @@
 struct log_window {
 	int64_t second;
 	uint32_t lines;
-	uint64_t dropped; /* lines since the last one written */
+	uint64_t dropped; /* lines dropped since the last one written */
 };
 
 bool rr_log_enabled(struct rr_context *ctx, enum rr_log_level level)
--- a/source/daemon/daemon.h
+++ b/source/daemon/daemon.h
@@ -14,7 +14,7 @@
 struct rr_daemon;
 
 /*
- * Read an instance's start file.  Returns NULL with `error` set if the file
+ * Read an instance's start file.  Return NULL with `error` set if the file
  * cannot be read, and NULL without an error, with the reasons appended to
  * `diagnostics`, if its contents are invalid.
  */
@@ -23,7 +23,7 @@
 
 /*
  * Create an instance, open its listening sockets and connect to the platform.
- * Returns NULL with `error` set on failure.  `settings` is only used during
+ * Return NULL with `error` set on failure.  `settings` is only used during
  * the call; `start_file`, from which it was read, is read again on SIGHUP.
  */
 struct rr_daemon *rr_new_daemon(struct rr_context *ctx, const char *start_file,
@@ -36,7 +36,7 @@
 /*
  * Read the CURVE keys that the start file names.  Keys that it does not name
  * stay unset.  The caller owns *secret_key and releases it with
- * rr_wipe_secret_key().  Returns false with `error` set if the file of the
+ * rr_wipe_secret_key().  Return false with `error` set if the file of the
  * secret key cannot be read.
  */
 bool rr_read_peer_keys(const struct rr_start_settings *settings,
--- a/source/settings/push.c
+++ b/source/settings/push.c
@@ -206,7 +206,10 @@
 	return g_string_free(text, FALSE);
 }
 
-/* Return ledger_buckets; 0 if the record's configuration is not valid. */
+/*
+ * Return ledger_buckets; 0 if the record's configuration is not valid.  All sites
+ * have the same value, since only the base file can set it.
+ */
 static uint32_t read_ledger_buckets(const struct rr_config_record *record)
 {
 	GPtrArray *diagnostics = rr_new_diagnostics();
--- a/source/settings/record.c
+++ b/source/settings/record.c
@@ -1,5 +1,8 @@
 /*
  * record.c - configuration record: files, revision and last changes.
+ *
+ * The record is the value in the platform's key-value service that holds the
+ * accepted text of all configuration files.
  */
 #include "ragwort/record.h"
 
--- a/source/settings/settings-check.c
+++ b/source/settings/settings-check.c
@@ -91,7 +91,7 @@
 			  enum rr_setting_scope scope, bool overlay,
 			  GPtrArray *diagnostics);
 
-/* Report keys other than the identity next to `remove: true`. */
+/* Report keys other than the identity in an element with `remove: true`. */
 static void check_removal(const struct rr_yaml_node *element,
 			  enum rr_setting_scope scope, GPtrArray *diagnostics)
 {
--- a/source/settings/yaml-tree.h
+++ b/source/settings/yaml-tree.h
@@ -45,7 +45,7 @@
 };
 
 /*
- * Parse a file.  Returns NULL, with an error appended, if it cannot be parsed
+ * Parse a file.  Return NULL, with an error appended, if it cannot be parsed
  * to its end.  Errors that do not stop the parser (a duplicate key, an alias)
  * are appended too, and the tree is returned.  The caller frees it with
  * rr_drop_yaml_node().
