--- a/source/tool/bench-scenario.h
+++ b/source/tool/bench-scenario.h
@@ -10,7 +10,7 @@
 #include "ragwort/request.h"
 #include "ragwort/settings.h"
 
-/* One kind of request in the mix. */
+/* One kind of request.  A scenario sends a mix of several kinds. */
 struct rr_bench_mix_entry {
 	char *name;
 	enum rr_request_kind kind;
@@ -26,7 +26,7 @@
 struct rr_bench_scenario {
 	uint32_t duration_s; /* measured time, after the warm-up */
 	uint32_t warm_up_s;  /* load before the measurement */
-	uint32_t seed;
+	uint32_t seed;	     /* of the random arrival times and keys */
 	uint32_t deadline_ms;
 	struct rr_bench_mix_entry *entries;
 	size_t n_entries;
--- a/source/tool/bench-scrape.c
+++ b/source/tool/bench-scrape.c
@@ -1,5 +1,6 @@
 /*
- * bench-scrape.c - counters of instances and upstream stand-ins.
+ * bench-scrape.c - reads counters of instances and of upstream stand-ins
+ * over HTTP.
  */
 #include "tool/bench-scrape.h"
 
--- a/source/tool/bench-scrape.h
+++ b/source/tool/bench-scrape.h
@@ -1,5 +1,6 @@
 /*
- * bench-scrape.h - counters of instances and upstream stand-ins.
+ * bench-scrape.h - reads counters of instances and of upstream stand-ins, which
+ * simulate replicas, over HTTP.
  */
 #ifndef TOOL_BENCH_SCRAPE_H
 #define TOOL_BENCH_SCRAPE_H
@@ -36,7 +37,7 @@
 	int64_t replica_number;
 	int64_t requests;
 	int64_t connections_opened;
-	int64_t peak_connections; /* most open at once since the start */
+	int64_t peak_connections; /* maximum since the stand-in started */
 };
 
 struct rr_bench_scrape {
--- a/source/tool/config-push.c
+++ b/source/tool/config-push.c
@@ -151,7 +151,7 @@
 	return ok;
 }
 
-/* Print the changes of each site; false if the result is invalid at one. */
+/* Print the changes of each site; return false if one is invalid. */
 static bool review(const struct push_request *request,
 		   const struct rr_config_record *old)
 {
--- a/source/tool/explain.h
+++ b/source/tool/explain.h
@@ -8,7 +8,7 @@
 
 #include "tool/log-line.h"
 
-/* Log lines of a request, and the state changes that may explain it. */
+/* Log lines of a request, and state changes that may explain its outcome. */
 struct rr_logged_trace {
 	/* struct rr_log_line of the request, by time since its start */
 	GPtrArray *lines;
--- a/source/tool/http.c
+++ b/source/tool/http.c
@@ -17,7 +17,7 @@
 	GSource *timer;
 	GBytes *body;
 	GError *error;
-	GSocketClientEvent connected_event; /* after it, data may be sent */
+	GSocketClientEvent connected_event; /* nothing is sent before it */
 	bool timed_out;
 	bool connected;
 	bool done;
@@ -30,7 +30,10 @@
 
 	(void)message;
 	(void)stream;
-	/* With TLS nothing is sent before the handshake is complete. */
+	/*
+	 * Before this event, which with TLS is the end of the handshake, the
+	 * server cannot have received the request.
+	 */
 	if (event == pending->connected_event)
 		pending->connected = true;
 }
--- a/source/tool/instances.h
+++ b/source/tool/instances.h
@@ -1,5 +1,5 @@
 /*
- * instances.h - status of a list of instances.
+ * instances.h - fetches the status of instances, and waits for a revision.
  */
 #ifndef TOOL_INSTANCES_H
 #define TOOL_INSTANCES_H
--- a/source/tool/status.c
+++ b/source/tool/status.c
@@ -97,7 +97,7 @@
 struct upstream_counts {
 	guint ready;
 	guint unknown;	 /* connected to other instances only */
-	guint not_ready; /* or ejected; each is printed */
+	guint not_ready; /* not ready or ejected; each is printed */
 };
 
 static void print_upstreams(JsonArray *array, struct upstream_counts *counts)
