--- a/include/ragwort/wire.h
+++ b/include/ragwort/wire.h
@@ -61,7 +61,7 @@
 
 /* The position at which the next page of a list starts. */
 struct rr_cursor {
-	uint64_t version;
+	uint64_t version; /* of the index that all pages are read from */
 	uint64_t map_epoch;
 	uint64_t next_key;
 	/* Rows of next_key already returned; a key may have several rows. */
--- a/source/settings/push.c
+++ b/source/settings/push.c
@@ -207,8 +207,8 @@
 }
 
 /*
- * Return ledger_buckets; 0 if the record's configuration is not valid.  All sites
- * have the same value, since only the base file can set it.
+ * Return ledger_buckets; 0 if the record's configuration is not valid.  All
+ * sites have the same value, since only the base file can set it.
  */
 static uint32_t read_ledger_buckets(const struct rr_config_record *record)
 {
--- a/source/tool/explain.h
+++ b/source/tool/explain.h
@@ -12,7 +12,7 @@
 struct rr_logged_trace {
 	/* struct rr_log_line of the request, by time since its start */
 	GPtrArray *lines;
-	/* struct rr_log_line of replicas, zones and the store, before its end */
+	/* struct rr_log_line of replicas, zones, the store; before its end */
 	GPtrArray *state_changes;
 };
 
