--- a/include/ragwort/program.h
+++ b/include/ragwort/program.h
@@ -22,14 +22,15 @@
 	 * --settings; NULL if there is none.
 	 */
 	const char *settings_env_var;
-	const char *signals_help; /* lines of --help, each with \n */
+	/* Lines of --help about signals, each ending in \n. */
+	const char *signals_help;
 	/* Reads the start file, then runs unless check_only. */
 	enum rr_program_exit (*run)(const char *file, bool check_only);
 };
 
 /*
  * Parse a daemon's command line and run it, check the start file, or print
- * help or version.  Errors go to stderr.  Returns the exit code, one of enum
+ * help or version.  Errors go to stderr.  Return the exit code, one of enum
  * rr_program_exit.
  */
 int rr_run_program(const struct rr_program *program, int argc, char **argv);
--- a/include/ragwort/push.h
+++ b/include/ragwort/push.h
@@ -46,7 +46,10 @@
 	bool is_retry;
 	const char *author;
 	int64_t when_s;
-	/* Store calls that may fail or conflict before the push ends; 0: 20. */
+	/*
+	 * Number of failed or conflicting store calls after which the push
+	 * ends; 0 stands for 20.
+	 */
 	uint32_t max_tries;
 };
 
@@ -115,7 +118,7 @@
 void rr_drop_push(struct rr_push *push);
 
 /*
- * Write the next action into `step`.  Returns true, leaving `step` unchanged,
+ * Write the next action into `step`.  Return true, leaving `step` unchanged,
  * once the push has ended.  After RR_PUSH_READ and RR_PUSH_SWAP, call
  * rr_handle_push_reply() exactly once before the next rr_push_step().
  */
--- a/include/ragwort/settings.h
+++ b/include/ragwort/settings.h
@@ -1,6 +1,9 @@
 /*
  * settings.h - parser of YAML settings: base file, overlays and start files.
  *
+ * The base file has the settings of all sites, an overlay the changes for one
+ * site, and a start file the settings of one process.
+ *
  * Every key is in one table (settings-table.h), used both to check the files
  * and to generate docs/SETTINGS.md.  A check reports all errors, not only the
  * first.
@@ -20,7 +23,10 @@
 	char *file;
 	uint32_t line; /* from 1 */
 	char *message; /* what was found and what is allowed */
-	/* The file is accepted; the key's default replaces the value. */
+	/*
+	 * A warning does not reject the file: the key's default is used
+	 * instead of the invalid value.
+	 */
 	bool is_warning;
 };
 
@@ -38,7 +44,7 @@
 /*
  * Build the configuration of `site` from the base file and the site's overlay
  * (NULL for none).  Errors are appended to `diagnostics`, an array of struct
- * rr_diagnostic * that frees its elements.  Returns NULL if there is any
+ * rr_diagnostic * that frees its elements.  Return NULL if there is any
  * error; otherwise a configuration whose revision is 0, which the caller
  * releases with rr_drop_config().
  */
@@ -47,8 +53,8 @@
 				  const char *site, GPtrArray *diagnostics);
 
 /*
- * Append the differences between two configurations of a site, one indented
- * line each.  The revision is not compared.
+ * Append the differences between two configurations of a site as text, one
+ * indented line each.  The revision is not compared.
  */
 void rr_format_config_diff(const struct rr_config *old,
 			   const struct rr_config *new, GString *out);
@@ -74,7 +80,7 @@
 	char *peer_secret_key_file;
 	char **peer_allowed_keys; /* NULL-terminated, never NULL itself */
 	uint32_t max_body_bytes;
-	uint32_t caller_idle_ms;    /* to send a request or read an answer */
+	uint32_t caller_idle_ms; /* limit to send a request or read an answer */
 	uint32_t caller_rate_per_s; /* for each address; 0: no limit */
 	uint32_t caller_max_connections;
 };
@@ -98,10 +104,11 @@
 	char *store_address;   /* IP:PORT of the platform's store */
 	char *peer_address;    /* IP:PORT to listen on for peers; NULL: none */
 	/* IP:PORT of peers to contact while the store is unreachable. */
-	char **seed_peers;	/* NULL-terminated, never NULL itself */
-	char **zone_regions;	/* "ZONE/REGION"; as seed_peers */
-	double strength;	/* processor cores of this instance */
-	uint32_t news_bound_ms; /* until a change in the store is known */
+	char **seed_peers;   /* NULL-terminated, never NULL itself */
+	char **zone_regions; /* "ZONE/REGION"; NULL-terminated, never NULL */
+	double strength;     /* processor cores of this instance */
+	/* Longest time until this instance knows a change in the store. */
+	uint32_t news_bound_ms;
 	/*
 	 * Attempts beyond the first that a service may get in any
 	 * extra_window_ms: extra_share of its requests, plus extra_slack.
@@ -114,7 +121,7 @@
 	 */
 	double cold_overage;
 	double cold_slack;
-	/* Longest time until an evacuation is known; 0: news_bound_ms. */
+	/* As news_bound_ms, for evacuations; 0: the same as news_bound_ms. */
 	uint32_t evacuation_bound_ms;
 	uint32_t extra_window_ms;
 	uint32_t stop_timeout_ms;
--- a/source/base/log.c
+++ b/source/base/log.c
@@ -15,11 +15,11 @@
 	[RR_LOG_DEBUG] = "debug",
 };
 
-/* Lines of one event in the current second. */
+/* Rate limit of one event: its lines in the current second. */
 struct log_window {
 	int64_t second;
 	uint32_t lines;
-	uint64_t dropped; /* lines since the last one written */
+	uint64_t dropped; /* lines dropped since the last one written */
 };
 
 bool rr_log_enabled(struct rr_context *ctx, enum rr_log_level level)
--- a/source/tool/bench-scrape.c
+++ b/source/tool/bench-scrape.c
@@ -1,5 +1,6 @@
 /*
- * bench-scrape.c - counters of instances and upstream stand-ins.
+ * bench-scrape.c - reads counters of instances and of upstream stand-ins
+ * over HTTP.
  */
 #include "tool/bench-scrape.h"
 
@@ -23,7 +24,7 @@
 	[RR_BENCH_PEER_MESSAGES] = "peer_messages_sent_total",
 };
 
-/* Parses lines "ragwort_NAME VALUE"; no counter read here has labels. */
+/* Parse lines "ragwort_NAME VALUE"; no counter read here has labels. */
 static void parse_metrics(const char *text, struct rr_bench_instance *instance)
 {
 	char **lines = g_strsplit(text, "\n", -1);
--- a/source/tool/explain.h
+++ b/source/tool/explain.h
@@ -8,11 +8,11 @@
 
 #include "tool/log-line.h"
 
-/* Log lines of a request, and the state changes that may explain it. */
+/* Log lines of a request, and state changes that may explain its outcome. */
 struct rr_logged_trace {
 	/* struct rr_log_line of the request, by time since its start */
 	GPtrArray *lines;
-	/* struct rr_log_line of replicas, zones and the store, before its end */
+	/* struct rr_log_line of replicas, zones, the store; before its end */
 	GPtrArray *state_changes;
 };
 
