--- a/include/ragwort/attempt.h
+++ b/include/ragwort/attempt.h
@@ -37,11 +37,14 @@
 };
 
 enum rr_reply_status {
-	/* The upstream ran it; the body is usable only if body_complete. */
+	/*
+	 * The upstream ran the request; the reply is usable only if
+	 * body_complete.
+	 */
 	RR_REPLY_OK,
 	/*
-	 * Proof that it did not run: connection refused, or the upstream said
-	 * so.
+	 * The request certainly did not run: the connection was refused, or the
+	 * upstream said so.
 	 */
 	RR_REPLY_REFUSED,
 	/* As RR_REPLY_REFUSED; the upstream is too busy for retry_after_ms. */
@@ -56,7 +59,7 @@
 	 * version requested.
 	 */
 	RR_REPLY_NO_VERSION,
-	/* Sent without a usable reply: it may have run. */
+	/* No usable reply was received: the request may have run. */
 	RR_REPLY_LOST,
 };
 
@@ -72,7 +75,7 @@
 struct rr_reply {
 	uint64_t attempt_id;
 	enum rr_reply_status status;
-	uint64_t version; /* version of the rows */
+	uint64_t version; /* index version of the rows */
 	/* oldest held by the replica; 0: not reported */
 	uint64_t oldest_version;
 	uint64_t newest_version;
--- a/include/ragwort/core.h
+++ b/include/ragwort/core.h
@@ -59,8 +59,8 @@
 };
 
 /*
- * Policies switched off for the baseline of the experiment; all are false in
- * the product.
+ * Policies that an experiment switches off to measure its baseline; all are
+ * false in the product.
  */
 struct rr_policy_switches {
 	bool random_replica;
@@ -94,9 +94,10 @@
 /*
  * Apply a configuration.
  *
- * Returns false, without applying it, if its revision is not higher than the
- * current one.  `record` is the text that it was parsed from, sent to peers
- * that request it.  The core takes a reference to `config`.
+ * Return false, without applying it, if its revision is not higher than the
+ * current one.  `record` is the text that the configuration was parsed from;
+ * the core sends a copy to peers that request it.  The core takes a reference
+ * to `config`.
  */
 bool rr_core_set_config(struct rr_context *ctx, struct rr_core *core,
 			int64_t now_us, struct rr_config *config,
@@ -105,9 +106,10 @@
 /*
  * Handle a caller's request.
  *
- * `wall_us` is the time since 1970, for the age of request ids.  Strings are
- * copied.  Returns the query id, never 0. The answer is passed to the answer
- * callback, possibly before this returns (the id is then in answer->query_id).
+ * `wall_us` is the time since 1970, from which the age of idempotency keys is
+ * computed.  Strings are copied.  Return the query id, never 0.  The answer is
+ * passed to send_answer(), possibly before this function returns (the id is
+ * also in answer->query_id).
  */
 uint64_t rr_core_handle_request(struct rr_context *ctx, struct rr_core *core,
 				int64_t now_us, int64_t wall_us,
@@ -133,15 +135,16 @@
 				 int64_t now_us, int64_t wall_us,
 				 const struct rr_peer_message *message);
 /*
- * Pass on an instance from the platform's list or the seed peers.  Such hints
- * may be late or wrong: a member counts as alive only once it has answered.
+ * Report an instance from the platform's list or the seed peers to the core.
+ * Such hints may be late or wrong: a member counts as alive only once it has
+ * answered.
  */
 void rr_core_hint_member(struct rr_context *ctx, struct rr_core *core,
 			 int64_t now_us, const char *instance, const char *zone,
 			 const char *address);
 /*
- * Pass on the state of an upstream, ready or draining, from the platform's
- * list.  `started_ms` is the start of its incarnation (ms since 1970; 0: not
+ * Report the state of an upstream in the platform's list to the core.
+ * `started_ms` is the start of its incarnation (ms since 1970; 0: not
  * reported).  A later incarnation starts without the drain and the latency
  * samples of the one before; an earlier one is ignored.
  */
@@ -167,14 +170,14 @@
 uint64_t rr_core_config_revision(const struct rr_core *core);
 
 /*
- * Whether this instance is one of the `per_zone` of its zone that watch the
- * configuration record: the first by rendezvous hash over the usable members.
- * Member lists differ for a short time after a change; then one instance more
- * or fewer may watch.
+ * Whether this instance is one of the `per_zone` instances of its zone that
+ * watch the configuration record: the first by rendezvous hash over the usable
+ * members.  After a change the member lists of the instances differ for a short
+ * time, and one instance more or fewer may watch.
  */
 bool rr_core_is_config_watcher(const struct rr_core *core, uint32_t per_zone);
 
-/* Append the state for `ragwort status` as a JSON object. */
+/* Append the state of the core as a JSON object, for `ragwort status`. */
 void rr_core_format_status(const struct rr_core *core, int64_t now_us,
 			   GString *out);
 
--- a/include/ragwort/coverage.h
+++ b/include/ragwort/coverage.h
@@ -26,12 +26,14 @@
 /* Add a range; an empty one changes nothing. */
 void rr_add_range(struct rr_coverage *coverage, struct rr_key_range range);
 bool rr_covers_key(const struct rr_coverage *coverage, uint64_t key);
-/* Whether every key of the range is covered; an empty range is. */
+/*
+ * Whether every key of the range is covered; an empty range counts as covered.
+ */
 bool rr_covers_range(const struct rr_coverage *coverage,
 		     struct rr_key_range range);
 /*
- * Find the first gap in `within`. Returns false if there is none, else true
- * with the gap in *gap.
+ * Find the first gap in `within`, a range of keys that are not covered.  Return
+ * false if there is none, else true with the range in *gap.
  */
 bool rr_find_first_gap(const struct rr_coverage *coverage,
 		       struct rr_key_range within, struct rr_key_range *gap);
--- a/include/ragwort/gather.h
+++ b/include/ragwort/gather.h
@@ -1,8 +1,8 @@
 /*
- * gather.h - merging of the replies of many shards, and the decision when to
- * stop waiting for more.
+ * gather.h - merging of the replies of many shards, the parts of an answer, and
+ * the decision when to stop waiting for more.
  *
- * Pure functions without state of their own.
+ * The functions keep no state of their own.
  */
 #ifndef RAGWORT_GATHER_H
 #define RAGWORT_GATHER_H
@@ -11,6 +11,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/* Length of a result record; records are compared as byte strings. */
 #define RR_RECORD_BYTES 16
 
 /* The greatest records so far, in descending order of their bytes. */
@@ -29,7 +30,7 @@
 void rr_add_part_records(struct rr_top_records *top, const uint8_t *body,
 			 size_t length);
 
-/* State of a gathered answer. */
+/* State of an answer whose parts are being collected. */
 struct rr_gather_state {
 	int64_t now_us;
 	/* An answer sent later than this misses the latency objective. */
@@ -42,7 +43,7 @@
 	 * expected.
 	 */
 	size_t unreachable;
-	size_t required; /* parts that an answer must have */
+	size_t required; /* least number of parts for an answer */
 };
 
 enum rr_gather_step {
--- a/include/ragwort/request.h
+++ b/include/ragwort/request.h
@@ -22,7 +22,11 @@
 
 enum rr_priority {
 	RR_INTERACTIVE,
-	RR_BATCH, /* for example nightly jobs: small share, rejected first */
+	/*
+	 * for example nightly jobs: may use a share of the slots, rejected
+	 * first
+	 */
+	RR_BATCH,
 };
 
 struct rr_request {
@@ -61,15 +65,21 @@
 enum rr_outcome {
 	RR_COMPLETE, /* all shards covered; a reservation ran */
 	RR_PARTIAL,  /* some shards missing, each named */
-	RR_NOT_RUN,  /* nothing ran; retry after retry_after_ms */
-	RR_UNKNOWN,  /* it may have run; retry with the same id */
-	RR_INVALID,  /* the request itself is wrong; nothing ran */
-	RR_GONE,     /* the index version of the cursor is no longer held */
+	/* nothing ran; the caller may retry after retry_after_ms */
+	RR_NOT_RUN,
+	/*
+	 * it may have run; the caller may retry with the same idempotency key
+	 */
+	RR_UNKNOWN,
+	RR_INVALID, /* the request itself is wrong; nothing ran */
+	RR_GONE,    /* the index version of the cursor is no longer held */
 };
 
 const char *rr_outcome_name(enum rr_outcome outcome);
 
-/* The reason of RR_INVALID that is sent to callers as 404. */
+/*
+ * The reason of an RR_INVALID answer that HTTP callers receive as status 404.
+ */
 #define RR_REASON_UNKNOWN_SERVICE "unknown-service"
 
 struct rr_missing_shard {
@@ -90,7 +100,8 @@
 	const char *request_id;
 	enum rr_outcome outcome;
 	/*
-	 * The error (RR_INVALID) or why the request did not run; NULL if none.
+	 * The error (RR_INVALID) or why the request did not run or has no known
+	 * or complete result; NULL if none.
 	 */
 	const char *reason;
 	uint64_t index_version; /* version of every row; 0: no rows */
--- a/source/base/rows.c
+++ b/source/base/rows.c
@@ -1,5 +1,6 @@
 /*
- * rows.c - blocks of result rows, the texts of each in one buffer.
+ * rows.c - blocks of result rows; a block keeps the JSON texts of all its rows
+ * in one buffer.
  */
 #include "ragwort/rows.h"
 
@@ -7,6 +8,7 @@
 
 struct row_entry {
 	uint64_t key;
+	/* position of the JSON text in rr_rows.text */
 	uint32_t offset;
 	uint32_t length;
 };
--- a/source/core/admission.c
+++ b/source/core/admission.c
@@ -9,9 +9,9 @@
 #include "core/core-private.h"
 
 /*
- * Divisor of the deadline: the expected wait may be at most this part of it.  A
- * request needs the slowest of its shards, which waits far longer than the
- * average one.
+ * A request is admitted if its expected wait is at most its deadline divided by
+ * this.  A request needs the slowest of its shards, which waits far longer than
+ * the average one.
  */
 #define DEADLINE_WAIT_DIVISOR 4
 /* Assumed latency while no attempt has been measured. */
--- a/source/core/answer.c
+++ b/source/core/answer.c
@@ -56,8 +56,9 @@
 			 const struct rr_answer *answer)
 {
 	/*
-	 * A caller that receives "not run" sends the request again, or sells
-	 * elsewhere.
+	 * A caller that receives "not run" sends the request again or sells
+	 * elsewhere, so "not run" must not be answered if the request may have
+	 * run.
 	 */
 	rr_invariant("not-run",
 		     answer->outcome != RR_NOT_RUN || !query->n_maybe_run);
@@ -136,10 +137,10 @@
 	rr_end_query(ctx, core, query);
 }
 
-void rr_answer_rejected(struct rr_context *ctx, struct rr_core *core,
-			const struct rr_request *request, uint64_t id,
-			enum rr_outcome outcome, const char *reason,
-			uint32_t retry_after_ms)
+void rr_answer_rejected_request(struct rr_context *ctx, struct rr_core *core,
+				const struct rr_request *request, uint64_t id,
+				enum rr_outcome outcome, const char *reason,
+				uint32_t retry_after_ms)
 {
 	struct rr_answer answer = {
 		.query_id = id,
--- a/source/core/attempt.c
+++ b/source/core/attempt.c
@@ -20,8 +20,9 @@
 }
 
 /*
- * Queue an attempt in order of deadline.  As deadlines are alike, this is
- * mostly the order of arrival, so the search starts at the tail.
+ * Queue an attempt in order of deadline.  As most requests have similar time
+ * limits, this is mostly the order of arrival, so the search starts at the
+ * tail.
  */
 static void enqueue(struct rr_live_attempt *attempt)
 {
@@ -144,8 +145,8 @@
 	const struct rr_service_config *config = query->map->service;
 
 	/*
-	 * A reservation that was sent has no time-out: it runs until its
-	 * outcome is known.
+	 * An at-most-once request that was sent has no timeout: it runs until
+	 * its outcome is known.
 	 */
 	if (query->at_most_once)
 		return;
@@ -201,9 +202,9 @@
 	};
 
 	/*
-	 * A draining upstream would abort new work when it exits.
-	 * Its queue is emptied when the drain is reported, so nothing should
-	 * remain to be sent.
+	 * A draining upstream would abort new work when it exits.  The attempts
+	 * queued for it are returned to their tasks when the drain is reported,
+	 * so none should remain to be sent.
 	 */
 	rr_invariant("drain",
 		     !replica->draining_since_us ||
@@ -222,8 +223,8 @@
 }
 
 /*
- * The next queued attempt that may be sent.  Batch attempts may use a share of
- * the slots, at least one.
+ * Return the next queued attempt that may be sent, interactive ones first; NULL
+ * if none.  Batch attempts may use only a share of the limit, at least one.
  */
 static struct rr_live_attempt *next_queued(const struct rr_replica *replica,
 					   uint32_t limit)
@@ -275,8 +276,8 @@
  * Move an attempt from the queue of a busy replica of the same shard to this
  * one.  Guards against work that is queued at a replica that stalled after it
  * was chosen, while another replica is idle.  An ejected replica takes over
- * only what has waited for longer than an outlier's latency; anything else it
- * would delay further.
+ * only an attempt that has waited for longer than an outlier's latency; it
+ * would delay any other attempt further.
  */
 static bool take_from_sibling(struct rr_core *core, struct rr_replica *replica)
 {
--- a/source/core/choose.c
+++ b/source/core/choose.c
@@ -4,50 +4,79 @@
  * Candidates are first ranked in tiers (healthy replicas in this instance's
  * zone before the rest).  Within the best tier two are drawn at random and the
  * one with the shorter expected wait is nearly always chosen.  The expected
- * wait is the work that this instance has outstanding at the replica times its
- * own latency estimate; load reported by replicas may be late or wrong, so it
- * only breaks ties.
+ * wait is this instance's latency estimate for the replica, raised with the
+ * number of attempts that this instance has outstanding there; load reported by
+ * replicas may be late or wrong, so it only breaks ties.
  */
 #include "core/core-private.h"
 #include "core/weighted-choice.h"
 
 #include <string.h>
 
-/* replicas of one shard; each has a bit in the masks of a task */
+/*
+ * Replicas considered in one shard; each has a bit in the 64-bit masks of a
+ * task.
+ */
 #define MAX_REPLICAS 64
+/* Median latency assumed while the service has no samples. */
 #define DEFAULT_LATENCY_US 1000.0
 /* Latency added by relaying through an owner. */
 #define RELAY_HOP_US 1000.0
+/*
+ * Factors on the expected wait of a replica that is cold, or that has fewer
+ * than NEW_SAMPLES samples.
+ */
 #define COLD_FACTOR 4.0
 #define NEW_FACTOR 1.5
 #define NEW_SAMPLES 4
+/*
+ * Waits that differ by less than this fraction are a tie; reported loads (0 to
+ * 1) that differ by more break it.
+ */
 #define TIE_FRACTION 0.1
+/* Age up to which a report of versions is recent; see is_behind(). */
 #define VERSION_REPORT_AGE_US (20 * 1000)
+/*
+ * Part of the latency added to the expected wait for each attempt outstanding
+ * at the replica.
+ */
 #define IN_FLIGHT_WEIGHT 0.1
+/* Power to which expected waits are raised; see choose_of_two(). */
 #define WAIT_POWER 3.0
+/* Age from which a latency estimate is old; see estimate_latency_us(). */
 #define ESTIMATE_AGE_US (5 * G_USEC_PER_SEC)
 /*
- * A replica is an outlier after this many consecutive losses, or when it is
- * this much slower than the median.
+ * A replica is an outlier after this many consecutive losses, or if it has
+ * enough samples and its latency estimate exceeds OUTLIER_FACTOR times the
+ * median latency of the service plus OUTLIER_MARGIN_US.
  */
 #define OUTLIER_LOSSES 5
 #define OUTLIER_FACTOR 3.0
 #define OUTLIER_MARGIN_US 2000.0
 #define OUTLIER_SAMPLES 16
 /*
- * Samples needed after an earlier ejection: the replica was an outlier before,
- * so fewer are enough.
+ * Samples needed to eject a replica that was ejected before; fewer are enough,
+ * as it has been an outlier.
  */
 #define REPEAT_OUTLIER_SAMPLES 8
+/*
+ * Length of the first ejection; the length grows with the number of ejections,
+ * up to MAX_EJECTION_COUNT times this.
+ */
 #define EJECTION_US (2 * G_USEC_PER_SEC)
 #define MAX_EJECTION_COUNT 8
-/* At most one in this many replicas of a service is ejected. */
+/*
+ * At most one in this many replicas of a service is ejected, but one always may
+ * be.
+ */
 #define EJECTION_DIVISOR 5
 
 enum tier_cost {
-	TIER_OTHER_ZONE = 1, /* in another availability zone */
-	TIER_BEHIND = 2,     /* not yet seen with the pinned version */
-	TIER_EJECTED = 4,    /* ejected as an outlier */
+	/* in another availability zone, while one in this zone is free */
+	TIER_OTHER_ZONE = 1,
+	/* a recent report does not have the pinned version */
+	TIER_BEHIND = 2,
+	TIER_EJECTED = 4, /* ejected as an outlier */
 };
 
 struct candidates {
@@ -120,8 +149,8 @@
 	if (!rr_is_replica_usable(core, replica) || is_live_on(task, replica))
 		return false;
 	/*
-	 * An attempt that this instance sends itself is subject to the drain
-	 * state known here.
+	 * The drain state known here decides only about attempts that this
+	 * instance sends itself; for a relay the owner decides.
 	 */
 	if (replica->draining_since_us && (replica->owned || query->origin))
 		return false;
@@ -137,8 +166,8 @@
 	}
 	rr_refresh_owners(core, replica);
 	/*
-	 * A relay is not forwarded again: use own replicas only, or the one
-	 * that the relay requested.
+	 * A relay is not forwarded again: use only replicas that this instance
+	 * owns, or the one that the relay asks for.
 	 */
 	if (query->origin && !replica->owned && i != task->requested_replica)
 		return false;
@@ -243,8 +272,9 @@
 
 /*
  * Factor by which waiting for a slot lengthens an attempt.  While slots are
- * free the number in use hardly matters.  Once all are in use it counts double,
- * as slots are held longest by slow attempts.
+ * free the number in use hardly matters.  Once all are in use, each further
+ * attempt adds 4 / slots, more than the 1 / slots of a queue in which all
+ * attempts take equally long, as slots are held longest by slow attempts.
  */
 static double queue_factor(const struct rr_replica *replica,
 			   uint32_t outstanding)
@@ -333,7 +363,10 @@
 			     candidates.indices[second]);
 }
 
-/* Latency estimate above which a replica is an outlier; 0 if not known. */
+/*
+ * Return the latency above which a replica is an outlier; 0 if the median
+ * latency of its service is not known.
+ */
 static double outlier_threshold_us(const struct rr_replica *replica)
 {
 	double median_us = (double)rr_sketch_quantile_us(
--- a/source/core/core-private.h
+++ b/source/core/core-private.h
@@ -16,6 +16,10 @@
 #include "ragwort/log.h"
 #include "ragwort/member.h"
 
+/*
+ * How long after the report of a drain attempts may still be sent to the
+ * replica; one sent later violates the invariant "drain".
+ */
 #define RR_DRAIN_GRACE_US (3 * G_USEC_PER_SEC)
 /* Retry time in an answer if no better estimate is known. */
 #define RR_DEFAULT_RETRY_AFTER_MS 1000
@@ -25,8 +29,9 @@
 	char *instance;
 	uint64_t highest_revision; /* highest ever reported by the peer */
 	int64_t last_contact_us;   /* last message received from it */
-	int64_t backoff_until_us;  /* no relays until then: one timed out */
-	int64_t backoff_us;	   /* last backoff applied */
+	/* no relays are sent to it until then, as one timed out */
+	int64_t backoff_until_us;
+	int64_t backoff_us; /* last backoff applied */
 	uint32_t relays_in_flight;
 };
 
@@ -49,6 +54,7 @@
 	struct rr_core_actions actions;
 	struct rr_store_port store;
 	struct rr_policy_switches switches;
+	/* incarnation, shifted to make room for ids_issued in each id */
 	uint64_t id_base;
 	uint64_t ids_issued;
 	uint64_t next_call_id;
@@ -59,11 +65,12 @@
 	GHashTable *attempts;	      /* uint64_t -> struct rr_live_attempt */
 	GHashTable *relays;	      /* uint64_t -> struct rr_outgoing_relay */
 	GPtrArray *scheduled_queries; /* struct rr_query to advance */
-	GPtrArray *replicas_to_dispatch; /* struct rr_replica, referenced */
+	/* struct rr_replica, with a reference each */
+	GPtrArray *replicas_to_dispatch;
 
 	/* Current configuration. */
 	struct rr_config *config;
-	int64_t config_set_us; /* when it was applied */
+	int64_t config_set_us; /* when `config` was applied */
 	char *config_record;
 	size_t config_record_length;
 	uint64_t config_request_id;
@@ -78,27 +85,29 @@
 
 	struct rr_members *members;
 	bool members_changed;
-	uint64_t members_generation; /* grows with each new copy */
+	/* incremented with each refresh of member_copies */
+	uint64_t members_generation;
 	struct rr_member_copy *member_copies;
 	struct rr_member_ref *member_refs;
 	size_t n_members;
 	GHashTable *peers; /* instance -> struct rr_peer */
 
 	/* Relays received from peers, by name "instance/incarnation/id". */
-	GHashTable *relay_origins; /* name -> query id; relays in progress */
+	/* name -> query id (uint64_t), for relays in progress */
+	GHashTable *relay_origins;
 	/* names of at-most-once relays, kept for a while */
 	GHashTable *served_relays;
 	GQueue served_relay_order; /* struct served_relay, oldest first */
 
 	struct rr_ledger *ledger;
-	GHashTable *claims;	 /* claim -> query id */
+	GHashTable *claims;	 /* claim id -> struct rr_query */
 	uint32_t ledger_buckets; /* number the ledger was created with */
 };
 
 /* core.c */
 /*
- * End an event: advance the queries it affected, then send attempts that may be
- * sent.
+ * End an event: advance the scheduled queries and send queued attempts to the
+ * scheduled replicas, until nothing is scheduled any more.
  */
 void rr_run_scheduled_work(struct rr_context *ctx, struct rr_core *core);
 /*
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -1,22 +1,27 @@
 /*
  * core.c - event functions of the core.
  *
- * Each event updates the state; then the queries and replicas that it affected
- * are advanced, and attempts that may be sent are sent.
+ * Each event updates the state and schedules the queries and replicas that it
+ * affected.  At its end the scheduled queries are advanced and queued attempts
+ * are sent to the scheduled replicas.
  */
 #include "core/core-private.h"
 
 #include <string.h>
 
-/* An id is the low bits of the incarnation, shifted by this, plus a counter. */
+/*
+ * An id is the incarnation shifted left by this number of bits (its high bits
+ * are lost), plus a counter.
+ */
 #define ID_COUNTER_BITS 24
 
 uint64_t rr_next_id(struct rr_core *core)
 {
 	/*
-	 * Ids of two incarnations collide only if one issued 2^24 per
-	 * microsecond.  A reply to an earlier incarnation matches no attempt
-	 * and is dropped.
+	 * The incarnation is usually the start time of the instance in
+	 * microseconds, so ids of two incarnations collide only if one issued
+	 * 2^24 ids per microsecond.  A reply to an attempt of an earlier
+	 * incarnation therefore matches no attempt and is dropped.
 	 */
 #ifdef RR_MUTANT_IDS_REPEAT
 	return ++core->ids_issued;
@@ -217,7 +222,10 @@
 	rr_set_gauge(ctx, RR_G_MEMBERS, core->n_members);
 }
 
-/* The ledger reports results from its tick, which may be due at once. */
+/*
+ * Tick the ledger if it is due: it passes results to the core from its tick,
+ * which may be due at the end of the event that called it.
+ */
 static void tick_due_ledger(struct rr_context *ctx, struct rr_core *core)
 {
 	if (core->ledger && rr_ledger_wake_us(core->ledger) <= core->now_us)
@@ -237,7 +245,10 @@
 	rr_set_gauge(ctx, RR_G_READY, rr_core_is_ready(core, NULL));
 }
 
-/* Keep the core's time from going back, even if the carrier's clock does. */
+/*
+ * Set the context and time of an event; the core's time does not go back even
+ * if the carrier's clock does.
+ */
 static void begin_event(struct rr_context *ctx, struct rr_core *core,
 			int64_t now_us)
 {
@@ -436,8 +447,9 @@
 	if (!message->from || !strcmp(message->from, core->instance))
 		return;
 	/*
-	 * A message queued for an instance that has died may reach the one that
-	 * now has its address; it was not meant for this instance.
+	 * A message queued for an instance that has died may reach this one if
+	 * it now has the same address.  Drop it: it was not meant for this
+	 * instance.
 	 */
 	if (message->to_incarnation &&
 	    message->to_incarnation != core->incarnation) {
@@ -469,7 +481,11 @@
 	struct rr_replica *entry = rr_find_replica(core, replica);
 
 	begin_event(ctx, core, now_us);
-	/* Only an owner polls the replica and so learns that it is up again. */
+	/*
+	 * Ignore the report of a replica that is down unless this instance owns
+	 * it: only an owner polls the replica and so learns that it is up
+	 * again.
+	 */
 	if (entry && (entry->owned || state != RR_UPSTREAM_DOWN) &&
 	    rr_update_replica_start_time(ctx, entry, started_ms))
 		rr_update_replica_state(ctx, core, entry, state, "list");
--- a/source/core/coverage.c
+++ b/source/core/coverage.c
@@ -106,7 +106,10 @@
 {
 	guint i = first_reaching(coverage, key);
 
-	/* The range may end at the key and so not contain it. */
+	/*
+	 * The first range found may end at the key and so not contain it, as
+	 * `to` is exclusive; then the next range may.
+	 */
 	for (; i < coverage->ranges->len; i++) {
 		struct rr_key_range *range = range_at(coverage, i);
 
--- a/source/core/hedge.c
+++ b/source/core/hedge.c
@@ -9,12 +9,17 @@
  */
 #include "core/core-private.h"
 
+/*
+ * Quantile of the service's latencies after which an attempt is first checked
+ * for a hedge.
+ */
 #define HEDGE_QUANTILE 0.95
 #define MIN_HEDGE_DELAY_US 2000
 /* Delay before an attempt that could not be hedged is checked again. */
 #define HEDGE_RECHECK_US 3000
 /*
- * Threshold for a hedge when the budget is nearly used up, in median latencies.
+ * Time after which an attempt may be hedged when the budget is used up, in
+ * median latencies of the service.
  */
 #define MAX_THRESHOLD_MEDIANS 8.0
 
@@ -38,9 +43,10 @@
 }
 
 /*
- * Latency from which an attempt may be hedged.  With many tokens left it is the
- * usual quantile; as the budget is used up it rises to a large multiple of the
- * median, so that the remaining tokens go to attempts that are certainly slow.
+ * Return the time after which an attempt may be hedged.  With many tokens left
+ * it is HEDGE_QUANTILE of the latencies; as the budget is used up it rises to a
+ * large multiple of the median, so that the remaining tokens go to attempts
+ * that are certainly slow.
  */
 static int64_t hedge_threshold_us(const struct rr_service *service)
 {
--- a/source/core/list.c
+++ b/source/core/list.c
@@ -96,6 +96,7 @@
 	page->has_next = true;
 }
 
+/* Drop the rows of the cursor's key that earlier pages have returned. */
 static void drop_returned_rows(const struct rr_query *query, GArray *rows)
 {
 	uint32_t skip = 0;
@@ -178,8 +179,8 @@
 		set_cursor_after_row(query, page);
 	} else if (query->has_more) {
 		/*
-		 * All rows received were on earlier pages: return the same
-		 * position again.
+		 * All rows received were on earlier pages: return the cursor of
+		 * this page again.
 		 */
 		page->next = query->cursor;
 		page->next.version = query->pin_version;
@@ -203,8 +204,8 @@
 
 	make_page(query, &page);
 	/*
-	 * The version that the cursor would be pinned to is no longer held: the
-	 * list must start again.
+	 * With RR_GONE no cursor is returned: the version that it would be
+	 * pinned to is no longer held, so the list must be started again.
 	 */
 	if (page.has_next && page.next.version && outcome != RR_GONE)
 		cursor = rr_encode_cursor(query->service->name, &page.next);
@@ -243,8 +244,9 @@
 	}
 	if (query->n_covered && task->reason == RR_MISSING_DEADLINE) {
 		/*
-		 * Only this page has reached its deadline: no shard of it is
-		 * missing.
+		 * The page ends early, before this shard, as its deadline was
+		 * reached.  The shard does not count as missing: the next page
+		 * starts there.
 		 */
 		query->n_tasks--;
 		answer_page(ctx, core, query, RR_COMPLETE, NULL);
--- a/source/core/merge.c
+++ b/source/core/merge.c
@@ -42,9 +42,9 @@
 }
 
 /*
- * Drop rows with keys that another reply has covered.  Guards against rows
- * counted twice while a split or join is in progress, when both the old and the
- * new holder answer for the same keys.
+ * Keep only rows within `ranges` whose keys no earlier reply has covered.
+ * Guards against rows counted twice while shards are being split or joined,
+ * when both the old and the new holder answer for the same keys.
  */
 static void keep_uncovered(const struct rr_query *query,
 			   struct rr_row_block *block,
--- a/source/core/query-private.h
+++ b/source/core/query-private.h
@@ -1,6 +1,9 @@
 /*
  * query-private.h - a request in progress: its tasks (one for each shard),
  * their attempts and relays.
+ *
+ * Attempts are sent to replicas that this instance owns.  For other replicas a
+ * relay asks an owner, another instance, to run the tasks.
  */
 #ifndef RAGWORT_CORE_QUERY_PRIVATE_H
 #define RAGWORT_CORE_QUERY_PRIVATE_H
@@ -30,7 +33,10 @@
 	struct rr_replica *replica;
 	enum rr_attempt_status status;
 	bool hedge;
-	/* in flight at the replica when sent, itself included */
+	/*
+	 * this instance's attempts in flight at the replica when this one was
+	 * sent, itself included
+	 */
 	uint32_t in_flight;
 	int64_t created_us;
 	int64_t sent_us;
@@ -52,20 +58,30 @@
 	enum rr_missing_reason reason; /* of the last failure */
 	struct rr_live_attempt *live[RR_MAX_LIVE_ATTEMPTS];
 	uint32_t n_live;
-	struct rr_outgoing_relay *relay; /* relay in progress; NULL: none */
-	/* one bit per replica index: failed for this task */
+	/* relay in progress that includes this task; NULL: none */
+	struct rr_outgoing_relay *relay;
+	/* one bit per replica index: an attempt of this task failed there */
 	uint64_t tried_mask;
 	/* one bit per replica index: does not hold the pinned version */
 	uint64_t no_version_mask;
 	bool needs_token;  /* its next start takes a retry token */
 	bool outcome_sent; /* its outcome was sent to the peer */
-	bool second_round; /* all replicas were tried once; second round */
+	/* all replicas were tried once; they are tried a second time */
+	bool second_round;
 	uint32_t n_starts;
-	/* replica index named in the relay; RR_NO_REPLICA: none */
+	/*
+	 * for a relay from a peer: index of the replica that it asks for;
+	 * RR_NO_REPLICA: none
+	 */
 	size_t requested_replica;
-	uint32_t attempts;    /* sent by this instance and reported by owners */
-	uint32_t n_maybe_run; /* sent without proof of not run */
-	GArray *covered_ranges; /* struct rr_key_range, for a peer's relay */
+	uint32_t attempts; /* sent by this instance and reported by owners */
+	/* attempts and relays sent that no reply proves not to have run */
+	uint32_t n_maybe_run;
+	/*
+	 * struct rr_key_range: keys covered so far, kept only for a relay from
+	 * a peer
+	 */
+	GArray *covered_ranges;
 };
 
 /* A relay sent, or to be sent, to an owner. */
@@ -88,7 +104,7 @@
 /* Rows of a complete reply. */
 struct rr_row_block {
 	struct rr_rows *rows;
-	uint32_t *row_indices; /* rows used (indices); NULL: all */
+	uint32_t *row_indices; /* indices of the rows used; NULL: all rows */
 	size_t n_rows;
 };
 
@@ -119,7 +135,7 @@
 	bool scheduled; /* in the core's list of queries to advance */
 	bool claim_acquired;
 	bool wants_restart; /* a shard does not hold the pinned version */
-	/* answer mode "latency": the minimum is covered */
+	/* answer mode "latency": the minimum coverage is reached */
 	bool coverage_reached;
 	bool has_more;
 
@@ -132,7 +148,8 @@
 	GPtrArray *unknown_shards;
 	uint32_t row_limit;
 
-	uint32_t pin_task; /* task whose reply sets the pin; RR_NO_TASK: none */
+	/* task whose reply sets pin_version; RR_NO_TASK: none */
+	uint32_t pin_task;
 	uint32_t restarts;
 	uint32_t retry_after_ms;
 	/* Keys requested: [key_from, key_to). */
@@ -140,7 +157,11 @@
 	uint64_t key_to;
 	int64_t started_us;
 	int64_t deadline_us;
-	uint64_t pin_version; /* 0: set by the first reply */
+	/*
+	 * index version that every reply must have; 0: not chosen yet, the
+	 * first reply sets it
+	 */
+	uint64_t pin_version;
 	uint64_t pin_epoch;
 
 	struct rr_task *tasks;
@@ -150,7 +171,8 @@
 	guint pending_head;
 	uint32_t n_open;
 	uint32_t n_covered;
-	uint32_t n_maybe_run; /* sent without proof of not run */
+	/* attempts and relays sent that no reply proves not to have run */
+	uint32_t n_maybe_run;
 	uint32_t attempts;
 
 	struct rr_coverage *coverage;
@@ -165,7 +187,7 @@
 	GPtrArray *excluded_owners;
 
 	uint64_t claim_id;	 /* 0: no claim */
-	struct rr_cursor cursor; /* RR_LIST: position of the page */
+	struct rr_cursor cursor; /* RR_LIST: where the page starts */
 };
 
 /* query.c */
@@ -178,7 +200,7 @@
 void rr_schedule_query(struct rr_core *core, struct rr_query *query);
 void rr_begin_query(struct rr_context *ctx, struct rr_core *core,
 		    struct rr_query *query);
-/* Start pending tasks, flush relays, finish the query if no task is open. */
+/* Start pending tasks, send relays, and finish the query if no task is open. */
 void rr_advance_query(struct rr_context *ctx, struct rr_core *core,
 		      struct rr_query *query);
 void rr_end_query_at_deadline(struct rr_context *ctx, struct rr_core *core,
@@ -225,7 +247,7 @@
 void rr_hedge_attempt(struct rr_context *ctx, struct rr_core *core,
 		      struct rr_live_attempt *attempt);
 
-/* The keys that replies to a task must cover. */
+/* Return the keys that replies to a task must cover (in task.c). */
 struct rr_key_range rr_task_range(const struct rr_query *query,
 				  const struct rr_task *task);
 
@@ -233,14 +255,17 @@
 /*
  * Choose the replica of the task's shard to try next.
  *
- * Returns its index in the shard, or RR_NO_REPLICA with *reason set.  *retry_us
+ * Return its index in the shard, or RR_NO_REPLICA with *reason set.  *retry_us
  * is the time from which a replica may be available again, INT64_MAX if waiting
  * does not help.
  */
 size_t rr_choose_replica(struct rr_context *ctx, struct rr_core *core,
 			 struct rr_query *query, uint32_t index,
 			 enum rr_missing_reason *reason, int64_t *retry_us);
-/* Eject a replica that is an outlier among the replicas of its service. */
+/*
+ * Eject the replica for some time if its losses or its latency make it an
+ * outlier among the replicas of its service and not too many are ejected.
+ */
 void rr_update_outlier_ejection(struct rr_context *ctx, struct rr_core *core,
 				struct rr_replica *replica);
 
@@ -252,14 +277,17 @@
 			    struct rr_live_attempt *attempt);
 /* Free an attempt without cancelling it at the replica. */
 void rr_discard_attempt(struct rr_core *core, struct rr_live_attempt *attempt);
-/* Send queued attempts of a replica as far as its limit allows. */
+/*
+ * Send queued attempts to a replica as far as its limit allows; if nothing may
+ * be sent to it now, return them to their tasks.
+ */
 void rr_dispatch_queued_attempts(struct rr_context *ctx, struct rr_core *core,
 				 struct rr_replica *replica);
 void rr_handle_reply(struct rr_context *ctx, struct rr_core *core,
 		     const struct rr_reply *reply);
 void rr_handle_attempt_timeout(struct rr_context *ctx, struct rr_core *core,
 			       uint64_t attempt_id);
-/* Return the queued attempts of a replica to their tasks. */
+/* End the queued attempts of a replica; their tasks choose a replica again. */
 void rr_return_queued_attempts(struct rr_context *ctx, struct rr_core *core,
 			       struct rr_replica *replica);
 
@@ -268,14 +296,15 @@
 bool rr_rows_within(const struct rr_rows *rows,
 		    const struct rr_key_range *ranges, size_t n_ranges);
 /*
- * Intersect the ranges with the requested one.  Returns a new array of struct
+ * Intersect the ranges with the requested one.  Return a new array of struct
  * rr_key_range, owned by the caller.
  */
 GArray *rr_clip_ranges(const struct rr_key_range *ranges, size_t n_ranges,
 		       struct rr_key_range requested);
 /*
  * Merge the rows and ranges of a complete reply into the query.  Rows outside
- * the ranges are dropped; `all_within` says that there are none.
+ * the ranges are dropped, as are rows of keys that an earlier reply has
+ * covered.  `all_within` must be false if any row is outside the ranges.
  */
 void rr_merge_rows(struct rr_query *query, struct rr_rows *rows,
 		   const struct rr_key_range *ranges, size_t n_ranges,
@@ -290,16 +319,17 @@
 void rr_clear_merge(struct rr_query *query);
 
 /* snapshot.c */
-/* Return the version to pin for a new query; 0 if none is known. */
+/*
+ * Return the index version to pin a query to, 0 if none is known, with its map
+ * epoch and the number of shards known to hold it.
+ */
 uint64_t rr_choose_pin(struct rr_context *ctx, struct rr_core *core,
 		       struct rr_service *service, uint64_t *epoch,
 		       size_t *n_shards);
 void rr_pin_query(struct rr_context *ctx, struct rr_core *core,
 		  struct rr_query *query, uint64_t version, uint64_t epoch,
 		  const char *reason);
-/*
- * Restart the query on a newer version; returns false if that is not allowed.
- */
+/* Restart the query on a newer version; return false if that is not allowed. */
 bool rr_restart_query(struct rr_context *ctx, struct rr_core *core,
 		      struct rr_query *query);
 
@@ -316,7 +346,7 @@
 enum rr_missing_reason
 rr_unanswered_relay_reason(const struct rr_core *core,
 			   const struct rr_outgoing_relay *outgoing);
-/* Send no more shards of the query to this owner. */
+/* Send no more relays for the query to this owner. */
 void rr_exclude_owner(struct rr_query *query, const char *instance);
 /* End a relay once outcomes for all of its shards have been received. */
 void rr_end_relay_if_complete(struct rr_core *core,
@@ -324,12 +354,12 @@
 void rr_fail_relay(struct rr_context *ctx, struct rr_core *core, uint64_t id,
 		   const char *reason);
 /*
- * Handle a relay time-out: the relay is lost unless its owner was in contact
- * since.
+ * Handle the timeout of a relay: wait on if a message from its owner has
+ * arrived since the relay was sent, else fail the relay.
  */
 void rr_handle_relay_timeout(struct rr_context *ctx, struct rr_core *core,
 			     uint64_t id);
-/* Fail at once the relays to members that are dead. */
+/* Fail relays to dead members at once, without waiting for their timeout. */
 void rr_fail_relays_to_dead(struct rr_context *ctx, struct rr_core *core);
 void rr_cancel_relays(struct rr_context *ctx, struct rr_core *core,
 		      struct rr_query *query);
@@ -345,7 +375,8 @@
 void rr_handle_relay_cancel(struct rr_context *ctx, struct rr_core *core,
 			    const struct rr_peer_message *message);
 /*
- * Send the outcomes known so far to the peer, as part of the shards are slow.
+ * Send the outcomes known so far to the peer, because some of the shards are
+ * slow.
  */
 void rr_send_relay_progress(struct rr_context *ctx, struct rr_core *core,
 			    struct rr_query *query);
@@ -358,19 +389,22 @@
  */
 void rr_deliver_answer(struct rr_context *ctx, struct rr_core *core,
 		       struct rr_query *query, struct rr_answer *answer);
-/* Answer the caller, or the requesting peer, exactly once. */
+/*
+ * Answer the caller with the rows merged so far, exactly once, and end the
+ * query.
+ */
 void rr_answer_query(struct rr_context *ctx, struct rr_core *core,
 		     struct rr_query *query, enum rr_outcome outcome,
 		     const char *reason);
-/* Answer a request that never became a query. */
-void rr_answer_rejected(struct rr_context *ctx, struct rr_core *core,
-			const struct rr_request *request, uint64_t id,
-			enum rr_outcome outcome, const char *reason,
-			uint32_t retry_after_ms);
+/* Answer a request that was rejected before a query was created for it. */
+void rr_answer_rejected_request(struct rr_context *ctx, struct rr_core *core,
+				const struct rr_request *request, uint64_t id,
+				enum rr_outcome outcome, const char *reason,
+				uint32_t retry_after_ms);
 
 /* admission.c */
 /*
- * Check whether a request can be admitted.  Returns NULL if it can; else the
+ * Check whether a request can be admitted.  Return NULL if it can; else the
  * reason (a static string), with *retry_after_ms set.
  */
 const char *rr_check_query_admission(struct rr_core *core,
@@ -383,30 +417,37 @@
 void rr_claim_query(struct rr_context *ctx, struct rr_core *core,
 		    struct rr_query *query, int64_t wall_us);
 /*
- * Finish an at-most-once query that has no open tasks: record, release or
- * abandon its claim.
+ * Finish an at-most-once query that has no open tasks: record its result or
+ * release or abandon its claim, and answer if that has not been done.
  */
 void rr_finish_at_most_once(struct rr_context *ctx, struct rr_core *core,
 			    struct rr_query *query);
 
 /*
- * Answer at the deadline; attempts that were sent run until their outcome is
- * known.
+ * Answer an at-most-once query at its deadline; attempts that were sent run
+ * until their outcome is known.
  */
 void rr_end_at_most_once_at_deadline(struct rr_context *ctx,
 				     struct rr_core *core,
 				     struct rr_query *query);
-/* End a query whose outcome was not received: its claim is never released. */
+/*
+ * End a query whose outcome was not received while it lingered.  Its claim is
+ * not released, as the request may have run.
+ */
 void rr_end_lingering_query(struct rr_context *ctx, struct rr_core *core,
 			    struct rr_query *query);
 /*
- * Handle the disconnection of the caller: attempts that were sent run on, the
- * rest are cancelled.
+ * Handle the disconnection of the caller of an at-most-once query: attempts
+ * that were sent run on, the rest are cancelled.
  */
 void rr_cancel_at_most_once(struct rr_context *ctx, struct rr_core *core,
 			    struct rr_query *query);
 
 /* list.c */
+/*
+ * Prepare a list query from its cursor (NULL: first page).  Return false with
+ * *error_text set, to be freed by the caller, if the cursor is invalid.
+ */
 bool rr_begin_list(struct rr_context *ctx, struct rr_core *core,
 		   struct rr_query *query, const char *cursor,
 		   char **error_text);
--- a/source/core/query.c
+++ b/source/core/query.c
@@ -158,9 +158,9 @@
 }
 
 /*
- * Whether the task that determines the pin is running.  While no version is
- * known, the first reply sets the pin; with two tasks in flight, the replies
- * could be of two versions.
+ * Whether the task whose reply is to set the pinned version is in progress.
+ * While no version is pinned only one task is started: with two in flight, the
+ * replies could be of two versions.
  */
 static bool is_pin_task_running(const struct rr_query *query)
 {
@@ -193,7 +193,9 @@
 	query->pending_head = 0;
 }
 
-/* A failed task may be covered by the ranges of other replies. */
+/*
+ * Mark failed tasks as covered if the ranges of other replies cover their keys.
+ */
 static void cover_failed_tasks(struct rr_core *core, struct rr_query *query)
 {
 	for (uint32_t i = 0; i < query->n_tasks; i++) {
@@ -206,7 +208,7 @@
 	}
 }
 
-static const char *first_reason(const struct rr_query *query)
+static const char *first_missing_reason(const struct rr_query *query)
 {
 	for (size_t i = 0; i < query->n_tasks; i++) {
 		if (query->tasks[i].status == RR_TASK_FAILED)
@@ -224,7 +226,7 @@
 	}
 	if (!query->n_covered && !query->n_maybe_run) {
 		rr_answer_query(ctx, core, query, RR_NOT_RUN,
-				first_reason(query));
+				first_missing_reason(query));
 		return;
 	}
 	rr_answer_query(ctx, core, query, RR_PARTIAL, NULL);
@@ -246,8 +248,8 @@
 }
 
 /*
- * Answer mode "latency": once the minimum coverage is reached, wait for
- * stragglers for a short time, if at all.
+ * Answer mode "latency": once the minimum coverage is reached, wait at most
+ * straggler_wait_ms for the remaining shards.
  */
 static void check_min_coverage(struct rr_context *ctx, struct rr_core *core,
 			       struct rr_query *query)
@@ -290,6 +292,10 @@
 		check_min_coverage(ctx, core, query);
 }
 
+/*
+ * Return the reason for a task that is open when its query ends: for the
+ * deadline, the more specific cause if one is known.
+ */
 static enum rr_missing_reason
 get_open_task_reason(const struct rr_core *core, const struct rr_task *task,
 		     enum rr_missing_reason reason)
@@ -303,7 +309,10 @@
 	return reason;
 }
 
-/* Fail all open tasks for one reason, and finish. */
+/*
+ * Fail all open tasks and finish the query.  If the reason is the deadline, a
+ * more specific one is used where it is known.
+ */
 static void fail_open_tasks(struct rr_context *ctx, struct rr_core *core,
 			    struct rr_query *query,
 			    enum rr_missing_reason reason)
--- a/source/core/replica-limit.c
+++ b/source/core/replica-limit.c
@@ -12,8 +12,9 @@
  */
 #define IN_FLIGHT_PER_SLOT 2
 /*
- * Replies until a replica that is new or was cold may have more than one
- * attempt in flight.
+ * Latency samples needed before a replica may have more than one attempt in
+ * flight.  They are counted from zero for a replica that is new, was restarted,
+ * is back after a drain or a failure, or was ejected.
  */
 #define WARM_REPLIES 4
 
@@ -32,7 +33,7 @@
 	return (slots + owners - 1) / owners;
 }
 
-/* This owner's share of the connections, at least one. */
+/* This owner's share of the connections that are not reserved, at least one. */
 static uint32_t connection_share(const struct rr_replica *replica)
 {
 	const struct rr_service_config *config = replica->service->map->service;
--- a/source/core/replica-private.h
+++ b/source/core/replica-private.h
@@ -34,18 +34,28 @@
 	/* NULL: not in the current configuration */
 	const struct rr_shard_map *shard;
 
-	/* Attempts of this instance that are sent, or queued for a slot. */
+	/*
+	 * Attempts of this instance: sent and not ended, and queued for a slot.
+	 */
 	uint32_t in_flight;
 	uint32_t batch_in_flight;
 	GQueue queues
 		[RR_PRIORITY_COUNT]; /* struct rr_live_attempt, by deadline */
 
-	/* Latency estimate from own attempts, exponentially weighted. */
+	/*
+	 * Exponentially weighted moving average of the latency of this
+	 * instance's attempts.
+	 */
 	double latency_us;
 	struct rr_concurrency_limit limit; /* on attempts in flight */
+	/*
+	 * The replica rejected an attempt as overloaded: send nothing until
+	 * then.
+	 */
 	int64_t shed_until_us;
 	int64_t ejected_until_us;
 	uint32_t ejection_count;
+	/* latency samples since the estimates were last reset */
 	uint32_t samples;
 	uint32_t consecutive_losses;
 
@@ -53,7 +63,8 @@
 	int64_t draining_since_us; /* when first reported; 0: not draining */
 	int64_t last_success_us;   /* last complete reply */
 	double reported_load;
-	uint32_t ready_polls;	/* consecutive, since the drain was reported */
+	/* consecutive polls answered "ready" since the drain was reported */
+	uint32_t ready_polls;
 	uint32_t poll_failures; /* consecutive */
 	uint64_t oldest_version;
 	uint64_t newest_version;
@@ -62,7 +73,10 @@
 
 	int64_t poll_sent_us;
 
-	/* Owners as indices into the core's members of that generation. */
+	/*
+	 * Owners as indices into the core's member_copies; valid while
+	 * owners_generation equals its members_generation.
+	 */
 	uint64_t owners_generation;
 	size_t owners[RR_MAX_OWNERS];
 	size_t n_owners;
@@ -82,8 +96,8 @@
 };
 
 /*
- * A service as in one configuration.  A query keeps the one that it started
- * with.
+ * A service as described by one configuration.  A query keeps the map that it
+ * started with when the configuration changes.
  */
 struct rr_service_map {
 	int refs;
@@ -105,15 +119,18 @@
 	/* replicas ejected as outliers, at the last check */
 	uint32_t n_ejected;
 	/*
-	 * Cached pin, chosen from the versions reported by replicas; valid
-	 * while nothing changes.
+	 * Cached pin: the index version that new searches and lists ask all
+	 * shards for, chosen from the versions reported by replicas.  Valid
+	 * while change_count equals pin_change_count and until pin_until_us.
+	 * change_count counts changes of the configuration and of the versions
+	 * and states of replicas.
 	 */
-	uint64_t change_count; /* number of changes of versions and states */
+	uint64_t change_count;
 	uint64_t pin_change_count; /* change_count when the pin was chosen */
 	int64_t pin_until_us;
 	uint64_t pin_version;
 	uint64_t pin_epoch;
-	size_t pin_shards; /* shards known to hold it */
+	size_t pin_shards; /* number of shards known to hold pin_version */
 };
 
 /* choose.c */
@@ -139,8 +156,8 @@
 				uint64_t newest, uint64_t epoch);
 /*
  * Update the start time of a replica from the list of instances (ms since 1970;
- * 0: not reported).  Returns false if the list names an incarnation that has
- * ended, or may have: a later one was reported before.
+ * 0: not reported).  Return false, changing nothing, if a later start time was
+ * reported before: the incarnation in the list has ended, or may have.
  */
 bool rr_update_replica_start_time(struct rr_context *ctx,
 				  struct rr_replica *replica,
@@ -152,8 +169,8 @@
 		       struct rr_replica *replica, int64_t took_us,
 		       uint32_t in_flight);
 /*
- * Record a sent attempt that was cancelled after `took_us`, as another reply
- * was first: its latency is at least that.
+ * Record a sent attempt that was cancelled after `took_us`, for example because
+ * another reply arrived first.  Its latency would have been at least `took_us`.
  */
 void rr_record_cancelled_attempt(struct rr_context *ctx, struct rr_core *core,
 				 struct rr_replica *replica, int64_t took_us);
@@ -189,25 +206,29 @@
 struct rr_service_map *rr_keep_service_map(struct rr_service_map *map);
 void rr_drop_service_map(struct rr_service_map *map);
 /*
- * Return the index of the shard that holds a key by the configuration; n_shards
- * if none.
+ * Return the index of the shard that holds a key according to the
+ * configuration, n_shards if none does.
  */
 size_t rr_find_shard_by_key(const struct rr_service_map *map, uint64_t key);
 /*
- * Return the index of the shard of that name, searched for from index `guess`
- * on; n_shards if none.
+ * Return the index of the shard with this name, n_shards if there is none.  The
+ * search starts at index `guess` and wraps around.
  */
 size_t rr_find_shard_by_name(const struct rr_service_map *map, const char *name,
 			     size_t guess);
 
 /* replica-limit.c */
-/* This owner's share of the replica's slots, rounded up. */
+/* Return this owner's share of the replica's slots, rounded up. */
 uint32_t rr_slot_share(const struct rr_replica *replica);
+/*
+ * Return the number of attempts that this instance may have in flight at the
+ * replica.
+ */
 uint32_t rr_replica_limit(const struct rr_core *core,
 			  const struct rr_replica *replica);
 /*
- * Adapt the limit to a reply; `in_flight` is the number of attempts in flight
- * when the attempt was sent, itself included.
+ * Adapt the limit to the latency of an attempt; `in_flight` is the number of
+ * attempts in flight at the replica when it was sent, itself included.
  */
 void rr_adapt_replica_limit(struct rr_replica *replica, int64_t took_us,
 			    uint32_t in_flight);
--- a/source/core/replica.c
+++ b/source/core/replica.c
@@ -1,7 +1,8 @@
 /*
  * replica.c - state of replicas as this instance knows it.
  *
- * Outcomes of its own attempts take precedence over reports by others.
+ * Outcomes of this instance's own attempts take precedence over reports by
+ * others.
  */
 #include "core/core-private.h"
 
@@ -14,20 +15,26 @@
  */
 #define MAX_SAMPLE_MEDIANS 5.0
 /*
- * A report that a replica is down is ignored if it completed an attempt within
- * this time.
+ * A report that a replica is down is ignored if the replica completed an
+ * attempt within this time.
  */
 #define RECENT_REPLY_US (2 * G_USEC_PER_SEC)
 /*
- * Consecutive ready polls that end a drain.  One is not enough: its reply may
- * have been delayed and be from before the drain.
+ * Consecutive polls answered "ready" that end a drain.  One is not enough: its
+ * reply may have been delayed and be from before the drain.
  */
 #define READY_POLLS 2
 /*
- * Time after which an instance that does not poll a replica ignores its drain.
+ * Time after which an instance that does not poll a replica ignores its drain,
+ * as no poll would tell it that the drain has ended.
  */
 #define DRAIN_EXPIRY_US (60 * G_USEC_PER_SEC)
+/*
+ * Factor on the limit of attempts in flight after a loss, or a rejection as
+ * overloaded.
+ */
 #define LIMIT_SHRINK_FACTOR 0.7
+/* Used if a reply that rejects an attempt as overloaded has no retry time. */
 #define DEFAULT_SHED_RETRY_MS 50
 
 struct rr_replica *rr_keep_replica(struct rr_replica *replica)
@@ -127,8 +134,8 @@
 	if (replica->state == RR_UPSTREAM_DOWN)
 		return;
 	/*
-	 * Reports may be late or wrong: one that calls a replica down while it
-	 * answers attempts would remove a healthy replica.
+	 * Reports may be late or wrong: if a replica answers attempts, a report
+	 * that it is down would remove a healthy replica.
 	 */
 	if (replica->last_success_us &&
 	    core->now_us - replica->last_success_us < RECENT_REPLY_US)
@@ -161,8 +168,8 @@
 	if (started_ms < replica->started_ms)
 		return false;
 	/*
-	 * The first start time that is reported may be that of the known
-	 * incarnation.
+	 * The first start time that is reported may be that of the incarnation
+	 * already in use, so it resets nothing.
 	 */
 	if (is_later && replica->started_ms) {
 		reset_estimates(replica);
@@ -183,7 +190,9 @@
 
 /*
  * Mark a replica ready.  A drain ends only by the replica's own health replies,
- * two of them to polls sent after the drain was reported.
+ * READY_POLLS of them to polls sent after the drain was reported.  An owned
+ * replica that was down becomes ready only by its own health replies or replies
+ * to attempts, not by a report.
  */
 static void set_ready(struct rr_context *ctx, struct rr_core *core,
 		      struct rr_replica *replica, enum rr_upstream_state state,
@@ -311,7 +320,8 @@
 		return true;
 	/*
 	 * An instance that does not poll the replica is not informed when the
-	 * drain ends.  An owner is, and rejects what arrives too early.
+	 * drain ends, so it tries the replica again after DRAIN_EXPIRY_US.  An
+	 * owner is informed, and rejects relays that arrive too early.
 	 */
 	return !replica->owned &&
 	       core->now_us - replica->draining_since_us > DRAIN_EXPIRY_US;
--- a/source/core/reply.c
+++ b/source/core/reply.c
@@ -56,7 +56,10 @@
 	g_array_unref(clipped);
 }
 
-/* Merge a valid reply; the task is covered unless its range has a gap. */
+/*
+ * Merge a valid reply.  The task is covered unless its range has a gap; then
+ * another replica is tried.
+ */
 static void accept_reply(struct rr_context *ctx, struct rr_core *core,
 			 struct rr_query *query, uint32_t index,
 			 const struct rr_reply *reply, uint64_t replica_bit)
@@ -88,7 +91,8 @@
 }
 
 /*
- * Update the state of the replica from a reply, whatever its use to the query.
+ * Update the state of the replica from a reply, whether or not the query can
+ * use the reply.
  */
 static void update_replica(struct rr_context *ctx, struct rr_core *core,
 			   const struct rr_live_attempt *attempt,
@@ -204,8 +208,8 @@
 	uint32_t index;
 
 	/*
-	 * A late, duplicate or unknown reply: merging its rows would send them
-	 * to the caller of another request.
+	 * A late, duplicate or unknown reply is dropped: if its rows were
+	 * merged, they could be sent to the caller of another request.
 	 */
 	if (!attempt || attempt->status != RR_ATTEMPT_SENT) {
 		rr_count(ctx, RR_N_LATE_REPLIES, 1);
--- a/source/core/request.c
+++ b/source/core/request.c
@@ -5,7 +5,7 @@
 
 #define STOPPING_RETRY_MS 100
 
-/* Why a request is rejected; `reason` is NULL if it is not. */
+/* Why a request is rejected; `reason` is NULL if the request is accepted. */
 struct rejection {
 	enum rr_outcome outcome;
 	const char *reason;
@@ -150,8 +150,9 @@
 	rr_count(ctx, RR_N_REQUESTS, 1);
 	if (!check_request(ctx, core, request, &service, &rejection)) {
 		id = rr_next_id(core);
-		rr_answer_rejected(ctx, core, request, id, rejection.outcome,
-				   rejection.reason, rejection.retry_after_ms);
+		rr_answer_rejected_request(ctx, core, request, id,
+					   rejection.outcome, rejection.reason,
+					   rejection.retry_after_ms);
 		g_free(rejection.detail);
 		return id;
 	}
--- a/source/core/reserve.c
+++ b/source/core/reserve.c
@@ -9,13 +9,13 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Time-out of store calls; reservations wait for them. */
+/* Timeout of calls to the store, for which reservations have to wait. */
 #define STORE_TIMEOUT_MS 250
 /* How long to wait for an outcome after "unknown" was answered. */
 #define LINGER_US (60 * G_USEC_PER_SEC)
 /*
- * Maximum length of the rows recorded for an at-most-once read, for a repeated
- * request.
+ * Maximum length of the rows recorded as the result of an at-most-once read.  A
+ * repeated request is answered with the recorded result.
  */
 #define MAX_RECORDED_BYTES 16384
 
@@ -54,6 +54,10 @@
 				       "replaced together"));
 }
 
+/*
+ * Return a hash of the request, by which the ledger detects that an idempotency
+ * key is used again for a different request.
+ */
 static uint64_t get_fingerprint(const struct rr_query *query)
 {
 	uint64_t seed = XXH3_64bits(query->body, strlen(query->body));
@@ -80,8 +84,8 @@
 	if (!query->claim_acquired)
 		return;
 	/*
-	 * Released only with proof that nothing ran: else a second run could
-	 * follow.
+	 * A claim is released only with proof that nothing ran: otherwise a
+	 * repeated request could run a second time.
 	 */
 	rr_invariant("at-most-once", !query->n_maybe_run);
 	query->claim_acquired = false;
@@ -225,8 +229,8 @@
 }
 
 /*
- * The result recorded for an at-most-once read: its rows, if they are short
- * enough.
+ * Return the result to record for an at-most-once read: its rows, or null rows
+ * if they are longer than MAX_RECORDED_BYTES.
  */
 static char *format_rows(const struct rr_query *query)
 {
--- a/source/core/status.c
+++ b/source/core/status.c
@@ -125,9 +125,9 @@
 }
 
 /*
- * Whether every replica of a shard is known to be down or draining.  The state
- * of a replica that this instance does not own is not known here, so it may
- * well answer an owner.
+ * Whether every replica of a shard is known to be down or draining.  A replica
+ * of unknown state does not count: this instance polls only the replicas that
+ * it owns, and others may well answer their owners.
  */
 static bool is_unavailable(const struct rr_shard_map *shard)
 {
--- a/source/core/task.c
+++ b/source/core/task.c
@@ -3,9 +3,9 @@
  */
 #include "core/core-private.h"
 
-/* Starts of one task, counted over all its replicas. */
+/* Maximum number of starts of one task, counted over all its replicas. */
 #define MAX_STARTS 6
-/* Delay before replicas that failed once are tried again. */
+/* Delay before replicas that failed once for a task are tried a second time. */
 #define SECOND_ROUND_DELAY_US 5000
 
 struct rr_key_range rr_task_range(const struct rr_query *query,
@@ -107,8 +107,9 @@
 }
 
 /*
- * No replica can be tried now: wait until a shed has expired, start a second
- * round over the replicas, or fail the task.
+ * No replica can be tried now: wait until one that rejected an attempt as
+ * overloaded can be tried again, start a second round over the replicas, or
+ * fail the task.
  */
 static void handle_no_replica(struct rr_context *ctx, struct rr_core *core,
 			      struct rr_query *query, uint32_t index,
@@ -177,7 +178,7 @@
 	size_t chosen;
 
 	/*
-	 * The answer was sent ("unknown") or the caller disconnected: send
+	 * The outcome "unknown" was answered or the caller disconnected: send
 	 * nothing more.
 	 */
 	if (query->stage == RR_QUERY_LINGERING) {
@@ -205,9 +206,9 @@
 }
 
 /*
- * Whether a failure costs a retry token.  A replica that is draining or does
- * not hold the version did no work for the request, and each of these is tried
- * only once.
+ * Whether a failure costs a retry token.  It does not if the replica is
+ * draining (RR_MISSING_NONE) or does not hold the version: such a replica did
+ * no work for the request, and each is tried only once.
  */
 static bool costs_token(enum rr_missing_reason reason)
 {
