--- a/include/ragwort/attempt.h
+++ b/include/ragwort/attempt.h
@@ -47,16 +47,19 @@
 	 * upstream said so.
 	 */
 	RR_REPLY_REFUSED,
-	/* As RR_REPLY_REFUSED; the upstream is too busy for retry_after_ms. */
+	/*
+	 * The request did not run: the upstream is overloaded and asks for no
+	 * more attempts within retry_after_ms.
+	 */
 	RR_REPLY_SHED,
 	/*
-	 * As RR_REPLY_REFUSED; the upstream is draining: send nothing more to
-	 * it.
+	 * The request did not run: the upstream is draining, and nothing more
+	 * must be sent to it.
 	 */
 	RR_REPLY_DRAINING,
 	/*
-	 * As RR_REPLY_REFUSED; the upstream does not, or no longer, hold the
-	 * version requested.
+	 * The request did not run: the upstream does not hold the version
+	 * requested, or no longer holds it.
 	 */
 	RR_REPLY_NO_VERSION,
 	/* No usable reply was received: the request may have run. */
--- a/include/ragwort/core.h
+++ b/include/ragwort/core.h
@@ -152,7 +152,9 @@
 			  int64_t now_us, const char *replica,
 			  int64_t started_ms, enum rr_upstream_state state);
 
+/* Run the timers that are due. */
 void rr_core_tick(struct rr_context *ctx, struct rr_core *core, int64_t now_us);
+/* Return the time at which rr_core_tick() is next due. */
 int64_t rr_core_wake_us(const struct rr_core *core);
 
 /* Begin a graceful stop: accept no new requests and notify peers. */
--- a/source/core/attempt.c
+++ b/source/core/attempt.c
@@ -130,7 +130,7 @@
 	}
 }
 
-static uint32_t row_limit(const struct rr_query *query)
+static uint32_t get_row_limit(const struct rr_query *query)
 {
 	if (query->origin)
 		return query->row_limit;
@@ -169,6 +169,10 @@
 	task->n_maybe_run++;
 	if (attempt->hedge)
 		rr_count(ctx, RR_N_HEDGES, 1);
+	/*
+	 * Only the first attempt of a task earns tokens; hedges and retries
+	 * spend them.
+	 */
 	if (attempt->hedge || task->attempts > 1)
 		return;
 	rr_earn_token(&query->service->hedge_budget);
@@ -195,7 +199,7 @@
 		.body = query->body,
 		.key_from = range.from,
 		.key_to = range.to,
-		.row_limit = row_limit(query),
+		.row_limit = get_row_limit(query),
 		.version = query->pin_version,
 		.map_epoch = query->pin_epoch,
 		.deadline_ms = (uint32_t)MAX(1, left_us / 1000),
--- a/source/core/core-private.h
+++ b/source/core/core-private.h
@@ -35,7 +35,7 @@
 	uint32_t relays_in_flight;
 };
 
-/* A copy of one usable member. */
+/* A copy of one usable member (alive or suspect). */
 struct rr_member_copy {
 	char *instance;
 	char *zone;
@@ -95,7 +95,10 @@
 	/* Relays received from peers, by name "instance/incarnation/id". */
 	/* name -> query id (uint64_t), for relays in progress */
 	GHashTable *relay_origins;
-	/* names of at-most-once relays, kept for a while */
+	/*
+	 * names of at-most-once relays, kept for a while after receipt: a
+	 * second copy of such a relay is not run again
+	 */
 	GHashTable *served_relays;
 	GQueue served_relay_order; /* struct served_relay, oldest first */
 
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -351,6 +351,10 @@
 	case RR_TIMER_GATE_ZONE_PROBE:
 	case RR_TIMER_GATE_UNLISTED_GRACE:
 	case RR_TIMER_GATE_CLAIM_TIMEOUT:
+		/*
+		 * These timers belong to the gate (gate.c), which has a timer
+		 * queue of its own.
+		 */
 		rr_invariant("own-timers", false);
 		return;
 	}
--- a/source/core/hedge.c
+++ b/source/core/hedge.c
@@ -14,6 +14,7 @@
  * for a hedge.
  */
 #define HEDGE_QUANTILE 0.95
+/* Least delay before an attempt is checked for a hedge. */
 #define MIN_HEDGE_DELAY_US 2000
 /* Delay before an attempt that could not be hedged is checked again. */
 #define HEDGE_RECHECK_US 3000
--- a/source/core/merge.c
+++ b/source/core/merge.c
@@ -29,8 +29,8 @@
 }
 
 /* Whether any key of the range is already covered. */
-static bool touches_coverage(const struct rr_coverage *coverage,
-			     struct rr_key_range range)
+static bool overlaps_coverage(const struct rr_coverage *coverage,
+			      struct rr_key_range range)
 {
 	struct rr_key_range gap;
 
@@ -67,7 +67,7 @@
 			const struct rr_key_range *ranges, size_t n_ranges)
 {
 	for (size_t i = 0; i < n_ranges; i++) {
-		if (touches_coverage(query->coverage, ranges[i]))
+		if (overlaps_coverage(query->coverage, ranges[i]))
 			return true;
 	}
 	return false;
--- a/source/core/query-private.h
+++ b/source/core/query-private.h
@@ -47,6 +47,7 @@
 	RR_TASK_PENDING, /* to be started */
 	RR_TASK_RUNNING, /* an attempt or a relay is in progress */
 	RR_TASK_BACKOFF, /* waits for a retry timer */
+	/* replies cover all of its keys, or its reservation ran */
 	RR_TASK_COVERED,
 	RR_TASK_FAILED,
 };
@@ -144,7 +145,10 @@
 	char *origin_address;
 	uint64_t origin_incarnation;
 	uint64_t origin_query_id;
-	/* names (char *) of requested shards not known here */
+	/*
+	 * names (char *) of shards that the relay asks for but that are not in
+	 * the configuration of this instance
+	 */
 	GPtrArray *unknown_shards;
 	uint32_t row_limit;
 
@@ -215,8 +219,8 @@
 		  struct rr_query *query);
 void rr_free_query(struct rr_core *core, struct rr_query *query);
 /*
- * Free a query with its attempts without sending cancellations, when the core
- * is freed.
+ * Free a query and its attempts without sending cancellations; used when the
+ * core is freed.
  */
 void rr_discard_query(struct rr_core *core, struct rr_query *query);
 
@@ -417,8 +421,9 @@
 void rr_claim_query(struct rr_context *ctx, struct rr_core *core,
 		    struct rr_query *query, int64_t wall_us);
 /*
- * Finish an at-most-once query that has no open tasks: record its result or
- * release or abandon its claim, and answer if that has not been done.
+ * Finish an at-most-once query that has no open tasks: record its result,
+ * release its claim if nothing ran or abandon it if something may have run, and
+ * answer if that has not been done.
  */
 void rr_finish_at_most_once(struct rr_context *ctx, struct rr_core *core,
 			    struct rr_query *query);
@@ -454,6 +459,7 @@
 /* Continue with the next shard after a task has ended, or answer the page. */
 void rr_advance_list(struct rr_context *ctx, struct rr_core *core,
 		     struct rr_query *query);
+/* Return the number of rows to ask of the next shard of a page. */
 uint32_t rr_list_row_limit(const struct rr_query *query);
 /* End the page after the last key received, as rows were omitted. */
 void rr_end_list_page(struct rr_query *query, const struct rr_rows *rows);
--- a/source/core/reply.c
+++ b/source/core/reply.c
@@ -135,6 +135,10 @@
 	}
 }
 
+/*
+ * Count an attempt no longer among those that may have run, as its reply proves
+ * that it did not.
+ */
 static void uncount_attempt(struct rr_query *query, struct rr_task *task)
 {
 	query->n_maybe_run--;
--- a/source/core/request.c
+++ b/source/core/request.c
@@ -117,8 +117,9 @@
 	return false;
 }
 
-static void begin(struct rr_context *ctx, struct rr_core *core,
-		  struct rr_query *query, const struct rr_request *request)
+static void begin_request(struct rr_context *ctx, struct rr_core *core,
+			  struct rr_query *query,
+			  const struct rr_request *request)
 {
 	char *error_text = NULL;
 
@@ -158,7 +159,7 @@
 	}
 	query = rr_new_query(core, service, request);
 	id = query->id;
-	begin(ctx, core, query, request);
+	begin_request(ctx, core, query, request);
 	rr_run_scheduled_work(ctx, core);
 	return id;
 }
