--- a/source/core/attempt.c
+++ b/source/core/attempt.c
@@ -20,8 +20,9 @@
 }
 
 /*
- * Queue an attempt in order of deadline.  As deadlines are alike, this is
- * mostly the order of arrival, so the search starts at the tail.
+ * Queue an attempt in order of deadline.  As most requests have similar time
+ * limits, this is mostly the order of arrival, so the search starts at the
+ * tail.
  */
 static void enqueue(struct rr_live_attempt *attempt)
 {
@@ -129,7 +130,7 @@
 	}
 }
 
-static uint32_t row_limit(const struct rr_query *query)
+static uint32_t get_row_limit(const struct rr_query *query)
 {
 	if (query->origin)
 		return query->row_limit;
@@ -144,8 +145,8 @@
 	const struct rr_service_config *config = query->map->service;
 
 	/*
-	 * A reservation that was sent has no time-out: it runs until its
-	 * outcome is known.
+	 * An at-most-once request that was sent has no timeout: it runs until
+	 * its outcome is known.
 	 */
 	if (query->at_most_once)
 		return;
@@ -168,6 +169,10 @@
 	task->n_maybe_run++;
 	if (attempt->hedge)
 		rr_count(ctx, RR_N_HEDGES, 1);
+	/*
+	 * Only the first attempt of a task earns tokens; hedges and retries
+	 * spend them.
+	 */
 	if (attempt->hedge || task->attempts > 1)
 		return;
 	rr_earn_token(&query->service->hedge_budget);
@@ -194,16 +199,16 @@
 		.body = query->body,
 		.key_from = range.from,
 		.key_to = range.to,
-		.row_limit = row_limit(query),
+		.row_limit = get_row_limit(query),
 		.version = query->pin_version,
 		.map_epoch = query->pin_epoch,
 		.deadline_ms = (uint32_t)MAX(1, left_us / 1000),
 	};
 
 	/*
-	 * A draining upstream would abort new work when it exits.
-	 * Its queue is emptied when the drain is reported, so nothing should
-	 * remain to be sent.
+	 * A draining upstream would abort new work when it exits.  The attempts
+	 * queued for it are returned to their tasks when the drain is reported,
+	 * so none should remain to be sent.
 	 */
 	rr_invariant("drain",
 		     !replica->draining_since_us ||
@@ -222,8 +227,8 @@
 }
 
 /*
- * The next queued attempt that may be sent.  Batch attempts may use a share of
- * the slots, at least one.
+ * Return the next queued attempt that may be sent, interactive ones first; NULL
+ * if none.  Batch attempts may use only a share of the limit, at least one.
  */
 static struct rr_live_attempt *next_queued(const struct rr_replica *replica,
 					   uint32_t limit)
@@ -275,8 +280,8 @@
  * Move an attempt from the queue of a busy replica of the same shard to this
  * one.  Guards against work that is queued at a replica that stalled after it
  * was chosen, while another replica is idle.  An ejected replica takes over
- * only what has waited for longer than an outlier's latency; anything else it
- * would delay further.
+ * only an attempt that has waited for longer than an outlier's latency; it
+ * would delay any other attempt further.
  */
 static bool take_from_sibling(struct rr_core *core, struct rr_replica *replica)
 {
--- a/source/core/merge.c
+++ b/source/core/merge.c
@@ -29,8 +29,8 @@
 }
 
 /* Whether any key of the range is already covered. */
-static bool touches_coverage(const struct rr_coverage *coverage,
-			     struct rr_key_range range)
+static bool overlaps_coverage(const struct rr_coverage *coverage,
+			      struct rr_key_range range)
 {
 	struct rr_key_range gap;
 
@@ -42,9 +42,9 @@
 }
 
 /*
- * Drop rows with keys that another reply has covered.  Guards against rows
- * counted twice while a split or join is in progress, when both the old and the
- * new holder answer for the same keys.
+ * Keep only rows within `ranges` whose keys no earlier reply has covered.
+ * Guards against rows counted twice while shards are being split or joined,
+ * when both the old and the new holder answer for the same keys.
  */
 static void keep_uncovered(const struct rr_query *query,
 			   struct rr_row_block *block,
@@ -67,7 +67,7 @@
 			const struct rr_key_range *ranges, size_t n_ranges)
 {
 	for (size_t i = 0; i < n_ranges; i++) {
-		if (touches_coverage(query->coverage, ranges[i]))
+		if (overlaps_coverage(query->coverage, ranges[i]))
 			return true;
 	}
 	return false;
--- a/source/core/request.c
+++ b/source/core/request.c
@@ -5,7 +5,7 @@
 
 #define STOPPING_RETRY_MS 100
 
-/* Why a request is rejected; `reason` is NULL if it is not. */
+/* Why a request is rejected; `reason` is NULL if the request is accepted. */
 struct rejection {
 	enum rr_outcome outcome;
 	const char *reason;
@@ -117,8 +117,9 @@
 	return false;
 }
 
-static void begin(struct rr_context *ctx, struct rr_core *core,
-		  struct rr_query *query, const struct rr_request *request)
+static void begin_request(struct rr_context *ctx, struct rr_core *core,
+			  struct rr_query *query,
+			  const struct rr_request *request)
 {
 	char *error_text = NULL;
 
@@ -150,14 +151,15 @@
 	rr_count(ctx, RR_N_REQUESTS, 1);
 	if (!check_request(ctx, core, request, &service, &rejection)) {
 		id = rr_next_id(core);
-		rr_answer_rejected(ctx, core, request, id, rejection.outcome,
-				   rejection.reason, rejection.retry_after_ms);
+		rr_answer_rejected_request(ctx, core, request, id,
+					   rejection.outcome, rejection.reason,
+					   rejection.retry_after_ms);
 		g_free(rejection.detail);
 		return id;
 	}
 	query = rr_new_query(core, service, request);
 	id = query->id;
-	begin(ctx, core, query, request);
+	begin_request(ctx, core, query, request);
 	rr_run_scheduled_work(ctx, core);
 	return id;
 }
