--- a/source/core/passive-health.c
+++ b/source/core/passive-health.c
@@ -14,7 +14,7 @@
 #define MAX_SLOWNESS 16.0
 /* An attempt in flight is sampled from this multiple of the usual time on. */
 #define OVERDUE_FACTOR 2.0
-/* Half-life of observations: longer than the usual pause of a replica. */
+/* Half-life of observations: twice the usual length of a replica's pause. */
 #define HALF_LIFE_US (2 * G_USEC_PER_SEC)
 /*
  * How long an unreachable replica is suspected, unless a probe reaches it
