--- a/include/ragwort/route.h
+++ b/include/ragwort/route.h
@@ -37,8 +37,9 @@
 	uint32_t max_attempts;
 	struct rr_route_part *parts;
 	size_t n_parts;
-	uint32_t top_k;	  /* number of records in a merged answer */
-	double min_share; /* minimum fraction of the parts in an answer */
+	uint32_t top_k; /* number of records in a merged answer */
+	/* minimum fraction of the parts that an answer must contain */
+	double min_share;
 	/* Allowed regions of replicas and instances; NULL allows any. */
 	char **regions;
 };
--- a/source/core/choose.c
+++ b/source/core/choose.c
@@ -60,11 +60,11 @@
  */
 #define REPEAT_OUTLIER_SAMPLES 8
 /*
- * Length of the first ejection; the length grows with the number of ejections,
- * up to MAX_EJECTION_COUNT times this.
+ * Duration of the first ejection.  Each further ejection lasts this much
+ * longer, up to MAX_EJECTION_MULTIPLIER times this.
  */
 #define EJECTION_US (2 * G_USEC_PER_SEC)
-#define MAX_EJECTION_COUNT 8
+#define MAX_EJECTION_MULTIPLIER 8
 /*
  * At most one in this many replicas of a service is ejected, but one always may
  * be.
@@ -431,7 +431,7 @@
 	if (!may_eject(core, replica))
 		return;
 	replica->ejection_count =
-		MIN(replica->ejection_count + 1, MAX_EJECTION_COUNT);
+		MIN(replica->ejection_count + 1, MAX_EJECTION_MULTIPLIER);
 	replica->ejected_until_us =
 		core->now_us + EJECTION_US * replica->ejection_count;
 	rr_log(ctx, RR_LOG_DECISION, "set-aside",
--- a/source/core/concurrency-limit.h
+++ b/source/core/concurrency-limit.h
@@ -1,7 +1,8 @@
 /*
  * concurrency-limit.h - adaptive limit on attempts in flight at one replica.
  *
- * Independent of replicas and requests.
+ * The limit depends only on latencies, numbers of attempts in flight,
+ * rejections and losses; the structs of replicas and requests are not used.
  */
 #ifndef RAGWORT_CORE_CONCURRENCY_LIMIT_H
 #define RAGWORT_CORE_CONCURRENCY_LIMIT_H
--- a/source/core/core-private.h
+++ b/source/core/core-private.h
@@ -103,8 +103,8 @@
 	GQueue served_relay_order; /* struct served_relay, oldest first */
 
 	struct rr_ledger *ledger;
-	GHashTable *claims;	 /* claim id -> struct rr_query */
-	uint32_t ledger_buckets; /* number the ledger was created with */
+	GHashTable *queries_by_claim; /* claim id -> struct rr_query */
+	uint32_t ledger_buckets;      /* number the ledger was created with */
 };
 
 /* core.c */
--- a/source/core/core.c
+++ b/source/core/core.c
@@ -78,8 +78,8 @@
 	core->queries = g_hash_table_new(g_int64_hash, g_int64_equal);
 	core->attempts = g_hash_table_new(g_int64_hash, g_int64_equal);
 	core->relays = g_hash_table_new(g_int64_hash, g_int64_equal);
-	core->claims = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-					     g_free, NULL);
+	core->queries_by_claim = g_hash_table_new_full(
+		g_int64_hash, g_int64_equal, g_free, NULL);
 	core->scheduled_queries = g_ptr_array_new();
 	core->replicas_to_dispatch = g_ptr_array_new();
 	core->services = g_hash_table_new(g_str_hash, g_str_equal);
@@ -166,7 +166,7 @@
 	g_hash_table_destroy(core->queries);
 	g_hash_table_destroy(core->attempts);
 	g_hash_table_destroy(core->relays);
-	g_hash_table_destroy(core->claims);
+	g_hash_table_destroy(core->queries_by_claim);
 	g_hash_table_destroy(core->services);
 	g_hash_table_destroy(core->replicas);
 	g_hash_table_destroy(core->replicas_by_number);
--- a/source/core/gate-choose.c
+++ b/source/core/gate-choose.c
@@ -82,14 +82,14 @@
 	if (!gate->policy.choose_avoids_suspects ||
 	    !rr_is_suspected(&endpoint->health, gate->now_us))
 		return true;
-		/*
-		 * Guards against excluding the only replica of a shard for
-		 * seconds after it was slow or unreachable for a moment: there
-		 * is no alternative.
-	 */
 #ifdef RR_MUTANT_GATE_SPARES_THE_ONLY_ONE
 	return false;
 #endif
+	/*
+	 * A suspected replica stays eligible if no other is available:
+	 * excluding it after it was slow or unreachable for a moment would make
+	 * the service unavailable for seconds, until the suspicion ends.
+	 */
 	return is_last_candidate(gate, endpoint);
 }
 
--- a/source/core/gate-private.h
+++ b/source/core/gate-private.h
@@ -129,8 +129,8 @@
 	uint8_t n_tried; /* replicas it was sent to */
 	/* Attempts that reached a replica; all but the first are extra. */
 	uint8_t n_reached;
-	uint8_t n_may_have_run; /* of these, attempts that may have run */
-	uint8_t n_crashed;	/* of these, attempts whose replica crashed */
+	uint8_t n_may_have_run; /* of n_reached, attempts that may have run */
+	uint8_t n_crashed;	/* of n_reached, those whose replica crashed */
 	uint8_t n_in_flight;	/* attempts in flight */
 	uint64_t tried[RR_MAX_TRIED]; /* rr_endpoint.number of each */
 	int64_t last_sent_us;
@@ -165,8 +165,8 @@
 	bool trial;	      /* canary of a quarantined request */
 	bool final_rejection; /* no other instance could serve it */
 	uint32_t n_closed;    /* attempts whose replica closed the connection */
-	uint32_t n_unresolved;	 /* of these, replicas being probed */
-	uint32_t n_crashed;	 /* of these, crashed replicas */
+	uint32_t n_unresolved;	 /* of n_closed, those being probed */
+	uint32_t n_crashed;	 /* of n_closed, those that were crashes */
 	int64_t first_close_us;	 /* time of the first close */
 	uint32_t retry_after_ms; /* Retry-After; 0 to draw one */
 	struct rr_top_records top_records;
--- a/source/core/gate-quarantine.c
+++ b/source/core/gate-quarantine.c
@@ -129,8 +129,12 @@
 	}
 }
 
-static void update_record(struct rr_context *ctx, struct rr_gate *gate,
-			  struct rr_quarantine_record *record)
+/*
+ * Quarantines a fingerprint and fails its requests if its crashes suffice, and
+ * publishes its record if that is due.
+ */
+static void quarantine_and_publish(struct rr_context *ctx, struct rr_gate *gate,
+				   struct rr_quarantine_record *record)
 {
 	struct rr_fingerprint fingerprint = record->fingerprint;
 
@@ -314,7 +318,7 @@
 		return;
 	log_record(ctx, gate, record, RR_LOG_INFO, "request-suspected",
 		   "replica-crashed");
-	update_record(ctx, gate, record);
+	quarantine_and_publish(ctx, gate, record);
 }
 
 void rr_resolve_closed_attempts(struct rr_context *ctx, struct rr_gate *gate,
@@ -463,8 +467,8 @@
 	req = rr_find_request(gate, record->claimant_id);
 	record->claimant_id = 0;
 	if (granted)
-		rr_update_trial_count(gate->quarantine, now_us, record,
-				      entry->trials);
+		rr_raise_trial_count(gate->quarantine, now_us, record,
+				     entry->trials);
 	if (!req || !req->claim_pending)
 		return;
 	req->claim_pending = false;
@@ -503,7 +507,7 @@
 	}
 	record = rr_find_quarantine_record(gate->quarantine, fingerprint);
 	if (record)
-		update_record(ctx, gate, record);
+		quarantine_and_publish(ctx, gate, record);
 }
 
 void rr_publish_suspicion(struct rr_context *ctx, struct rr_gate *gate,
--- a/source/core/lifecycle.c
+++ b/source/core/lifecycle.c
@@ -1,5 +1,6 @@
 /*
- * lifecycle.c - graceful stop that interrupts no request.
+ * lifecycle.c - graceful stop: requests in progress are completed as far as
+ * the stop timeout allows.
  */
 #include "ragwort/lifecycle.h"
 
--- a/source/core/merge.c
+++ b/source/core/merge.c
@@ -80,8 +80,9 @@
 	struct rr_row_block block = { .n_rows = rr_count_rows(rows) };
 
 	/*
-	 * Only replies of exactly the pinned version are merged.  With mixed
-	 * versions an answer could show a pallet as both present and gone.
+	 * All merged replies must have the pinned version: rows of different
+	 * versions could contradict each other, for example show the same item
+	 * as both present and removed.
 	 */
 	rr_invariant("one-snapshot", version && version == query->pin_version);
 	if (block.n_rows) {
--- a/source/core/quarantine.c
+++ b/source/core/quarantine.c
@@ -202,9 +202,9 @@
 	quarantine->n_quarantined++;
 }
 
-void rr_update_trial_count(const struct rr_quarantine *quarantine,
-			   int64_t now_us, struct rr_quarantine_record *record,
-			   uint32_t trials)
+void rr_raise_trial_count(const struct rr_quarantine *quarantine,
+			  int64_t now_us, struct rr_quarantine_record *record,
+			  uint32_t trials)
 {
 	if (trials <= record->trials)
 		return;
@@ -223,7 +223,7 @@
 		add_crashed(record, *incarnation);
 	if (entry->quarantined)
 		start_quarantine(quarantine, now_us, record);
-	rr_update_trial_count(quarantine, now_us, record, entry->trials);
+	rr_raise_trial_count(quarantine, now_us, record, entry->trials);
 	record->maybe_stored = true;
 	record->n_published = g_strv_length(entry->crashed);
 	record->quarantine_published = entry->quarantined;
--- a/source/core/quarantine.h
+++ b/source/core/quarantine.h
@@ -87,9 +87,9 @@
 				int64_t now_us,
 				struct rr_quarantine_record *record);
 /* Raise the number of trials that any instance has sent. */
-void rr_update_trial_count(const struct rr_quarantine *quarantine,
-			   int64_t now_us, struct rr_quarantine_record *record,
-			   uint32_t trials);
+void rr_raise_trial_count(const struct rr_quarantine *quarantine,
+			  int64_t now_us, struct rr_quarantine_record *record,
+			  uint32_t trials);
 /* Remove a record, if there is one. */
 void rr_remove_quarantine_record(struct rr_quarantine *quarantine,
 				 const struct rr_fingerprint *fingerprint);
--- a/source/core/query.c
+++ b/source/core/query.c
@@ -293,8 +293,9 @@
 }
 
 /*
- * Return the reason for a task that is open when its query ends: for the
- * deadline, the more specific cause if one is known.
+ * Return why a task that is still open at the end of its query is reported as
+ * missing. This is `reason`, but if that is the deadline, a more specific cause
+ * if one is known.
  */
 static enum rr_missing_reason
 get_open_task_reason(const struct rr_core *core, const struct rr_task *task,
--- a/source/core/reserve.c
+++ b/source/core/reserve.c
@@ -74,7 +74,7 @@
 		ctx, core->ledger, core->now_us, wall_us, query->service->name,
 		query->idempotency_key, get_fingerprint(query));
 	g_hash_table_insert(
-		core->claims,
+		core->queries_by_claim,
 		g_memdup2(&query->claim_id, sizeof(query->claim_id)), query);
 }
 
@@ -194,11 +194,11 @@
 	struct rr_core *core = data;
 	struct rr_context *ctx = core->ctx;
 	struct rr_query *query =
-		g_hash_table_lookup(core->claims, &result->claim_id);
+		g_hash_table_lookup(core->queries_by_claim, &result->claim_id);
 
 	if (!query)
 		return;
-	g_hash_table_remove(core->claims, &result->claim_id);
+	g_hash_table_remove(core->queries_by_claim, &result->claim_id);
 	log_claim(ctx, query, result);
 	query->retry_after_ms =
 		MAX(query->retry_after_ms, result->retry_after_ms);
--- a/source/core/task.c
+++ b/source/core/task.c
@@ -33,8 +33,9 @@
 
 	/*
 	 * Only the key ranges of merged replies decide whether a shard is
-	 * covered.  A shard reported as covered with a gap in it hides rows,
-	 * such as a pallet that then is sold twice.
+	 * covered.  If a shard were reported as covered with a gap in it, the
+	 * rows in the gap would be missing from the answer unnoticed, and an
+	 * item could be sold twice.
 	 */
 	rr_invariant("true-coverage",
 		     query->kind == RR_RESERVE ||
--- a/source/gateway/gateway-change-feed.c
+++ b/source/gateway/gateway-change-feed.c
@@ -47,11 +47,12 @@
 }
 
 /*
- * Answer a request if possible; return false if it has to wait. A request for a
- * snapshot never waits. While this instance does not follow the store, it
- * rejects requests for changes at once, so that the peer asks another instance;
- * but during the grace period, when this instance is about to follow the store
- * again, they wait.
+ * Answer a request; return false if it has to wait. A request for a snapshot
+ * never waits. A request for changes waits until there are changes or it times
+ * out. If this instance cannot serve changes, the request waits during the
+ * grace period, even past its timeout, since this instance may be about to
+ * follow the store again; otherwise it is rejected, so that the peer asks
+ * another instance.
  */
 static bool try_answer(struct rr_gateway *gateway,
 		       struct rr_caller_conn *caller,
--- a/source/wire/wire-peer-encode.c
+++ b/source/wire/wire-peer-encode.c
@@ -19,7 +19,7 @@
 	Ragwort__RelayReply reply;
 	Ragwort__RelayOutcome *outcomes;
 	Ragwort__RelayOutcome **outcome_list;
-	uint64_t *ranges; /* of all outcomes: from, to, from, to */
+	uint64_t *ranges; /* (from, to) pairs of all outcomes */
 	uint64_t *row_keys;
 	uint32_t *row_lengths;
 	uint8_t *row_texts;
--- a/tests/test-quarantine.c
+++ b/tests/test-quarantine.c
@@ -140,7 +140,7 @@
 
 	(void)state;
 	assert_true(record->next_trial_us == 5 + HOLD_US);
-	rr_update_trial_count(quarantine, HOLD_US + 5, record, 1);
+	rr_raise_trial_count(quarantine, HOLD_US + 5, record, 1);
 	assert_true(record->next_trial_us == HOLD_US + 5 + 4 * HOLD_US);
 	/* An outdated entry changes nothing. */
 	entry.trials = 0;
