--- a/include/ragwort/gate-policy-list.h
+++ b/include/ragwort/gate-policy-list.h
@@ -25,8 +25,8 @@
 RR_POLICY_SWITCH(admit_by_wait, true, "reject a request at once if its expected wait in the queue takes too much of its time (wait-queue.c)")
 
 /* Choice of the replica for an attempt. */
-RR_POLICY_TIME(choose_guess_us, 20000, "assumed typical attempt time until one was measured, on routes without an objective; raising it hedges later and gives distance less weight")
-RR_POLICY_NUMBER(choose_guess_part, 10, "of the latency objective", "divisor: the objective divided by this is the assumed typical attempt time until one was measured, on routes with an objective; raising it lowers the assumed time")
+RR_POLICY_TIME(choose_guess_us, 20000, "assumed typical attempt time until there are enough samples, on routes without an objective; raising it hedges later and gives distance less weight")
+RR_POLICY_NUMBER(choose_guess_part, 10, "of the latency objective", "divisor: the objective divided by this is the assumed typical attempt time until there are enough samples, on routes with an objective; raising it lowers the assumed time")
 RR_POLICY_TIME(choose_far_us, 5000, "minimum cost added for a replica in another zone; raising it sends fewer attempts to other zones")
 RR_POLICY_NUMBER(choose_far_part, 0.2, "of the time left", "cost added for a replica in another zone, if more than choose_far_us; raising it keeps using a slow local replica for longer")
 RR_POLICY_NUMBER(choose_cold_factor, 1.6, "times", "factor by which attempts are expected to take longer at a cold replica; raising it sends fewer attempts to cold replicas")
@@ -46,7 +46,7 @@
 /* Hedging of slow parts. */
 RR_POLICY_SWITCH(hedge_slow, true, "hedge a part whose attempt is slow: send it to another replica as well")
 RR_POLICY_NUMBER(hedge_quantile, 0.93, "of attempts' times", "quantile of attempt times after which a part is hedged while the retry budget is unused; raising it sends fewer hedges")
-RR_POLICY_NUMBER(hedge_guess_factor, 3, "guessed times", "multiple of the assumed attempt time after which a part is hedged until times were measured; raising it sends fewer hedges")
+RR_POLICY_NUMBER(hedge_guess_factor, 3, "guessed times", "multiple of the assumed attempt time after which a part is hedged until there are enough samples; raising it sends fewer hedges")
 RR_POLICY_NUMBER(hedge_dear_factor, 8, "usual times", "multiple of the typical attempt time after which a part is hedged when the retry budget is nearly spent; raising it sends fewer hedges")
 RR_POLICY_TIME(hedge_least_us, 2000, "minimum time before a hedge; raising it delays hedges on fast routes")
 RR_POLICY_TIME(hedge_check_us, 4000, "interval between tries of a hedge that could not be sent; raising it sends delayed hedges later")
--- a/soak/soak-fault.c
+++ b/soak/soak-fault.c
@@ -1,8 +1,7 @@
 /*
  * soak-fault.c - random faults and planned changes.
  *
- * Each fault has its own timer that ends it, so faults overlap and the same
- * fault may be active twice.
+ * Each fault has a timer that ends it: faults overlap, also with themselves.
  */
 #include <signal.h>
 #include <string.h>
@@ -14,14 +13,11 @@
 /* Time after which a stopped or killed process is started again. */
 #define MIN_DOWN_MS 50
 #define MAX_DOWN_MS 900
-/* Time for which a draining replica still serves before it stops. */
-#define DRAIN_MS 4500
+#define DRAIN_MS 4500 /* a draining replica serves this long, then stops */
 /* Longer than the time after which no request may arrive in the zone. */
 #define EVACUATION_MS 6500
-/* Time without watch events before the store's history is compacted. */
-#define WATCH_MUTE_MS 1000
-/* Maximum share of instances that are down at the same time. */
-#define MAX_DOWN_SHARE 0.7
+#define WATCH_MUTE_MS 1000 /* from muting watches to compacting the history */
+#define MAX_DOWN_SHARE 0.7 /* of the instances, at the same time */
 
 static uint32_t random_fault_ms(struct soak *soak)
 {
@@ -398,10 +394,7 @@
 	return G_SOURCE_REMOVE;
 }
 
-/*
- * Stop watch events for some time, then compact the history, so that the
- * missed events can't be sent any more.
- */
+/* Mute watches, then compact the history, so that missed events are lost. */
 static void mute_watches(struct soak *soak)
 {
 	record_fault(soak);
@@ -524,7 +517,6 @@
 	soak_write_config(soak);
 }
 
-/* Write several versions in quick succession. */
 static void write_many_configs(struct soak *soak)
 {
 	for (int i = 0; i < 8; i++)
--- a/source/net/http-listener.c
+++ b/source/net/http-listener.c
@@ -24,14 +24,12 @@
 #define INITIAL_BODY_BYTES 262144
 #define INITIAL_HEADER_TIMEOUT_MS 3000
 #define INITIAL_IDLE_TIMEOUT_MS 15000
-/* A body may take this many times as long as the headers. */
-#define BODY_TIMEOUT_FACTOR 4
+#define BODY_TIMEOUT_FACTOR 4 /* a body may take this many header timeouts */
 /* A caller that does not read its response is disconnected after this time. */
 #define WRITE_TIMEOUT_US (10 * G_USEC_PER_SEC)
 /*
- * How long a connection is kept after a rejection that leaves bytes unread, so
- * that the caller reads the response before a reset: a round trip with a
- * margin.
+ * How long a connection stays after a rejection that leaves bytes unread, so
+ * that the caller reads the response before a reset: a round trip and a margin.
  */
 #define LINGER_US (200 * 1000)
 
@@ -52,10 +50,7 @@
 	bool close; /* close after the current response */
 	bool http_1_0;
 	bool is_head_request; /* HEAD request: the response has no body */
-	/*
-	 * When this state was entered or, once a request has started to arrive,
-	 * when its first byte was read.
-	 */
+	/* When the state began or, later, a request's first byte was read. */
 	int64_t since_us;
 	uint64_t user_data;
 	GList link;
@@ -200,10 +195,7 @@
 	send_response(caller, response);
 }
 
-/*
- * Rejects a request that cannot be parsed or is too large, and closes the
- * connection.
- */
+/* Rejects an unparsable or too large request and closes the connection. */
 static void reject_request(struct rr_caller_conn *caller,
 			   enum rr_http_result result)
 {
@@ -530,10 +522,7 @@
 	return listener->callers.length;
 }
 
-/*
- * Returns when the current state of a connection times out, INT64_MAX for
- * never.
- */
+/* Returns when the connection's state times out, INT64_MAX for never. */
 static int64_t get_deadline(const struct rr_caller_conn *caller)
 {
 	const struct rr_caller_limits *limits = &caller->listener->limits;
@@ -559,9 +548,7 @@
 	return timeout_ms ? caller->since_us + timeout_ms * 1000 : INT64_MAX;
 }
 
-/*
- * Closes a connection that timed out, with a 408 if it has started a request.
- */
+/* Closes a timed-out connection, with a 408 if it has started a request. */
 static void close_overdue(struct rr_caller_conn *caller)
 {
 	struct rr_http_response response = { .status = 408, .close = true };
