--- a/include/ragwort/gate.h
+++ b/include/ragwort/gate.h
@@ -169,7 +169,7 @@
 	void (*close_idle)(void *data, const char *incarnation);
 	/*
 	 * Publish what is known of a query of death.  The outcome of a claim
-	 * is passed to rr_gate_handle_claim_result().
+	 * is passed to rr_gate_handle_trial_claim_result().
 	 */
 	void (*report)(void *data, const struct rr_quarantine_report *report);
 	void *data;
@@ -303,10 +303,10 @@
 			      const struct rr_fingerprint *fingerprint,
 			      const struct rr_quarantine_entry *entry);
 /* Pass the outcome of a claim: whether this instance may send one canary. */
-void rr_gate_handle_claim_result(struct rr_context *ctx, struct rr_gate *gate,
-				 int64_t now_us,
-				 const struct rr_quarantine_entry *entry,
-				 bool granted);
+void rr_gate_handle_trial_claim_result(struct rr_context *ctx,
+				       struct rr_gate *gate, int64_t now_us,
+				       const struct rr_quarantine_entry *entry,
+				       bool granted);
 
 /* Whether all other zones are unreachable and a route fails because of it. */
 bool rr_gate_is_isolated(const struct rr_gate *gate);
--- a/source/core/choose.c
+++ b/source/core/choose.c
@@ -274,7 +274,8 @@
  * Factor by which waiting for a slot lengthens an attempt.  While slots are
  * free the number in use hardly matters.  Once all are in use, each further
  * attempt adds 4 / slots, more than the 1 / slots of a queue in which all
- * attempts take equally long, as slots are held longest by slow attempts.
+ * attempts take equally long, because slow attempts occupy the slots most of
+ * the time.
  */
 static double queue_factor(const struct rr_replica *replica,
 			   uint32_t outstanding)
--- a/source/core/feed.c
+++ b/source/core/feed.c
@@ -13,8 +13,8 @@
 #include "ragwort/log.h"
 
 /*
- * Wait time of a watch: slightly less than the platform's maximum, since each
- * watch is paid for.
+ * Wait time of a watch.  Each watch is billed, so it is as long as the platform
+ * allows, less a small margin.
  */
 #define WATCH_MS 25000
 /*
@@ -254,8 +254,11 @@
 		call.kind = RR_FEED_RANGE;
 		call.after_key = feed->after_key;
 		/*
-		 * The first watch reports what a stale copy misses.  A later
-		 * range from a stale copy would remove the items added since.
+		 * The first range may be stale: the watch that follows reports
+		 * the changes it lacks.  So may the range that is read again
+		 * because the one before found no peers: no watch runs between
+		 * the two, so no newer changes are known.  Any other stale
+		 * range would remove items added after the copy was made.
 		 */
 		call.allow_stale = !feed->has_synced || feed->found_no_peers;
 	} else {
--- a/source/core/gate-attempt.c
+++ b/source/core/gate-attempt.c
@@ -107,8 +107,8 @@
 	latest_delay_us =
 		req->answer_by_us - 2 * typical_us - part->last_sent_us;
 	return rr_hedge_threshold_us(
-		rr_extras_used_fraction(&part->service->retry_budget,
-					gate->now_us),
+		rr_retry_budget_used_fraction(&part->service->retry_budget,
+					      gate->now_us),
 		min_delay_us, MIN((int64_t)max_delay_us, latest_delay_us));
 }
 
--- a/source/core/gate-quarantine.c
+++ b/source/core/gate-quarantine.c
@@ -452,10 +452,10 @@
 		record->claimant_id = 0;
 }
 
-void rr_gate_handle_claim_result(struct rr_context *ctx, struct rr_gate *gate,
-				 int64_t now_us,
-				 const struct rr_quarantine_entry *entry,
-				 bool granted)
+void rr_gate_handle_trial_claim_result(struct rr_context *ctx,
+				       struct rr_gate *gate, int64_t now_us,
+				       const struct rr_quarantine_entry *entry,
+				       bool granted)
 {
 	struct rr_quarantine_record *record = rr_find_quarantine_record(
 		gate->quarantine, &entry->fingerprint);
--- a/source/core/member.c
+++ b/source/core/member.c
@@ -16,8 +16,9 @@
 #define DEFAULT_DEAD_RETENTION_MS 3600000
 #define MAX_LOCAL_SLOWNESS 8
 /*
- * A tick or message that is handled this long after the tick was due indicates
- * that the process was paused.
+ * If the next tick is overdue by more than this when a tick, a message or a
+ * request to leave is handled, the process is assumed to have been paused: the
+ * current probe is dropped and suspicions are extended, see handle_pause().
  */
 #define PAUSE_THRESHOLD_US 250000
 /*
--- a/source/core/retry-budget.c
+++ b/source/core/retry-budget.c
@@ -68,7 +68,8 @@
 	return extras_allowed(budget, slot, now_us) - budget->spent_sum;
 }
 
-double rr_extras_used_fraction(struct rr_retry_budget *budget, int64_t now_us)
+double rr_retry_budget_used_fraction(struct rr_retry_budget *budget,
+				     int64_t now_us)
 {
 	double limit =
 		extras_allowed(budget, advance_to(budget, now_us), now_us);
--- a/source/core/retry-budget.h
+++ b/source/core/retry-budget.h
@@ -49,6 +49,7 @@
 /* Return the extra attempts left; negative after the budget was reduced. */
 double rr_extras_left(struct rr_retry_budget *budget, int64_t now_us);
 /* Return the used fraction of the budget, 0 to 1. */
-double rr_extras_used_fraction(struct rr_retry_budget *budget, int64_t now_us);
+double rr_retry_budget_used_fraction(struct rr_retry_budget *budget,
+				     int64_t now_us);
 
 #endif
--- a/source/gateway/gateway-store.c
+++ b/source/gateway/gateway-store.c
@@ -153,8 +153,8 @@
 {
 	struct rr_gateway *gateway = data;
 
-	rr_gate_handle_claim_result(gateway->ctx, gateway->gate,
-				    rr_gateway_now_us(), entry, granted);
+	rr_gate_handle_trial_claim_result(gateway->ctx, gateway->gate,
+					  rr_gateway_now_us(), entry, granted);
 }
 
 struct rr_feed_actions rr_gateway_feed_actions(struct rr_gateway *gateway)
--- a/source/net/http-listener.c
+++ b/source/net/http-listener.c
@@ -50,7 +50,7 @@
 	bool close; /* close after the current response */
 	bool http_1_0;
 	bool is_head_request; /* HEAD request: the response has no body */
-	/* When the state began or, later, a request's first byte was read. */
+	/* Time of entry into `state` or of a request's first byte, if later. */
 	int64_t since_us;
 	uint64_t user_data;
 	GList link;
--- a/tests/test-gate-quarantine.c
+++ b/tests/test-gate-quarantine.c
@@ -393,9 +393,9 @@
 
 static void answer_claim(struct gate_fixture *fixture, bool granted)
 {
-	rr_gate_handle_claim_result(fixture->ctx, fixture->gate,
-				    fixture->now_us,
-				    test_last_report(fixture)->entry, granted);
+	rr_gate_handle_trial_claim_result(
+		fixture->ctx, fixture->gate, fixture->now_us,
+		test_last_report(fixture)->entry, granted);
 }
 
 /* Guards against a wrong quarantine that never ends. */
--- a/tests/test-retry-budget.c
+++ b/tests/test-retry-budget.c
@@ -112,8 +112,8 @@
 	assert_int_equal(take_all(&budget, 20 * SECOND), SLACK);
 	rr_set_retry_budget(&budget, RATIO, SLACK / 2.0);
 	assert_true(rr_extras_left(&budget, 20 * SECOND) < 0);
-	assert_float_equal(rr_extras_used_fraction(&budget, 20 * SECOND), 1,
-			   1e-9);
+	assert_float_equal(rr_retry_budget_used_fraction(&budget, 20 * SECOND),
+			   1, 1e-9);
 	assert_int_equal(take_all(&budget, 31 * SECOND), SLACK / 2);
 }
 
